--- a/crates/limits/benches/cost.rs
+++ b/crates/admission/benches/cost.rs
@@ -1,13 +1,13 @@
 //! What limits cost a request, and what they do for fairness, on virtual time:
 //! `cargo bench -p mintshelf-limits`. Prints its tables; the seed is fixed.
 
+use mintshelf_admission::admission::{Admission, AdmissionSet, LimitSet};
+use mintshelf_admission::queue::{Gate, GateSet, Offer, Ticket, Verdict};
+use mintshelf_admission::rate::RateSet;
+use mintshelf_admission::tenants::Tenants;
 use mintshelf_balancer::api::{Effect, Nanos};
-use mintshelf_limits::admission::{Admission, AdmissionSet, LimitSet};
-use mintshelf_limits::gate::{Gate, GateSet, Offer, Ticket, Verdict};
-use mintshelf_limits::rate::RateSet;
-use mintshelf_limits::schedule::PerTry;
-use mintshelf_limits::tenants::Tenants;
-use mintshelf_limits::tries::{CopyAfter, Hedge, Tries, TryPlan};
+use mintshelf_retry::attempts::{CopyAfter, Hedge, Tries, TryPlan};
+use mintshelf_retry::schedule::PerTry;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::cmp::Reverse;
--- a/crates/limits/src/admission.rs
+++ b/crates/admission/src/admission.rs
@@ -1,7 +1,7 @@
 //! All limits of an installation: of tenants and routes, which refuse at once, and of
 //! clusters, which let wait. They outlive the files that set them: what is under way counts on.
 
-use crate::gate::{Gate, GateSet, Moves, Offer, Ticket, Verdict};
+use crate::queue::{Gate, GateSet, Moves, Offer, Ticket, Verdict};
 use crate::rate::{Rate, RateSet};
 use mintshelf_balancer::api::Nanos;
 use std::collections::BTreeMap;
--- a/crates/limits/tests/gate.rs
+++ b/crates/admission/tests/queue.rs
@@ -1,8 +1,8 @@
 //! A gate through random days: bounds, order, fairness, and that nobody is forgotten.
 
+use mintshelf_admission::admission::{Admission, AdmissionSet, LimitSet, Over};
+use mintshelf_admission::queue::{Gate, GateSet, Moves, Offer, Ticket, Verdict, Why};
 use mintshelf_balancer::api::Nanos;
-use mintshelf_limits::admission::{Admission, AdmissionSet, LimitSet, Over};
-use mintshelf_limits::gate::{Gate, GateSet, Moves, Offer, Ticket, Verdict, Why};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
--- a/crates/balancer/src/decide/mod.rs
+++ b/crates/balancer/src/decide/mod.rs
@@ -4,9 +4,9 @@
 //! (section 4 of their paper). Exceptions act only through who is ready, what
 //! a server's speed is, whether a request is admitted and when it is tried again.
 
-use crate::fading::{Fading, FadingMean};
+use crate::decay::{Fading, FadingMean};
 use crate::record::{Attempt, End, Health, Legal, Request, Sample};
-use crate::{api::*, budget::RetryBudget, peer::Evidence, rng::*, wakes::Wakes};
+use crate::{api::*, budget::RetryBudget, gossip::Evidence, rng::*, timers::Wakes};
 use std::collections::HashMap;
 
 mod admission;
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -9,10 +9,10 @@
 
 pub mod api;
 pub mod budget;
+pub mod decay;
 pub mod decide;
-pub mod fading;
-pub mod peer;
+pub mod gossip;
 mod record;
 mod rng;
 pub mod settings;
-mod wakes;
+mod timers;
--- a/crates/balancer/tests/peer.rs
+++ b/crates/balancer/tests/gossip.rs
@@ -3,7 +3,7 @@
 mod common;
 use common::*;
 use mintshelf_balancer::api::*;
-use mintshelf_balancer::peer::Evidence;
+use mintshelf_balancer::gossip::Evidence;
 
 #[test]
 fn evidence_survives_its_bytes() {
--- a/crates/config/src/admission.rs
+++ b/crates/config/src/admission.rs
@@ -1,10 +1,10 @@
 //! The limits of an operator's file as the package of limits takes them.
 
 use crate::model::{File, BODY_SHARE};
-use mintshelf_limits::admission::{AdmissionSet, LimitSet};
-use mintshelf_limits::gate::GateSet;
-use mintshelf_limits::seats::SeatSet;
-use mintshelf_limits::tenants::{Tenants, OTHERS};
+use mintshelf_admission::admission::{AdmissionSet, LimitSet};
+use mintshelf_admission::queue::GateSet;
+use mintshelf_admission::slots::SeatSet;
+use mintshelf_admission::tenants::{Tenants, OTHERS};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
--- a/crates/config/src/file/fleet.rs
+++ b/crates/config/src/file/fleet.rs
@@ -3,8 +3,8 @@
 use super::reader::{At, Table};
 use super::{address, ms, EVER};
 use crate::model::{Fleet, FleetVoter};
-use mintshelf_fleet::lease::{named_well, NAME_MAX};
-use mintshelf_fleet::span::{ClockError, Nanos, SpanProblem, Spans};
+use mintshelf_lease::lease::{named_well, NAME_MAX};
+use mintshelf_lease::timing::{ClockError, Nanos, SpanProblem, Spans};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
--- a/crates/config/src/file/routes.rs
+++ b/crates/config/src/file/routes.rs
@@ -7,7 +7,7 @@
 use crate::model::*;
 use crate::problem::BrokenRule;
 use http::{HeaderName, HeaderValue, Method, StatusCode};
-use mintshelf_limits::admission::LimitSet;
+use mintshelf_admission::admission::LimitSet;
 use mintshelf_routing::{Host, PathMatch, Pattern, Rule, Split, Test, Value};
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -3,15 +3,15 @@
 
 use http::{HeaderName, HeaderValue, StatusCode};
 use ipnet::IpNet;
+use mintshelf_admission::admission::LimitSet;
 use mintshelf_balancer::api::Effect;
-use mintshelf_fleet::span::Spans;
-use mintshelf_limits::admission::LimitSet;
-use mintshelf_limits::schedule::{DedupGroup, PerTry, RetryOn};
-use mintshelf_limits::tries::Hedge;
+use mintshelf_lease::timing::Spans;
+use mintshelf_retry::attempts::Hedge;
+use mintshelf_retry::schedule::{DedupGroup, PerTry, RetryOn};
 use mintshelf_routing::{Rule, Split};
-use mintshelf_sockets::handshake::Terms;
-use mintshelf_sockets::life::LifeSet;
-use mintshelf_sockets::session::SocketSet;
+use mintshelf_websocket::handshake::Terms;
+use mintshelf_websocket::session::SocketSet;
+use mintshelf_websocket::timers::LifeSet;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/crates/config/src/module.rs
+++ b/crates/config/src/module.rs
@@ -2,8 +2,8 @@
 
 use crate::model::{Class, Cluster, File, Then};
 use mintshelf_balancer::api::*;
-use mintshelf_limits::schedule::{DedupGroup, PerTry, Plan, RetryOn};
-use mintshelf_limits::tries::TryPlan;
+use mintshelf_retry::attempts::TryPlan;
+use mintshelf_retry::schedule::{DedupGroup, PerTry, Plan, RetryOn};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/config/tests/tries.rs
+++ b/crates/config/tests/tries.rs
@@ -4,7 +4,7 @@
 use mintshelf_balancer::api::Effect;
 use mintshelf_config::file;
 use mintshelf_config::module::{module, plan};
-use mintshelf_limits::schedule::PerTry;
+use mintshelf_retry::schedule::PerTry;
 use proptest::prelude::*;
 
 const LAB: &str = include_str!("../../../deploy/lab.toml");
--- a/crates/fleetnet/src/clock.rs
+++ b/crates/consensus-node/src/clock.rs
@@ -1,6 +1,6 @@
 //! The steady clock that spans are counted on.
 
-use mintshelf_fleet::span::{Nanos, SECOND};
+use mintshelf_lease::timing::{Nanos, SECOND};
 use rustix::time::{clock_gettime, ClockId};
 
 /// Nanoseconds since the machine started, sleep included: a machine that was put to sleep must not
--- a/crates/fleetnet/src/frame.rs
+++ b/crates/consensus-node/src/frame.rs
@@ -1,8 +1,8 @@
 //! What goes over a link between two processes of a fleet: frames behind a length, the first of
 //! which says who speaks, in which version, for which fleet.
 
-use mintshelf_fleet::lease::{Answer, Command, Lease, Owner};
-use mintshelf_fleet::voter::{Status, FRAME_MAX};
+use mintshelf_consensus::replica::{Status, FRAME_MAX};
+use mintshelf_lease::lease::{Answer, Command, Lease, Owner};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 use tokio_util::bytes::Bytes;
--- a/crates/fleetnet/src/lib.rs
+++ b/crates/consensus-node/src/lib.rs
@@ -3,8 +3,8 @@
 
 #![forbid(unsafe_code)]
 
+pub mod client;
 pub mod clock;
 pub mod frame;
-pub mod member;
 pub mod node;
 pub mod store;
--- a/crates/fleetnet/src/node.rs
+++ b/crates/consensus-node/src/node.rs
@@ -8,8 +8,8 @@
 };
 use crate::store::{Store, StoreError};
 use futures_util::{SinkExt, StreamExt};
-use mintshelf_fleet::span::{Nanos, Spans, MS, SECOND};
-use mintshelf_fleet::voter::{encode, Status, Stored, Ticket, Voter, VoterError};
+use mintshelf_consensus::replica::{encode, Status, Stored, Ticket, Voter, VoterError};
+use mintshelf_lease::timing::{Nanos, Spans, MS, SECOND};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::collections::{BTreeMap, HashMap};
--- a/crates/fleetnet/src/store.rs
+++ b/crates/consensus-node/src/store.rs
@@ -3,7 +3,7 @@
 //! A batch is synced before [`Store::write`] returns; what it promises may leave after that. The
 //! file says whose it is: fleet, voter and how often it was opened.
 
-use mintshelf_fleet::voter::{Batch, Stored, VoterError};
+use mintshelf_consensus::replica::{Batch, Stored, VoterError};
 use protobuf::Message as _;
 use raft::eraftpb::{Entry, HardState, Snapshot};
 use redb::{
--- a/crates/fleetnet/tests/nodes.rs
+++ b/crates/consensus-node/tests/nodes.rs
@@ -1,15 +1,15 @@
 //! Voters with stores and links on loopback, every link through a relay, and members that hold
 //! leases.
 
-use mintshelf_fleet::lease::Owner;
-use mintshelf_fleet::span::{ClockError, Spans, MS, SECOND};
-use mintshelf_fleet::voter::{Status, Stored};
-use mintshelf_fleetnet::clock;
-use mintshelf_fleetnet::member::{hold, Standing, Want};
-use mintshelf_fleetnet::node::{run, NodeError, Plan};
-use mintshelf_fleetnet::store::{Identity, Opened, Store};
-use mintshelf_testkit::relay::Relay;
-use mintshelf_testkit::{free_address, wait_until};
+use mintshelf_consensus::replica::{Status, Stored};
+use mintshelf_consensus_node::client::{hold, Standing, Want};
+use mintshelf_consensus_node::clock;
+use mintshelf_consensus_node::node::{run, NodeError, Plan};
+use mintshelf_consensus_node::store::{Identity, Opened, Store};
+use mintshelf_lease::lease::Owner;
+use mintshelf_lease::timing::{ClockError, Spans, MS, SECOND};
+use mintshelf_test_support::relay::Relay;
+use mintshelf_test_support::{free_address, wait_until};
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -210,7 +210,7 @@
     wait_until("it is held", || holder.token().is_some());
     let (token, at) = (holder.token(), fleet.at[leader as usize - 1]);
     let hello = |version, fleet: &str, voter| {
-        use mintshelf_fleetnet::frame::{pack, Hello, Speaker};
+        use mintshelf_consensus_node::frame::{pack, Hello, Speaker};
         let speaker = Speaker::Voter(voter);
         let body = pack(&Hello { version, fleet: fleet.into(), speaker });
         let mut bytes = (body.len() as u32).to_be_bytes().to_vec();
--- a/crates/fleetnet/tests/store.rs
+++ b/crates/consensus-node/tests/store.rs
@@ -1,10 +1,10 @@
 //! A voter's store: whole batches over restarts, one process at a time, and a clear word where it
 //! is another's, damaged, or the disk fails.
 
-use mintshelf_fleet::lease::{Command, Owner};
-use mintshelf_fleet::span::{Nanos, Spans, MS, SECOND};
-use mintshelf_fleet::voter::{Stored, Voter, SNAPSHOT_EVERY};
-use mintshelf_fleetnet::store::{Identity, Opened, Store, StoreError, FILE};
+use mintshelf_consensus::replica::{Stored, Voter, SNAPSHOT_EVERY};
+use mintshelf_consensus_node::store::{Identity, Opened, Store, StoreError, FILE};
+use mintshelf_lease::lease::{Command, Owner};
+use mintshelf_lease::timing::{Nanos, Spans, MS, SECOND};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use redb::backends::InMemoryBackend;
--- a/crates/fleet/benches/leases.rs
+++ b/crates/consensus/benches/leases.rs
@@ -5,9 +5,9 @@
 mod common;
 
 use common::world::{Plan, World};
-use mintshelf_fleet::lease::{Command, Owner};
-use mintshelf_fleet::span::{ClockError, Nanos, Spans, MS, SECOND};
-use mintshelf_fleet::voter::{encode, Stored, Voter};
+use mintshelf_consensus::replica::{encode, Stored, Voter};
+use mintshelf_lease::lease::{Command, Owner};
+use mintshelf_lease::timing::{ClockError, Nanos, Spans, MS, SECOND};
 use std::time::Instant;
 
 fn calm(voters: usize) -> Plan {
--- a/crates/fleet/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -1,6 +1,6 @@
 //! A voter's log as raft reads it: what is stored, mirrored in memory, behind the last snapshot.
 
-use crate::voter::Batch;
+use crate::replica::Batch;
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
 use raft::{Error, GetEntriesContext, RaftState, Result, Storage, StorageError};
 
--- a/crates/fleet/src/voter.rs
+++ b/crates/consensus/src/replica.rs
@@ -5,10 +5,10 @@
 //! sends what may go at once, writes and syncs the rest, and sends what [`Voter::synced`] gives.
 //! What is promised to others leaves with that call and not before.
 
-use crate::lease::{Answer, Leases};
 use crate::log::Log;
-use crate::machine::Machine;
-use crate::span::{Nanos, Spans};
+use crate::state_machine::Machine;
+use mintshelf_lease::lease::{Answer, Leases};
+use mintshelf_lease::timing::{Nanos, Spans};
 use protobuf::Message as _;
 use raft::eraftpb::{ConfState, Entry, EntryType, HardState, Message, MessageType, Snapshot};
 use raft::{Config, RawNode, StateRole};
--- a/crates/fleet/src/machine.rs
+++ b/crates/consensus/src/state_machine.rs
@@ -1,9 +1,9 @@
 //! What the voters agree on, as one of them sees it: a state without a clock, and the counts that
 //! go with it while this voter leads.
 
-use crate::grantor::Grantor;
-use crate::lease::{Answer, Command, Leases};
-use crate::span::{ClockError, Nanos};
+use mintshelf_lease::expiry::Grantor;
+use mintshelf_lease::lease::{Answer, Command, Leases};
+use mintshelf_lease::timing::{ClockError, Nanos};
 use serde::{de::DeserializeOwned, Serialize};
 
 /// A replicated state machine. Each voter applies the same commands in the same order; time
--- a/crates/fleet/tests/common/world.rs
+++ b/crates/consensus/tests/common/world.rs
@@ -2,11 +2,11 @@
 //! that cut, delay, lose and repeat, disks that lose what was not synced.
 
 use super::checker::{Act, Shown};
-use mintshelf_fleet::fence::Fence;
-use mintshelf_fleet::holder::{Holder, Step};
-use mintshelf_fleet::lease::{Answer, Command, Owner};
-use mintshelf_fleet::span::{ClockError, Nanos, Spans, MS, SECOND};
-use mintshelf_fleet::voter::{encode, Batch, Stored, Ticket, Voter};
+use mintshelf_consensus::replica::{encode, Batch, Stored, Ticket, Voter};
+use mintshelf_lease::client::{Holder, Step};
+use mintshelf_lease::fence::Fence;
+use mintshelf_lease::lease::{Answer, Command, Owner};
+use mintshelf_lease::timing::{ClockError, Nanos, Spans, MS, SECOND};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::cmp::Reverse;
--- a/crates/fleet/tests/frames.rs
+++ b/crates/consensus/tests/frames.rs
@@ -1,8 +1,8 @@
 //! Frames that are cut, changed or made up reach a voter: an error or nothing, never a panic.
 
-use mintshelf_fleet::lease::{Command, Owner};
-use mintshelf_fleet::span::{Nanos, Spans, MS, SECOND};
-use mintshelf_fleet::voter::{encode, Stored, Voter, VoterError, FRAME_MAX, SNAPSHOT_EVERY};
+use mintshelf_consensus::replica::{encode, Stored, Voter, VoterError, FRAME_MAX, SNAPSHOT_EVERY};
+use mintshelf_lease::lease::{Command, Owner};
+use mintshelf_lease::timing::{Nanos, Spans, MS, SECOND};
 use protobuf::Message as _;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
--- a/crates/fleet/tests/seeds.rs
+++ b/crates/consensus/tests/seeds.rs
@@ -5,7 +5,7 @@
 
 use common::checker::{breach, handovers};
 use common::world::{Mutant, Plan, World};
-use mintshelf_fleet::span::ClockError;
+use mintshelf_lease::timing::ClockError;
 
 fn seeds(few: u64) -> u64 {
     std::env::var("MINTSHELF_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(few)
--- a/crates/rig/benches/days.rs
+++ b/crates/fleet-simulator/benches/days.rs
@@ -1,8 +1,8 @@
 //! The six kinds of day of the fleet's standing test in this rig's own world, on virtual time:
-//! `cargo bench -p mintshelf-rig --bench days`. Seeds are printed; a row plays the same every
+//! `cargo bench -p mintshelf-fleet-simulator --bench days`. Seeds are printed; a row plays the same every
 //! time.
 
-use mintshelf_rig::{day, play, Day};
+use mintshelf_fleet_simulator::{day, play, Day};
 use std::time::Instant;
 
 const SIDECARS: usize = 300;
@@ -38,7 +38,7 @@
         for seed in SEEDS {
             let begun = Instant::now();
             let report = play(&day(kind, seed, SIDECARS));
-            let share = |name: &dyn Fn(&mintshelf_rig::Span) -> u64| {
+            let share = |name: &dyn Fn(&mintshelf_fleet_simulator::Span) -> u64| {
                 let of = report.sum(COUNTED, |s| name(s) as f64);
                 of / report.sum(COUNTED, |s| s.tries as f64)
             };
--- a/crates/rig/benches/storm.rs
+++ b/crates/fleet-simulator/benches/storm.rs
@@ -1,7 +1,7 @@
 //! Outages on virtual time, with the recovery package and without, side by side:
-//! `cargo bench -p mintshelf-rig`. Seeds are printed; a row plays the same every time.
+//! `cargo bench -p mintshelf-fleet-simulator`. Seeds are printed; a row plays the same every time.
 
-use mintshelf_rig::{play, Kind, Plan, Report, Retry, Trouble, MS, SECOND};
+use mintshelf_fleet_simulator::{play, Kind, Plan, Report, Retry, Trouble, MS, SECOND};
 
 const SEED: u64 = 20;
 const FROM: u64 = 20;
--- a/crates/rig/src/server.rs
+++ b/crates/fleet-simulator/src/server.rs
@@ -3,7 +3,7 @@
 use crate::plan::{Kind, Plan, CLASSES};
 use crate::{MS, SECOND};
 use mintshelf_balancer::api::{Nanos, RequestId};
-use mintshelf_balancer::fading::Fading;
+use mintshelf_balancer::decay::Fading;
 use std::collections::{HashMap, VecDeque};
 
 /// Places of a server at this many first tries a second over all servers, for each server.
--- a/crates/rig/tests/days.rs
+++ b/crates/fleet-simulator/tests/days.rs
@@ -1,6 +1,6 @@
 //! The fleet's standing days in the rig's own world: what was won there is held here.
 
-use mintshelf_rig::{day, play, Day, Fleet, Plan, Report, Restart, SECOND};
+use mintshelf_fleet_simulator::{day, play, Day, Fleet, Plan, Report, Restart, SECOND};
 
 /// Broken rules of any kind: effects twice, answers lost, attempts out together or too many,
 /// sends to servers that drain, cold servers pushed over.
--- a/crates/rig/tests/storms.rs
+++ b/crates/fleet-simulator/tests/storms.rs
@@ -1,6 +1,6 @@
 //! The rules through storms, and what the recovery package changes, on seeded runs.
 
-use mintshelf_rig::{play, Kind, Plan, Report, Retry, Trouble, MS, SECOND};
+use mintshelf_fleet_simulator::{play, Kind, Plan, Report, Retry, Trouble, MS, SECOND};
 
 const RETRIES: [Retry; 4] = [Retry::Never, Retry::AtOnce, Retry::Pause(100 * MS), Retry::Honour];
 
--- a/crates/fleet/src/holder.rs
+++ b/crates/lease/src/client.rs
@@ -2,7 +2,7 @@
 
 use crate::fence::Token;
 use crate::lease::{Answer, Command, Owner, Refusal};
-use crate::span::{ClockError, Nanos};
+use crate::timing::{ClockError, Nanos};
 use thiserror::Error;
 
 /// What there is to do for a holder.
--- a/crates/fleet/src/grantor.rs
+++ b/crates/lease/src/expiry.rs
@@ -6,12 +6,12 @@
 
 use crate::fence::Token;
 use crate::lease::{Command, Leases, Owner};
-use crate::span::{ClockError, Nanos};
+use crate::timing::{ClockError, Nanos};
 use std::collections::BTreeMap;
 
 /// A proposal that has not been applied by then is made again: it may have been lost with a
 /// message.
-pub const PROPOSE_AGAIN: Nanos = crate::span::SECOND;
+pub const PROPOSE_AGAIN: Nanos = crate::timing::SECOND;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct Count {
--- a/crates/fleet/src/lease.rs
+++ b/crates/lease/src/lease.rs
@@ -1,10 +1,10 @@
 //! The leases, as all voters agree on them: a state machine without a clock.
 //!
 //! Nothing here ends by time. That a span is over is itself an entry of the log
-//! ([`Command::Expire`]), which the leader proposes when its clock says so ([`crate::grantor`]).
+//! ([`Command::Expire`]), which the leader proposes when its clock says so ([`crate::expiry`]).
 
 use crate::fence::Token;
-use crate::span::{Nanos, MS, SECOND};
+use crate::timing::{Nanos, MS, SECOND};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 use thiserror::Error;
--- a/crates/fleet/tests/exhaustive.rs
+++ b/crates/lease/tests/exhaustive.rs
@@ -2,10 +2,10 @@
 //! small case, by the model checker, on the program's own state machines. Agreement itself is
 //! taken for granted here: what is applied, is applied once and in one order.
 
-use mintshelf_fleet::grantor::Grantor;
-use mintshelf_fleet::holder::{Holder, Step};
-use mintshelf_fleet::lease::{Answer, Command, Lease, Leases, Owner};
-use mintshelf_fleet::span::{ClockError, Nanos, MS};
+use mintshelf_lease::client::{Holder, Step};
+use mintshelf_lease::expiry::Grantor;
+use mintshelf_lease::lease::{Answer, Command, Lease, Leases, Owner};
+use mintshelf_lease::timing::{ClockError, Nanos, MS};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::BTreeMap;
 
--- a/crates/fleet/tests/leases.rs
+++ b/crates/lease/tests/leases.rs
@@ -1,11 +1,11 @@
 //! The agreed state machine, the leader's counts, a holder's own, the fence and the spans, each
 //! alone.
 
-use mintshelf_fleet::fence::{Admitted, Fence, FenceError};
-use mintshelf_fleet::grantor::Grantor;
-use mintshelf_fleet::holder::{Holder, NotNow, Step};
-use mintshelf_fleet::lease::*;
-use mintshelf_fleet::span::{ClockError, SpanProblem, Spans, MS, SECOND};
+use mintshelf_lease::client::{Holder, NotNow, Step};
+use mintshelf_lease::expiry::Grantor;
+use mintshelf_lease::fence::{Admitted, Fence, FenceError};
+use mintshelf_lease::lease::*;
+use mintshelf_lease::timing::{ClockError, SpanProblem, Spans, MS, SECOND};
 use proptest::prelude::*;
 
 const SPAN: u64 = 3 * SECOND;
--- a/crates/mintshelf/src/admin.rs
+++ b/crates/mintshelf/src/admin.rs
@@ -8,7 +8,7 @@
 use mintshelf_proxy::clients::Client;
 use mintshelf_proxy::inbound::{Front, FrontBody};
 use mintshelf_proxy::refusal::Refusal;
-use mintshelf_sockets::session::By;
+use mintshelf_websocket::session::By;
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
 use prometheus_client::metrics::gauge::Gauge;
--- a/crates/mintshelf/src/daemon.rs
+++ b/crates/mintshelf/src/daemon.rs
@@ -1,12 +1,12 @@
 //! The daemon: what an operator's file describes, in force until the next good one.
 
 use crate::check;
+use mintshelf_admission::slots::SeatSet;
 use mintshelf_balancer::api::{ListedServer, ServerId};
 use mintshelf_config::admission::{admission, seats, tenants};
 use mintshelf_config::model::{self, File, Route, Then, SOCKET_QUEUE_SHARE};
 use mintshelf_config::module::{module, nanos, Module};
 use mintshelf_config::platform::Names;
-use mintshelf_limits::seats::SeatSet;
 use mintshelf_proxy::clients::{Clients, Patience};
 use mintshelf_proxy::driver::{Driver, Spec};
 use mintshelf_proxy::gates::Gates;
--- a/crates/mintshelf/src/fleet.rs
+++ b/crates/mintshelf/src/fleet.rs
@@ -2,12 +2,12 @@
 
 use crate::{check, lease_run, runtime, UNUSABLE};
 use mintshelf_config::model::{Fleet, FleetVoter};
-use mintshelf_fleet::lease::{self, Answer, Command, Owner};
-use mintshelf_fleet::voter::Stored;
-use mintshelf_fleetnet::frame::Report;
-use mintshelf_fleetnet::member::{ask, tell};
-use mintshelf_fleetnet::node::{run, Plan};
-use mintshelf_fleetnet::store::{Identity, Opened, Store};
+use mintshelf_consensus::replica::Stored;
+use mintshelf_consensus_node::client::{ask, tell};
+use mintshelf_consensus_node::frame::Report;
+use mintshelf_consensus_node::node::{run, Plan};
+use mintshelf_consensus_node::store::{Identity, Opened, Store};
+use mintshelf_lease::lease::{self, Answer, Command, Owner};
 use serde_json::json;
 use std::ffi::OsString;
 use std::net::{SocketAddr, TcpListener};
@@ -241,7 +241,7 @@
         return Err(failed(format!("nobody holds or waits for '{one}'")));
     }
     if as_json {
-        let of = |(name, lease): &&(String, mintshelf_fleet::lease::Lease)| {
+        let of = |(name, lease): &&(String, mintshelf_lease::lease::Lease)| {
             let held = lease.held.as_ref().map(|held| {
                 json!({"member": held.owner.member, "incarnation": held.owner.incarnation,
                        "token": held.token, "span_ms": held.span / 1_000_000,
--- a/crates/mintshelf/src/lease_run.rs
+++ b/crates/mintshelf/src/lease_run.rs
@@ -6,10 +6,10 @@
 //! behind, and neither does a guard.
 
 use mintshelf_config::model::Fleet;
-use mintshelf_fleet::lease::Owner;
-use mintshelf_fleet::span::{Nanos, MS};
-use mintshelf_fleetnet::clock;
-use mintshelf_fleetnet::member::{hold, Standing, Want};
+use mintshelf_consensus_node::client::{hold, Standing, Want};
+use mintshelf_consensus_node::clock;
+use mintshelf_lease::lease::Owner;
+use mintshelf_lease::timing::{Nanos, MS};
 use rustix::process::{getppid, kill_process_group, set_parent_process_death_signal, Pid, Signal};
 use std::ffi::OsString;
 use std::io::{BufRead, Write};
--- a/crates/mintshelf/tests/clients.rs
+++ b/crates/mintshelf/tests/clients.rs
@@ -1,6 +1,6 @@
 //! Clients that misbehave, and what the rest see of them.
 
-use mintshelf_testkit::*;
+use mintshelf_test_support::*;
 use std::io::Write;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_mintshelf");
--- a/crates/mintshelf/tests/confined.rs
+++ b/crates/mintshelf/tests/confined.rs
@@ -2,7 +2,7 @@
 //! that kills it for io_uring, splice, sendfile and their like, and for any socket but TCP and
 //! UDP over IPv4; what only /proc shows is read there.
 
-use mintshelf_testkit::{
+use mintshelf_test_support::{
     ask, config, request, wait_until, Discovery, Process as _, Server, Sidecar,
 };
 use seccompiler::{
@@ -88,8 +88,8 @@
 
 #[test]
 fn the_platforms_sidecar_runs_in_one_process_on_ipv4_sockets_alone() {
-    let first = Server::start(|_, _| Some(mintshelf_testkit::answer("first")));
-    let second = Server::start(|_, _| Some(mintshelf_testkit::answer("second")));
+    let first = Server::start(|_, _| Some(mintshelf_test_support::answer("first")));
+    let second = Server::start(|_, _| Some(mintshelf_test_support::answer("second")));
     let discovery = Discovery::start(1, vec![first.entry("s-1"), second.entry("s-2")]);
     let moved = Discovery::start(2, vec![second.entry("s-2")]);
     let file = config(discovery.at, vec![first.entry("s-1")]);
--- a/crates/mintshelf/tests/conformance/sidecar.rs
+++ b/crates/mintshelf/tests/conformance/sidecar.rs
@@ -1,7 +1,7 @@
 //! Rows played at the real sidecar, between stand-ins on loopback sockets.
 
 use super::{ClockRow, End, EndingRow, Given, MembersRow, Met, Seen, State, Trouble};
-use mintshelf_testkit::*;
+use mintshelf_test_support::*;
 use serde_json::{json, Value};
 use std::io::Write;
 use std::net::TcpStream;
--- a/crates/mintshelf/tests/conformance/stage.rs
+++ b/crates/mintshelf/tests/conformance/stage.rs
@@ -2,7 +2,7 @@
 //! events and actions, or lines of the simulator's wire.
 
 use super::{End, Given, MembersRow, Met, Seen, State};
-use mintshelf_testkit::{config, set_deadlines};
+use mintshelf_test_support::{config, set_deadlines};
 use serde_json::{json, Value};
 use std::time::Duration;
 
--- a/crates/mintshelf/tests/conformance/wire.rs
+++ b/crates/mintshelf/tests/conformance/wire.rs
@@ -2,7 +2,7 @@
 
 use super::stage::{settings, Ended, Stage, START};
 use super::{End, Met, State};
-use mintshelf_benchlink::host::Host;
+use mintshelf_simulator_adapter::host::Host;
 
 /// An instance with the clock and the timers round it.
 pub struct Wire {
--- a/crates/mintshelf/tests/crossings/attempts.rs
+++ b/crates/mintshelf/tests/crossings/attempts.rs
@@ -1,7 +1,7 @@
 //! Attempts: a keyed window that ends while a connection comes up, connections that die at rest.
 
 use crate::stage::*;
-use mintshelf_testkit::*;
+use mintshelf_test_support::*;
 use serde_json::json;
 use std::io::Write;
 use std::thread;
--- a/crates/mintshelf/tests/crossings/clients.rs
+++ b/crates/mintshelf/tests/crossings/clients.rs
@@ -1,7 +1,7 @@
 //! Clients that leave: no attempt begins for one that has gone.
 
 use crate::stage::*;
-use mintshelf_testkit::*;
+use mintshelf_test_support::*;
 use serde_json::json;
 use std::io::Write;
 use std::net::TcpStream;
--- a/crates/mintshelf/tests/crossings/closes.rs
+++ b/crates/mintshelf/tests/crossings/closes.rs
@@ -1,7 +1,7 @@
 //! Closes of clients' connections, and the planned end.
 
 use crate::stage::*;
-use mintshelf_testkit::*;
+use mintshelf_test_support::*;
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::thread;
--- a/crates/mintshelf/tests/crossings/customers.rs
+++ b/crates/mintshelf/tests/crossings/customers.rs
@@ -1,7 +1,7 @@
 //! Other customers: names in any script, extreme settings, settings that contradict themselves.
 
 use crate::stage::*;
-use mintshelf_testkit::*;
+use mintshelf_test_support::*;
 use serde_json::{json, Value};
 use std::process::Command;
 
--- a/crates/mintshelf/tests/crossings/discovery.rs
+++ b/crates/mintshelf/tests/crossings/discovery.rs
@@ -1,7 +1,7 @@
 //! Lists that go quiet, come late, or are older than the one held.
 
 use crate::stage::*;
-use mintshelf_testkit::*;
+use mintshelf_test_support::*;
 use serde_json::{json, Value};
 use std::io::Write;
 use std::net::TcpStream;
--- a/crates/mintshelf/tests/crossings/stage.rs
+++ b/crates/mintshelf/tests/crossings/stage.rs
@@ -1,6 +1,6 @@
 //! Barriers between the sidecar and its stand-ins.
 
-use mintshelf_testkit::*;
+use mintshelf_test_support::*;
 use serde_json::{json, Value};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex};
--- a/crates/mintshelf/tests/ending.rs
+++ b/crates/mintshelf/tests/ending.rs
@@ -1,7 +1,7 @@
 //! The planned end of the platform's sidecar: clients go on sending on whatever stays open, some
 //! servers say nothing, and a supervisor kills the process as soon as it may.
 
-use mintshelf_testkit::*;
+use mintshelf_test_support::*;
 use serde_json::json;
 use std::collections::HashMap;
 use std::io::Write;
--- a/crates/mintshelf/tests/fleet.rs
+++ b/crates/mintshelf/tests/fleet.rs
@@ -1,13 +1,13 @@
 //! Voters as real processes, every link between two of them through a relay; members hold leases
 //! while processes are stopped, killed and cut off.
 
-use mintshelf_fleet::fence::Fence;
-use mintshelf_fleet::lease::Owner;
-use mintshelf_fleet::span::{ClockError, MS, SECOND};
-use mintshelf_fleetnet::clock;
-use mintshelf_fleetnet::member::{hold, Standing, Want};
-use mintshelf_testkit::relay::{Relay, Way};
-use mintshelf_testkit::{answer, free_address, get, wait_until, Daemon, Process, Server};
+use mintshelf_consensus_node::client::{hold, Standing, Want};
+use mintshelf_consensus_node::clock;
+use mintshelf_lease::fence::Fence;
+use mintshelf_lease::lease::Owner;
+use mintshelf_lease::timing::{ClockError, MS, SECOND};
+use mintshelf_test_support::relay::{Relay, Way};
+use mintshelf_test_support::{answer, free_address, get, wait_until, Daemon, Process, Server};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use serde_json::Value;
--- a/crates/mintshelf/tests/limits.rs
+++ b/crates/mintshelf/tests/limits.rs
@@ -1,6 +1,6 @@
 //! Limits of tenants, routes, clusters and endpoints over real sockets.
 
-use mintshelf_testkit::*;
+use mintshelf_test_support::*;
 use std::io::Write;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
--- a/crates/mintshelf/tests/outage.rs
+++ b/crates/mintshelf/tests/outage.rs
@@ -1,6 +1,6 @@
 //! A whole cluster that goes and comes back: who is sent what, and what clients are told.
 
-use mintshelf_testkit::*;
+use mintshelf_test_support::*;
 use std::collections::{HashMap, HashSet};
 use std::io::Write;
 use std::net::SocketAddr;
--- a/crates/mintshelf/tests/plain.rs
+++ b/crates/mintshelf/tests/plain.rs
@@ -1,6 +1,6 @@
 //! Ordinary HTTP/1.1 through the daemon: what is passed on, and what never is.
 
-use mintshelf_testkit::*;
+use mintshelf_test_support::*;
 use std::io::{Read, Write};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
--- a/crates/mintshelf/tests/reload.rs
+++ b/crates/mintshelf/tests/reload.rs
@@ -1,6 +1,6 @@
 //! New configurations while the program runs.
 
-use mintshelf_testkit::*;
+use mintshelf_test_support::*;
 use serde_json::json;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_mintshelf");
--- a/crates/mintshelf/tests/servers.rs
+++ b/crates/mintshelf/tests/servers.rs
@@ -1,6 +1,6 @@
 //! Servers that misbehave: what is tried again, and what is never passed on.
 
-use mintshelf_testkit::*;
+use mintshelf_test_support::*;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_mintshelf");
 
--- a/crates/mintshelf/tests/sockets.rs
+++ b/crates/mintshelf/tests/sockets.rs
@@ -3,7 +3,7 @@
 // The errors of the implementation at the ends are large, and not of our making.
 #![allow(clippy::result_large_err)]
 
-use mintshelf_testkit::*;
+use mintshelf_test_support::*;
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
--- a/crates/mintshelf/tests/swap.rs
+++ b/crates/mintshelf/tests/swap.rs
@@ -1,6 +1,6 @@
 //! Files taken and refused while the daemon serves.
 
-use mintshelf_testkit::*;
+use mintshelf_test_support::*;
 use std::collections::HashSet;
 use std::io::Write;
 use std::net::SocketAddr;
--- a/crates/mintshelf/tests/tries.rs
+++ b/crates/mintshelf/tests/tries.rs
@@ -1,6 +1,6 @@
 //! Attempts under their own time-outs, second copies, and effects counted at the servers.
 
-use mintshelf_testkit::*;
+use mintshelf_test_support::*;
 use std::collections::HashMap;
 use std::io::Write;
 use std::net::SocketAddr;
--- a/crates/proxy/src/notes.rs
+++ b/crates/proxy/src/notes.rs
@@ -2,7 +2,7 @@
 //! that were left out.
 
 use crate::clock::Clock;
-use mintshelf_limits::rate::{Rate, RateSet};
+use mintshelf_admission::rate::{Rate, RateSet};
 use std::cell::Cell;
 use std::num::NonZeroU32;
 use std::time::Duration;
--- a/crates/proxy/src/open.rs
+++ b/crates/proxy/src/open.rs
@@ -8,7 +8,7 @@
 use hyper::Request;
 use mintshelf_balancer::api::*;
 use mintshelf_balancer::decide::Balancer;
-use mintshelf_limits::ending::{Ending, Verdict};
+use mintshelf_retry::shutdown::{Ending, Verdict};
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::rc::Rc;
 use tokio::sync::OwnedSemaphorePermit;
--- a/crates/proxy/src/platform.rs
+++ b/crates/proxy/src/platform.rs
@@ -13,7 +13,7 @@
 use hyper::{Request, Response, StatusCode};
 use mintshelf_balancer::api::{Nanos, Settings};
 use mintshelf_config::platform::Names;
-use mintshelf_limits::ending::Ending;
+use mintshelf_retry::shutdown::Ending;
 use std::cell::Cell;
 use std::future::poll_fn;
 use std::pin::Pin;
--- a/crates/proxy/src/sockets/front.rs
+++ b/crates/proxy/src/sockets/front.rs
@@ -12,12 +12,12 @@
 use hyper::header::HeaderMap;
 use hyper::http::request::Parts;
 use hyper::{Request, StatusCode};
+use mintshelf_admission::slots::{NoSeat, Sitter};
 use mintshelf_balancer::api::{Effect, Nanos};
 use mintshelf_config::model::WebSocket;
 use mintshelf_config::module::severity;
-use mintshelf_limits::seats::{NoSeat, Sitter};
-use mintshelf_sockets::handshake::{Agreed, Bad, Offer};
-use mintshelf_sockets::session::Session;
+use mintshelf_websocket::handshake::{Agreed, Bad, Offer};
+use mintshelf_websocket::session::Session;
 use std::rc::Rc;
 use std::sync::Arc;
 
--- a/crates/proxy/src/sockets/registry.rs
+++ b/crates/proxy/src/sockets/registry.rs
@@ -1,12 +1,12 @@
 //! All open sockets: who holds them and where, and the orders that reach many at one time.
 
 use crate::clock::Clock;
+use mintshelf_admission::slots::{NoSeat, SeatSet, Seats, Sitter};
 use mintshelf_balancer::api::{Nanos, ServerId};
-use mintshelf_limits::seats::{NoSeat, SeatSet, Seats, Sitter};
-use mintshelf_sockets::close;
-use mintshelf_sockets::evacuation::Evacuations;
-use mintshelf_sockets::frame::End;
-use mintshelf_sockets::session::{By, Leave, Over, Session};
+use mintshelf_websocket::close;
+use mintshelf_websocket::frame::End;
+use mintshelf_websocket::migration::Evacuations;
+use mintshelf_websocket::session::{By, Leave, Over, Session};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::rc::Rc;
--- a/crates/proxy/src/trying.rs
+++ b/crates/proxy/src/trying.rs
@@ -3,7 +3,7 @@
 use crate::seat::Cancel;
 use crate::upstream::Ended;
 use mintshelf_balancer::api::{Nanos, Outcome};
-use mintshelf_limits::tries::Cut;
+use mintshelf_retry::attempts::Cut;
 use std::future::Future;
 use std::pin::pin;
 use std::time::Duration;
--- a/crates/proxy/src/upstream.rs
+++ b/crates/proxy/src/upstream.rs
@@ -14,7 +14,7 @@
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
 use mintshelf_balancer::api::{Outcome, ServerId};
-use mintshelf_sockets::handshake::{Agreed, Asked};
+use mintshelf_websocket::handshake::{Agreed, Asked};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
 use std::future::poll_fn;
--- a/crates/shares/benches/shares.rs
+++ b/crates/quota/benches/quota.rs
@@ -2,12 +2,12 @@
 //! agreed in 15 ms, spans of 2 s. The need is at one member, then moves to another.
 //! CPU is that of this process.
 
-use mintshelf_fleet::lease::Owner;
-use mintshelf_fleet::span::{ClockError, Nanos, MS, SECOND};
-use mintshelf_shares::budget::Budget;
-use mintshelf_shares::clerk::Clerk;
-use mintshelf_shares::holder::ShareHolder;
-use mintshelf_shares::ledger::{Answer, Ask, Beat, Ledger};
+use mintshelf_lease::lease::Owner;
+use mintshelf_lease::timing::{ClockError, Nanos, MS, SECOND};
+use mintshelf_quota::client::ShareHolder;
+use mintshelf_quota::collector::Clerk;
+use mintshelf_quota::config::Budget;
+use mintshelf_quota::ledger::{Answer, Ask, Beat, Ledger};
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
--- a/crates/shares/src/holder.rs
+++ b/crates/quota/src/client.rs
@@ -1,9 +1,9 @@
 //! A member's side of one budget.
 
-use crate::budget::Budget;
+use crate::config::Budget;
 use crate::ledger::{Answer, Ask, Promise};
-use mintshelf_fleet::lease::Owner;
-use mintshelf_fleet::span::Nanos;
+use mintshelf_lease::lease::Owner;
+use mintshelf_lease::timing::Nanos;
 use std::collections::VecDeque;
 
 /// Questions whose answers are still of use. Asked three times a span, an answer to an older one
--- a/crates/shares/src/clerk.rs
+++ b/crates/quota/src/collector.rs
@@ -1,11 +1,11 @@
 //! A voter's side: gathers its members' questions into beats and, while it leads, counts the
 //! spans of promises.
 
-use crate::budget::MEMBERS_MAX;
+use crate::config::MEMBERS_MAX;
 use crate::ledger::{Ask, Beat, Ended, Ledger};
-use mintshelf_fleet::grantor::PROPOSE_AGAIN;
-use mintshelf_fleet::lease::Owner;
-use mintshelf_fleet::span::Nanos;
+use mintshelf_lease::expiry::PROPOSE_AGAIN;
+use mintshelf_lease::lease::Owner;
+use mintshelf_lease::timing::Nanos;
 use std::collections::BTreeMap;
 
 /// One promise whose span is counted.
--- a/crates/shares/src/budget.rs
+++ b/crates/quota/src/config.rs
@@ -1,6 +1,6 @@
 //! A budget as an operator states it, and whether it can be kept.
 
-use mintshelf_fleet::span::{ClockError, Nanos, MS, SECOND};
+use mintshelf_lease::timing::{ClockError, Nanos, MS, SECOND};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
--- a/crates/shares/src/ledger.rs
+++ b/crates/quota/src/ledger.rs
@@ -1,8 +1,8 @@
 //! What is promised to whom, as all voters agree on it: a state machine without a clock.
 
-use crate::budget::Budget;
+use crate::config::Budget;
 use crate::divide::{divide, settle, Claim};
-use mintshelf_fleet::lease::Owner;
+use mintshelf_lease::lease::Owner;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/crates/shares/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -7,27 +7,27 @@
 //!
 //! - what was promised counts as used until its holder has confirmed that it uses no more, or
 //!   until its span is over ([`ledger::Ledger`], agreed, without a clock);
-//! - a holder counts its span from before it asked ([`holder::ShareHolder`]), the leader from
+//! - a holder counts its span from before it asked ([`client::ShareHolder`]), the leader from
 //!   after the promise was agreed, plus the clocks' error and the time for which a unit that was
-//!   taken at the last moment may still be in use ([`clerk::Clerk`]); a new leader counts anew;
+//!   taken at the last moment may still be in use ([`collector::Clerk`]); a new leader counts anew;
 //! - a member that hears nothing is left with its **floor**, which needs no agreement: floors
-//!   times the most members are set aside of the whole ([`budget::Budget::check`]);
+//!   times the most members are set aside of the whole ([`config::Budget::check`]);
 //! - one entry of the log a beat carries the questions of all members ([`ledger::Beat`]).
 //!
-//! Requests never ask: whoever admits them reads [`holder::ShareHolder::limit`], or a
-//! [`rate::Bucket`] that is told of it.
+//! Requests never ask: whoever admits them reads [`client::ShareHolder::limit`], or a
+//! [`token_bucket::Bucket`] that is told of it.
 //!
 //! `docs/shares-design.md` has the reasons, what was weighed and what is proved.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod agreed;
-pub mod budget;
-pub mod clerk;
+pub mod client;
+pub mod collector;
+pub mod config;
 pub mod divide;
-pub mod holder;
 pub mod ledger;
-pub mod rate;
 pub mod session;
+pub mod state_machine;
+pub mod token_bucket;
 pub mod usage;
--- a/crates/shares/src/agreed.rs
+++ b/crates/quota/src/state_machine.rs
@@ -1,12 +1,12 @@
 //! Leases and budgets as one state that the voters agree on.
 
-use crate::budget::{Budget, BudgetProblem};
-use crate::clerk::Clerk;
+use crate::collector::Clerk;
+use crate::config::{Budget, BudgetProblem};
 use crate::ledger::{self, Ask, Beat, Ledger};
-use mintshelf_fleet::grantor::Grantor;
-use mintshelf_fleet::lease::{self, named_well, Leases};
-use mintshelf_fleet::machine::Machine;
-use mintshelf_fleet::span::{ClockError, Nanos};
+use mintshelf_consensus::state_machine::Machine;
+use mintshelf_lease::expiry::Grantor;
+use mintshelf_lease::lease::{self, named_well, Leases};
+use mintshelf_lease::timing::{ClockError, Nanos};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/crates/shares/src/rate.rs
+++ b/crates/quota/src/token_bucket.rs
@@ -1,7 +1,7 @@
 //! A token bucket whose rate is a share: tokens are neither made nor kept by dividing anew.
 
-use crate::holder::Limit;
-use mintshelf_fleet::span::{Nanos, SECOND};
+use crate::client::Limit;
+use mintshelf_lease::timing::{Nanos, SECOND};
 
 /// Parts of a token that are counted.
 const PARTS: u128 = SECOND as u128;
--- a/crates/shares/src/usage.rs
+++ b/crates/quota/src/usage.rs
@@ -1,7 +1,7 @@
 //! What a member uses of a share, and what it needs: the part that requests pass through.
 
-use crate::holder::Limit;
-use mintshelf_fleet::span::Nanos;
+use crate::client::Limit;
+use mintshelf_lease::timing::Nanos;
 
 /// Needs are kept for so many windows: one that has just begun has seen too little.
 const WINDOWS: usize = 3;
--- a/crates/shares/tests/common/mod.rs
+++ b/crates/quota/tests/common/mod.rs
@@ -3,7 +3,7 @@
 
 pub mod world;
 
-use mintshelf_shares::ledger::{Answer, Beat, Ended, Ledger};
+use mintshelf_quota::ledger::{Answer, Beat, Ended, Ledger};
 
 /// How many seeds to play: `MINTSHELF_SEEDS`, or a few.
 pub fn seeds(few: u64) -> u64 {
--- a/crates/shares/tests/common/world.rs
+++ b/crates/quota/tests/common/world.rs
@@ -3,12 +3,12 @@
 //! is taken for granted here (`crates/fleet` proves it): what is applied, is applied once and in
 //! one order.
 use super::{free_earlier, free_former_lives};
-use mintshelf_fleet::lease::Owner;
-use mintshelf_fleet::span::{ClockError, Nanos, MS, SECOND};
-use mintshelf_shares::budget::Budget;
-use mintshelf_shares::clerk::Clerk;
-use mintshelf_shares::holder::ShareHolder;
-use mintshelf_shares::ledger::{Answer, Ask, Beat, Ledger};
+use mintshelf_lease::lease::Owner;
+use mintshelf_lease::timing::{ClockError, Nanos, MS, SECOND};
+use mintshelf_quota::client::ShareHolder;
+use mintshelf_quota::collector::Clerk;
+use mintshelf_quota::config::Budget;
+use mintshelf_quota::ledger::{Answer, Ask, Beat, Ledger};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/shares/tests/division.rs
+++ b/crates/quota/tests/division.rs
@@ -1,10 +1,10 @@
 //! Division, budgets and buckets, by properties and against a plain way to do the same.
 
-use mintshelf_fleet::span::{ClockError, Nanos, MS, SECOND};
-use mintshelf_shares::budget::{Budget, BudgetProblem};
-use mintshelf_shares::divide::{divide, settle, Claim};
-use mintshelf_shares::holder::Limit;
-use mintshelf_shares::rate::Bucket;
+use mintshelf_lease::timing::{ClockError, Nanos, MS, SECOND};
+use mintshelf_quota::client::Limit;
+use mintshelf_quota::config::{Budget, BudgetProblem};
+use mintshelf_quota::divide::{divide, settle, Claim};
+use mintshelf_quota::token_bucket::Bucket;
 use proptest::prelude::*;
 
 fn claims() -> impl Strategy<Value = Vec<Claim>> {
--- a/crates/shares/tests/exhaustive.rs
+++ b/crates/quota/tests/exhaustive.rs
@@ -5,12 +5,12 @@
 mod common;
 
 use common::{free_earlier, free_former_lives};
-use mintshelf_fleet::lease::Owner;
-use mintshelf_fleet::span::{ClockError, Nanos, MS};
-use mintshelf_shares::budget::Budget;
-use mintshelf_shares::clerk::Clerk;
-use mintshelf_shares::holder::ShareHolder;
-use mintshelf_shares::ledger::{Answer, Ask, Beat, Ledger};
+use mintshelf_lease::lease::Owner;
+use mintshelf_lease::timing::{ClockError, Nanos, MS};
+use mintshelf_quota::client::ShareHolder;
+use mintshelf_quota::collector::Clerk;
+use mintshelf_quota::config::Budget;
+use mintshelf_quota::ledger::{Answer, Ask, Beat, Ledger};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 /// A step of true time.
--- a/crates/shares/tests/ledger.rs
+++ b/crates/quota/tests/ledger.rs
@@ -1,10 +1,10 @@
 //! The ledger's rules one by one, without clocks: what is said is all that counts.
 
-use mintshelf_fleet::lease::Owner;
-use mintshelf_fleet::span::{ClockError, SECOND};
-use mintshelf_shares::budget::Budget;
-use mintshelf_shares::clerk::Clerk;
-use mintshelf_shares::ledger::{Account, Ask, Beat, Ended, Ledger, Promise, PROMISES_MAX};
+use mintshelf_lease::lease::Owner;
+use mintshelf_lease::timing::{ClockError, SECOND};
+use mintshelf_quota::collector::Clerk;
+use mintshelf_quota::config::Budget;
+use mintshelf_quota::ledger::{Account, Ask, Beat, Ended, Ledger, Promise, PROMISES_MAX};
 
 const BUDGET: Budget = Budget {
     whole: 110,
--- a/crates/shares/tests/seeds.rs
+++ b/crates/quota/tests/seeds.rs
@@ -5,7 +5,7 @@
 
 use common::seeds;
 use common::world::{Mutant, Plan, World};
-use mintshelf_fleet::span::ClockError;
+use mintshelf_lease::timing::ClockError;
 
 #[derive(Debug, Default)]
 struct Sum {
--- a/crates/shares/tests/sessions.rs
+++ b/crates/quota/tests/sessions.rs
@@ -1,8 +1,8 @@
 //! Two thousand members and three voters, of which one goes and comes back.
 
-use mintshelf_fleet::lease::Owner;
-use mintshelf_fleet::span::{Nanos, MS, SECOND};
-use mintshelf_shares::session::{Seats, Session, PATIENCE};
+use mintshelf_lease::lease::Owner;
+use mintshelf_lease::timing::{Nanos, MS, SECOND};
+use mintshelf_quota::session::{Seats, Session, PATIENCE};
 use proptest::prelude::*;
 
 fn owner(n: usize) -> Owner {
--- a/crates/shares/tests/usage.rs
+++ b/crates/quota/tests/usage.rs
@@ -1,8 +1,8 @@
 //! What passes a share's limit, and what is reckoned as need.
 
-use mintshelf_fleet::span::{Nanos, MS, SECOND};
-use mintshelf_shares::holder::Limit;
-use mintshelf_shares::usage::Usage;
+use mintshelf_lease::timing::{Nanos, MS, SECOND};
+use mintshelf_quota::client::Limit;
+use mintshelf_quota::usage::Usage;
 use proptest::prelude::*;
 
 const WINDOW: Nanos = 500 * MS;
--- a/crates/shares/tests/voters.rs
+++ b/crates/quota/tests/voters.rs
@@ -5,15 +5,15 @@
 mod common;
 
 use common::seeds;
-use mintshelf_fleet::lease::Owner;
-use mintshelf_fleet::span::{ClockError, Nanos, Spans, MS, SECOND};
-use mintshelf_fleet::voter::{encode, Stored, Voter};
-use mintshelf_shares::agreed::{Agreed, Answer, Command, Unfit};
-use mintshelf_shares::budget::Budget;
-use mintshelf_shares::holder::ShareHolder;
-use mintshelf_shares::ledger::{self, Ask};
-use mintshelf_shares::session::{Seats, Session};
-use mintshelf_shares::usage::Usage;
+use mintshelf_consensus::replica::{encode, Stored, Voter};
+use mintshelf_lease::lease::Owner;
+use mintshelf_lease::timing::{ClockError, Nanos, Spans, MS, SECOND};
+use mintshelf_quota::client::ShareHolder;
+use mintshelf_quota::config::Budget;
+use mintshelf_quota::ledger::{self, Ask};
+use mintshelf_quota::session::{Seats, Session};
+use mintshelf_quota::state_machine::{Agreed, Answer, Command, Unfit};
+use mintshelf_quota::usage::Usage;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -311,7 +311,7 @@
 
 #[test]
 fn budgets_are_stated_once_and_changed_with_care() {
-    use mintshelf_fleet::machine::Machine;
+    use mintshelf_consensus::state_machine::Machine;
     let mut agreed = Agreed::default();
     let mut state = |name: &str, budget: Budget| match agreed
         .apply(&Command::Budget { name: name.into(), budget })
--- a/crates/recovery/src/pace.rs
+++ b/crates/recovery/src/pace.rs
@@ -7,7 +7,7 @@
 use crate::usual::Usual;
 use crate::SECOND;
 use mintshelf_balancer::api::Outcome;
-use mintshelf_balancer::fading::Fading;
+use mintshelf_balancer::decay::Fading;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 
--- a/crates/limits/src/tries.rs
+++ b/crates/retry/src/attempts.rs
@@ -1,6 +1,6 @@
 //! How long one attempt may take, and when a second copy goes beside it.
 
-use crate::answers::Answers;
+use crate::latency_window::Answers;
 use crate::schedule::PerTry;
 use mintshelf_balancer::api::{Effect, Nanos};
 use mintshelf_balancer::budget::RetryBudget;
--- a/crates/limits/tests/schedule.rs
+++ b/crates/retry/tests/schedule.rs
@@ -2,7 +2,7 @@
 //! of a schedule, and all of the extremes one after the other.
 
 use mintshelf_balancer::api::{Effect, Nanos};
-use mintshelf_limits::schedule::{told, Breach, DedupGroup, PerTry, Plan, RetryOn};
+use mintshelf_retry::schedule::{told, Breach, DedupGroup, PerTry, Plan, RetryOn};
 use proptest::prelude::*;
 
 const MS: Nanos = 1_000_000;
--- a/crates/limits/tests/ending.rs
+++ b/crates/retry/tests/shutdown.rs
@@ -1,7 +1,7 @@
 //! The planned end: what it leaves of a request's time, and what is told when it is over.
 
 use mintshelf_balancer::api::Effect;
-use mintshelf_limits::ending::{Ending, Verdict};
+use mintshelf_retry::shutdown::{Ending, Verdict};
 use proptest::prelude::*;
 
 const MS: u64 = 1_000_000;
--- a/crates/benchlink/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,7 +1,7 @@
 //! Hosts instances of the decision module on the line protocol: standard
 //! input to standard output, one reply for each batch.
 
-use mintshelf_benchlink::host::Host;
+use mintshelf_simulator_adapter::host::Host;
 use std::io::{self, BufRead, BufReader, Write};
 use std::process::ExitCode;
 
@@ -33,7 +33,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(what) => {
-            eprintln!("mintshelf-benchlink: {what}");
+            eprintln!("mintshelf-simulator-adapter: {what}");
             ExitCode::FAILURE
         }
     }
--- a/crates/benchlink/tests/benchlink.rs
+++ b/crates/simulator-adapter/tests/simulator_adapter.rs
@@ -6,7 +6,7 @@
 const SETTINGS: &str = r#"{"self-index":0,"balancers":2,"tick":5000000,"unknown":[1],"registry-mode":"automatic","classes":[{"semantics":"pure","goal-time":300000000,"deadline":1000000000,"worth":1}],"invariants":{"grace-to-answer":15000000,"stop-sending-within":500000000,"cold-from":0.3,"cold":8000000000,"fall-multiple":3,"tip-after":2000000000},"limits":{"cancel":true,"probes":false,"peers":false,"retry-after":true,"parallel-tries":true,"max-attempts":3,"connect-timeout":200000000,"conn-idle":15000000000}}"#;
 
 fn run(input: &str) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_mintshelf-benchlink"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_mintshelf-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/crates/testkit/tests/relay.rs
+++ b/crates/test-support/tests/relay.rs
@@ -1,7 +1,7 @@
 //! The relay does to a link what it says, each way by itself.
 
-use mintshelf_testkit::relay::{Relay, Way};
-use mintshelf_testkit::{connect, wait_until, Peer};
+use mintshelf_test_support::relay::{Relay, Way};
+use mintshelf_test_support::{connect, wait_until, Peer};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::sync::{Arc, Mutex};
--- a/crates/sockets/src/lib.rs
+++ b/crates/websocket/src/lib.rs
@@ -7,8 +7,8 @@
 #![warn(missing_docs)]
 
 pub mod close;
-pub mod evacuation;
 pub mod frame;
 pub mod handshake;
-pub mod life;
+pub mod migration;
 pub mod session;
+pub mod timers;
--- a/crates/sockets/src/session.rs
+++ b/crates/websocket/src/session.rs
@@ -4,7 +4,7 @@
 
 use crate::close::{self, Close};
 use crate::frame::{control_frame, Control, End, Fate, Follower, Violation};
-use crate::life::{Due, Life, LifeSet};
+use crate::timers::{Due, Life, LifeSet};
 use mintshelf_balancer::api::Nanos;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
--- a/crates/sockets/tests/session.rs
+++ b/crates/websocket/tests/session.rs
@@ -1,9 +1,9 @@
 //! Sessions under drawn traffic, splits, failures and orders, read by an implementation of the
 //! protocol that shares nothing with this one.
 
-use mintshelf_sockets::frame::{End, Follower};
-use mintshelf_sockets::life::LifeSet;
-use mintshelf_sockets::session::{Act, By, Leave, Resume, Session, SocketSet};
+use mintshelf_websocket::frame::{End, Follower};
+use mintshelf_websocket::session::{Act, By, Leave, Resume, Session, SocketSet};
+use mintshelf_websocket::timers::LifeSet;
 use proptest::prelude::*;
 use std::io::{self, Cursor, Read, Write};
 use std::rc::Rc;
@@ -349,8 +349,8 @@
         for byte in &client_read {
             prop_assert!(!last, "bytes behind a close frame");
             follower.follow(&[*byte], &mut Vec::new(), |control| {
-                behind = matches!(control, mintshelf_sockets::frame::Control::Close(_));
-                mintshelf_sockets::frame::Fate::Swallow
+                behind = matches!(control, mintshelf_websocket::frame::Control::Close(_));
+                mintshelf_websocket::frame::Fate::Swallow
             }).map_err(|e| TestCaseError::fail(format!("{e:?}")))?;
             last = behind;
         }
