--- a/crates/admission/benches/cost.rs
+++ b/crates/admission/benches/cost.rs
@@ -1,13 +1,15 @@
 //! What limits cost a request, and what they do for fairness, on virtual time:
 //! `cargo bench -p mintshelf-limits`. Prints its tables; the seed is fixed.
 
-use mintshelf_admission::admission::{Admission, AdmissionSet, LimitSet};
-use mintshelf_admission::queue::{Gate, GateSet, Offer, Ticket, Verdict};
-use mintshelf_admission::rate::RateSet;
+use mintshelf_admission::admission::{Admission, AdmissionConfig, LimitConfig};
+use mintshelf_admission::queue::{
+    FairQueue, FairQueueConfig, QueueDecision, QueueEntry, QueueTicket,
+};
+use mintshelf_admission::rate::RateConfig;
 use mintshelf_admission::tenants::Tenants;
 use mintshelf_balancer::api::{Effect, Nanos};
-use mintshelf_retry::attempts::{CopyAfter, Hedge, Tries, TryPlan};
-use mintshelf_retry::schedule::PerTry;
+use mintshelf_retry::attempts::{AttemptTracker, Hedge, HedgeDelay, RetryPolicy};
+use mintshelf_retry::schedule::AttemptTimeout;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::cmp::Reverse;
@@ -34,14 +36,14 @@
 fn admission(tenants: usize) -> (Admission, Vec<Rc<str>>) {
     let names: Vec<Rc<str>> = (0..tenants).map(|n| format!("t{n}").into()).collect();
     let burst = NonZeroU32::MAX;
-    let rate = RateSet { count: NonZeroU32::MAX, per: Duration::from_secs(4), burst };
-    let limit = LimitSet { rate: Some(rate), most: Some(1_000), bytes: None, sockets: None };
+    let rate = RateConfig { count: NonZeroU32::MAX, per: Duration::from_secs(4), burst };
+    let limit = LimitConfig { rate: Some(rate), most: Some(1_000), bytes: None, sockets: None };
     let shares = names.iter().map(|name| (name.clone(), 1.0)).collect();
-    let gate = GateSet { most: 1_000, queue: 100, shares };
+    let gate = FairQueueConfig { most: 1_000, queue: 100, shares };
     let mut admission = Admission::default();
     let tenants = names.iter().map(|name| (name.clone(), limit)).collect();
     let routes = [("r".into(), limit)].into();
-    admission.set(0, &AdmissionSet { tenants, routes, clusters: [("c".into(), gate)].into() });
+    admission.set(0, &AdmissionConfig { tenants, routes, clusters: [("c".into(), gate)].into() });
     (admission, names)
 }
 
@@ -53,10 +55,10 @@
         let through = cost(|n| {
             let (now, tenant) = (n * 10_000, &names[n as usize % tenants]);
             let _ = black_box(admission.enter(now, tenant, "r"));
-            let offer = Offer {
+            let offer = QueueEntry {
                 tenant: tenant.clone(),
                 repeat: false,
-                worth: 1.0,
+                priority_weight: 1.0,
                 deadline: now + SECOND,
                 needs: MS,
             };
@@ -78,17 +80,17 @@
             black_box(tenants.of(black_box(client), "l", None));
         })
     );
-    let hedge = Some(Hedge { after: CopyAfter::P95, share: 0.05 });
-    let plan = TryPlan {
+    let hedge = Some(Hedge { after: HedgeDelay::P95, share: 0.05 });
+    let plan = RetryPolicy {
         effect: Effect::Safe,
-        per_try: PerTry::Adaptive,
+        per_try: AttemptTimeout::Adaptive,
         bounds: [50 * MS, 600 * MS],
         attempts: 3,
         hedge,
         connect: 200 * MS,
         idle: 15_000 * MS,
     };
-    let mut tries = Tries::new(plan, 0);
+    let mut tries = AttemptTracker::new(plan, 0);
     println!(
         "{:>9.0}  time for a try, second copy, answer noted",
         cost(|n| {
@@ -124,14 +126,14 @@
     let names: Vec<Rc<str>> =
         (0..MEMBERS).map(|n| if apart { format!("m{n}").into() } else { "all".into() }).collect();
     let shares = names.iter().map(|name| (name.clone(), 1.0)).collect();
-    let mut gate = Gate::new(GateSet { most: PLACES, queue: 400, shares });
+    let mut gate = FairQueue::new(FairQueueConfig { most: PLACES, queue: 400, shares });
     // What happens when: a request of a member, or the end of one.
     let mut events = BinaryHeap::new();
     let mut number = 0u64;
     for (n, rate) in rates.iter().enumerate() {
         events.push(Reverse(((draw() / rate * SECOND as f64) as Nanos, 0, n, true)));
     }
-    let mut waiting: HashMap<Ticket, (usize, Nanos)> = HashMap::new();
+    let mut waiting: HashMap<QueueTicket, (usize, Nanos)> = HashMap::new();
     let (mut served, mut waits) = ([0u64; MEMBERS], Vec::new());
     while let Some(Reverse((now, _, member, comes))) = events.pop() {
         if now > SPAN {
@@ -142,20 +144,20 @@
         let moves = if comes {
             let next = now + (draw() / rates[member] * SECOND as f64) as Nanos;
             events.push(Reverse((next, number, member, true)));
-            let offer = Offer {
+            let offer = QueueEntry {
                 tenant: names[member].clone(),
                 repeat: false,
-                worth: 1.0,
+                priority_weight: 1.0,
                 deadline: now + SECOND,
                 needs: SERVICE,
             };
             let (verdict, moves) = gate.offer(now, offer);
             match verdict {
-                Verdict::Go => go.push((member, now)),
-                Verdict::Wait(ticket) => {
+                QueueDecision::Go => go.push((member, now)),
+                QueueDecision::Wait(ticket) => {
                     waiting.insert(ticket, (member, now));
                 }
-                Verdict::Refused(_) => {}
+                QueueDecision::Rejected(_) => {}
             }
             moves
         } else {
--- a/crates/admission/src/admission.rs
+++ b/crates/admission/src/admission.rs
@@ -1,17 +1,19 @@
 //! All limits of an installation: of tenants and routes, which refuse at once, and of
 //! clusters, which let wait. They outlive the files that set them: what is under way counts on.
 
-use crate::queue::{Gate, GateSet, Moves, Offer, Ticket, Verdict};
-use crate::rate::{Rate, RateSet};
+use crate::queue::{
+    FairQueue, FairQueueConfig, QueueDecision, QueueEntry, QueueTicket, QueueTransitions,
+};
+use crate::rate::{RateConfig, RateLimit};
 use mintshelf_balancer::api::Nanos;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
 /// What a tenant or a route is limited to.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct LimitSet {
+pub struct LimitConfig {
     /// Requests in a time.
-    pub rate: Option<RateSet>,
+    pub rate: Option<RateConfig>,
     /// Requests at one time.
     pub most: Option<u32>,
     /// Bytes of requests' bodies that are held.
@@ -20,25 +22,25 @@
     pub sockets: Option<u32>,
 }
 
-impl LimitSet {
+impl LimitConfig {
     /// Whether it limits nothing.
     pub fn is_none(&self) -> bool {
-        *self == LimitSet::default()
+        *self == LimitConfig::default()
     }
 }
 
 /// What a file sets.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct AdmissionSet {
+pub struct AdmissionConfig {
     /// By tenant.
-    pub tenants: BTreeMap<Rc<str>, LimitSet>,
+    pub tenants: BTreeMap<Rc<str>, LimitConfig>,
     /// By route.
-    pub routes: BTreeMap<Rc<str>, LimitSet>,
+    pub routes: BTreeMap<Rc<str>, LimitConfig>,
     /// By cluster; those without a limit are not in it.
-    pub clusters: BTreeMap<Rc<str>, GateSet>,
+    pub clusters: BTreeMap<Rc<str>, FairQueueConfig>,
 }
 
-impl AdmissionSet {
+impl AdmissionConfig {
     /// Whether nothing is limited.
     pub fn is_empty(&self) -> bool {
         self.tenants.is_empty() && self.routes.is_empty() && self.clusters.is_empty()
@@ -47,7 +49,7 @@
 
 /// A limit that refused a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Over {
+pub enum LimitExceeded {
     /// More in a time than the tenant may.
     TenantRate(Nanos),
     /// More at one time than the tenant may.
@@ -60,17 +62,17 @@
 
 #[derive(Debug, Default)]
 struct Limit {
-    set: LimitSet,
-    rate: Option<Rate>,
+    set: LimitConfig,
+    rate: Option<RateLimit>,
     held: u32,
     bytes: u64,
 }
 
 impl Limit {
-    fn set(&mut self, now: Nanos, set: LimitSet) {
+    fn set(&mut self, now: Nanos, set: LimitConfig) {
         // One that stays as it was keeps what it has used up.
         if self.set.rate != set.rate {
-            self.rate = set.rate.map(|rate| Rate::new(rate, now));
+            self.rate = set.rate.map(|rate| RateLimit::new(rate, now));
         }
         self.set = set;
     }
@@ -86,7 +88,7 @@
 
 /// How much is under way, for the figures.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Levels {
+pub struct LimitUsage {
     /// Requests by tenant.
     pub tenants: Vec<(String, u32)>,
     /// At each cluster, those that have a place, and those that wait for one.
@@ -98,13 +100,13 @@
 pub struct Admission {
     tenants: BTreeMap<Rc<str>, Limit>,
     routes: BTreeMap<Rc<str>, Limit>,
-    clusters: BTreeMap<Rc<str>, Gate>,
+    clusters: BTreeMap<Rc<str>, FairQueue>,
 }
 
-fn apply(limits: &mut BTreeMap<Rc<str>, Limit>, now: Nanos, sets: &BTreeMap<Rc<str>, LimitSet>) {
+fn apply(limits: &mut BTreeMap<Rc<str>, Limit>, now: Nanos, sets: &BTreeMap<Rc<str>, LimitConfig>) {
     limits.retain(|name, limit| sets.contains_key(name) || limit.held > 0);
     for (_, limit) in limits.iter_mut().filter(|(name, _)| !sets.contains_key(*name)) {
-        limit.set(now, LimitSet::default());
+        limit.set(now, LimitConfig::default());
     }
     for (name, set) in sets {
         limits.entry(name.clone()).or_default().set(now, *set);
@@ -114,10 +116,15 @@
 impl Admission {
     /// Puts a file's limits in force. Those under way count on, by their names; what waits at
     /// a cluster that is limited no longer goes.
-    pub fn set(&mut self, now: Nanos, set: &AdmissionSet) -> BTreeMap<Rc<str>, Moves> {
+    pub fn set(
+        &mut self,
+        now: Nanos,
+        set: &AdmissionConfig,
+    ) -> BTreeMap<Rc<str>, QueueTransitions> {
         apply(&mut self.tenants, now, &set.tenants);
         apply(&mut self.routes, now, &set.routes);
-        let unlimited = GateSet { most: u32::MAX, queue: u32::MAX, ..GateSet::default() };
+        let unlimited =
+            FairQueueConfig { most: u32::MAX, queue: u32::MAX, ..FairQueueConfig::default() };
         let mut moves = BTreeMap::new();
         for (name, gate) in &mut self.clusters {
             let set = set.clusters.get(name).unwrap_or(&unlimited);
@@ -125,27 +132,27 @@
         }
         self.clusters.retain(|name, gate| set.clusters.contains_key(name) || gate.levels()[0] > 0);
         for (name, gate) in &set.clusters {
-            self.clusters.entry(name.clone()).or_insert_with(|| Gate::new(gate.clone()));
+            self.clusters.entry(name.clone()).or_insert_with(|| FairQueue::new(gate.clone()));
         }
         moves
     }
 
     /// A request has come. [`Admission::leave`] is owed if it may go on.
-    pub fn enter(&mut self, now: Nanos, tenant: &str, route: &str) -> Result<(), Over> {
+    pub fn enter(&mut self, now: Nanos, tenant: &str, route: &str) -> Result<(), LimitExceeded> {
         let (tenants, routes) = (&mut self.tenants, &mut self.routes);
         let (mut of, mut at) = (tenants.get_mut(tenant), routes.get_mut(route));
         // What takes nothing away is asked first: a request refused has used up no rate.
         if of.as_ref().is_some_and(|limit| limit.is_full()) {
-            return Err(Over::TenantConcurrency);
+            return Err(LimitExceeded::TenantConcurrency);
         }
         if at.as_ref().is_some_and(|limit| limit.is_full()) {
-            return Err(Over::RouteConcurrency);
+            return Err(LimitExceeded::RouteConcurrency);
         }
         if let Some(limit) = &of {
-            limit.take(now).map_err(Over::TenantRate)?;
+            limit.take(now).map_err(LimitExceeded::TenantRate)?;
         }
         if let Some(limit) = &at {
-            limit.take(now).map_err(Over::RouteRate)?;
+            limit.take(now).map_err(LimitExceeded::RouteRate)?;
         }
         for limit in [&mut of, &mut at].into_iter().flatten() {
             limit.held += 1;
@@ -181,26 +188,33 @@
     }
 
     /// A request wants to go to a cluster; none if that has no limit.
-    pub fn offer(&mut self, now: Nanos, cluster: &str, offer: Offer) -> Option<(Verdict, Moves)> {
+    pub fn offer(
+        &mut self,
+        now: Nanos,
+        cluster: &str,
+        offer: QueueEntry,
+    ) -> Option<(QueueDecision, QueueTransitions)> {
         self.clusters.get_mut(cluster).map(|gate| gate.offer(now, offer))
     }
 
     /// One that went to a cluster is over.
-    pub fn done(&mut self, now: Nanos, cluster: &str, tenant: &Rc<str>) -> Moves {
-        self.clusters.get_mut(cluster).map_or_else(Moves::default, |gate| gate.done(now, tenant))
+    pub fn done(&mut self, now: Nanos, cluster: &str, tenant: &Rc<str>) -> QueueTransitions {
+        self.clusters
+            .get_mut(cluster)
+            .map_or_else(QueueTransitions::default, |gate| gate.done(now, tenant))
     }
 
     /// One that waited for a cluster does so no longer.
-    pub fn give_up(&mut self, cluster: &str, ticket: Ticket) {
+    pub fn give_up(&mut self, cluster: &str, ticket: QueueTicket) {
         if let Some(gate) = self.clusters.get_mut(cluster) {
             gate.leave(ticket);
         }
     }
 
     /// How much is under way.
-    pub fn levels(&self) -> Levels {
+    pub fn levels(&self) -> LimitUsage {
         let tenants = self.tenants.iter().map(|(name, limit)| (name.to_string(), limit.held));
         let clusters = self.clusters.iter().map(|(name, gate)| (name.to_string(), gate.levels()));
-        Levels { tenants: tenants.collect(), clusters: clusters.collect() }
+        LimitUsage { tenants: tenants.collect(), clusters: clusters.collect() }
     }
 }
--- a/crates/admission/src/queue.rs
+++ b/crates/admission/src/queue.rs
@@ -21,7 +21,7 @@
 
 /// What a gate is set to.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct GateSet {
+pub struct FairQueueConfig {
     /// Most at one time.
     pub most: u32,
     /// Most that wait.
@@ -32,13 +32,13 @@
 
 /// A request that wants through.
 #[derive(Debug, Clone)]
-pub struct Offer {
+pub struct QueueEntry {
     /// Whose it is.
     pub tenant: Rc<str>,
     /// Its client has asked for it before.
     pub repeat: bool,
     /// What its answer is worth.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// When its client's time is up.
     pub deadline: Nanos,
     /// What an answer usually takes.
@@ -47,22 +47,22 @@
 
 /// A place in the queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Ticket(u64);
+pub struct QueueTicket(u64);
 
 /// What becomes of an offer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
-    /// It goes now, and [`Gate::done`] is owed.
+pub enum QueueDecision {
+    /// It goes now, and [`FairQueue::done`] is owed.
     Go,
-    /// It waits until one of the lists of [`Moves`] names its ticket, or it leaves.
-    Wait(Ticket),
+    /// It waits until one of the lists of [`QueueTransitions`] names its ticket, or it leaves.
+    Wait(QueueTicket),
     /// It is refused.
-    Refused(Why),
+    Rejected(RejectReason),
 }
 
 /// Why something is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Why {
+pub enum RejectReason {
     /// The queue is at its bound, and the others in it come first.
     Full,
     /// It can't be answered in the time that is left.
@@ -71,11 +71,11 @@
 
 /// What else follows: tickets that go now, and that are refused.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Moves {
-    /// They go, and [`Gate::done`] is owed for each.
-    pub go: Vec<Ticket>,
+pub struct QueueTransitions {
+    /// They go, and [`FairQueue::done`] is owed for each.
+    pub go: Vec<QueueTicket>,
     /// They are refused.
-    pub refused: Vec<(Ticket, Why)>,
+    pub refused: Vec<(QueueTicket, RejectReason)>,
 }
 
 /// What comes first in a tenant's queue.
@@ -83,9 +83,9 @@
 struct Rank {
     repeat: bool,
     /// Bits of a number that is not negative: they are ordered as it is.
-    worth: Reverse<u64>,
+    priority_weight: Reverse<u64>,
     deadline: Nanos,
-    ticket: Ticket,
+    ticket: QueueTicket,
 }
 
 #[derive(Debug, Default)]
@@ -106,22 +106,22 @@
 
 /// A gate.
 #[derive(Debug, Default)]
-pub struct Gate {
-    set: GateSet,
+pub struct FairQueue {
+    set: FairQueueConfig,
     held: u32,
     /// Those that are active.
     members: BTreeMap<Rc<str>, Member>,
     /// Kept places that their owners have not taken.
     kept: u32,
     swept_at: Nanos,
-    waiting: HashMap<Ticket, (Rc<str>, Rank)>,
+    waiting: HashMap<QueueTicket, (Rc<str>, Rank)>,
     last: u64,
 }
 
-impl Gate {
+impl FairQueue {
     /// With nobody in it.
-    pub fn new(set: GateSet) -> Self {
-        Gate { set, ..Gate::default() }
+    pub fn new(set: FairQueueConfig) -> Self {
+        FairQueue { set, ..FairQueue::default() }
     }
 
     /// How many are in it, and how many wait.
@@ -131,15 +131,15 @@
 
     /// Changes what it is set to. Those that are in it stay and count, those that wait keep
     /// their place unless the queue is now too short for them.
-    pub fn set(&mut self, now: Nanos, set: GateSet) -> Moves {
+    pub fn set(&mut self, now: Nanos, set: FairQueueConfig) -> QueueTransitions {
         self.set = set;
         self.divide();
-        let mut moves = Moves::default();
+        let mut moves = QueueTransitions::default();
         while self.waiting.len() > self.set.queue as usize {
             let Some(ticket) = self.heaviest().and_then(|tenant| self.pop_last(&tenant)) else {
                 break;
             };
-            moves.refused.push((ticket, Why::Full));
+            moves.refused.push((ticket, RejectReason::Full));
         }
         self.grant(now, &mut moves);
         moves
@@ -189,35 +189,35 @@
     }
 
     /// A request wants through.
-    pub fn offer(&mut self, now: Nanos, offer: Offer) -> (Verdict, Moves) {
-        let mut moves = Moves::default();
+    pub fn offer(&mut self, now: Nanos, offer: QueueEntry) -> (QueueDecision, QueueTransitions) {
+        let mut moves = QueueTransitions::default();
         self.see(now, &offer.tenant);
         if now.saturating_add(offer.needs) >= offer.deadline {
-            return (Verdict::Refused(Why::TooLate), moves);
+            return (QueueDecision::Rejected(RejectReason::TooLate), moves);
         }
         let goes = |m: &Member| m.queue.is_empty() && self.may_go(m);
         if self.members.get(&offer.tenant).is_some_and(goes) {
             self.enter(&offer.tenant);
-            return (Verdict::Go, moves);
+            return (QueueDecision::Go, moves);
         }
         self.last += 1;
-        let ticket = Ticket(self.last);
+        let ticket = QueueTicket(self.last);
         let rank = Rank {
             repeat: offer.repeat,
-            worth: Reverse(offer.worth.max(0.0).to_bits()),
+            priority_weight: Reverse(offer.priority_weight.max(0.0).to_bits()),
             deadline: offer.deadline,
             ticket,
         };
         if self.waiting.len() >= self.set.queue as usize {
             match self.displaced(&offer.tenant, rank) {
-                Some(loser) => moves.refused.push((loser, Why::Full)),
-                None => return (Verdict::Refused(Why::Full), moves),
+                Some(loser) => moves.refused.push((loser, RejectReason::Full)),
+                None => return (QueueDecision::Rejected(RejectReason::Full), moves),
             }
         }
         let member = self.members.entry(offer.tenant.clone()).or_default();
         member.queue.insert(rank, offer.needs);
         self.waiting.insert(ticket, (offer.tenant, rank));
-        (Verdict::Wait(ticket), moves)
+        (QueueDecision::Wait(ticket), moves)
     }
 
     /// Whose load is largest for its share, of those with somebody waiting.
@@ -229,7 +229,7 @@
     }
 
     /// Makes room for one that comes before another; the loser.
-    fn displaced(&mut self, tenant: &Rc<str>, rank: Rank) -> Option<Ticket> {
+    fn displaced(&mut self, tenant: &Rc<str>, rank: Rank) -> Option<QueueTicket> {
         let heaviest = self.heaviest()?;
         if heaviest != *tenant {
             let load = |name: &str| self.members.get(name).map_or(0, Member::load);
@@ -242,7 +242,7 @@
         (rank < *own).then(|| self.pop_last(tenant)).flatten()
     }
 
-    fn pop_last(&mut self, tenant: &Rc<str>) -> Option<Ticket> {
+    fn pop_last(&mut self, tenant: &Rc<str>) -> Option<QueueTicket> {
         let (rank, _) = self.members.get_mut(tenant)?.queue.pop_last()?;
         self.waiting.remove(&rank.ticket);
         Some(rank.ticket)
@@ -257,20 +257,20 @@
     }
 
     /// One that went is over.
-    pub fn done(&mut self, now: Nanos, tenant: &Rc<str>) -> Moves {
+    pub fn done(&mut self, now: Nanos, tenant: &Rc<str>) -> QueueTransitions {
         if let Some(member) = self.members.get_mut(tenant).filter(|member| member.held > 0) {
             member.held -= 1;
             self.kept += u32::from(member.held < member.part);
             self.held -= 1;
         }
-        let mut moves = Moves::default();
+        let mut moves = QueueTransitions::default();
         self.grant(now, &mut moves);
         self.sweep(now);
         moves
     }
 
     /// One that waits does so no longer, by itself.
-    pub fn leave(&mut self, ticket: Ticket) {
+    pub fn leave(&mut self, ticket: QueueTicket) {
         if let Some((tenant, rank)) = self.waiting.remove(&ticket) {
             if let Some(member) = self.members.get_mut(&tenant) {
                 member.queue.remove(&rank);
@@ -279,7 +279,7 @@
     }
 
     /// Lets those go whose turn it is.
-    fn grant(&mut self, now: Nanos, moves: &mut Moves) {
+    fn grant(&mut self, now: Nanos, moves: &mut QueueTransitions) {
         while self.held < self.set.most && !self.waiting.is_empty() {
             let waiting = self.members.iter().filter(|(_, member)| !member.queue.is_empty());
             let able = waiting.filter(|(_, member)| self.may_go(member));
@@ -290,7 +290,7 @@
             let Some((rank, needs)) = member.and_then(|m| m.queue.pop_first()) else { return };
             self.waiting.remove(&rank.ticket);
             if now.saturating_add(needs) >= rank.deadline {
-                moves.refused.push((rank.ticket, Why::TooLate));
+                moves.refused.push((rank.ticket, RejectReason::TooLate));
             } else {
                 self.enter(&tenant);
                 moves.go.push(rank.ticket);
--- a/crates/admission/src/rate.rs
+++ b/crates/admission/src/rate.rs
@@ -14,7 +14,7 @@
 
 /// So many in a time, and so many at once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct RateSet {
+pub struct RateConfig {
     /// How many.
     pub count: NonZeroU32,
     /// In what time.
@@ -23,7 +23,7 @@
     pub burst: NonZeroU32,
 }
 
-impl RateSet {
+impl RateConfig {
     /// The quota; none if it is finer than a nanosecond.
     fn quota(&self) -> Option<Quota> {
         let each = self.per.checked_div(self.count.get())?;
@@ -50,28 +50,28 @@
 type Limiter = RateLimiter<NotKeyed, InMemoryState, Told, NoOpMiddleware<Span>>;
 
 /// A rate that is kept.
-pub struct Rate {
-    set: RateSet,
+pub struct RateLimit {
+    set: RateConfig,
     clock: Told,
     limiter: Option<Limiter>,
 }
 
-impl fmt::Debug for Rate {
+impl fmt::Debug for RateLimit {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Rate").field("set", &self.set).finish_non_exhaustive()
     }
 }
 
-impl Rate {
+impl RateLimit {
     /// With its whole burst.
-    pub fn new(set: RateSet, now: Nanos) -> Self {
+    pub fn new(set: RateConfig, now: Nanos) -> Self {
         let clock = Told(Rc::new(Cell::new(now)));
         let limiter = set.quota().map(|quota| Limiter::direct_with_clock(quota, clock.clone()));
-        Rate { set, clock, limiter }
+        RateLimit { set, clock, limiter }
     }
 
     /// What it was made of.
-    pub fn set(&self) -> RateSet {
+    pub fn set(&self) -> RateConfig {
         self.set
     }
 
@@ -97,7 +97,8 @@
     fn a_rate_is_kept_and_says_when() {
         let count = NonZeroU32::new(100).unwrap();
         let per = Duration::from_secs(1);
-        let rate = Rate::new(RateSet { count, per, burst: NonZeroU32::new(10).unwrap() }, 5 * MS);
+        let rate =
+            RateLimit::new(RateConfig { count, per, burst: NonZeroU32::new(10).unwrap() }, 5 * MS);
         let mut taken = 0;
         let mut now = 5 * MS;
         let mut wait = 0;
--- a/crates/admission/src/slots.rs
+++ b/crates/admission/src/slots.rs
@@ -16,7 +16,7 @@
 
 /// What a file sets.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct SeatSet {
+pub struct SlotConfig {
     /// Seats in all.
     pub most: u32,
     /// Shares of tenants; 1 for one that is not named.
@@ -31,7 +31,7 @@
 
 /// Whose a seat is, and what it is for.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Sitter {
+pub struct SlotOwner {
     /// Whose.
     pub tenant: Rc<str>,
     /// By which route.
@@ -42,7 +42,7 @@
 
 /// Why there is no seat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NoSeat {
+pub enum SlotUnavailable {
     /// All are taken or kept.
     Full,
     /// The tenant holds as many as it may.
@@ -55,9 +55,9 @@
 
 /// A refusal, and who is to make room for the next try.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Refused {
+pub struct SlotRejected {
     /// Why.
-    pub why: NoSeat,
+    pub why: SlotUnavailable,
     /// The tenant one of whose sockets is to leave.
     pub reclaim: Option<Rc<str>>,
 }
@@ -72,8 +72,8 @@
 
 /// All seats.
 #[derive(Debug, Default)]
-pub struct Seats {
-    set: SeatSet,
+pub struct SlotTable {
+    set: SlotConfig,
     held: u32,
     tenants: BTreeMap<Rc<str>, Member>,
     routes: BTreeMap<Rc<str>, u32>,
@@ -92,9 +92,9 @@
     }
 }
 
-impl Seats {
+impl SlotTable {
     /// Puts a file's numbers in force. Those who sit stay.
-    pub fn set(&mut self, set: SeatSet) {
+    pub fn set(&mut self, set: SlotConfig) {
         self.set = set;
     }
 
@@ -139,20 +139,20 @@
         });
     }
 
-    /// Wants a seat. [`Seats::leave`] is owed if it gets one.
-    pub fn take(&mut self, now: Nanos, sitter: &Sitter) -> Result<(), Refused> {
+    /// Wants a seat. [`SlotTable::leave`] is owed if it gets one.
+    pub fn take(&mut self, now: Nanos, sitter: &SlotOwner) -> Result<(), SlotRejected> {
         self.expire(now);
-        let refused = |why| Err(Refused { why, reclaim: None });
-        let Sitter { tenant, route, cluster } = sitter;
+        let refused = |why| Err(SlotRejected { why, reclaim: None });
+        let SlotOwner { tenant, route, cluster } = sitter;
         let held = self.tenants.get(tenant).map_or(0, |member| member.held);
         if self.set.tenants.get(tenant).is_some_and(|most| held >= *most) {
-            return refused(NoSeat::Tenant);
+            return refused(SlotUnavailable::Tenant);
         }
         if is_full(&self.routes, &self.set.routes, route) {
-            return refused(NoSeat::Route);
+            return refused(SlotUnavailable::Route);
         }
         if is_full(&self.clusters, &self.set.clusters, cluster) {
-            return refused(NoSeat::Cluster);
+            return refused(SlotUnavailable::Cluster);
         }
         let free = self.set.most.saturating_sub(self.held);
         if free > self.kept_for_others(tenant) {
@@ -165,7 +165,7 @@
             return Ok(());
         }
         let reclaim = self.claim(now, tenant, held);
-        Err(Refused { why: NoSeat::Full, reclaim })
+        Err(SlotRejected { why: SlotUnavailable::Full, reclaim })
     }
 
     /// One that is below its share and finds nothing claims a seat; whose it is to be.
@@ -188,7 +188,7 @@
     }
 
     /// A socket that had a seat has ended.
-    pub fn leave(&mut self, sitter: &Sitter) {
+    pub fn leave(&mut self, sitter: &SlotOwner) {
         self.held = self.held.saturating_sub(1);
         if let Some(member) = self.tenants.get_mut(&sitter.tenant) {
             member.held = member.held.saturating_sub(1);
@@ -206,13 +206,13 @@
 
     const S: Nanos = 1_000_000_000;
 
-    fn sitter(tenant: &str) -> Sitter {
-        Sitter { tenant: tenant.into(), route: "r".into(), cluster: "c".into() }
+    fn sitter(tenant: &str) -> SlotOwner {
+        SlotOwner { tenant: tenant.into(), route: "r".into(), cluster: "c".into() }
     }
 
-    fn seats(most: u32) -> Seats {
-        let mut seats = Seats::default();
-        seats.set(SeatSet { most, ..SeatSet::default() });
+    fn seats(most: u32) -> SlotTable {
+        let mut seats = SlotTable::default();
+        seats.set(SlotConfig { most, ..SlotConfig::default() });
         seats
     }
 
@@ -227,7 +227,7 @@
         // The seat that is freed is kept for it, and not taken back.
         seats.leave(&sitter("early"));
         let again = seats.take(S, &sitter("early")).unwrap_err();
-        assert_eq!(again, Refused { why: NoSeat::Full, reclaim: None });
+        assert_eq!(again, SlotRejected { why: SlotUnavailable::Full, reclaim: None });
         seats.take(S, &sitter("late")).unwrap();
         for _ in 0..4 {
             let refused = seats.take(2 * S, &sitter("late")).unwrap_err();
@@ -251,17 +251,17 @@
     fn each_limit_is_told_apart() {
         let mut seats = seats(10);
         let one = |name: &str| BTreeMap::from([(Rc::from(name), 1)]);
-        let with = |change: fn(&mut SeatSet, BTreeMap<Rc<str>, u32>), name: &str| {
-            let mut set = SeatSet { most: 10, ..SeatSet::default() };
+        let with = |change: fn(&mut SlotConfig, BTreeMap<Rc<str>, u32>), name: &str| {
+            let mut set = SlotConfig { most: 10, ..SlotConfig::default() };
             change(&mut set, one(name));
             set
         };
         seats.take(0, &sitter("t")).unwrap();
         for (set, why) in [
-            (with(|set, one| set.tenants = one, "t"), NoSeat::Tenant),
-            (with(|set, one| set.routes = one, "r"), NoSeat::Route),
-            (with(|set, one| set.clusters = one, "c"), NoSeat::Cluster),
-            (SeatSet { most: 1, ..SeatSet::default() }, NoSeat::Full),
+            (with(|set, one| set.tenants = one, "t"), SlotUnavailable::Tenant),
+            (with(|set, one| set.routes = one, "r"), SlotUnavailable::Route),
+            (with(|set, one| set.clusters = one, "c"), SlotUnavailable::Cluster),
+            (SlotConfig { most: 1, ..SlotConfig::default() }, SlotUnavailable::Full),
         ] {
             seats.set(set);
             assert_eq!(seats.take(0, &sitter("t")).unwrap_err().why, why);
@@ -299,7 +299,7 @@
                     now += S / 10;
                     match seats.take(now, &sitter(names[who])) {
                         Ok(()) => open[who] += 1,
-                        Err(Refused { reclaim: Some(from), .. }) => {
+                        Err(SlotRejected { reclaim: Some(from), .. }) => {
                             let from = names.iter().position(|name| **name == *from).unwrap();
                             seats.leave(&sitter(names[from]));
                             open[from] -= 1;
--- a/crates/admission/src/tenants.rs
+++ b/crates/admission/src/tenants.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 
 /// The tenant of whoever is nobody else.
-pub const OTHERS: &str = "others";
+pub const OTHER_TENANTS: &str = "others";
 
 /// How tenants are told.
 #[derive(Debug, Clone, Default)]
@@ -22,7 +22,7 @@
 impl Tenants {
     /// None yet.
     pub fn new() -> Self {
-        Tenants { others: Some(OTHERS.into()), ..Tenants::default() }
+        Tenants { others: Some(OTHER_TENANTS.into()), ..Tenants::default() }
     }
 
     /// Clients of a network are this tenant's. Of several that hold an address, the smallest
@@ -45,7 +45,7 @@
     }
 
     /// Whose a request is. Its network can't be forged and counts first, then its listener,
-    /// then what its header says; else it is [`OTHERS`]'.
+    /// then what its header says; else it is [`OTHER_TENANTS`]'.
     pub fn of(&self, client: IpAddr, listener: &str, header: Option<&str>) -> Rc<str> {
         // An IPv4 client of a listener for both comes with a mapped address (RFC 4291 2.5.5.2).
         let network = match client.to_canonical() {
@@ -55,7 +55,7 @@
         let listener = || self.listeners.get(listener);
         let value = || self.values.get(header?);
         let named = network.or_else(listener).or_else(value).or(self.others.as_ref());
-        named.cloned().unwrap_or_else(|| OTHERS.into())
+        named.cloned().unwrap_or_else(|| OTHER_TENANTS.into())
     }
 }
 
@@ -90,7 +90,7 @@
         assert_eq!(&*of("2001:db8::7", "inner", None), "c");
         assert_eq!(&*of("192.0.2.1", "inner", Some("key")), "d");
         assert_eq!(&*of("192.0.2.1", "", Some("key")), "b");
-        assert_eq!(&*of("192.0.2.1", "", Some("other")), OTHERS);
+        assert_eq!(&*of("192.0.2.1", "", Some("other")), OTHER_TENANTS);
     }
 
     proptest! {
@@ -116,7 +116,7 @@
             let ip = IpAddr::V4(Ipv4Addr::from(ip << 26));
             let holding = all.iter().filter(|(network, _)| network.contains(&ip));
             let best = holding.max_by_key(|(network, _)| network.prefix_len());
-            let expected = best.map_or(OTHERS, |(_, name)| name);
+            let expected = best.map_or(OTHER_TENANTS, |(_, name)| name);
             prop_assert_eq!(&*tenants.of(ip, "", None), expected);
         }
     }
--- a/crates/balancer/examples/choose.rs
+++ b/crates/balancer/examples/choose.rs
@@ -1,6 +1,6 @@
 //! Starts an instance, tells it of three servers and lets it choose one.
 
-use mintshelf_balancer::api::{Action, Condition, Event, ListKind, ListedServer};
+use mintshelf_balancer::api::{Action, EndpointState, Event, ListKind, ListedServer};
 use mintshelf_balancer::decide::Balancer;
 use mintshelf_balancer::settings::parse_settings;
 use std::error::Error;
@@ -19,7 +19,7 @@
     let mut actions = Vec::new();
     let mut balancer = Balancer::new(parse_settings(SETTINGS)?, 7, 0, &mut actions);
     let server =
-        |id, size| ListedServer { id, size, condition: Condition::Live, ..Default::default() };
+        |id, size| ListedServer { id, size, condition: EndpointState::Live, ..Default::default() };
     let entries = vec![server(11, 1.0), server(12, 2.0), server(13, 4.0)].into();
     balancer.handle(0, Event::Servers { kind: ListKind::Full, version: 1, entries }, &mut actions);
     let request = Event::Request {
--- a/crates/balancer/src/api.rs
+++ b/crates/balancer/src/api.rs
@@ -12,7 +12,7 @@
 pub type RequestId = Arc<str>;
 
 /// What discovery has and could be asked for counts as told after this, whatever calls failed.
-pub const TOLD_WITHIN: Nanos = 6_000_000_000;
+pub const NOTIFIED_WITHIN: Nanos = 6_000_000_000;
 
 /// How often a request's effect may happen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -20,7 +20,7 @@
     /// Repeats do no harm.
     Safe,
     /// Servers of one group discard repeats for a while.
-    Keyed,
+    Idempotent,
     /// Must never run twice.
     Unsafe,
 }
@@ -46,13 +46,13 @@
     /// For how long they do, from the first attempt that may have run.
     pub dedup_window: Nanos,
     /// An answer within this time earns the full worth.
-    pub aim: Nanos,
+    pub latency_objective: Nanos,
     /// How long a client waits in all.
     pub deadline: Nanos,
     /// What an answer is worth.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Fraction of the worth that a late answer keeps.
-    pub late_worth: f64,
+    pub late_weight: f64,
     /// The most attempts of one request, where that is less than the deployment's.
     pub max_attempts: u32,
     /// Waits before further attempts, as [`backoff_bound`] has them.
@@ -63,7 +63,7 @@
     /// For how long after its first attempt that may have run a keyed request may be sent
     /// again; none where no window binds.
     pub fn window(&self) -> Option<Nanos> {
-        (self.effect == Effect::Keyed).then_some(self.dedup_window)
+        (self.effect == Effect::Idempotent).then_some(self.dedup_window)
     }
 }
 
@@ -150,9 +150,9 @@
     /// Worth goes by the unit of work rather than by the request.
     pub worth_by_work: bool,
     /// Discovery must be asked (watch or fetch) rather than pushing news.
-    pub must_ask: bool,
+    pub must_poll: bool,
     /// An instance without a watch must ask at least this often.
-    pub ask_within: Nanos,
+    pub poll_within: Nanos,
     /// What sizes in server lists mean.
     pub size_kind: SizeKind,
     /// When load reports come.
@@ -190,7 +190,7 @@
     /// Credits for retries and second copies that each request adds.
     pub retry_ratio: f64,
     /// The most credits saved.
-    pub retry_saved: f64,
+    pub retry_budget_max: f64,
     /// A server that says nothing while others answer is stuck, and no sign of congestion.
     pub silence_is_local: bool,
     /// A connection attempt fails after this time.
@@ -198,14 +198,14 @@
     /// Idle connections close after this time.
     pub idle_timeout: Nanos,
     /// Weights of the deployment's goal.
-    pub goal: Goal,
+    pub goal: Objective,
     /// What traffic side effects cost.
     pub prices: Prices,
 }
 
 /// Weights of the parts of a deployment's goal.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Goal {
+pub struct Objective {
     /// The whole day.
     pub whole: f64,
     /// The worst stretch.
@@ -237,7 +237,7 @@
 
 /// Whether a listed server takes traffic.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Condition {
+pub enum EndpointState {
     /// In service.
     #[default]
     Live,
@@ -259,7 +259,7 @@
     /// Its cell.
     pub cell: u32,
     /// Whether it takes traffic.
-    pub condition: Condition,
+    pub condition: EndpointState,
     /// Relative size.
     pub size: f64,
     /// When it last started; 0 for long ago.
@@ -359,7 +359,7 @@
         attempt: u32,
     },
     /// A safe request's only attempt is slow: a second copy may go beside it.
-    SecondCopy {
+    HedgeRequested {
         /// The request.
         id: RequestId,
     },
@@ -381,7 +381,7 @@
         report: Option<Vec<f64>>,
     },
     /// The client has left; nothing is owed any more.
-    Abandoned {
+    ClientDisconnected {
         /// The request.
         id: RequestId,
     },
@@ -402,7 +402,7 @@
         report: Option<Vec<f64>>,
     },
     /// A message from another instance.
-    PeerMessage {
+    Gossip {
         /// The sender's number.
         from: u32,
         /// Its content.
@@ -430,7 +430,7 @@
         attempt: u32,
     },
     /// End a request unserved; the client may safely repeat it.
-    Refuse {
+    Reject {
         /// The request.
         id: RequestId,
         /// Advice on when to come back; 0 for none.
@@ -464,7 +464,7 @@
         server: ServerId,
     },
     /// Send a message to one peer, or to all.
-    TellPeer {
+    SendGossip {
         /// The peer's number; all if absent.
         peer: Option<u32>,
         /// At most 256 bytes.
--- a/crates/balancer/src/decide/admission.rs
+++ b/crates/balancer/src/decide/admission.rs
@@ -59,8 +59,8 @@
     /// Longest wait at a server: one bound, or long aims crowd out short ones.
     pub(super) fn wait_limit(&self) -> f64 {
         let spare = |c: usize| {
-            let aim = self.set.classes[c].aim as f64;
-            (aim - 1.5 * self.typical_of(c)).max(0.3 * aim)
+            let latency_objective = self.set.classes[c].latency_objective as f64;
+            (latency_objective - 1.5 * self.typical_of(c)).max(0.3 * latency_objective)
         };
         (0..self.set.classes.len()).map(spare).fold(f64::INFINITY, f64::min) * WAIT_SHARE
     }
@@ -75,8 +75,8 @@
         };
         let work = parts(&|c| self.mix[c] * self.typical_of(c));
         let by = |c: usize| if self.set.worth_by_work { work[c] } else { self.mix[c] };
-        let worth = parts(&|c| self.set.classes[c].worth * by(c));
-        let density = |c: usize| worth[c] / work[c].max(1e-9);
+        let priority_weight = parts(&|c| self.set.classes[c].priority_weight * by(c));
+        let density = |c: usize| priority_weight[c] / work[c].max(1e-9);
         let mut by_density: Vec<usize> = (0..n).collect();
         by_density.sort_by(|a, b| density(*a).total_cmp(&density(*b)));
         let (low, high) = (by_density[0], by_density[n - 1]);
@@ -107,14 +107,15 @@
         let left = request.deadline.saturating_sub(now);
         let taught = self.taught[request.class] > 9.0;
         let needs = || self.typical_now(now, request.class) * (HASTE * self.refuse_level).exp();
-        if taught && left < class.aim && (left as f64) < needs() {
+        if taught && left < class.latency_objective && (left as f64) < needs() {
             return true;
         }
         let best = self.kind_offset[request.class].iter().copied().fold(f64::INFINITY, f64::min);
-        let sure = class.late_worth <= 0.0 && taught;
+        let sure = class.late_weight <= 0.0 && taught;
         let known = request.cost.zip(self.pace[request.class]).filter(|_| sure);
-        known
-            .is_some_and(|(cost, pace)| (cost + pace + best).exp() > HOPELESS_AT * class.aim as f64)
+        known.is_some_and(|(cost, pace)| {
+            (cost + pace + best).exp() > HOPELESS_AT * class.latency_objective as f64
+        })
     }
 
     /// Part of a tenant's traffic past its quota. Danger: without peers a busy
@@ -123,7 +124,7 @@
         let Some(set) = self.set.tenants.get(tenant) else { return 0.0 };
         let weight = self.tenant_weight.get(now, RATE_HALF_LIFE).max(1e-3);
         let scale = f64::from(self.set.instances) / RATE_SPAN / weight;
-        let fleet = |seen: &Fading| seen.get(now, RATE_HALF_LIFE) * scale;
+        let fleet = |seen: &DecayingCounter| seen.get(now, RATE_HALF_LIFE) * scale;
         let mut rate = fleet(&self.tenant_seen[tenant]);
         if !self.set.peers {
             let quotas: f64 = self.set.tenants.iter().map(|t| t.quota_per_s).sum();
--- a/crates/balancer/src/decide/attempts.rs
+++ b/crates/balancer/src/decide/attempts.rs
@@ -54,7 +54,7 @@
         match (class.effect, first) {
             (Effect::Safe, _) | (_, None) => Legal { send: room, group_of: None, refuse: true },
             (Effect::Unsafe, Some(_)) => nothing,
-            (Effect::Keyed, Some(first)) => {
+            (Effect::Idempotent, Some(first)) => {
                 // Danger: a resend that arrives after the memory has gone would run twice.
                 let until = (first.sent + class.dedup_window).saturating_sub(self.set.tick);
                 let refuse = class.group == Group::All && now < until;
@@ -71,7 +71,7 @@
             return;
         }
         let request = &self.requests[id];
-        let hold = (self.set.classes[request.class].aim as f64 * HOLD_SHARE) as Nanos;
+        let hold = (self.set.classes[request.class].latency_objective as f64 * HOLD_SHARE) as Nanos;
         let until = (request.arrived + hold).min(request.deadline.saturating_sub(HOLD_STEP));
         if self.legal(now, request).send && now < until {
             // No server now: wait a little, with an end, for a list or for credit.
@@ -88,8 +88,8 @@
         self.requests.insert(id.clone(), request);
         let s = match drawn {
             None => return false,
-            Some(Drawn::One(s)) => s,
-            Some(Drawn::Pair(pair)) if self.asks_first() => {
+            Some(Candidates::One(s)) => s,
+            Some(Candidates::AdjacentPair(pair)) if self.asks_first() => {
                 self.requests.entry(id.clone()).and_modify(|r| r.pair = Some(pair));
                 for s in pair.servers {
                     self.ask(now, s, out);
@@ -100,7 +100,7 @@
                 self.settle(now, id, false, out);
                 return true;
             }
-            Some(Drawn::Pair(pair)) => {
+            Some(Candidates::AdjacentPair(pair)) => {
                 let queues = self.queues(now, &pair);
                 pair.join(|| self.rng.draw(), queues)
             }
@@ -120,10 +120,12 @@
         request.attempts.push(Attempt { server: server_id, sent: now, ..Attempt::default() });
         out.push(Action::Send { id: id.clone(), server: server_id, timeout_at: deadline });
         // Danger: known long work is slow without a queue; as congestion it had others refused.
-        let aim = self.set.classes[class].aim as f64;
+        let latency_objective = self.set.classes[class].latency_objective as f64;
         let usual = self.typical_of(class) * self.kind_offset[class][self.kind_of(s)].exp();
         let known = self.usual(s, &self.requests[id]) * OVERDUE_AT;
-        let after = (aim * CONGESTED_AT).max(known).max((usual * OVERDUE_AT).min(aim)) as Nanos;
+        let after = (latency_objective * CONGESTED_AT)
+            .max(known)
+            .max((usual * OVERDUE_AT).min(latency_objective)) as Nanos;
         if now + after < deadline {
             self.wake(after, id, Wake::Overdue(id.clone(), attempt), out);
         }
@@ -137,7 +139,7 @@
         let retry_after = u64::from(loaded) * self.set.max_retry_after;
         // Danger: who is told to come back when the window is over would have it run twice.
         out.push(if self.legal(now + retry_after, request).refuse {
-            Action::Refuse { id: id.clone(), retry_after }
+            Action::Reject { id: id.clone(), retry_after }
         } else {
             Action::Fail { id: id.clone() }
         });
@@ -240,7 +242,7 @@
         let (server, class, sent) = (&mut self.servers[s], request.class, record.sent);
         // Danger: a fault of one class would take the server from all. If what was sent later
         // is answered, it is no queue; a lone heavy request costs the class for a while.
-        if server.answered > record.sent + self.set.classes[class].aim / 4 {
+        if server.answered > record.sent + self.set.classes[class].latency_objective / 4 {
             server.stuck.resize(self.set.classes.len(), 0);
             server.stuck[class] = now + health::EJECT_BASE;
             return;
--- a/crates/balancer/src/decide/discovery.rs
+++ b/crates/balancer/src/decide/discovery.rs
@@ -3,16 +3,16 @@
 use super::*;
 
 /// First discovery call falls within this, of the time after which news counts as told.
-pub(super) const WATCH_SPREAD: Nanos = TOLD_WITHIN / 5 * 2;
+pub(super) const WATCH_SPREAD: Nanos = NOTIFIED_WITHIN / 5 * 2;
 /// The same where discovery has moved: its old address may fall silent.
 pub(super) const MOVE_SPREAD: Nanos = 600 * MS;
 /// Wait after a failed discovery call, give or take a half.
-const WATCH_RETRY: Nanos = TOLD_WITHIN / 5;
+const WATCH_RETRY: Nanos = NOTIFIED_WITHIN / 5;
 
 impl Balancer {
     /// Danger: instances that start or move together must not all call at once.
     pub(super) fn call_discovery(&mut self, spread: Nanos, out: Out<'_>) {
-        if self.set.must_ask {
+        if self.set.must_poll {
             let after = (self.rng.draw() * spread as f64) as Nanos;
             self.wakes.set(after, Wake::Discovery, out);
         }
@@ -30,15 +30,15 @@
         }
         if kind != ListKind::Changes {
             // What a complete list leaves out is gone.
-            self.servers.iter_mut().for_each(|s| s.listed.condition = Condition::Gone);
+            self.servers.iter_mut().for_each(|s| s.listed.condition = EndpointState::Gone);
         }
         for entry in list {
             self.on_entry(now, entry);
         }
-        let here = |s: &usize| self.servers[*s].listed.condition != Condition::Gone;
+        let here = |s: &usize| self.servers[*s].listed.condition != EndpointState::Gone;
         self.order = (0..self.servers.len()).filter(here).collect();
         // Its idle connections are of no use, and cost both sides descriptors.
-        let leaving = list.iter().filter(|entry| entry.condition != Condition::Live);
+        let leaving = list.iter().filter(|entry| entry.condition != EndpointState::Live);
         out.extend(leaving.map(|entry| Action::CloseIdle { server: entry.id }));
         self.order.sort_by_key(|s| (self.servers[*s].rank, self.servers[*s].listed.id));
         self.line_stale = true;
@@ -66,7 +66,7 @@
         // A server that is new to a list already held has just started, whatever it says.
         let started = started.or((!self.order.is_empty() && entry.started_at == 0).then_some(now));
         // Danger: ids are ever new; the place of one gone serves the next.
-        let gone = |s: &Server| s.listed.condition == Condition::Gone;
+        let gone = |s: &Server| s.listed.condition == EndpointState::Gone;
         let place = self.servers.iter().position(gone);
         self.index.insert(entry.id, place.unwrap_or(self.servers.len()));
         self.servers.push(Server { started, ..fresh });
--- a/crates/balancer/src/decide/health.rs
+++ b/crates/balancer/src/decide/health.rs
@@ -44,7 +44,7 @@
 
     /// Queues that stand for a pair: fresh reports if there are two, with what
     /// was sent since, else this instance's own requests in flight.
-    pub(super) fn queues(&self, now: Nanos, pair: &Pair) -> [f64; 2] {
+    pub(super) fn queues(&self, now: Nanos, pair: &AdjacentPair) -> [f64; 2] {
         let reported = pair.servers.iter().all(|s| self.has_report(now, *s));
         pair.servers.map(|s| {
             let server = &self.servers[s];
@@ -54,7 +54,7 @@
 
     /// Wait per reported queue over speed.
     fn slope(&self) -> f64 {
-        let speed = self.lines.first().and_then(Line::mean_speed).unwrap_or(1.0);
+        let speed = self.lines.first().and_then(ServerOrder::mean_speed).unwrap_or(1.0);
         let typical: f64 = (0..self.typical.len()).map(|c| self.typical_of(c)).sum();
         typical / self.typical.len() as f64 * speed / SIDE_BY_SIDE
     }
--- a/crates/balancer/src/decide/line.rs
+++ b/crates/balancer/src/decide/line.rs
@@ -23,7 +23,7 @@
 
 /// The paper's line over servers of unequal speed: shares, pairs, ties.
 #[derive(Debug, Clone, Default)]
-pub struct Line {
+pub struct ServerOrder {
     members: Vec<usize>,
     speeds: Vec<f64>,
     sums: Vec<f64>,
@@ -31,10 +31,10 @@
     epsilon: f64,
 }
 
-impl Line {
+impl ServerOrder {
     /// Lays servers (any index with a positive speed) out in the given order.
     pub fn new(servers: impl IntoIterator<Item = (usize, f64)>) -> Self {
-        let mut line = Line::default();
+        let mut line = ServerOrder::default();
         let mut sum = 0.0;
         for (member, speed) in servers {
             let speed = if speed.is_finite() { speed.max(1e-9) } else { 1e-9 };
@@ -87,36 +87,40 @@
 
     /// Draws the dedicated server or the adjacent pair for one request.
     /// `draw` gives uniform numbers in [0, 1).
-    pub fn draw(&self, mut draw: impl FnMut() -> f64) -> Option<Drawn> {
+    pub fn draw(&self, mut draw: impl FnMut() -> f64) -> Option<Candidates> {
         let n = self.members.len();
         if n <= 1 {
-            return self.members.first().map(|s| Drawn::One(*s));
+            return self.members.first().map(|s| Candidates::One(*s));
         }
         if draw() < DEDICATED {
             let at = draw() * self.sums[n - 1];
             let j = self.sums.partition_point(|s| *s <= at).min(n - 1);
-            return Some(Drawn::One(self.members[j]));
+            return Some(Candidates::One(self.members[j]));
         }
         let at = draw() * self.pair_sums[n - 2];
         let left = self.pair_sums.partition_point(|s| *s <= at).min(n - 2);
         let servers = [self.members[left], self.members[left + 1]];
         let speeds = [self.speeds[left], self.speeds[left + 1]];
-        Some(Drawn::Pair(Pair { servers, speeds, left_share: self.left_share(left + 1) }))
+        Some(Candidates::AdjacentPair(AdjacentPair {
+            servers,
+            speeds,
+            left_share: self.left_share(left + 1),
+        }))
     }
 }
 
 /// What the line gives for one request.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Drawn {
+pub enum Candidates {
     /// Its dedicated server.
     One(usize),
     /// Two neighbours to compare.
-    Pair(Pair),
+    AdjacentPair(AdjacentPair),
 }
 
 /// Two neighbours on the line.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Pair {
+pub struct AdjacentPair {
     /// Left and right.
     pub servers: [usize; 2],
     /// Their speeds.
@@ -125,7 +129,7 @@
     pub left_share: f64,
 }
 
-impl Pair {
+impl AdjacentPair {
     /// The one with the shorter expected wait, queue over speed; equal waits
     /// are split by (4.4).
     pub fn join(&self, mut draw: impl FnMut() -> f64, queues: [f64; 2]) -> usize {
@@ -162,23 +166,23 @@
             // With most of them stuck it is the requests that are heavy.
             let all = 2 * chosen.iter().filter(stuck).count() > chosen.len();
             let fit = chosen.iter().filter(|s| all || !stuck(s));
-            Line::new(fit.map(|s| (*s, self.speed_for(c, *s, now))))
+            ServerOrder::new(fit.map(|s| (*s, self.speed_for(c, *s, now))))
         };
         self.lines = (0..self.set.classes.len()).map(of).collect();
         (self.line_at, self.line_stale) = (now, false);
     }
 
     /// Draws by the line, less the servers the request may not go to.
-    pub(super) fn draw_for(&mut self, now: Nanos, r: &Request, legal: Legal) -> Option<Drawn> {
+    pub(super) fn draw_for(&mut self, now: Nanos, r: &Request, legal: Legal) -> Option<Candidates> {
         self.refresh_line(now);
-        let aim = self.set.classes[r.class].aim as f64;
+        let latency_objective = self.set.classes[r.class].latency_objective as f64;
         if r.attempts.is_empty() {
             let drawn = self.lines[r.class].draw(|| self.rng.draw());
-            let limit = aim * FIT_SHARE;
+            let limit = latency_objective * FIT_SHARE;
             let mut open = |s| self.may_send(now, s) && self.expected(now, s, r) <= limit;
             let open = drawn.is_some_and(|drawn| match drawn {
-                Drawn::One(s) => open(s),
-                Drawn::Pair(p) => open(p.servers[0]) && open(p.servers[1]),
+                Candidates::One(s) => open(s),
+                Candidates::AdjacentPair(p) => open(p.servers[0]) && open(p.servers[1]),
             });
             if open {
                 return drawn;
@@ -206,9 +210,9 @@
         fit.retain(|s| self.may_send(now, *s));
         // Danger: a long request is late on a slow kind; ready are those that still make it.
         let soonest = fit.iter().map(|s| self.expected(now, *s, r));
-        let limit = soonest.fold(f64::INFINITY, f64::min).max(aim * FIT_SHARE);
+        let limit = soonest.fold(f64::INFINITY, f64::min).max(latency_objective * FIT_SHARE);
         fit.retain(|s| self.expected(now, *s, r) <= limit * 1.01);
-        let line = Line::new(fit.iter().map(|s| (*s, self.speed_for(r.class, *s, now))));
+        let line = ServerOrder::new(fit.iter().map(|s| (*s, self.speed_for(r.class, *s, now))));
         line.draw(|| self.rng.draw())
     }
 }
--- a/crates/balancer/src/decide/mod.rs
+++ b/crates/balancer/src/decide/mod.rs
@@ -4,9 +4,9 @@
 //! (section 4 of their paper). Exceptions act only through who is ready, what
 //! a server's speed is, whether a request is admitted and when it is tried again.
 
-use crate::decay::{Fading, FadingMean};
+use crate::decay::{DecayingCounter, DecayingMean};
 use crate::record::{Attempt, End, Health, Legal, Request, Sample};
-use crate::{api::*, budget::RetryBudget, gossip::Evidence, rng::*, timers::Wakes};
+use crate::{api::*, budget::RetryBudget, gossip::GossipMessage, rng::*, timers::TimerTable};
 use std::collections::HashMap;
 
 mod admission;
@@ -17,7 +17,7 @@
 mod line;
 mod speed;
 
-pub use line::{Drawn, Line, Pair};
+pub use line::{AdjacentPair, Candidates, ServerOrder};
 
 const MS: Nanos = 1_000_000;
 const SECOND: Nanos = 1_000 * MS;
@@ -40,8 +40,8 @@
     /// When it last answered anything.
     heard: Nanos,
     /// Log latency ratios.
-    slow: FadingMean,
-    fails: Fading,
+    slow: DecayingMean,
+    fails: DecayingCounter,
     ejected_until: Nanos,
     ejections: u32,
     /// Sends a cold server may still get from this instance.
@@ -57,7 +57,7 @@
 impl Server {
     /// Draining or gone, as far as this instance has heard.
     fn leaving(&self) -> bool {
-        self.listed.condition != Condition::Live
+        self.listed.condition != EndpointState::Live
     }
 }
 
@@ -80,11 +80,11 @@
     servers: Vec<Server>,
     order: Vec<usize>,
     /// One for each class: kinds of server may suit some classes and not others.
-    lines: Vec<Line>,
+    lines: Vec<ServerOrder>,
     line_at: Nanos,
     line_stale: bool,
     requests: HashMap<RequestId, Request>,
-    wakes: Wakes<Wake>,
+    wakes: TimerTable<Wake>,
     /// Typical log latency per class, once seen, and the same over the cost hint.
     typical: Vec<Option<f64>>,
     pace: Vec<Option<f64>>,
@@ -92,9 +92,9 @@
     taught: Vec<f64>,
     /// What a kind of server adds to each class's log latency.
     kind_offset: Vec<Vec<f64>>,
-    arrivals: Fading,
+    arrivals: DecayingCounter,
     /// Log latency ratios of late, of all servers.
-    lag: FadingMean,
+    lag: DecayingMean,
     born: Nanos,
     told_at: Nanos,
     retries: RetryBudget,
@@ -107,11 +107,11 @@
     refuse: Vec<f64>,
     mix: Vec<f64>,
     /// Traffic of each tenant, and how many instances' worth it is.
-    tenant_seen: Vec<Fading>,
-    tenant_weight: Fading,
-    served: Fading,
+    tenant_seen: Vec<DecayingCounter>,
+    tenant_weight: DecayingCounter,
+    served: DecayingCounter,
     /// The same by the capacity there was at each answer.
-    served_by_unit: Fading,
+    served_by_unit: DecayingCounter,
     waiting: Vec<RequestId>,
     /// Repeated reports that told nothing new, and those that did.
     reports: [u32; 2],
@@ -131,17 +131,17 @@
             kind_offset: vec![vec![0.0; settings.kinds.max(1) as usize]; settings.classes.len()],
             born: now,
             told_at: now,
-            retries: RetryBudget::new(settings.retry_ratio, settings.retry_saved),
+            retries: RetryBudget::new(settings.retry_ratio, settings.retry_budget_max),
             level_at: now,
             ended_at: now,
             refuse: vec![0.0; settings.classes.len()],
             mix: vec![1.0; settings.classes.len()],
-            tenant_seen: vec![Fading::default(); settings.tenants.len()],
+            tenant_seen: vec![DecayingCounter::default(); settings.tenants.len()],
             set: settings,
             ..Balancer::default()
         };
         this.tenant_weight.add(now, RATE_HALF_LIFE, 1.0 / RATE_SPAN);
-        this.call_discovery(this.set.ask_within.min(discovery::WATCH_SPREAD), out);
+        this.call_discovery(this.set.poll_within.min(discovery::WATCH_SPREAD), out);
         this
     }
 
@@ -167,13 +167,13 @@
             Event::AttemptEnded { id, attempt, outcome, finished, took, .. } => {
                 self.on_ended(now, id, attempt as usize, (outcome, finished, took), out)
             }
-            Event::SecondCopy { id } => self.on_second_copy(now, &id, out),
-            Event::Abandoned { id } => self.close(&id, out),
+            Event::HedgeRequested { id } => self.on_second_copy(now, &id, out),
+            Event::ClientDisconnected { id } => self.close(&id, out),
             Event::Timer { token } => self.on_timer(now, token, out),
             Event::Probed { server, outcome, report, .. } => {
                 self.on_probed(now, server, (outcome == Outcome::Ok, report), out)
             }
-            Event::PeerMessage { payload, .. } => self.on_peer(now, &payload),
+            Event::Gossip { payload, .. } => self.on_peer(now, &payload),
         }
     }
 
--- a/crates/balancer/src/decide/speed.rs
+++ b/crates/balancer/src/decide/speed.rs
@@ -122,14 +122,14 @@
         let half_life = self.speed_memory().1;
         let n = self.order.len();
         let from = (self.rng.draw() * n as f64) as usize;
-        let halve = |seen: &mut Fading| {
+        let halve = |seen: &mut DecayingCounter| {
             seen.sum /= 2.0;
             seen.get(now, RATE_HALF_LIFE)
         };
         let weight = halve(&mut self.tenant_weight);
         let tenants: Vec<f64> = self.tenant_seen.iter_mut().map(halve).collect();
-        let room = Evidence::room(tenants.len());
-        let mut told = Evidence { weight, tenants, servers: Vec::new() };
+        let room = GossipMessage::room(tenants.len());
+        let mut told = GossipMessage { weight, tenants, servers: Vec::new() };
         for i in 0..n {
             let at = self.order[(from + i) % n];
             let server = &self.servers[at];
@@ -142,11 +142,11 @@
         }
         let peer = (self.rng.draw() * f64::from(others)) as u32;
         let peer = Some(peer + u32::from(peer >= self.set.self_index));
-        out.push(Action::TellPeer { peer, payload: told.encode() });
+        out.push(Action::SendGossip { peer, payload: told.encode() });
     }
 
     pub(super) fn on_peer(&mut self, now: Nanos, payload: &[u8]) {
-        let Some(told) = Evidence::decode(payload) else { return };
+        let Some(told) = GossipMessage::decode(payload) else { return };
         self.tenant_weight.fill(now, RATE_HALF_LIFE);
         self.tenant_weight.add(now, RATE_HALF_LIFE, told.weight);
         for (seen, sum) in self.tenant_seen.iter_mut().zip(told.tenants) {
@@ -166,6 +166,6 @@
 
     /// Typical latency of a class; a part of its aim until one was seen.
     pub(super) fn typical_of(&self, class: usize) -> f64 {
-        self.typical[class].map_or(self.set.classes[class].aim as f64 * 0.3, f64::exp)
+        self.typical[class].map_or(self.set.classes[class].latency_objective as f64 * 0.3, f64::exp)
     }
 }
--- a/crates/balancer/src/gossip.rs
+++ b/crates/balancer/src/gossip.rs
@@ -13,7 +13,7 @@
 
 /// What one instance tells another.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Evidence {
+pub struct GossipMessage {
     /// How many instances' worth of tenants' traffic this is.
     pub weight: f64,
     /// Traffic of each tenant.
@@ -22,7 +22,7 @@
     pub servers: Vec<(ServerId, f64, f64)>,
 }
 
-impl Evidence {
+impl GossipMessage {
     /// How many servers fit beside so many tenants.
     pub fn room(tenants: usize) -> usize {
         LONGEST.saturating_sub(6 + 4 * tenants) / 7
@@ -66,6 +66,6 @@
                 (u32::from_le_bytes([b[0], b[1], b[2], b[3]]), mean * count, count)
             })
             .collect();
-        Some(Evidence { weight: sums[0], tenants: sums[1..].to_vec(), servers })
+        Some(GossipMessage { weight: sums[0], tenants: sums[1..].to_vec(), servers })
     }
 }
--- a/crates/balancer/src/record.rs
+++ b/crates/balancer/src/record.rs
@@ -1,7 +1,7 @@
 //! What is kept of a request and its attempts.
 
 use crate::api::{Nanos, Outcome, ServerId};
-use crate::decide::Pair;
+use crate::decide::AdjacentPair;
 
 /// One attempt.
 #[derive(Debug, Clone, Default)]
@@ -38,7 +38,7 @@
     pub(crate) finished: bool,
     pub(crate) streaming: bool,
     /// Waiting for reports of these two.
-    pub(crate) pair: Option<Pair>,
+    pub(crate) pair: Option<AdjacentPair>,
     /// Tokens of its timers.
     pub(crate) wakes: Vec<u64>,
 }
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -49,9 +49,10 @@
     memory_span: f64,
     goal_time: f64,
     deadline: f64,
-    worth: f64,
-    #[serde(default)]
-    late_worth: f64,
+    #[serde(rename = "worth")]
+    priority_weight: f64,
+    #[serde(rename = "late-worth", default)]
+    late_weight: f64,
 }
 
 #[derive(Deserialize)]
@@ -75,8 +76,8 @@
 #[serde(rename_all = "kebab-case")]
 struct RawRules {
     grace_to_answer: f64,
-    #[serde(default)]
-    ask_within: f64,
+    #[serde(rename = "ask-within", default)]
+    poll_within: f64,
     stop_sending_within: f64,
     cold_from: f64,
     cold: f64,
@@ -140,7 +141,7 @@
         classes.push(Class {
             effect: match c.semantics.as_str() {
                 "pure" => Effect::Safe,
-                "token" => Effect::Keyed,
+                "token" => Effect::Idempotent,
                 "side_effect" => Effect::Unsafe,
                 other => return Err(format!("classes.semantics: '{other}' is not known")),
             },
@@ -151,10 +152,10 @@
                 other => return Err(format!("classes.group: '{other}' is not known")),
             },
             dedup_window: span("classes.memory-span", c.memory_span)?,
-            aim: span("classes.goal-time", c.goal_time)?,
+            latency_objective: span("classes.goal-time", c.goal_time)?,
             deadline: span("classes.deadline", c.deadline)?,
-            worth: c.worth,
-            late_worth: c.late_worth,
+            priority_weight: c.priority_weight,
+            late_weight: c.late_weight,
             max_attempts: raw.limits.max_attempts,
             backoff: [0; 2],
         });
@@ -174,12 +175,12 @@
             .collect(),
         over_share_worth: raw.over_share_worth,
         worth_by_work: raw.worth_by == "work",
-        must_ask: match raw.registry_mode.as_str() {
+        must_poll: match raw.registry_mode.as_str() {
             "subscribe" => true,
             "automatic" => false,
             other => return Err(format!("registry-mode: '{other}' is not known")),
         },
-        ask_within: span("invariants.ask-within", r.ask_within)?,
+        poll_within: span("invariants.ask-within", r.poll_within)?,
         size_kind: match raw.weight_kind.as_str() {
             "nominal" => SizeKind::Nominal,
             "rough" => SizeKind::Rough,
@@ -220,11 +221,11 @@
         parallel_attempts: l.parallel_tries,
         max_attempts: l.max_attempts,
         retry_ratio: RETRY_RATIO,
-        retry_saved: RETRY_SAVED,
+        retry_budget_max: RETRY_SAVED,
         silence_is_local: false,
         connect_timeout: span("limits.connect-timeout", l.connect_timeout)?,
         idle_timeout: span("limits.conn-idle", l.conn_idle)?,
-        goal: Goal {
+        goal: Objective {
             whole: raw.goal.whole,
             worst_window: raw.goal.worst_window,
             worst_class: raw.goal.worst_class,
--- a/crates/balancer/src/timers.rs
+++ b/crates/balancer/src/timers.rs
@@ -5,18 +5,18 @@
 
 /// Timers that have been set and have neither fired nor been dropped.
 #[derive(Debug)]
-pub struct Wakes<W> {
+pub struct TimerTable<W> {
     by_token: HashMap<u64, W>,
     last: u64,
 }
 
-impl<W> Default for Wakes<W> {
+impl<W> Default for TimerTable<W> {
     fn default() -> Self {
-        Wakes { by_token: HashMap::new(), last: 0 }
+        TimerTable { by_token: HashMap::new(), last: 0 }
     }
 }
 
-impl<W> Wakes<W> {
+impl<W> TimerTable<W> {
     /// Asks to be woken after a span; the timer's token.
     pub fn set(&mut self, after: Nanos, what: W, out: &mut Vec<Action>) -> u64 {
         self.last += 1;
--- a/crates/balancer/tests/cold.rs
+++ b/crates/balancer/tests/cold.rs
@@ -96,7 +96,7 @@
     let mut free_at = vec![0; world.servers as usize + 1];
     let leaving: Vec<_> = warm[..9]
         .iter()
-        .map(|s| ListedServer { condition: Condition::Draining, ..s.clone() })
+        .map(|s| ListedServer { condition: EndpointState::Draining, ..s.clone() })
         .collect();
     let (mut told, mut lost) = (false, false);
     let mut times = Vec::new();
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -13,10 +13,10 @@
         effect,
         group,
         dedup_window: 5 * S,
-        aim: 400 * MS,
+        latency_objective: 400 * MS,
         deadline: 2 * S,
-        worth: 1.0,
-        late_worth: 0.0,
+        priority_weight: 1.0,
+        late_weight: 0.0,
         max_attempts: 6,
         backoff: [0; 2],
     }
@@ -31,16 +31,16 @@
         kinds: 2,
         classes: vec![
             class(Effect::Safe, Group::All),
-            class(Effect::Keyed, Group::All),
-            class(Effect::Keyed, Group::Zone),
-            class(Effect::Keyed, Group::Cell),
+            class(Effect::Idempotent, Group::All),
+            class(Effect::Idempotent, Group::Zone),
+            class(Effect::Idempotent, Group::Cell),
             class(Effect::Unsafe, Group::All),
         ],
         tenants: Vec::new(),
         over_share_worth: 0.1,
         worth_by_work: false,
-        must_ask: false,
-        ask_within: 10 * S,
+        must_poll: false,
+        poll_within: 10 * S,
         size_kind: SizeKind::Nominal,
         report_mode: ReportMode::Absent,
         report_fields: Vec::new(),
@@ -59,11 +59,11 @@
         parallel_attempts: true,
         max_attempts: 5,
         retry_ratio: 0.2,
-        retry_saved: 5.0,
+        retry_budget_max: 5.0,
         silence_is_local: false,
         connect_timeout: 200 * MS,
         idle_timeout: 15 * S,
-        goal: Goal { whole: 1.0, ..Goal::default() },
+        goal: Objective { whole: 1.0, ..Objective::default() },
         prices: Prices::default(),
     }
 }
@@ -132,7 +132,7 @@
 }
 
 pub fn refused(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { .. }))
+    actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
 pub fn failed(actions: &[Action]) -> bool {
--- a/crates/balancer/tests/line.rs
+++ b/crates/balancer/tests/line.rs
@@ -1,11 +1,11 @@
 //! The line against the formulas of section 4.
 
-use mintshelf_balancer::decide::{Drawn, Line};
+use mintshelf_balancer::decide::{Candidates, ServerOrder};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-fn line(speeds: &[f64]) -> Line {
-    Line::new(speeds.iter().copied().enumerate())
+fn line(speeds: &[f64]) -> ServerOrder {
+    ServerOrder::new(speeds.iter().copied().enumerate())
 }
 
 /// A plain repeatable sequence of uniform numbers.
@@ -17,13 +17,13 @@
     }
 }
 
-fn shares(line: &Line, n: usize, rounds: usize) -> Vec<f64> {
+fn shares(line: &ServerOrder, n: usize, rounds: usize) -> Vec<f64> {
     let mut draw = uniform(9);
     let mut hits = vec![0.0; n];
     for _ in 0..rounds {
         let at = match line.draw(&mut draw).unwrap() {
-            Drawn::One(at) => at,
-            Drawn::Pair(pair) => pair.join(&mut draw, [0.0, 0.0]),
+            Candidates::One(at) => at,
+            Candidates::AdjacentPair(pair) => pair.join(&mut draw, [0.0, 0.0]),
         };
         hits[at] += 1.0 / rounds as f64;
     }
@@ -33,7 +33,7 @@
 #[test]
 fn empty_and_single_lines() {
     assert_eq!(line(&[]).draw(uniform(1)), None);
-    assert_eq!(line(&[3.0]).draw(uniform(1)), Some(Drawn::One(0)));
+    assert_eq!(line(&[3.0]).draw(uniform(1)), Some(Candidates::One(0)));
 }
 
 #[test]
@@ -66,7 +66,7 @@
     let line = line(&[1.0, 4.0]);
     let mut draw = uniform(3);
     for _ in 0..1000 {
-        if let Some(Drawn::Pair(pair)) = line.draw(&mut draw) {
+        if let Some(Candidates::AdjacentPair(pair)) = line.draw(&mut draw) {
             assert_eq!(pair.join(&mut draw, [1.0, 2.0]), 1);
             assert_eq!(pair.join(&mut draw, [1.0, 5.0]), 0);
         }
--- a/crates/balancer/tests/rules.rs
+++ b/crates/balancer/tests/rules.rs
@@ -70,7 +70,7 @@
             let now = now + ended_at;
             for action in rig.feed(now, ended(&id, 0, server, Outcome::Error, false)) {
                 match action {
-                    Action::Refuse { retry_after, .. } => {
+                    Action::Reject { retry_after, .. } => {
                         seen[0] += usize::from(retry_after > 0);
                         assert!(ended_at + retry_after < 3 * S, "{ended_at}, {retry_after}");
                     }
@@ -97,7 +97,7 @@
 #[test]
 fn a_draining_or_missing_server_gets_nothing_more() {
     let mut rig = Rig::with(settings(), 1..=3);
-    let draining = ListedServer { condition: Condition::Draining, ..server(1) };
+    let draining = ListedServer { condition: EndpointState::Draining, ..server(1) };
     rig.feed(S, list(ListKind::Changes, vec![draining]));
     for i in 0..50 {
         let out = rig.feed(S, request(&format!("a{i}"), 0, 2 * S));
@@ -140,11 +140,11 @@
     let mut rig = Rig::with(settings(), 1..=2);
     assert!(rig.feed(S, ended("x", 0, 1, Outcome::Ok, true)).is_empty());
     assert!(rig.feed(S, Event::Timer { token: 999 }).is_empty());
-    assert!(rig.feed(S, Event::Abandoned { id: "x".into() }).is_empty());
+    assert!(rig.feed(S, Event::ClientDisconnected { id: "x".into() }).is_empty());
     assert!(rig.feed(S, Event::StreamStarted { id: "x".into(), attempt: 3 }).is_empty());
     let probed = Event::Probed { server: 77, outcome: Outcome::Ok, took: 1, report: None };
     assert!(rig.feed(S, probed).is_empty());
-    assert!(rig.feed(S, Event::PeerMessage { from: 9, payload: vec![1, 2] }).is_empty());
+    assert!(rig.feed(S, Event::Gossip { from: 9, payload: vec![1, 2] }).is_empty());
     assert!(sends(&rig.feed(S, request("b", 99, S))).is_empty());
     let out = rig.feed(S, request("a", 0, S));
     assert_eq!(sends(&out).len(), 1);
@@ -543,7 +543,7 @@
             if rand(10) == 0 {
                 let id = 1 + rand(6) as u32;
                 let leaving = rand(2) == 0;
-                let condition = if leaving { Condition::Draining } else { Condition::Live };
+                let condition = if leaving { EndpointState::Draining } else { EndpointState::Live };
                 events
                     .push(list(ListKind::Changes, vec![ListedServer { condition, ..server(id) }]));
             }
@@ -554,7 +554,7 @@
             }
             for event in events {
                 if let Event::Servers { entries, .. } = &event {
-                    draining.insert(entries[0].id, entries[0].condition != Condition::Live);
+                    draining.insert(entries[0].id, entries[0].condition != EndpointState::Live);
                 }
                 if let Event::AttemptEnded { id, finished: true, .. } = &event {
                     open.iter_mut().filter(|o| o.0 == **id).for_each(|o| o.1 .3 = true);
@@ -576,7 +576,7 @@
                             if let Some((first, sent, _)) = attempts.iter().find(ran) {
                                 let about = &classes[*class];
                                 assert_ne!(about.effect, Effect::Unsafe, "ran twice");
-                                if about.effect == Effect::Keyed {
+                                if about.effect == Effect::Idempotent {
                                     assert!(now - sent <= about.dedup_window);
                                     match about.group {
                                         Group::Zone => assert_eq!(first % 2, server % 2),
@@ -587,14 +587,14 @@
                             }
                             attempts.push((server, now, None));
                         }
-                        Action::Refuse { id, .. } => {
+                        Action::Reject { id, .. } => {
                             let at = find(&id).expect("a known request");
                             let (class, _, attempts, answered) = &mut open[at].1;
                             assert!(!*answered, "answered twice");
                             *answered = true;
                             let about = &classes[*class];
                             let may = about.effect == Effect::Safe
-                                || about.effect == Effect::Keyed && about.group == Group::All
+                                || about.effect == Effect::Idempotent && about.group == Group::All
                                 || attempts.iter().all(|a| a.2.is_some_and(Outcome::never_ran));
                             assert!(may, "refused though it may have run");
                         }
@@ -639,7 +639,7 @@
 
 #[test]
 fn discovery_is_asked_in_time_and_again_after_failures() {
-    let set = Settings { must_ask: true, ..settings() };
+    let set = Settings { must_poll: true, ..settings() };
     let (mut rig, out) = Rig::new(set);
     let mut now = S;
     let mut out = out;
--- a/crates/balancer/tests/tries.rs
+++ b/crates/balancer/tests/tries.rs
@@ -7,7 +7,7 @@
 
 /// Classes with pauses far over their windows, and copies allowed.
 fn careless() -> Settings {
-    let mut set = Settings { retry_ratio: 1.0, retry_saved: 100.0, ..settings() };
+    let mut set = Settings { retry_ratio: 1.0, retry_budget_max: 100.0, ..settings() };
     for class in &mut set.classes {
         class.dedup_window = S;
         class.deadline = 60 * S;
@@ -67,10 +67,10 @@
     let copy = |set: Settings, class: u32| {
         let mut rig = Rig::with(set, 1..=4);
         let first = sends(&rig.feed(2 * S, request("a", class, 60 * S)));
-        let more = sends(&rig.feed(2 * S + 50 * MS, Event::SecondCopy { id: "a".into() }));
+        let more = sends(&rig.feed(2 * S + 50 * MS, Event::HedgeRequested { id: "a".into() }));
         assert!(more.iter().all(|server| *server != first[0]), "it goes elsewhere");
         // One beside the first, never two.
-        let third = sends(&rig.feed(2 * S + 60 * MS, Event::SecondCopy { id: "a".into() }));
+        let third = sends(&rig.feed(2 * S + 60 * MS, Event::HedgeRequested { id: "a".into() }));
         assert!(more.is_empty() || third.is_empty());
         more.len()
     };
@@ -79,7 +79,7 @@
         assert_eq!(copy(careless(), class), 0, "class {class}");
     }
     assert_eq!(copy(Settings { parallel_attempts: false, ..careless() }, 0), 0);
-    assert_eq!(copy(Settings { retry_ratio: 0.0, retry_saved: 0.0, ..careless() }, 0), 0);
+    assert_eq!(copy(Settings { retry_ratio: 0.0, retry_budget_max: 0.0, ..careless() }, 0), 0);
     let mut one = careless();
     one.classes[0].max_attempts = 1;
     assert_eq!(copy(one, 0), 0, "attempts are bounded by class");
@@ -114,12 +114,12 @@
         }
         refusals
     };
-    assert_eq!(level(Settings { retry_saved: 100.0, ..set }), 0);
+    assert_eq!(level(Settings { retry_budget_max: 100.0, ..set }), 0);
 }
 
 #[test]
 fn what_was_under_way_when_a_server_froze_is_no_sign_of_congestion() {
-    let set = Settings { silence_is_local: true, retry_saved: 100.0, ..settings() };
+    let set = Settings { silence_is_local: true, retry_budget_max: 100.0, ..settings() };
     let mut rig = Rig::with(set, 1..=4);
     let answer = |rig: &mut Rig, now: Nanos, id: &str, server| {
         rig.feed(now, ended(id, 0, server, Outcome::Ok, true));
--- a/crates/config/src/admission.rs
+++ b/crates/config/src/admission.rs
@@ -1,10 +1,10 @@
 //! The limits of an operator's file as the package of limits takes them.
 
 use crate::model::{File, BODY_SHARE};
-use mintshelf_admission::admission::{AdmissionSet, LimitSet};
-use mintshelf_admission::queue::GateSet;
-use mintshelf_admission::slots::SeatSet;
-use mintshelf_admission::tenants::{Tenants, OTHERS};
+use mintshelf_admission::admission::{AdmissionConfig, LimitConfig};
+use mintshelf_admission::queue::FairQueueConfig;
+use mintshelf_admission::slots::SlotConfig;
+use mintshelf_admission::tenants::{Tenants, OTHER_TENANTS};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -15,22 +15,22 @@
 const BODY: u64 = 64 << 10;
 
 /// All limits of a file.
-pub fn admission(file: &File) -> AdmissionSet {
+pub fn admission(file: &File) -> AdmissionConfig {
     let mut shares: BTreeMap<Rc<str>, f64> = BTreeMap::new();
     let mut tenants = BTreeMap::new();
     if !file.tenants.is_empty() {
         let all: f64 = 1.0 + file.tenants.iter().map(|tenant| tenant.share).sum::<f64>();
-        let limited = |share: f64, limit: LimitSet| {
+        let limited = |share: f64, limit: LimitConfig| {
             let part = share / all;
             let most = (file.limits.sockets as f64 * CLIENTS_SHARE * part) as u32;
             let bytes = (file.limits.memory as f64 * BODY_SHARE * part) as u64;
-            LimitSet {
+            LimitConfig {
                 most: limit.most.or(Some(most.max(1))),
                 bytes: limit.bytes.or(Some(bytes.max(BODY))),
                 ..limit
             }
         };
-        tenants.insert(OTHERS.into(), limited(1.0, LimitSet::default()));
+        tenants.insert(OTHER_TENANTS.into(), limited(1.0, LimitConfig::default()));
         for tenant in &file.tenants {
             let name: Rc<str> = tenant.name.as_str().into();
             shares.insert(name.clone(), tenant.share);
@@ -40,20 +40,20 @@
     let limited = file.routes.iter().filter(|route| !route.limit.is_none());
     let routes = limited.map(|route| (route.name.as_str().into(), route.limit)).collect();
     let gate = |(name, (most, queue)): (&String, (u32, u32))| {
-        (name.as_str().into(), GateSet { most, queue, shares: shares.clone() })
+        (name.as_str().into(), FairQueueConfig { most, queue, shares: shares.clone() })
     };
     let clusters = file.clusters.iter().filter_map(|(name, c)| Some((name, c.concurrency?)));
     let clusters = clusters.map(gate).collect();
-    AdmissionSet { tenants, routes, clusters }
+    AdmissionConfig { tenants, routes, clusters }
 }
 
 /// The seats of a file's sockets.
-pub fn seats(file: &File) -> SeatSet {
+pub fn seats(file: &File) -> SlotConfig {
     let name = |name: &String| Rc::<str>::from(name.as_str());
     let tenants = file.tenants.iter();
     let routes = file.routes.iter().filter_map(|r| Some((name(&r.name), r.limit.sockets?)));
     let clusters = file.clusters.iter().filter_map(|(of, c)| Some((name(of), c.sockets[0]?)));
-    SeatSet {
+    SlotConfig {
         most: file.limits.websockets,
         shares: tenants.clone().map(|t| (name(&t.name), t.share)).collect(),
         tenants: tenants.filter_map(|t| Some((name(&t.name), t.limit.sockets?))).collect(),
--- a/crates/config/src/file/checks.rs
+++ b/crates/config/src/file/checks.rs
@@ -101,7 +101,7 @@
 
 /// Danger: a route that makes requests keyed needs the window of a keyed class.
 fn effects(top: &Table, read: &Read, class: &Class) {
-    if read.route.effect == Some(Effect::Keyed) && class.effect != Effect::Keyed {
+    if read.route.effect == Some(Effect::Idempotent) && class.effect != Effect::Idempotent {
         let what =
             format!("the effect is keyed, but its class '{}' has no window", read.route.class);
         let mend = "give the route a keyed class";
--- a/crates/config/src/file/fleet.rs
+++ b/crates/config/src/file/fleet.rs
@@ -3,8 +3,8 @@
 use super::reader::{At, Table};
 use super::{address, ms, EVER};
 use crate::model::{Fleet, FleetVoter};
-use mintshelf_lease::lease::{named_well, NAME_MAX};
-use mintshelf_lease::timing::{ClockError, Nanos, SpanProblem, Spans};
+use mintshelf_lease::lease::{is_valid_name, NAME_MAX};
+use mintshelf_lease::timing::{ClockError, Nanos, Timing, TimingError};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -35,7 +35,7 @@
         table.reader.wrong(&table.span, &table.path(key), "is missing", &mend);
     }
     table.parsed(key, &mend, |text| {
-        named_well(text).then(|| text.to_owned()).ok_or_else(|| "is no name".to_owned())
+        is_valid_name(text).then(|| text.to_owned()).ok_or_else(|| "is no name".to_owned())
     })
 }
 
@@ -148,8 +148,8 @@
     (voters.len() == all).then_some(voters)
 }
 
-fn spans(table: &Table) -> Option<Spans> {
-    let standard = Spans::default();
+fn spans(table: &Table) -> Option<Timing> {
+    let standard = Timing::default();
     let read =
         |key, default: Nanos| table.duration(key, Duration::from_nanos(default), ms(1)..=EVER);
     let election = read("election", standard.election);
@@ -158,7 +158,7 @@
     let lease = read("lease", standard.lease);
     let ppm = table.whole("clock-error-ppm", standard.error.ppm, 0..=100_000);
     let nanos = |at: &At<Duration>| at.value.as_nanos() as Nanos;
-    let spans = Spans {
+    let spans = Timing {
         election: nanos(&election),
         heartbeat: nanos(&heartbeat),
         session: nanos(&session),
@@ -167,10 +167,10 @@
     };
     let Err(problem) = spans.check() else { return Some(spans) };
     let at = match problem {
-        SpanProblem::Election { .. } | SpanProblem::Bounds => &election,
-        SpanProblem::Lease { .. } => &lease,
-        SpanProblem::Session { .. } => &session,
-        SpanProblem::Error { .. } => {
+        TimingError::Election { .. } | TimingError::Bounds => &election,
+        TimingError::Lease { .. } => &lease,
+        TimingError::Session { .. } => &session,
+        TimingError::Error { .. } => {
             table.reader.wrong(&ppm.span, &ppm.field, problem, "write a smaller one");
             return None;
         }
--- a/crates/config/src/file/limits.rs
+++ b/crates/config/src/file/limits.rs
@@ -5,9 +5,9 @@
 use crate::model::{Listener, Tenant};
 use crate::problem::BrokenRule;
 use ipnet::IpNet;
-use mintshelf_admission::admission::LimitSet;
-use mintshelf_admission::rate::RateSet;
-use mintshelf_admission::tenants::{overlap, OTHERS};
+use mintshelf_admission::admission::LimitConfig;
+use mintshelf_admission::rate::RateConfig;
+use mintshelf_admission::tenants::{overlap, OTHER_TENANTS};
 use std::collections::HashMap;
 use std::num::NonZeroU32;
 use std::time::Duration;
@@ -33,7 +33,7 @@
 }
 
 /// Reads what a tenant or a route is limited to.
-pub fn limit(table: &Table) -> LimitSet {
+pub fn limit(table: &Table) -> LimitConfig {
     let mend = "write a rate as in \"100/s\", \"30/m\" or \"5/h\"";
     let rate = table.parsed("rate", mend, rate);
     let least = rate.as_ref().map_or(1, |at| at.value.0.get().min(MOST));
@@ -44,7 +44,7 @@
     }
     let rate = rate.and_then(|at| {
         let burst = NonZeroU32::new(burst.value)?;
-        let set = RateSet { count: at.value.0, per: at.value.1, burst };
+        let set = RateConfig { count: at.value.0, per: at.value.1, burst };
         if !set.is_sound() {
             table.reader.wrong(&at.span, &at.field, "is too fast to be kept", mend);
         }
@@ -52,7 +52,7 @@
     });
     let most = table.has("concurrency").then(|| table.whole("concurrency", 1, 1..=MOST).value);
     let sockets = table.has("sockets").then(|| table.whole("sockets", 1, 0..=MOST).value);
-    LimitSet { rate, most, bytes: None, sockets }
+    LimitConfig { rate, most, bytes: None, sockets }
 }
 
 /// Reads how many requests a cluster takes at one time, and how many wait.
@@ -127,8 +127,8 @@
 }
 
 fn tenant(table: Table, name: At<&str>, listeners: &[At<Listener>], by_header: bool) -> Read {
-    if name.value == OTHERS {
-        let what = format!("'{OTHERS}' are those who are no tenant");
+    if name.value == OTHER_TENANTS {
+        let what = format!("'{OTHER_TENANTS}' are those who are no tenant");
         table.reader.wrong(&name.span, &name.field, what, "name it otherwise");
     }
     let share = table.number("share", 1.0, 0.001..=1e6).value;
--- a/crates/config/src/file/mod.rs
+++ b/crates/config/src/file/mod.rs
@@ -236,7 +236,7 @@
     let mend = "write \"safe\", \"keyed\" or \"unsafe\"";
     table.parsed("effect", mend, |text| match text {
         "safe" => Ok(Effect::Safe),
-        "keyed" => Ok(Effect::Keyed),
+        "keyed" => Ok(Effect::Idempotent),
         "unsafe" => Ok(Effect::Unsafe),
         _ => Err("is not an effect".into()),
     })
@@ -246,10 +246,10 @@
     let standard = Class {
         effect: Effect::Safe,
         window: Duration::ZERO,
-        aim: ms(1_000),
+        latency_objective: ms(1_000),
         deadline: ms(15_000),
-        worth: 1.0,
-        late_worth: 1.0,
+        priority_weight: 1.0,
+        late_weight: 1.0,
         tries: defaults.tries.clone(),
         sockets: sockets::standard(),
     };
@@ -273,39 +273,46 @@
 }
 
 /// An aim past the deadline is never met.
-fn aim_fits(table: &Table, aim: &At<Duration>, deadline: Duration) {
-    if aim.value > deadline {
+fn aim_fits(table: &Table, latency_objective: &At<Duration>, deadline: Duration) {
+    if latency_objective.value > deadline {
         let what = format!(
             "the aim, {}, is past the deadline, {}",
-            humantime::format_duration(aim.value),
+            humantime::format_duration(latency_objective.value),
             humantime::format_duration(deadline)
         );
         let mend = "state a deadline that is no shorter than the aim";
-        table.reader.breaks(&aim.span, &aim.field, what, mend, BrokenRule::Lost);
+        table.reader.breaks(
+            &latency_objective.span,
+            &latency_objective.field,
+            what,
+            mend,
+            BrokenRule::Lost,
+        );
     }
 }
 
 fn class(table: &Table, standard: &Class, defaults: &Stated) -> (Class, Stated) {
     let effect = effect(table);
     let window = table.duration("window", standard.window, ms(0)..=EVER);
-    let aim = table.duration("aim", standard.aim, ms(1)..=EVER);
-    let deadline = table.duration("deadline", standard.deadline.max(aim.value), ms(1)..=EVER);
-    let worth = table.number("worth", standard.worth, 0.0..=1e6);
-    let late_worth = table.number("late-worth", standard.late_worth, 0.0..=1.0);
+    let latency_objective = table.duration("aim", standard.latency_objective, ms(1)..=EVER);
+    let deadline =
+        table.duration("deadline", standard.deadline.max(latency_objective.value), ms(1)..=EVER);
+    let priority_weight = table.number("worth", standard.priority_weight, 0.0..=1e6);
+    let late_weight = table.number("late-worth", standard.late_weight, 0.0..=1.0);
     let value = effect.as_ref().map_or(standard.effect, |e| e.value);
     let span = |at: Option<&At<Effect>>| at.map_or(table.span.clone(), |at| at.span.clone());
-    if value == Effect::Keyed && window.value.is_zero() {
+    if value == Effect::Idempotent && window.value.is_zero() {
         let mend = "state for how long servers drop repeats, as in window = \"20s\", or write \
                     effect = \"unsafe\"";
         let what = "a keyed class has no window";
         let rule = BrokenRule::Twice;
         table.reader.breaks(&span(effect.as_ref()), &table.path("effect"), what, mend, rule);
     }
-    if value != Effect::Keyed && table.has("window") {
+    if value != Effect::Idempotent && table.has("window") {
         let mend = "remove it, or write effect = \"keyed\"";
         table.reader.wrong(&window.span, &window.field, "only keyed classes have a window", mend);
     }
-    aim_fits(table, &aim, deadline.value);
+    aim_fits(table, &latency_objective, deadline.value);
     let mut stated = tries::read(table, defaults);
     if table.has("window") {
         stated.places.insert("window", (window.span.clone(), window.field.clone()));
@@ -313,10 +320,10 @@
     let class = Class {
         effect: value,
         window: window.value,
-        aim: aim.value,
+        latency_objective: latency_objective.value,
         deadline: deadline.value,
-        worth: worth.value,
-        late_worth: late_worth.value,
+        priority_weight: priority_weight.value,
+        late_weight: late_weight.value,
         tries: stated.tries.clone(),
         sockets: sockets::class(table),
     };
--- a/crates/config/src/file/routes.rs
+++ b/crates/config/src/file/routes.rs
@@ -7,7 +7,7 @@
 use crate::model::*;
 use crate::problem::BrokenRule;
 use http::{HeaderName, HeaderValue, Method, StatusCode};
-use mintshelf_admission::admission::LimitSet;
+use mintshelf_admission::admission::LimitConfig;
 use mintshelf_routing::{Host, PathMatch, Pattern, Rule, Split, Test, Value};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -83,7 +83,7 @@
         line: table.reader.line(&span),
         listeners: listeners.iter().map(|at| at.value.clone()).collect(),
         rule,
-        limit: table.table("limits").map_or_else(LimitSet::default, |inner| {
+        limit: table.table("limits").map_or_else(LimitConfig::default, |inner| {
             let limit = limits::limit(&inner);
             inner.finish();
             limit
--- a/crates/config/src/file/sockets.rs
+++ b/crates/config/src/file/sockets.rs
@@ -9,8 +9,8 @@
 use crate::problem::BrokenRule;
 use mintshelf_balancer::api::Effect;
 use mintshelf_websocket::handshake::Terms;
-use mintshelf_websocket::session::{Resume, SocketSet};
-use mintshelf_websocket::timers::LifeSet;
+use mintshelf_websocket::session::{Resume, SessionConfig};
+use mintshelf_websocket::timers::TimerConfig;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
@@ -24,7 +24,7 @@
 pub fn standard() -> SocketClass {
     let seconds = |n| nanos(Duration::from_secs(n));
     SocketClass {
-        life: LifeSet {
+        life: TimerConfig {
             idle: seconds(3600),
             lifetime: seconds(86_400),
             ping: seconds(30),
@@ -47,7 +47,7 @@
     };
     let life = standard.life;
     let set = SocketClass {
-        life: LifeSet {
+        life: TimerConfig {
             idle: span("idle-timeout", life.idle, ms(100)),
             lifetime: span("lifetime", life.lifetime, ms(100)),
             ping: span("ping-interval", life.ping, ms(50)),
@@ -176,8 +176,8 @@
 
 impl SocketClass {
     /// As a session takes it.
-    fn with(&self, resume: Option<Resume>) -> SocketSet {
+    fn with(&self, resume: Option<Resume>) -> SessionConfig {
         let SocketClass { life, longest, buffer } = *self;
-        SocketSet { life, longest, buffer, resume }
+        SessionConfig { life, longest, buffer, resume }
     }
 }
--- a/crates/config/src/file/tries.rs
+++ b/crates/config/src/file/tries.rs
@@ -7,8 +7,8 @@
 use crate::module::{nanos, plan, severity};
 use crate::problem::BrokenRule;
 use mintshelf_balancer::api::Effect;
-use mintshelf_retry::attempts::{CopyAfter, Hedge};
-use mintshelf_retry::schedule::{Breach, DedupGroup, PerTry, RetryOn};
+use mintshelf_retry::attempts::{Hedge, HedgeDelay};
+use mintshelf_retry::schedule::{AttemptTimeout, DedupGroup, RetryOn, SafetyViolation};
 use mintshelf_routing::{rank, Host};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -102,12 +102,12 @@
     Stated { tries, places }
 }
 
-fn per_try(table: &Table) -> Option<At<PerTry>> {
+fn per_try(table: &Table) -> Option<At<AttemptTimeout>> {
     let mend = "write a span as in \"400ms\", \"adaptive\" or \"none\"";
     table.parsed("per-try-timeout", mend, |text| match text {
-        "adaptive" => Ok(PerTry::Adaptive),
-        "none" => Ok(PerTry::Whole),
-        _ => span(text, &(ms(1)..=EVER)).map(|span| PerTry::Fixed(nanos(span))),
+        "adaptive" => Ok(AttemptTimeout::Adaptive),
+        "none" => Ok(AttemptTimeout::Whole),
+        _ => span(text, &(ms(1)..=EVER)).map(|span| AttemptTimeout::Fixed(nanos(span))),
     })
 }
 
@@ -133,8 +133,8 @@
     let inner = table.table("hedge")?;
     let mend = "write a span as in \"30ms\", or \"p95\"";
     let after = inner.parsed("after", mend, |text| match text {
-        "p95" => Ok(CopyAfter::P95),
-        _ => span(text, &(ms(1)..=EVER)).map(|span| CopyAfter::Span(nanos(span))),
+        "p95" => Ok(HedgeDelay::P95),
+        _ => span(text, &(ms(1)..=EVER)).map(|span| HedgeDelay::Span(nanos(span))),
     });
     if !inner.has("after") {
         inner.reader.wrong(&inner.span, &inner.field, "does not say when a copy goes", mend);
@@ -142,7 +142,7 @@
     let share = inner.number("share", SHARE, 0.0..=SHARE_MAX).value;
     let at = At { value: (), span: inner.span.clone(), field: inner.field.clone() };
     inner.finish();
-    let after = after.map_or(CopyAfter::P95, |at| at.value);
+    let after = after.map_or(HedgeDelay::P95, |at| at.value);
     Some(at.map(|()| Some(Hedge { after, share })))
 }
 
@@ -160,10 +160,12 @@
     pub fn with(&self, table: &Table) -> ReadClass {
         let stated = read(table, &self.stated);
         let deadline = table.duration("deadline", self.class.deadline, ms(1)..=EVER);
-        let aim = table.duration("aim", self.class.aim.min(deadline.value), ms(1)..=EVER);
-        super::aim_fits(table, &aim, deadline.value);
-        let (aim, deadline, tries) = (aim.value, deadline.value, stated.tries.clone());
-        let class = Class { aim, deadline, tries, ..self.class.clone() };
+        let latency_objective =
+            table.duration("aim", self.class.latency_objective.min(deadline.value), ms(1)..=EVER);
+        super::aim_fits(table, &latency_objective, deadline.value);
+        let (latency_objective, deadline, tries) =
+            (latency_objective.value, deadline.value, stated.tries.clone());
+        let class = Class { latency_objective, deadline, tries, ..self.class.clone() };
         ReadClass { class, stated, span: self.span.clone(), field: self.field.clone() }
     }
 }
@@ -189,7 +191,7 @@
                 // What is inherited and has no effect here does no harm.
                 let own = class.stated.places.get(breach.setting());
                 let own = own.is_some_and(|(_, field)| !field.starts_with("defaults."));
-                if breach == Breach::PointlessTry && !own {
+                if breach == SafetyViolation::PointlessTry && !own {
                     continue;
                 }
                 let whole = match class.span.is_empty() {
@@ -257,7 +259,7 @@
 fn word(effect: Effect) -> &'static str {
     match effect {
         Effect::Safe => "safe",
-        Effect::Keyed => "keyed",
+        Effect::Idempotent => "keyed",
         Effect::Unsafe => "unsafe",
     }
 }
@@ -267,7 +269,7 @@
     let Then::Forward(forward) = &read.route.then else { return };
     let many = forward.split.clusters().count() > 1;
     let by_key = forward.sticky == Some(crate::model::Sticky::Header(IDEMPOTENCY_KEY));
-    if effect == Effect::Keyed && many && !by_key {
+    if effect == Effect::Idempotent && many && !by_key {
         let what = "a repeat of a keyed request could go to another cluster, which does not know \
                     its key";
         let mend = "write sticky = \"header:idempotency-key\"";
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -3,15 +3,15 @@
 
 use http::{HeaderName, HeaderValue, StatusCode};
 use ipnet::IpNet;
-use mintshelf_admission::admission::LimitSet;
+use mintshelf_admission::admission::LimitConfig;
 use mintshelf_balancer::api::Effect;
-use mintshelf_lease::timing::Spans;
+use mintshelf_lease::timing::Timing;
 use mintshelf_retry::attempts::Hedge;
-use mintshelf_retry::schedule::{DedupGroup, PerTry, RetryOn};
+use mintshelf_retry::schedule::{AttemptTimeout, DedupGroup, RetryOn};
 use mintshelf_routing::{Rule, Split};
 use mintshelf_websocket::handshake::Terms;
-use mintshelf_websocket::session::SocketSet;
-use mintshelf_websocket::timers::LifeSet;
+use mintshelf_websocket::session::SessionConfig;
+use mintshelf_websocket::timers::TimerConfig;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -64,7 +64,7 @@
     /// All voters, in the order of the file, which is the same in each process's.
     pub voters: Vec<FleetVoter>,
     /// How long things take.
-    pub spans: Spans,
+    pub spans: Timing,
 }
 
 /// One voter.
@@ -93,13 +93,13 @@
     /// For how long servers drop repeats of a keyed request.
     pub window: Duration,
     /// An answer within this time earns the full worth.
-    pub aim: Duration,
+    pub latency_objective: Duration,
     /// How long a request may wait for the head of its answer.
     pub deadline: Duration,
     /// What an answer is worth.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Fraction of the worth that a late answer keeps.
-    pub late_worth: f64,
+    pub late_weight: f64,
     /// What its attempts may do.
     pub tries: Tries,
     /// What its sockets are held to.
@@ -110,7 +110,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SocketClass {
     /// Their times.
-    pub life: LifeSet,
+    pub life: TimerConfig,
     /// Longest message, in bytes as it passes.
     pub longest: u64,
     /// Bytes that may wait for one end.
@@ -123,14 +123,14 @@
     /// What of a handshake passes.
     pub terms: Terms,
     /// What its sockets are held to.
-    pub session: Rc<SocketSet>,
+    pub session: Rc<SessionConfig>,
 }
 
 /// What the attempts of a class's requests may do, as far as the file states it.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Tries {
     /// Time for one attempt.
-    pub per_try: Option<PerTry>,
+    pub per_try: Option<AttemptTimeout>,
     /// Most attempts; else the cluster's.
     pub attempts: Option<u32>,
     /// The bound of the first pause between attempts, which doubles, and the longest.
@@ -164,7 +164,7 @@
     /// Values of the tenant header that name it.
     pub values: Vec<String>,
     /// What it is limited to.
-    pub limit: LimitSet,
+    pub limit: LimitConfig,
 }
 
 /// Servers that do the same.
@@ -241,7 +241,7 @@
     /// The effect of all its requests, where the operator knows better than their methods.
     pub effect: Option<Effect>,
     /// What it is limited to.
-    pub limit: LimitSet,
+    pub limit: LimitConfig,
     /// What comes of them.
     pub then: Then,
 }
--- a/crates/config/src/module.rs
+++ b/crates/config/src/module.rs
@@ -2,8 +2,8 @@
 
 use crate::model::{Class, Cluster, File, Then};
 use mintshelf_balancer::api::*;
-use mintshelf_retry::attempts::TryPlan;
-use mintshelf_retry::schedule::{DedupGroup, PerTry, Plan, RetryOn};
+use mintshelf_retry::attempts::RetryPolicy;
+use mintshelf_retry::schedule::{AttemptTimeout, DedupGroup, Plan, RetryOn};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -27,7 +27,7 @@
     /// How long a request may wait.
     pub deadline: Nanos,
     /// What an answer is worth.
-    pub worth: f64,
+    pub priority_weight: f64,
 }
 
 /// What a cluster's instance of the module is started with.
@@ -50,7 +50,7 @@
     /// The ramp after an outage.
     pub return_ramp: Nanos,
     /// What the attempts of each of the settings' classes may do.
-    pub tries: Vec<TryPlan>,
+    pub tries: Vec<RetryPolicy>,
 }
 
 impl Module {
@@ -64,7 +64,7 @@
 pub fn severity(effect: Effect) -> usize {
     match effect {
         Effect::Safe => 0,
-        Effect::Keyed => 1,
+        Effect::Idempotent => 1,
         Effect::Unsafe => 2,
     }
 }
@@ -77,7 +77,7 @@
 /// The effects that a request of a class can turn out to have: its class's, or unsafe by
 /// its method or for want of a key; and those that routes state.
 fn effects(class: &Class, stated: &BTreeSet<usize>) -> Vec<Effect> {
-    [Effect::Safe, Effect::Keyed, Effect::Unsafe]
+    [Effect::Safe, Effect::Idempotent, Effect::Unsafe]
         .into_iter()
         .filter(|e| *e == class.effect || *e == Effect::Unsafe || stated.contains(&severity(*e)))
         .collect()
@@ -98,16 +98,16 @@
     let zones: BTreeSet<&str> = cluster.endpoints.iter().map(|e| e.zone.as_str()).collect();
     let group = tries.group.unwrap_or(DedupGroup::Cluster);
     let (standard, follows) = match effect {
-        Effect::Safe => (PerTry::Adaptive, RetryOn::MayHaveRun),
-        Effect::Keyed => (PerTry::Whole, RetryOn::MayHaveRun),
-        Effect::Unsafe => (PerTry::Whole, RetryOn::NeverRan),
+        Effect::Safe => (AttemptTimeout::Adaptive, RetryOn::MayHaveRun),
+        Effect::Idempotent => (AttemptTimeout::Whole, RetryOn::MayHaveRun),
+        Effect::Unsafe => (AttemptTimeout::Whole, RetryOn::NeverRan),
     };
     let mut plan = Plan {
         effect,
         window,
         group,
         one_group: group == DedupGroup::Cluster || zones.len() < 2,
-        aim: nanos(class.aim),
+        latency_objective: nanos(class.latency_objective),
         deadline: nanos(class.deadline),
         attempts: tries.attempts.unwrap_or(cluster.max_attempts),
         connect: nanos(least(tries.connect, cluster.connect_timeout)),
@@ -117,7 +117,11 @@
         hedged: tries.hedge.flatten().is_some(),
         two_out: cluster.second_copies,
         tick: TICK,
-        advice: if effect == Effect::Keyed { advice.min(window / ADVICE_PART) } else { advice },
+        advice: if effect == Effect::Idempotent {
+            advice.min(window / ADVICE_PART)
+        } else {
+            advice
+        },
         client_retries: tries.client_retries.unwrap_or(0),
     };
     if tries.attempts.is_none() {
@@ -154,7 +158,7 @@
             let plan = plan(class, effect, cluster);
             // What turns out unsafe by its method is never hedged, nor ended for its own time.
             let hedge = class.tries.hedge.flatten().filter(|_| effect == Effect::Safe);
-            tries.push(TryPlan {
+            tries.push(RetryPolicy {
                 effect: module_effect(&plan),
                 per_try: plan.per_try,
                 bounds: plan.adaptive_bounds(),
@@ -170,10 +174,10 @@
                     DedupGroup::Zone => Group::Zone,
                 },
                 dedup_window: nanos(class.window),
-                aim: nanos(class.aim),
+                latency_objective: nanos(class.latency_objective),
                 deadline: nanos(class.deadline),
-                worth: class.worth,
-                late_worth: class.late_worth,
+                priority_weight: class.priority_weight,
+                late_weight: class.late_weight,
                 max_attempts: plan.attempts,
                 backoff: plan.backoff,
             });
@@ -182,7 +186,7 @@
             effect: class.effect,
             numbers,
             deadline: nanos(class.deadline),
-            worth: class.worth,
+            priority_weight: class.priority_weight,
         };
         classes.insert(name.clone(), class);
     }
@@ -222,11 +226,11 @@
         max_attempts,
         parallel_attempts: cluster.second_copies,
         retry_ratio: cluster.retry_budget.0,
-        retry_saved: f64::from(cluster.retry_budget.1),
+        retry_budget_max: f64::from(cluster.retry_budget.1),
         silence_is_local: true,
         connect_timeout: nanos(cluster.connect_timeout),
         idle_timeout: nanos(cluster.idle_timeout),
-        goal: Goal { whole: 0.5, worst_window: 0.3, worst_class: 0.2, worst_tenant: 0.0 },
+        goal: Objective { whole: 0.5, worst_window: 0.3, worst_class: 0.2, worst_tenant: 0.0 },
         prices: Prices {
             cross_zone: if cluster.zone.is_empty() { 0.0 } else { CROSS_ZONE },
             ..Prices::default()
@@ -264,7 +268,7 @@
         assert_eq!(module.classes["read"].numbers, [Some(2), None, Some(3)]);
         assert!(!module.classes.contains_key("default"));
         let effects: Vec<_> = module.settings.classes.iter().map(|c| c.effect).collect();
-        assert_eq!(effects, [Effect::Keyed, Effect::Unsafe, Effect::Safe, Effect::Unsafe]);
+        assert_eq!(effects, [Effect::Idempotent, Effect::Unsafe, Effect::Safe, Effect::Unsafe]);
         assert_eq!(module.settings.classes[0].dedup_window, 20_000_000_000);
         // What has no weight gets nothing.
         assert_eq!(module.servers.len(), 1);
--- a/crates/config/tests/tries.rs
+++ b/crates/config/tests/tries.rs
@@ -4,7 +4,7 @@
 use mintshelf_balancer::api::Effect;
 use mintshelf_config::file;
 use mintshelf_config::module::{module, plan};
-use mintshelf_retry::schedule::PerTry;
+use mintshelf_retry::schedule::AttemptTimeout;
 use proptest::prelude::*;
 
 const LAB: &str = include_str!("../../../deploy/lab.toml");
@@ -280,13 +280,16 @@
     let number =
         |class: &str, effect: usize| module.classes[class].numbers[effect].unwrap() as usize;
     let status = &module.tries[number("device-status", 0)];
-    assert_eq!((status.per_try, status.attempts), (PerTry::Adaptive, 3));
+    assert_eq!((status.per_try, status.attempts), (AttemptTimeout::Adaptive, 3));
     let [least, most] = status.bounds;
     assert_eq!(least, 200_000_000, "half its aim");
     assert_eq!(most, 400_000_000, "what is answered within the aim is not cut");
     let queue = number("queue-run", 1);
     let window = module.settings.classes[queue].window();
-    assert_eq!((module.tries[queue].per_try, window), (PerTry::Whole, Some(20_000_000_000)));
+    assert_eq!(
+        (module.tries[queue].per_try, window),
+        (AttemptTimeout::Whole, Some(20_000_000_000))
+    );
     let over = LAB.replacen(
         "class = \"run-logs\"\n",
         "class = \"run-logs\"\noverrides = { max-attempts = 2, deadline = \"2s\" }\n",
--- a/crates/consensus-node/src/node.rs
+++ b/crates/consensus-node/src/node.rs
@@ -9,7 +9,7 @@
 use crate::store::{Store, StoreError};
 use futures_util::{SinkExt, StreamExt};
 use mintshelf_consensus::replica::{encode, Status, Stored, Ticket, Voter, VoterError};
-use mintshelf_lease::timing::{Nanos, Spans, MS, SECOND};
+use mintshelf_lease::timing::{Nanos, Timing, MS, SECOND};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::collections::{BTreeMap, HashMap};
@@ -49,7 +49,7 @@
     /// Where the others listen, by number; who has the higher number dials.
     pub others: BTreeMap<u64, SocketAddr>,
     /// The fleet's spans.
-    pub spans: Spans,
+    pub spans: Timing,
 }
 
 /// Why a voter stopped.
--- a/crates/consensus-node/tests/nodes.rs
+++ b/crates/consensus-node/tests/nodes.rs
@@ -7,7 +7,7 @@
 use mintshelf_consensus_node::node::{run, NodeError, Plan};
 use mintshelf_consensus_node::store::{Identity, Opened, Store};
 use mintshelf_lease::lease::Owner;
-use mintshelf_lease::timing::{ClockError, Spans, MS, SECOND};
+use mintshelf_lease::timing::{ClockError, Timing, MS, SECOND};
 use mintshelf_test_support::relay::Relay;
 use mintshelf_test_support::{free_address, wait_until};
 use std::collections::BTreeMap;
@@ -21,9 +21,15 @@
 /// It must outlive an election on a busy machine.
 const LEASE: u64 = 8 * SECOND;
 
-fn spans() -> Spans {
+fn spans() -> Timing {
     let error = ClockError::default();
-    Spans { election: 500 * MS, heartbeat: 100 * MS, session: 2 * SECOND, lease: 3 * SECOND, error }
+    Timing {
+        election: 500 * MS,
+        heartbeat: 100 * MS,
+        session: 2 * SECOND,
+        lease: 3 * SECOND,
+        error,
+    }
 }
 
 fn runtime() -> tokio::runtime::Runtime {
--- a/crates/consensus-node/tests/store.rs
+++ b/crates/consensus-node/tests/store.rs
@@ -4,7 +4,7 @@
 use mintshelf_consensus::replica::{Stored, Voter, SNAPSHOT_EVERY};
 use mintshelf_consensus_node::store::{Identity, Opened, Store, StoreError, FILE};
 use mintshelf_lease::lease::{Command, Owner};
-use mintshelf_lease::timing::{Nanos, Spans, MS, SECOND};
+use mintshelf_lease::timing::{Nanos, Timing, MS, SECOND};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use redb::backends::InMemoryBackend;
@@ -53,7 +53,7 @@
         }
         opened => stored(opened),
     };
-    let mut voter: Voter = Voter::new(1, &state, &Spans::default(), store.opened()).unwrap();
+    let mut voter: Voter = Voter::new(1, &state, &Timing::default(), store.opened()).unwrap();
     let mut now = SECOND;
     while !voter.status().leads {
         now += 100 * MS;
--- a/crates/consensus/benches/leases.rs
+++ b/crates/consensus/benches/leases.rs
@@ -7,7 +7,7 @@
 use common::world::{Plan, World};
 use mintshelf_consensus::replica::{encode, Stored, Voter};
 use mintshelf_lease::lease::{Command, Owner};
-use mintshelf_lease::timing::{ClockError, Nanos, Spans, MS, SECOND};
+use mintshelf_lease::timing::{ClockError, Nanos, Timing, MS, SECOND};
 use std::time::Instant;
 
 fn calm(voters: usize) -> Plan {
@@ -82,7 +82,7 @@
     );
     for leases in [10usize, 100, 1_000] {
         let ids = [1, 2, 3];
-        let spans = Spans::default();
+        let spans = Timing::default();
         let mut voters: Vec<Voter> = ids
             .iter()
             .map(|id| Voter::new(*id, &Stored::new_fleet(&ids), &spans, *id).unwrap())
--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -8,7 +8,7 @@
 use crate::log::Log;
 use crate::state_machine::Machine;
 use mintshelf_lease::lease::{Answer, Leases};
-use mintshelf_lease::timing::{Nanos, Spans};
+use mintshelf_lease::timing::{Nanos, Timing};
 use protobuf::Message as _;
 use raft::eraftpb::{ConfState, Entry, EntryType, HardState, Message, MessageType, Snapshot};
 use raft::{Config, RawNode, StateRole};
@@ -217,7 +217,7 @@
     ///
     /// # Errors
     /// The stored state can't be read.
-    pub fn new(id: u64, stored: &Stored, spans: &Spans, life: u64) -> Result<Self, VoterError> {
+    pub fn new(id: u64, stored: &Stored, spans: &Timing, life: u64) -> Result<Self, VoterError> {
         let tick_span = spans.heartbeat;
         let election = (spans.election / tick_span) as usize;
         let log = stored.log.clone();
--- a/crates/consensus/tests/common/world.rs
+++ b/crates/consensus/tests/common/world.rs
@@ -6,7 +6,7 @@
 use mintshelf_lease::client::{Holder, Step};
 use mintshelf_lease::fence::Fence;
 use mintshelf_lease::lease::{Answer, Command, Owner};
-use mintshelf_lease::timing::{ClockError, Nanos, Spans, MS, SECOND};
+use mintshelf_lease::timing::{ClockError, Nanos, Timing, MS, SECOND};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::cmp::Reverse;
@@ -208,8 +208,8 @@
         }
     }
 
-    fn spans(&self) -> Spans {
-        Spans {
+    fn spans(&self) -> Timing {
+        Timing {
             election: 500 * MS,
             heartbeat: 100 * MS,
             session: 2 * SECOND,
--- a/crates/consensus/tests/frames.rs
+++ b/crates/consensus/tests/frames.rs
@@ -2,7 +2,7 @@
 
 use mintshelf_consensus::replica::{encode, Stored, Voter, VoterError, FRAME_MAX, SNAPSHOT_EVERY};
 use mintshelf_lease::lease::{Command, Owner};
-use mintshelf_lease::timing::{Nanos, Spans, MS, SECOND};
+use mintshelf_lease::timing::{Nanos, Timing, MS, SECOND};
 use protobuf::Message as _;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
@@ -21,7 +21,7 @@
     fn new() -> Three {
         let stores: Vec<Stored> = (0..3).map(|_| Stored::new_fleet(&[1, 2, 3])).collect();
         let new = |(at, stored): (usize, &Stored)| {
-            Voter::new(at as u64 + 1, stored, &Spans::default(), at as u64).unwrap()
+            Voter::new(at as u64 + 1, stored, &Timing::default(), at as u64).unwrap()
         };
         let voters = stores.iter().enumerate().map(new).collect();
         Three { now: SECOND, stores, voters, frames: Vec::new(), away: None }
@@ -106,7 +106,7 @@
     }));
     // Started again from what it has stored, it is where it was.
     let again: Voter =
-        Voter::new(behind as u64 + 1, &three.stores[behind], &Spans::default(), 7).unwrap();
+        Voter::new(behind as u64 + 1, &three.stores[behind], &Timing::default(), 7).unwrap();
     assert!(
         again.status().committed + SNAPSHOT_EVERY as u64 >= three.voters[leader].status().applied
     );
@@ -117,7 +117,7 @@
     let mut three = busy();
     let wiped = (three.leader() + 1) % 3;
     let empty = Stored::new_fleet(&[1, 2, 3]);
-    let mut voter: Voter = Voter::new(wiped as u64 + 1, &empty, &Spans::default(), 99).unwrap();
+    let mut voter: Voter = Voter::new(wiped as u64 + 1, &empty, &Timing::default(), 99).unwrap();
     let leader = three.leader();
     three.now += 100 * MS;
     three.voters[leader].tick(three.now);
@@ -157,7 +157,7 @@
         let mut below = |n: usize| rng.next_u32() as usize % n.max(1);
         let at = below(3);
         let mut store = stores[at].clone();
-        let mut voter: Voter = Voter::new(at as u64 + 1, &store, &Spans::default(), seed).unwrap();
+        let mut voter: Voter = Voter::new(at as u64 + 1, &store, &Timing::default(), seed).unwrap();
         let mut now = SECOND;
         for _ in 0..60 {
             // Most go to whom they were meant for, and some of them whole.
--- a/crates/discovery/tests/told.rs
+++ b/crates/discovery/tests/told.rs
@@ -45,21 +45,21 @@
 
 impl Sidecar {
     /// A new process: when it makes its first call.
-    fn start(seed: u64, ask_within: Duration) -> Self {
+    fn start(seed: u64, poll_within: Duration) -> Self {
         let class = Class {
             effect: Effect::Safe,
             group: Group::All,
             dedup_window: 0,
-            aim: 1_000_000_000,
+            latency_objective: 1_000_000_000,
             deadline: 2_000_000_000,
-            worth: 1.0,
-            late_worth: 0.0,
+            priority_weight: 1.0,
+            late_weight: 0.0,
             max_attempts: 6,
             backoff: [0, 0],
         };
         let settings = Settings {
-            must_ask: true,
-            ask_within: ask_within.as_nanos() as Nanos,
+            must_poll: true,
+            poll_within: poll_within.as_nanos() as Nanos,
             classes: vec![class],
             max_attempts: 6,
             ..Settings::default()
@@ -129,13 +129,13 @@
     #[test]
     fn discovery_is_heard_in_time_whatever_calls_have_failed(
         seed: u64,
-        ask_within in 1_000..60_000u64,
+        poll_within in 1_000..60_000u64,
         well in 0..3usize,
         faults in proptest::collection::vec(fault(), 0..12),
         back in 0.0..1.0f64,
     ) {
-        let mut sidecar = Sidecar::start(seed, Duration::from_millis(ask_within));
-        prop_assert!(sidecar.now + SERVED_IN.as_nanos() as Nanos <= TOLD_WITHIN, "{}", sidecar.now);
+        let mut sidecar = Sidecar::start(seed, Duration::from_millis(poll_within));
+        prop_assert!(sidecar.now + SERVED_IN.as_nanos() as Nanos <= NOTIFIED_WITHIN, "{}", sidecar.now);
         (0..well).for_each(|_| sidecar.answer(SERVED_IN));
         let mut begun = sidecar.now;
         for fault in faults {
@@ -145,7 +145,7 @@
         // Back somewhere in the last call that failed, or the wait after it.
         let reachable = begun + ((sidecar.now - begun) as f64 * back) as Nanos;
         sidecar.answer(SERVED_IN);
-        prop_assert!(sidecar.now - reachable <= TOLD_WITHIN, "{}", sidecar.now - reachable);
+        prop_assert!(sidecar.now - reachable <= NOTIFIED_WITHIN, "{}", sidecar.now - reachable);
     }
 
     /// A watch that goes well falls silent: what comes from then on is heard in time.
@@ -164,6 +164,6 @@
             });
         }
         sidecar.answer(SERVED_IN);
-        prop_assert!(sidecar.now - silent <= TOLD_WITHIN, "{}", sidecar.now - silent);
+        prop_assert!(sidecar.now - silent <= NOTIFIED_WITHIN, "{}", sidecar.now - silent);
     }
 }
--- a/crates/fleet-simulator/src/lists.rs
+++ b/crates/fleet-simulator/src/lists.rs
@@ -2,7 +2,7 @@
 
 use crate::fleet::Registry;
 use crate::SECOND;
-use mintshelf_balancer::api::{Condition, ListedServer, Nanos, ServerId};
+use mintshelf_balancer::api::{EndpointState, ListedServer, Nanos, ServerId};
 use std::collections::BTreeMap;
 
 /// See the module. Times are the rig's.
@@ -43,7 +43,7 @@
 
     /// It hears of a change; who is to be told, and how much later.
     pub fn change(&mut self, entry: ListedServer) -> Vec<(usize, Nanos)> {
-        if entry.condition == Condition::Gone {
+        if entry.condition == EndpointState::Gone {
             self.held.remove(&entry.id);
         } else {
             self.held.insert(entry.id, entry);
--- a/crates/fleet-simulator/src/plan.rs
+++ b/crates/fleet-simulator/src/plan.rs
@@ -17,26 +17,39 @@
     /// Its work, against the other classes'.
     pub work: f64,
     /// An answer within this time is in time.
-    pub aim: Nanos,
+    pub latency_objective: Nanos,
     /// How long a client waits for one try.
     pub deadline: Nanos,
     /// What an answer in time is worth.
-    pub worth: f64,
+    pub priority_weight: f64,
 }
 
 /// For how long servers drop the repeats of a keyed request.
 pub const WINDOW: Nanos = 20 * SECOND;
 
-const fn lab(name: &'static str, effect: Effect, numbers: [f64; 3], aim: Nanos) -> Lab {
-    let [share, work, worth] = numbers;
-    Lab { name, effect, share, work, aim, deadline: 2 * aim, worth }
+const fn lab(
+    name: &'static str,
+    effect: Effect,
+    numbers: [f64; 3],
+    latency_objective: Nanos,
+) -> Lab {
+    let [share, work, priority_weight] = numbers;
+    Lab {
+        name,
+        effect,
+        share,
+        work,
+        latency_objective,
+        deadline: 2 * latency_objective,
+        priority_weight,
+    }
 }
 
 /// The lab's four classes.
 pub const CLASSES: [Lab; 4] = [
     lab("device-status", Effect::Safe, [0.5, 8.0, 1.0], 400 * MS),
     lab("run-logs", Effect::Safe, [0.25, 15.0, 1.0], 800 * MS),
-    lab("queue-run", Effect::Keyed, [0.15, 20.0, 2.0], 800 * MS),
+    lab("queue-run", Effect::Idempotent, [0.15, 20.0, 2.0], 800 * MS),
     lab("flash-device", Effect::Unsafe, [0.1, 40.0, 4.0], 1_200 * MS),
 ];
 
--- a/crates/fleet-simulator/src/server.rs
+++ b/crates/fleet-simulator/src/server.rs
@@ -3,7 +3,7 @@
 use crate::plan::{Kind, Plan, CLASSES};
 use crate::{MS, SECOND};
 use mintshelf_balancer::api::{Nanos, RequestId};
-use mintshelf_balancer::decay::Fading;
+use mintshelf_balancer::decay::DecayingCounter;
 use std::collections::{HashMap, VecDeque};
 
 /// Places of a server at this many first tries a second over all servers, for each server.
@@ -60,7 +60,7 @@
     cold: Nanos,
     cold_from: f64,
     /// What it was sent, and since when that is too much.
-    load: Fading,
+    load: DecayingCounter,
     over_since: Option<Nanos>,
     thrash: Option<(f64, f64)>,
     queued: usize,
@@ -95,7 +95,7 @@
             started: None,
             cold: plan.cold,
             cold_from: plan.cold_from,
-            load: Fading::default(),
+            load: DecayingCounter::default(),
             over_since: None,
             thrash: plan.fleet.thrash,
             queued: if plan.fleet.queue > 0 { plan.fleet.queue } else { QUEUE },
@@ -132,7 +132,7 @@
     /// Begins anew, cold.
     pub fn start(&mut self, now: Nanos) {
         self.started = Some(now);
-        (self.load, self.over_since) = (Fading::default(), None);
+        (self.load, self.over_since) = (DecayingCounter::default(), None);
     }
 
     /// Loses all that it held; back come those that it was running or had queued.
--- a/crates/fleet-simulator/src/sidecar.rs
+++ b/crates/fleet-simulator/src/sidecar.rs
@@ -91,10 +91,10 @@
         effect: lab.effect,
         group: Group::All,
         dedup_window: WINDOW,
-        aim: lab.aim,
+        latency_objective: lab.latency_objective,
         deadline: lab.deadline,
-        worth: lab.worth,
-        late_worth: 0.0,
+        priority_weight: lab.priority_weight,
+        late_weight: 0.0,
         max_attempts: MAX_ATTEMPTS,
         backoff: [0; 2],
     };
@@ -103,8 +103,8 @@
         instances: plan.sidecars as u32,
         zone: plan.fleet.zone(number),
         zones: plan.fleet.zones.max(1),
-        must_ask: plan.fleet.registry.is_some(),
-        ask_within: 10 * SECOND,
+        must_poll: plan.fleet.registry.is_some(),
+        poll_within: 10 * SECOND,
         prices: if plan.fleet.prices { PRICES } else { Prices::default() },
         kinds: 1,
         classes: CLASSES.iter().map(class).collect(),
@@ -121,11 +121,11 @@
         max_retry_after: plan.max_retry_after,
         max_attempts: MAX_ATTEMPTS,
         retry_ratio: 0.2,
-        retry_saved: 5.0,
+        retry_budget_max: 5.0,
         silence_is_local: false,
         connect_timeout: CONNECT_TIMEOUT,
         idle_timeout: 15 * SECOND,
-        goal: Goal { whole: 0.5, worst_window: 0.3, worst_class: 0.2, worst_tenant: 0.0 },
+        goal: Objective { whole: 0.5, worst_window: 0.3, worst_class: 0.2, worst_tenant: 0.0 },
         ..Settings::default()
     }
 }
@@ -172,7 +172,7 @@
     ) {
         for entry in entries {
             match entry.condition {
-                Condition::Live => drop(self.told.remove(&entry.id)),
+                EndpointState::Live => drop(self.told.remove(&entry.id)),
                 _ => drop(self.told.entry(entry.id).or_insert(now)),
             }
         }
@@ -253,7 +253,7 @@
         let Some(taken) = self.taken.get_mut(id).filter(|taken| taken.open) else { return };
         taken.open = false;
         self.forget(id);
-        self.post(now, Event::Abandoned { id: id.clone() }, deeds);
+        self.post(now, Event::ClientDisconnected { id: id.clone() }, deeds);
     }
 
     /// An attempt has ended; each does once, what comes later is not heard.
@@ -278,7 +278,7 @@
                 recovery.calendar.served(now);
             }
         }
-        let (finished, in_time) = (!taken.open, took <= CLASSES[taken.class].aim);
+        let (finished, in_time) = (!taken.open, took <= CLASSES[taken.class].latency_objective);
         if let Some((recovery, end)) = self.recovery.as_mut().zip(End::of(outcome, in_time)) {
             recovery.pace.ended(now, end);
         }
@@ -294,7 +294,7 @@
     }
 
     fn advise(&mut self, now: Nanos, class: usize) -> Nanos {
-        let window = (CLASSES[class].effect == Effect::Keyed).then_some(WINDOW);
+        let window = (CLASSES[class].effect == Effect::Idempotent).then_some(WINDOW);
         let recovery = self.recovery.as_mut();
         recovery.map_or(0, |recovery| recovery.calendar.advise(now, window) * SECOND)
     }
@@ -321,7 +321,7 @@
                     self.send(now, id, server, timeout_at, deeds)
                 }
                 Action::Cancel { id, attempt } => deeds.push(Deed::Cancel { id, attempt }),
-                Action::Refuse { id, retry_after } => {
+                Action::Reject { id, retry_after } => {
                     let class = self.taken.get(&id).map_or(0, |taken| taken.class);
                     let after = match self.recovery {
                         Some(_) => self.advise(now, class),
@@ -338,7 +338,7 @@
                 // A dropped timer that fires does nothing; the rest is off in these settings.
                 Action::DropTimer { .. }
                 | Action::Probe { .. }
-                | Action::TellPeer { .. }
+                | Action::SendGossip { .. }
                 | Action::Watch { .. }
                 | Action::FetchServers
                 | Action::Log { .. } => {}
--- a/crates/fleet-simulator/src/world.rs
+++ b/crates/fleet-simulator/src/world.rs
@@ -7,7 +7,7 @@
 use crate::sidecar::{Deed, Reply, Sidecar, CONNECT_TIMEOUT};
 use crate::{uniform, MS, SECOND};
 use mintshelf_balancer::api::{
-    Condition, Effect, ListKind, ListedServer, Nanos, Outcome, RequestId, ServerId,
+    Effect, EndpointState, ListKind, ListedServer, Nanos, Outcome, RequestId, ServerId,
 };
 use rand_core::SeedableRng;
 use rand_distr::{Distribution, LogNormal};
@@ -285,7 +285,7 @@
                     self.servers[server].troubles.push((number, trouble.kind));
                     if trouble.kind == Kind::Crash {
                         self.crash(server);
-                        self.listed_soon(server, Condition::Gone, 0);
+                        self.listed_soon(server, EndpointState::Gone, 0);
                     }
                 }
             }
@@ -295,7 +295,7 @@
                     self.servers[server].troubles.retain(|(n, _)| *n != number);
                     if trouble.kind == Kind::Crash && !self.servers[server].is_gone() {
                         self.servers[server].start(self.now);
-                        self.listed_soon(server, Condition::Live, self.now);
+                        self.listed_soon(server, EndpointState::Live, self.now);
                     }
                 }
             }
@@ -316,19 +316,19 @@
             Happens::Heard(entry) => self.heard(entry),
             Happens::Drains(server) => {
                 self.servers[server].draining = true;
-                self.listed_soon(server, Condition::Draining, 0);
+                self.listed_soon(server, EndpointState::Draining, 0);
             }
             Happens::Leaves(server) => {
                 self.servers[server].troubles.push((usize::MAX - 1, Kind::Crash));
                 self.crash(server);
-                self.listed_soon(server, Condition::Gone, 0);
+                self.listed_soon(server, EndpointState::Gone, 0);
             }
             Happens::Born { old } => {
                 let zone = self.servers[old].zone;
                 self.servers.push(Server::new(self.plan, zone));
                 let server = self.servers.len() - 1;
                 self.servers[server].start(self.now);
-                self.listed_soon(server, Condition::Live, self.now);
+                self.listed_soon(server, EndpointState::Live, self.now);
             }
         }
     }
@@ -365,7 +365,7 @@
         let (born, begun) = (self.now, self.now);
         let (open, id, runs, tries) = (false, None, 0, 0);
         self.clients.push(Client { class, sidecar, born, begun, tries, open, id, runs, hurry });
-        self.span().asked += CLASSES[class].worth;
+        self.span().asked += CLASSES[class].priority_weight;
         self.span().first += 1;
         self.try_once(self.clients.len() - 1);
     }
@@ -381,7 +381,7 @@
         (of.begun, of.open, of.tries) = (now, true, of.tries + 1);
         let (class, sidecar, tries) = (of.class, of.sidecar, of.tries);
         let patience = match of.hurry {
-            Some(part) => (CLASSES[class].aim as f64 * part) as Nanos,
+            Some(part) => (CLASSES[class].latency_objective as f64 * part) as Nanos,
             None => CLASSES[class].deadline,
         };
         self.span().tries += 1;
@@ -402,9 +402,9 @@
         self.digest(client as u64);
         let harmless = match reply {
             Reply::Served => {
-                if self.now - begun <= class.aim {
+                if self.now - begun <= class.latency_objective {
                     self.span_at(begun).in_time += 1;
-                    self.span_at(born).earned += class.worth;
+                    self.span_at(born).earned += class.priority_weight;
                 }
                 return;
             }
@@ -547,7 +547,7 @@
         self.at(at, Happens::Done { server, number });
         let Some(job) = self.servers[server].running(number) else { return };
         let (client, effect) = (job.client, CLASSES[job.class].effect);
-        if effect == Effect::Keyed {
+        if effect == Effect::Idempotent {
             let first = self.seen.get(&client).copied();
             if first.is_some_and(|first| self.now - first < WINDOW) {
                 return;
@@ -560,7 +560,7 @@
             match effect {
                 Effect::Safe => {}
                 Effect::Unsafe => self.report.twice[0] += 1,
-                Effect::Keyed => self.report.twice[1] += 1,
+                Effect::Idempotent => self.report.twice[1] += 1,
             }
         }
     }
--- a/crates/fleet-simulator/src/world/fleet.rs
+++ b/crates/fleet-simulator/src/world/fleet.rs
@@ -3,17 +3,17 @@
 use super::{Happens, World, MORE_TRIES, UNTOLD};
 use crate::plan::{Plan, CLASSES};
 use crate::sidecar::Sidecar;
-use mintshelf_balancer::api::{Condition, Effect, ListKind, ListedServer, Nanos, ServerId};
+use mintshelf_balancer::api::{Effect, EndpointState, ListKind, ListedServer, Nanos, ServerId};
 
 /// How a server is listed.
-fn entry(id: usize, zone: u32, condition: Condition, started_at: Nanos) -> ListedServer {
+fn entry(id: usize, zone: u32, condition: EndpointState, started_at: Nanos) -> ListedServer {
     let id = id as ServerId;
     ListedServer { id, zone, condition, size: 1.0, started_at, ..ListedServer::default() }
 }
 
 /// The servers that are there from the start.
 pub(super) fn known(plan: &Plan) -> Vec<ListedServer> {
-    (0..plan.servers).map(|id| entry(id, plan.fleet.zone(id), Condition::Live, 0)).collect()
+    (0..plan.servers).map(|id| entry(id, plan.fleet.zone(id), EndpointState::Live, 0)).collect()
 }
 
 /// The traffic of the sidecars up to each: spread over powers of ten, in no order.
@@ -31,7 +31,12 @@
 
 impl World<'_> {
     /// The source of lists hears of a server in a while.
-    pub(super) fn listed_soon(&mut self, server: usize, condition: Condition, started_at: Nanos) {
+    pub(super) fn listed_soon(
+        &mut self,
+        server: usize,
+        condition: EndpointState,
+        started_at: Nanos,
+    ) {
         let drawn = self.draw();
         let Some(lists) = &self.lists else { return };
         let after = lists.notice(drawn);
--- a/crates/lease/src/lease.rs
+++ b/crates/lease/src/lease.rs
@@ -202,7 +202,7 @@
 }
 
 /// Whether a lease or a member may have this name.
-pub fn named_well(name: &str) -> bool {
+pub fn is_valid_name(name: &str) -> bool {
     (1..=NAME_MAX).contains(&name.len()) && !name.chars().any(char::is_control)
 }
 
@@ -244,7 +244,7 @@
     }
 
     fn acquire(&mut self, name: &str, owner: &Owner, span: Nanos, wait: bool) -> Answer {
-        if !named_well(name) || !named_well(&owner.member) {
+        if !is_valid_name(name) || !is_valid_name(&owner.member) {
             return Answer::Refused(Refusal::Name);
         }
         if !(SPAN_MIN..=SPAN_MAX).contains(&span) {
--- a/crates/lease/src/timing.rs
+++ b/crates/lease/src/timing.rs
@@ -47,7 +47,7 @@
 
 /// The spans of a fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Spans {
+pub struct Timing {
     /// A follower that hears no leader for so long asks for an election; up to twice as long,
     /// drawn anew each time.
     pub election: Nanos,
@@ -61,9 +61,9 @@
     pub error: ClockError,
 }
 
-impl Default for Spans {
+impl Default for Timing {
     fn default() -> Self {
-        Spans {
+        Timing {
             election: SECOND,
             heartbeat: 100 * MS,
             session: 5 * SECOND,
@@ -75,7 +75,7 @@
 
 /// Why spans can't work together, with the sum.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-pub enum SpanProblem {
+pub enum TimingError {
     /// Followers would take a live leader for a dead one.
     #[error(
         "election {}ms is under 5 times the heartbeat of {}ms ({}ms): one late message would \
@@ -125,25 +125,25 @@
     Bounds,
 }
 
-impl Spans {
+impl Timing {
     /// Whether the spans work together; the first that does not.
-    pub fn check(&self) -> Result<(), SpanProblem> {
-        let Spans { election, heartbeat, session, lease, error } = *self;
+    pub fn check(&self) -> Result<(), TimingError> {
+        let Timing { election, heartbeat, session, lease, error } = *self;
         let bounds = MS..=86_400 * SECOND;
         if ![election, heartbeat, session, lease].iter().all(|span| bounds.contains(span)) {
-            return Err(SpanProblem::Bounds);
+            return Err(TimingError::Bounds);
         }
         if error.ppm > 100_000 {
-            return Err(SpanProblem::Error { ppm: error.ppm });
+            return Err(TimingError::Error { ppm: error.ppm });
         }
         if election < heartbeat * 5 {
-            return Err(SpanProblem::Election { election, heartbeat });
+            return Err(TimingError::Election { election, heartbeat });
         }
         if session < election * 2 {
-            return Err(SpanProblem::Session { session, election });
+            return Err(TimingError::Session { session, election });
         }
         if lease < election * 6 {
-            return Err(SpanProblem::Lease { lease, election });
+            return Err(TimingError::Lease { lease, election });
         }
         Ok(())
     }
--- a/crates/lease/tests/leases.rs
+++ b/crates/lease/tests/leases.rs
@@ -5,7 +5,7 @@
 use mintshelf_lease::expiry::Grantor;
 use mintshelf_lease::fence::{Admitted, Fence, FenceError};
 use mintshelf_lease::lease::*;
-use mintshelf_lease::timing::{ClockError, SpanProblem, Spans, MS, SECOND};
+use mintshelf_lease::timing::{ClockError, Timing, TimingError, MS, SECOND};
 use proptest::prelude::*;
 
 const SPAN: u64 = 3 * SECOND;
@@ -293,15 +293,15 @@
 
 #[test]
 fn spans_that_cannot_work_together_are_refused_with_the_sum() {
-    assert_eq!(Spans::default().check(), Ok(()));
-    let lease = Spans { lease: 5 * SECOND, ..Spans::default() }.check().unwrap_err();
-    assert_eq!(lease, SpanProblem::Lease { lease: 5 * SECOND, election: SECOND });
+    assert_eq!(Timing::default().check(), Ok(()));
+    let lease = Timing { lease: 5 * SECOND, ..Timing::default() }.check().unwrap_err();
+    assert_eq!(lease, TimingError::Lease { lease: 5 * SECOND, election: SECOND });
     assert!(lease.to_string().contains("5000ms is under 6000ms = 3 x (2 x election 1000ms)"));
-    let election = Spans { election: 300 * MS, ..Spans::default() }.check().unwrap_err();
+    let election = Timing { election: 300 * MS, ..Timing::default() }.check().unwrap_err();
     assert!(election.to_string().contains("under 5 times the heartbeat of 100ms (500ms)"));
-    let session = Spans { session: SECOND, ..Spans::default() }.check().unwrap_err();
+    let session = Timing { session: SECOND, ..Timing::default() }.check().unwrap_err();
     assert!(session.to_string().contains("2 x election"));
-    let spans = Spans { error: ClockError { ppm: 200_000 }, ..Spans::default() };
+    let spans = Timing { error: ClockError { ppm: 200_000 }, ..Timing::default() };
     assert!(spans.check().is_err());
-    assert_eq!(Spans { heartbeat: 0, ..Spans::default() }.check(), Err(SpanProblem::Bounds));
+    assert_eq!(Timing { heartbeat: 0, ..Timing::default() }.check(), Err(TimingError::Bounds));
 }
--- a/crates/mintshelf/src/admin.rs
+++ b/crates/mintshelf/src/admin.rs
@@ -8,7 +8,7 @@
 use mintshelf_proxy::clients::Client;
 use mintshelf_proxy::inbound::{Front, FrontBody};
 use mintshelf_proxy::refusal::Refusal;
-use mintshelf_websocket::session::By;
+use mintshelf_websocket::session::ClosedBy;
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
 use prometheus_client::metrics::gauge::Gauge;
@@ -119,9 +119,9 @@
         let closed = Family::<Pair, Counter>::default();
         for ((by, code), count) in &counts.closed {
             let by = match by {
-                By::Client => "client",
-                By::Server => "server",
-                By::Sidecar => "sidecar",
+                ClosedBy::Client => "client",
+                ClosedBy::Server => "server",
+                ClosedBy::Sidecar => "sidecar",
             };
             let pair = [("by", by.to_string()), ("code", code.to_string())];
             closed.get_or_create(&pair).inc_by(*count);
--- a/crates/mintshelf/src/daemon.rs
+++ b/crates/mintshelf/src/daemon.rs
@@ -1,7 +1,7 @@
 //! The daemon: what an operator's file describes, in force until the next good one.
 
 use crate::check;
-use mintshelf_admission::slots::SeatSet;
+use mintshelf_admission::slots::SlotConfig;
 use mintshelf_balancer::api::{ListedServer, ServerId};
 use mintshelf_config::admission::{admission, seats, tenants};
 use mintshelf_config::model::{self, File, Route, Then, SOCKET_QUEUE_SHARE};
@@ -183,7 +183,7 @@
         }
         let set = admission(&file);
         self.gates.set(&set);
-        self.sockets.set(SeatSet { most: self.fixed.0.websockets, ..seats(&file) });
+        self.sockets.set(SlotConfig { most: self.fixed.0.websockets, ..seats(&file) });
         let tenants = tenants(&file).map(Rc::new);
         for (listener, routes, table) in tables {
             let limited = (!set.is_empty()).then(|| Limited {
--- a/crates/mintshelf/src/explain.rs
+++ b/crates/mintshelf/src/explain.rs
@@ -7,8 +7,8 @@
 use mintshelf_config::model::{File, Then};
 use mintshelf_config::module::{least, plan};
 use mintshelf_proxy::plain::effect_of;
-use mintshelf_retry::attempts::CopyAfter;
-use mintshelf_retry::schedule::{self, PerTry, RetryOn};
+use mintshelf_retry::attempts::HedgeDelay;
+use mintshelf_retry::schedule::{self, AttemptTimeout, RetryOn};
 use mintshelf_routing::{Probe, Table};
 use mintshelf_websocket::session::Resume;
 use std::fmt::{Display, Write};
@@ -123,17 +123,17 @@
     let effect = effect_of(class.effect, route.effect, method, keyed);
     let told = match effect {
         Effect::Safe => "safe: it may be sent again while its time lasts",
-        Effect::Keyed => "keyed: it may be sent again within its window",
+        Effect::Idempotent => "keyed: it may be sent again within its window",
         Effect::Unsafe => "unsafe: it is sent again only if it is known not to have run",
     };
     let _ = writeln!(text, "class '{}', effect {told}", route.class);
     let of = |key: &str| format!("classes.{}.{key}", route.class);
     let span = |span: Duration| format_duration(span).to_string();
     let over = |key: &str| vec![format!("routes[{place}].overrides.{key}"), of(key)];
-    setting_of(text, file, &over("aim"), span(class.aim));
+    setting_of(text, file, &over("aim"), span(class.latency_objective));
     setting_of(text, file, &over("deadline"), span(class.deadline));
-    setting(text, file, &of("worth"), class.worth);
-    if effect == Effect::Keyed {
+    setting(text, file, &of("worth"), class.priority_weight);
+    if effect == Effect::Idempotent {
         setting(text, file, &of("window"), span(class.window));
     }
     for name in forward.split.clusters() {
@@ -206,9 +206,9 @@
     setting_of(text, file, &attempts, plan.attempts);
     let per_try = match plan.per_try {
         _ if effect == Effect::Unsafe || plan.attempts < 2 => "none".to_string(),
-        PerTry::Whole => "none".to_string(),
-        PerTry::Fixed(span) => schedule::told(span),
-        PerTry::Adaptive => {
+        AttemptTimeout::Whole => "none".to_string(),
+        AttemptTimeout::Fixed(span) => schedule::told(span),
+        AttemptTimeout::Adaptive => {
             let [least, most] = plan.adaptive_bounds().map(schedule::told);
             format!("adaptive, {least} to {most} by the answers seen")
         }
@@ -225,8 +225,8 @@
         None => "none".to_string(),
         Some(hedge) => {
             let after = match hedge.after {
-                CopyAfter::Span(span) => schedule::told(span),
-                CopyAfter::P95 => "the time in which 95 of a hundred answers come".to_string(),
+                HedgeDelay::Span(span) => schedule::told(span),
+                HedgeDelay::P95 => "the time in which 95 of a hundred answers come".to_string(),
             };
             format!("after {after}, {} of the requests at most", hedge.share)
         }
--- a/crates/mintshelf/tests/conformance/module.rs
+++ b/crates/mintshelf/tests/conformance/module.rs
@@ -3,7 +3,7 @@
 use super::stage::{settings, Ended, Stage, START};
 use super::{End, LineRow, Met, State};
 use mintshelf_balancer::api::*;
-use mintshelf_balancer::decide::{Balancer, Drawn, Line};
+use mintshelf_balancer::decide::{Balancer, Candidates, ServerOrder};
 use mintshelf_balancer::settings::parse_settings;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -30,9 +30,9 @@
 
 fn listed((id, state): (u32, &State)) -> ListedServer {
     let condition = match state {
-        State::Draining => Condition::Draining,
-        State::Gone => Condition::Gone,
-        _ => Condition::Live,
+        State::Draining => EndpointState::Draining,
+        State::Gone => EndpointState::Gone,
+        _ => EndpointState::Live,
     };
     let started_at = if *state == State::Cold { START } else { 0 };
     ListedServer { id, size: 1.0, condition, started_at, ..ListedServer::default() }
@@ -94,7 +94,7 @@
 
     fn end(&self) -> Option<End> {
         self.out.iter().find_map(|action| match action {
-            Action::Refuse { .. } => Some(End::Refused),
+            Action::Reject { .. } => Some(End::Refused),
             Action::Fail { .. } => Some(End::Failed),
             _ => None,
         })
@@ -103,7 +103,7 @@
 
 pub fn line(row: &LineRow) -> Result<(), String> {
     let n = row.speeds.len();
-    let line = Line::new(row.speeds.iter().copied().enumerate());
+    let line = ServerOrder::new(row.speeds.iter().copied().enumerate());
     if let Some(bound) = row.epsilon_below {
         if !(line.epsilon() > 0.0 && line.epsilon() < bound) {
             return Err(format!("epsilon is {}, not in (0, {bound})", line.epsilon()));
@@ -123,11 +123,11 @@
     let (mut all, mut dedicated) = (vec![0usize; n], vec![0usize; n]);
     for _ in 0..DRAWS {
         match line.draw(&mut draw) {
-            Some(Drawn::One(server)) => {
+            Some(Candidates::One(server)) => {
                 dedicated[server] += 1;
                 all[server] += 1;
             }
-            Some(Drawn::Pair(pair)) => all[pair.join(&mut draw, [0.0, 0.0])] += 1,
+            Some(Candidates::AdjacentPair(pair)) => all[pair.join(&mut draw, [0.0, 0.0])] += 1,
             None => return Err("nobody is drawn".into()),
         }
     }
--- a/crates/proxy/src/discovery/list.rs
+++ b/crates/proxy/src/discovery/list.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::nanos;
 use crate::endpoints::{number, Endpoints};
-use mintshelf_balancer::api::{Condition, ListKind, ListedServer};
+use mintshelf_balancer::api::{EndpointState, ListKind, ListedServer};
 use mintshelf_config::platform::Names;
 use mintshelf_discovery::revision::{Revision, Verdict};
 use serde::de::{DeserializeSeed, Deserializer, IgnoredAny, MapAccess, SeqAccess, Visitor};
@@ -144,9 +144,9 @@
             kind: place(&self.names.kinds, &entry.model),
             cell: entry.pod_group,
             condition: match entry.state {
-                State::Serving => Condition::Live,
-                State::Draining => Condition::Draining,
-                State::Deleted => Condition::Gone,
+                State::Serving => EndpointState::Live,
+                State::Draining => EndpointState::Draining,
+                State::Deleted => EndpointState::Gone,
             },
             size: entry.capacity_hint,
             started_at: nanos(Duration::from_millis(entry.boot_ms)),
--- a/crates/proxy/src/driver.rs
+++ b/crates/proxy/src/driver.rs
@@ -22,7 +22,7 @@
 use mintshelf_balancer::decide::Balancer;
 use mintshelf_config::platform::Names;
 use mintshelf_recovery::{End, Phase, Recovery, WINDOW_PART};
-use mintshelf_retry::attempts::{Cut, Tries, TryPlan};
+use mintshelf_retry::attempts::{AttemptTracker, RetryPolicy, TimeoutAction};
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::future::poll_fn;
@@ -62,7 +62,7 @@
     /// Absent on the platform.
     recovery: Option<RefCell<Recovery>>,
     /// For each class; none on the platform.
-    tries: Vec<RefCell<Tries>>,
+    tries: Vec<RefCell<AttemptTracker>>,
     /// The cluster's name, and which lines are written of its attempts.
     notes: Option<(String, Notes)>,
     /// Fields of the load reports in answers.
@@ -88,7 +88,7 @@
     /// platform has its own ways.
     pub return_ramp: Option<Nanos>,
     /// What the attempts of each class may do; empty where the platform says all of that.
-    pub tries: Vec<TryPlan>,
+    pub tries: Vec<RetryPolicy>,
     /// Most connections to all servers, and to each, and most sockets.
     pub most: Most,
     /// What an open socket counts for beside a request, 0 to 1, where the module compares how
@@ -141,14 +141,17 @@
             weights: Weights::new(socket_weight),
             on_doubt: RefCell::default(),
             recovery: recovery.map(RefCell::new),
-            tries: tries.into_iter().map(|plan| Tries::new(plan, clock.now()).into()).collect(),
+            tries: tries
+                .into_iter()
+                .map(|plan| AttemptTracker::new(plan, clock.now()).into())
+                .collect(),
             notes: name.map(|name| (name, Notes::new(&clock))),
             report_fields: (mode == ReportMode::Answers).then_some(fields),
         });
         driver.perform(&mut driver.core.borrow_mut(), actions);
         if let Some(discovery) = discovery {
             discovery.cached(known.as_deref(), &driver);
-            if !settings.must_ask {
+            if !settings.must_poll {
                 spawn_local(discovery.follow(driver.clone()));
             }
         }
@@ -227,7 +230,7 @@
         };
         let listen = async {
             if let Some(peers) = &self.peers {
-                peers.listen(|from, payload| self.post(Event::PeerMessage { from, payload })).await;
+                peers.listen(|from, payload| self.post(Event::Gossip { from, payload })).await;
             }
         };
         tokio::join!(timers, sweep, listen);
@@ -272,7 +275,7 @@
                         attempt.cancel.cancel();
                     }
                 }
-                Action::Refuse { id, retry_after } => {
+                Action::Reject { id, retry_after } => {
                     drop(core.refuse(&id, retry_after));
                 }
                 Action::Fail { id } => {
@@ -289,7 +292,7 @@
                 }
                 Action::Probe { server } => self.probe(core, server),
                 Action::CloseIdle { server } => self.upstream.close_idle(server),
-                Action::TellPeer { peer, payload } => {
+                Action::SendGossip { peer, payload } => {
                     if let Some(peers) = &self.peers {
                         peers.tell(peer, &payload);
                     }
@@ -383,7 +386,10 @@
             let taken = Taken {
                 message,
                 class: arrival.class as usize,
-                aim: self.classes.get(arrival.class as usize).map_or(Nanos::MAX, |c| c.aim),
+                latency_objective: self
+                    .classes
+                    .get(arrival.class as usize)
+                    .map_or(Nanos::MAX, |c| c.latency_objective),
                 deadline,
                 reply: Some(seat.clone()),
                 attempts: Vec::new(),
@@ -480,19 +486,19 @@
     }
 
     /// Whether an attempt whose own time is up is to end now; else when to look again.
-    fn expired(&self, class: usize, limit: Nanos) -> Cut {
+    fn expired(&self, class: usize, limit: Nanos) -> TimeoutAction {
         let paid = self.core.borrow().balancer.can_retry();
         let elsewhere = self.endpoints.len() > 1;
-        let cut = |tries: &RefCell<Tries>| {
+        let cut = |tries: &RefCell<AttemptTracker>| {
             tries.borrow_mut().expired(self.clock.now(), limit, paid, elsewhere)
         };
-        self.tries.get(class).map_or(Cut::Now, cut)
+        self.tries.get(class).map_or(TimeoutAction::Now, cut)
     }
 
     /// Asks the module for a second copy of a request, if their share allows one.
     fn second_copy(self: &Rc<Self>, class: usize, id: &RequestId) {
         if self.tries.get(class).is_some_and(|tries| tries.borrow_mut().may_copy()) {
-            self.post(Event::SecondCopy { id: id.clone() });
+            self.post(Event::HedgeRequested { id: id.clone() });
         }
     }
 
--- a/crates/proxy/src/gates.rs
+++ b/crates/proxy/src/gates.rs
@@ -4,8 +4,10 @@
 use crate::notes::Notes;
 use crate::refusal::Refusal;
 use hyper::StatusCode;
-use mintshelf_admission::admission::{Admission, AdmissionSet, Levels, Over};
-use mintshelf_admission::queue::{Moves, Offer, Ticket, Verdict, Why};
+use mintshelf_admission::admission::{Admission, AdmissionConfig, LimitExceeded, LimitUsage};
+use mintshelf_admission::queue::{
+    QueueDecision, QueueEntry, QueueTicket, QueueTransitions, RejectReason,
+};
 use mintshelf_balancer::api::Nanos;
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -16,13 +18,13 @@
 
 const SECOND: Nanos = 1_000_000_000;
 
-type Key = (Rc<str>, Ticket);
+type Key = (Rc<str>, QueueTicket);
 
 /// One that waits at a cluster.
 #[derive(Default)]
 struct Waiter {
     /// What became of it.
-    end: Option<Result<(), Why>>,
+    end: Option<Result<(), RejectReason>>,
     waker: Option<Waker>,
 }
 
@@ -92,7 +94,7 @@
 }
 
 impl Waiting<'_> {
-    async fn end(&self) -> Result<(), Why> {
+    async fn end(&self) -> Result<(), RejectReason> {
         poll_fn(|cx| {
             let mut waiters = self.gates.waiters.borrow_mut();
             let waiter = waiters.entry(self.key.clone()).or_default();
@@ -121,13 +123,13 @@
 
 impl Gates {
     /// Puts limits in force; what is under way counts on.
-    pub fn set(&self, set: &AdmissionSet) {
+    pub fn set(&self, set: &AdmissionConfig) {
         let moves = self.admission.borrow_mut().set(self.clock.now(), set);
         moves.into_iter().for_each(|(cluster, moves)| self.carry(&cluster, moves));
     }
 
     /// Tells those that wait what became of them.
-    fn carry(&self, cluster: &Rc<str>, moves: Moves) {
+    fn carry(&self, cluster: &Rc<str>, moves: QueueTransitions) {
         let go = moves.go.into_iter().map(|ticket| (ticket, Ok(())));
         let refused = moves.refused.into_iter().map(|(ticket, why)| (ticket, Err(why)));
         for (ticket, end) in go.chain(refused) {
@@ -151,20 +153,20 @@
             Ok(()) => Ok(Entered { gates: self.clone(), tenant, route: route.clone() }),
             Err(over) => {
                 let (code, what, after) = match over {
-                    Over::TenantRate(after) => {
+                    LimitExceeded::TenantRate(after) => {
                         ("tenant-rate", "its tenant asks more than its rate; it has not run", after)
                     }
-                    Over::TenantConcurrency => (
+                    LimitExceeded::TenantConcurrency => (
                         "tenant-concurrency",
                         "its tenant has as many under way as it may; it has not run",
                         SECOND,
                     ),
-                    Over::RouteRate(after) => (
+                    LimitExceeded::RouteRate(after) => (
                         "route-rate",
                         "the route is asked more than its rate; it has not run",
                         after,
                     ),
-                    Over::RouteConcurrency => (
+                    LimitExceeded::RouteConcurrency => (
                         "route-concurrency",
                         "the route has as many under way as it may; it has not run",
                         SECOND,
@@ -205,31 +207,33 @@
         self: &Rc<Self>,
         cluster: &Rc<str>,
         patience: Nanos,
-        offer: Offer,
+        offer: QueueEntry,
         advice: impl Fn() -> Nanos,
     ) -> Result<(Option<Through>, Nanos), Refusal> {
         let now = self.clock.now();
         let (tenant, needs) = (offer.tenant.clone(), offer.needs);
-        let offer = Offer { deadline: now.saturating_add(patience), ..offer };
+        let offer = QueueEntry { deadline: now.saturating_add(patience), ..offer };
         let offered = self.admission.borrow_mut().offer(now, cluster, offer);
         let Some((verdict, moves)) = offered else { return Ok((None, patience)) };
         self.carry(cluster, moves);
         let end = match verdict {
-            Verdict::Go => Ok(()),
-            Verdict::Refused(why) => Err(why),
-            Verdict::Wait(ticket) => {
+            QueueDecision::Go => Ok(()),
+            QueueDecision::Rejected(why) => Err(why),
+            QueueDecision::Wait(ticket) => {
                 let key = (cluster.clone(), ticket);
                 self.waiters.borrow_mut().insert(key.clone(), Waiter::default());
                 let waiting = Waiting { gates: self, key, tenant: tenant.clone() };
                 let until = self.clock.instant(now.saturating_add(patience.saturating_sub(needs)));
-                timeout_at(until, waiting.end()).await.unwrap_or(Err(Why::TooLate))
+                timeout_at(until, waiting.end()).await.unwrap_or(Err(RejectReason::TooLate))
             }
         };
         let left = || patience.saturating_sub(self.clock.now().saturating_sub(now)).max(1);
         end.map(|()| (Some(self.through(cluster, &tenant)), left())).map_err(|why| {
             let (code, what) = match why {
-                Why::Full => ("queue-full", "too many wait for the cluster; it has not run"),
-                Why::TooLate => {
+                RejectReason::Full => {
+                    ("queue-full", "too many wait for the cluster; it has not run")
+                }
+                RejectReason::TooLate => {
                     ("queue-late", "it waited too long to be answered in time; it has not run")
                 }
             };
@@ -239,7 +243,7 @@
     }
 
     /// How much is under way.
-    pub fn levels(&self) -> Levels {
+    pub fn levels(&self) -> LimitUsage {
         self.admission.borrow().levels()
     }
 }
--- a/crates/proxy/src/notes.rs
+++ b/crates/proxy/src/notes.rs
@@ -2,7 +2,7 @@
 //! that were left out.
 
 use crate::clock::Clock;
-use mintshelf_admission::rate::{Rate, RateSet};
+use mintshelf_admission::rate::{RateConfig, RateLimit};
 use std::cell::Cell;
 use std::num::NonZeroU32;
 use std::time::Duration;
@@ -13,15 +13,15 @@
 /// Decides which lines are written.
 #[derive(Debug)]
 pub struct Notes {
-    rate: Rate,
+    rate: RateLimit,
     left_out: Cell<u64>,
 }
 
 impl Notes {
     /// None written yet.
     pub fn new(clock: &Clock) -> Self {
-        let set = RateSet { count: LINES, per: Duration::from_secs(1), burst: LINES };
-        Notes { rate: Rate::new(set, clock.now()), left_out: Cell::new(0) }
+        let set = RateConfig { count: LINES, per: Duration::from_secs(1), burst: LINES };
+        Notes { rate: RateLimit::new(set, clock.now()), left_out: Cell::new(0) }
     }
 
     /// Whether a line may be written now; if so, how many were left out before it.
--- a/crates/proxy/src/open.rs
+++ b/crates/proxy/src/open.rs
@@ -8,7 +8,7 @@
 use hyper::Request;
 use mintshelf_balancer::api::*;
 use mintshelf_balancer::decide::Balancer;
-use mintshelf_retry::shutdown::{Ending, Verdict};
+use mintshelf_retry::shutdown::{ShutdownDeadlines, Verdict};
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::rc::Rc;
 use tokio::sync::OwnedSemaphorePermit;
@@ -68,7 +68,7 @@
     pub(crate) message: Message,
     pub(crate) class: usize,
     /// When its answer is in time no longer, counted from an attempt's start.
-    pub(crate) aim: Nanos,
+    pub(crate) latency_objective: Nanos,
     pub(crate) deadline: Nanos,
     /// Absent once the client has its answer, or has left.
     pub(crate) reply: Option<Rc<Seat<Reply>>>,
@@ -158,7 +158,7 @@
         all.sort_unstable_by(|a, b| a.0.cmp(&b.0));
         for (id, class, ran_at) in all {
             let effect = classes.get(class).map_or(Effect::Unsafe, |class| class.effect);
-            let reply = match Ending::verdict(effect, ran_at.is_some()) {
+            let reply = match ShutdownDeadlines::verdict(effect, ran_at.is_some()) {
                 Verdict::Refuse => Reply::Refused { after, ran_at },
                 Verdict::Fail => Reply::Failed { timed_out: false },
             };
@@ -169,7 +169,7 @@
     /// Ends a request that the module has not ended.
     pub(crate) fn abandon(&mut self, id: &RequestId, reply: Reply) {
         drop(self.conclude(id, reply));
-        self.events.push_back(Event::Abandoned { id: id.clone() });
+        self.events.push_back(Event::ClientDisconnected { id: id.clone() });
     }
 
     /// Notes that a request's client has gone before its answer: the attempts that have begun go
@@ -181,7 +181,7 @@
         }
         taken.attempts.iter().filter(|a| a.out()).for_each(|a| a.cancel.leave());
         self.forget(id);
-        self.events.push_back(Event::Abandoned { id: id.clone() });
+        self.events.push_back(Event::ClientDisconnected { id: id.clone() });
         true
     }
 
@@ -213,7 +213,7 @@
         taken.timed_out = outcome == Outcome::TimedOut;
         let took = now.saturating_sub(attempt.sent);
         let server = attempt.server;
-        let (finished, in_time) = (taken.reply.is_none(), took <= taken.aim);
+        let (finished, in_time) = (taken.reply.is_none(), took <= taken.latency_objective);
         self.forget(id);
         let (id, attempt) = (id.clone(), number);
         let event = Event::AttemptEnded { id, attempt, outcome, finished, took, server, report };
--- a/crates/proxy/src/plain.rs
+++ b/crates/proxy/src/plain.rs
@@ -15,9 +15,9 @@
 use hyper::body::{Body, Incoming};
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::{Method, Request, Response, StatusCode, Uri, Version};
-use mintshelf_admission::queue::Offer;
-use mintshelf_admission::slots::Sitter;
-use mintshelf_admission::tenants::{Tenants, OTHERS};
+use mintshelf_admission::queue::QueueEntry;
+use mintshelf_admission::slots::SlotOwner;
+use mintshelf_admission::tenants::{Tenants, OTHER_TENANTS};
 use mintshelf_balancer::api::{Effect, Nanos};
 use mintshelf_config::model::{Forward, Forwarding, Route, Sticky, Then};
 use mintshelf_config::module::{severity, ModuleClass};
@@ -77,7 +77,7 @@
 impl Limited {
     /// Whose a request is.
     fn tenant(&self, client: &Client, listener: &str, headers: &HeaderMap) -> Rc<str> {
-        let Some(tenants) = &self.tenants else { return OTHERS.into() };
+        let Some(tenants) = &self.tenants else { return OTHER_TENANTS.into() };
         let value = self.tenant_header.as_ref().and_then(|name| headers.get(name));
         tenants.of(client.peer.ip(), listener, value.and_then(|value| value.to_str().ok()))
     }
@@ -246,7 +246,7 @@
         let keyed = request.headers().contains_key("idempotency-key");
         let effect = effect_of(class.effect, route.effect, request.method(), keyed);
         let (number, patience) = (class.numbers[severity(effect)], class.deadline);
-        let (class, worth) = (number.ok_or_else(gone)?, class.worth);
+        let (class, priority_weight) = (number.ok_or_else(gone)?, class.priority_weight);
         let marked = serving.repeat_header.as_ref().and_then(|name| request.headers().get(name));
         let repeat = marked.is_some_and(|value| value != "0");
         // The stages of a request's way: its tenant and route, its body, its cluster, then the
@@ -260,10 +260,10 @@
         };
         let opening = match &forward.websocket {
             Some(set) if handshake::asks(request.headers()) => {
-                let sitter = Sitter {
+                let sitter = SlotOwner {
                     tenant: entered
                         .as_ref()
-                        .map_or(OTHERS.into(), |entered| entered.tenant.clone()),
+                        .map_or(OTHER_TENANTS.into(), |entered| entered.tenant.clone()),
                     route: route.name.as_str().into(),
                     cluster: name.into(),
                 };
@@ -299,7 +299,7 @@
         let request = Request::from_parts(head, body);
         let message = Message { request, txn: None, _room: room, client: Some(client.clone()) };
         let tenant = entered.as_ref().map(|entered| entered.tenant.clone());
-        let asks = Asks { class, worth, repeat, patience, tenant };
+        let asks = Asks { class, priority_weight, repeat, patience, tenant };
         let (reply, through) = send(serving, name, pool, asks, message).await?;
         drop(filled);
         match reply {
@@ -442,7 +442,7 @@
     /// The module's class.
     pub(crate) class: u32,
     /// What its answer is worth.
-    pub(crate) worth: f64,
+    pub(crate) priority_weight: f64,
     /// Its client has asked for it before.
     pub(crate) repeat: bool,
     /// How long it may wait.
@@ -460,13 +460,13 @@
     asks: Asks,
     message: Message,
 ) -> Result<(Option<Reply>, Option<Through>), Refusal> {
-    let Asks { class, worth, repeat, mut patience, tenant } = asks;
+    let Asks { class, priority_weight, repeat, mut patience, tenant } = asks;
     let mut through = None;
     let limited = serving.limited.as_ref();
     let gate = limited.and_then(|l| Some((&l.gates, l.clusters.get(name)?))).zip(tenant);
     if let Some(((gates, name), tenant)) = gate {
         let needs = pool.driver.usual(class);
-        let offer = Offer { tenant, repeat, worth, deadline: 0, needs };
+        let offer = QueueEntry { tenant, repeat, priority_weight, deadline: 0, needs };
         let advice = || pool.driver.advice(class);
         (through, patience) = gates.pass(name, patience, offer, advice).await?;
     }
@@ -502,7 +502,7 @@
         (None, effect) => effect,
     };
     match effect {
-        Effect::Keyed if !keyed => Effect::Unsafe,
+        Effect::Idempotent if !keyed => Effect::Unsafe,
         effect => effect,
     }
 }
@@ -555,7 +555,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use Effect::{Keyed, Safe, Unsafe};
+    use Effect::{Idempotent, Safe, Unsafe};
 
     #[test]
     fn no_effect_is_taken_for_milder_than_it_is() {
@@ -567,15 +567,15 @@
             (Safe, Method::PUT, false, Unsafe),
             (Safe, Method::DELETE, false, Unsafe),
             (Safe, Method::from_bytes(b"PURGE").unwrap(), false, Unsafe),
-            (Keyed, Method::POST, true, Keyed),
-            (Keyed, Method::POST, false, Unsafe),
-            (Keyed, Method::GET, false, Unsafe),
+            (Idempotent, Method::POST, true, Idempotent),
+            (Idempotent, Method::POST, false, Unsafe),
+            (Idempotent, Method::GET, false, Unsafe),
             (Unsafe, Method::GET, true, Unsafe),
         ] {
             assert_eq!(of(class, &method, keyed), effect, "{class:?} {method} {keyed}");
         }
         // The operator knows that this POST asks and changes nothing.
         assert_eq!(effect_of(Unsafe, Some(Safe), &Method::POST, false), Safe);
-        assert_eq!(effect_of(Safe, Some(Keyed), &Method::POST, false), Unsafe);
+        assert_eq!(effect_of(Safe, Some(Idempotent), &Method::POST, false), Unsafe);
     }
 }
--- a/crates/proxy/src/platform.rs
+++ b/crates/proxy/src/platform.rs
@@ -13,7 +13,7 @@
 use hyper::{Request, Response, StatusCode};
 use mintshelf_balancer::api::{Nanos, Settings};
 use mintshelf_config::platform::Names;
-use mintshelf_retry::shutdown::Ending;
+use mintshelf_retry::shutdown::ShutdownDeadlines;
 use std::cell::Cell;
 use std::future::poll_fn;
 use std::pin::Pin;
@@ -39,7 +39,7 @@
     settings: Settings,
     names: Names,
     room: Arc<Semaphore>,
-    ending: Cell<Option<Ending>>,
+    ending: Cell<Option<ShutdownDeadlines>>,
 }
 
 impl Platform {
@@ -53,7 +53,7 @@
     /// gets its final answer in the time that is left. Back comes when that has happened.
     pub async fn end(&self, longest: Duration) {
         let clock = self.driver.clock();
-        let ending = Ending::new(clock.now(), nanos(longest));
+        let ending = ShutdownDeadlines::new(clock.now(), nanos(longest));
         self.ending.set(Some(ending));
         sleep_until(clock.instant(ending.cut_at())).await;
         self.driver.give_up(self.restart_advice());
--- a/crates/proxy/src/sockets/front.rs
+++ b/crates/proxy/src/sockets/front.rs
@@ -12,11 +12,11 @@
 use hyper::header::HeaderMap;
 use hyper::http::request::Parts;
 use hyper::{Request, StatusCode};
-use mintshelf_admission::slots::{NoSeat, Sitter};
+use mintshelf_admission::slots::{SlotOwner, SlotUnavailable};
 use mintshelf_balancer::api::{Effect, Nanos};
 use mintshelf_config::model::WebSocket;
 use mintshelf_config::module::severity;
-use mintshelf_websocket::handshake::{Agreed, Bad, Offer};
+use mintshelf_websocket::handshake::{HandshakeError, NegotiatedTerms, Offer};
 use mintshelf_websocket::session::Session;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -27,7 +27,7 @@
 pub(crate) struct Opening {
     offer: Offer,
     seated: Seated,
-    sitter: Sitter,
+    sitter: SlotOwner,
     sockets: Rc<Sockets>,
     set: Rc<WebSocket>,
 }
@@ -41,7 +41,7 @@
     /// The handshake as it goes to servers.
     pub(crate) head: Parts,
     /// What its ends agreed on: another server has to agree to the same.
-    pub(crate) agreed: Agreed,
+    pub(crate) agreed: NegotiatedTerms,
 }
 
 impl Opening {
@@ -50,18 +50,20 @@
         sockets: &Rc<Sockets>,
         set: &Rc<WebSocket>,
         request: &Request<Incoming>,
-        sitter: Sitter,
+        sitter: SlotOwner,
         draining: bool,
     ) -> Result<Self, Refusal> {
         let read = Offer::read(request.method(), request.version(), request.headers(), &set.terms);
         let offer = read.map_err(|bad| {
             let (status, code) = match bad {
-                Bad::Method | Bad::Key | Bad::List => (StatusCode::BAD_REQUEST, "websocket"),
-                Bad::Version => (StatusCode::UPGRADE_REQUIRED, "websocket-version"),
-                Bad::Origin => (StatusCode::FORBIDDEN, "websocket-origin"),
+                HandshakeError::Method | HandshakeError::Key | HandshakeError::List => {
+                    (StatusCode::BAD_REQUEST, "websocket")
+                }
+                HandshakeError::Version => (StatusCode::UPGRADE_REQUIRED, "websocket-version"),
+                HandshakeError::Origin => (StatusCode::FORBIDDEN, "websocket-origin"),
             };
             let refusal = Refusal::new(status, code, bad.reason());
-            if bad == Bad::Version {
+            if bad == HandshakeError::Version {
                 refusal.with_version()
             } else {
                 refusal
@@ -74,10 +76,18 @@
         }
         let seated = sockets.seat(&sitter).map_err(|why| {
             let (code, what) = match why {
-                NoSeat::Full => ("sockets-full", "all sockets are taken; no server was asked"),
-                NoSeat::Tenant => ("tenant-sockets", "its tenant has as many sockets as it may"),
-                NoSeat::Route => ("route-sockets", "the route has as many sockets as it may"),
-                NoSeat::Cluster => ("cluster-sockets", "the cluster has as many as it may"),
+                SlotUnavailable::Full => {
+                    ("sockets-full", "all sockets are taken; no server was asked")
+                }
+                SlotUnavailable::Tenant => {
+                    ("tenant-sockets", "its tenant has as many sockets as it may")
+                }
+                SlotUnavailable::Route => {
+                    ("route-sockets", "the route has as many sockets as it may")
+                }
+                SlotUnavailable::Cluster => {
+                    ("cluster-sockets", "the cluster has as many as it may")
+                }
             };
             Refusal::new(StatusCode::SERVICE_UNAVAILABLE, code, what).after(SECOND)
         })?;
@@ -140,7 +150,7 @@
     place: Place,
     offer: Offer,
     sockets: Rc<Sockets>,
-    sitter: Sitter,
+    sitter: SlotOwner,
 }
 
 impl Again {
@@ -154,7 +164,7 @@
         ask(&self.offer, &self.sockets, &mut head);
         let asks = Asks {
             class: class.numbers[severity(*effect)]?,
-            worth: class.worth,
+            priority_weight: class.priority_weight,
             repeat: true,
             patience: class.deadline,
             tenant: Some(self.sitter.tenant.clone()),
--- a/crates/proxy/src/sockets/registry.rs
+++ b/crates/proxy/src/sockets/registry.rs
@@ -1,12 +1,12 @@
 //! All open sockets: who holds them and where, and the orders that reach many at one time.
 
 use crate::clock::Clock;
-use mintshelf_admission::slots::{NoSeat, SeatSet, Seats, Sitter};
+use mintshelf_admission::slots::{SlotConfig, SlotOwner, SlotTable, SlotUnavailable};
 use mintshelf_balancer::api::{Nanos, ServerId};
 use mintshelf_websocket::close;
-use mintshelf_websocket::frame::End;
-use mintshelf_websocket::migration::Evacuations;
-use mintshelf_websocket::session::{By, Leave, Over, Session};
+use mintshelf_websocket::frame::Peer;
+use mintshelf_websocket::migration::MigrationSchedule;
+use mintshelf_websocket::session::{ClosedBy, LeaveRequest, Session, SessionEnd};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::rc::Rc;
@@ -24,7 +24,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Order {
     /// To leave its server at a time.
-    Leave(Nanos, Leave),
+    LeaveRequest(Nanos, LeaveRequest),
     /// To ask its server for a sign of life.
     Doubt,
 }
@@ -32,7 +32,7 @@
 /// One socket as seen from outside its task.
 pub struct Entry {
     /// Whose it is.
-    pub sitter: Sitter,
+    pub sitter: SlotOwner,
     /// The front that it came by.
     front: usize,
     pool: Cell<u32>,
@@ -58,7 +58,7 @@
     }
 
     fn give(&self, order: Order) {
-        if matches!(order, Order::Leave(..)) {
+        if matches!(order, Order::LeaveRequest(..)) {
             self.leaving.set(true);
         }
         *self.order.borrow_mut() = Some(order);
@@ -88,7 +88,7 @@
     /// Moved to another server, by cluster.
     pub moved: BTreeMap<Rc<str>, u64>,
     /// Ended, by who ended them and with which code.
-    pub closed: BTreeMap<(By, u16), u64>,
+    pub closed: BTreeMap<(ClosedBy, u16), u64>,
     /// Messages and bytes from clients and from servers.
     pub passed: [[u64; 2]; 2],
 }
@@ -97,8 +97,8 @@
 pub struct Sockets {
     entries: RefCell<BTreeMap<u64, Rc<Entry>>>,
     last: Cell<u64>,
-    seats: RefCell<Seats>,
-    evacuations: RefCell<HashMap<u32, Evacuations>>,
+    seats: RefCell<SlotTable>,
+    evacuations: RefCell<HashMap<u32, MigrationSchedule>>,
     /// When the sockets of a server were last asked for a sign of life, and how many.
     doubted: RefCell<HashMap<(u32, ServerId), (Nanos, usize)>>,
     /// Bytes that wait in all sockets' queues, and how many may.
@@ -115,7 +115,7 @@
 /// A socket's seat until this is dropped.
 pub struct Seated {
     sockets: Rc<Sockets>,
-    sitter: Sitter,
+    sitter: SlotOwner,
 }
 
 impl Drop for Seated {
@@ -141,7 +141,7 @@
         let all = self.sockets.queued.get();
         self.sockets.queued.set(all.saturating_sub(self.queued) + queued);
         self.queued = queued;
-        let passed = [End::Client, End::Server].map(|end| session.passed(end));
+        let passed = [Peer::Client, Peer::Server].map(|end| session.passed(end));
         let mut counts = self.sockets.counts.borrow_mut();
         for (end, of) in passed.iter().enumerate() {
             for (what, count) in of.iter().enumerate() {
@@ -157,7 +157,7 @@
     }
 
     /// It has ended.
-    pub fn over(&self, over: Over) {
+    pub fn over(&self, over: SessionEnd) {
         let mut counts = self.sockets.counts.borrow_mut();
         *counts.closed.entry((over.by, over.code)).or_default() += 1;
     }
@@ -209,7 +209,7 @@
     }
 
     /// Puts a file's numbers in force.
-    pub fn set(&self, set: SeatSet) {
+    pub fn set(&self, set: SlotConfig) {
         self.seats.borrow_mut().set(set);
     }
 
@@ -235,7 +235,7 @@
     }
 
     /// Takes a seat; if there is none, one of whoever has more than its share may be sent away.
-    pub fn seat(self: &Rc<Self>, sitter: &Sitter) -> Result<Seated, NoSeat> {
+    pub fn seat(self: &Rc<Self>, sitter: &SlotOwner) -> Result<Seated, SlotUnavailable> {
         let now = self.clock.now();
         let taken = self.seats.borrow_mut().take(now, sitter);
         match taken {
@@ -255,14 +255,17 @@
         let of = entries.values().filter(|e| *e.sitter.tenant == *tenant && !e.leaving.get());
         if let Some(entry) = of.min_by_key(|entry| entry.active.get()) {
             let reason = close::come_back("others want their share of the sockets", 5);
-            entry.give(Order::Leave(now, Leave { code: close::TRY_LATER, reason, moves: false }));
+            entry.give(Order::LeaveRequest(
+                now,
+                LeaveRequest { code: close::TRY_LATER, reason, moves: false },
+            ));
         }
     }
 
     /// A socket has opened.
     pub fn list(
         self: &Rc<Self>,
-        sitter: Sitter,
+        sitter: SlotOwner,
         front: usize,
         pool: u32,
         server: ServerId,
@@ -288,7 +291,7 @@
 
     /// In how long a cluster's sockets leave a server that has gone.
     pub fn spread(&self, pool: u32, span: Nanos) {
-        self.evacuations.borrow_mut().insert(pool, Evacuations::new(span));
+        self.evacuations.borrow_mut().insert(pool, MigrationSchedule::new(span));
     }
 
     /// A cluster is no more, and its last socket has left.
@@ -347,7 +350,10 @@
             let at = self.slot(now, pool, server, *left);
             *left = left.saturating_sub(1);
             let reason = reason.to_string();
-            entry.give(Order::Leave(at, Leave { code: close::RESTART, reason, moves: true }));
+            entry.give(Order::LeaveRequest(
+                at,
+                LeaveRequest { code: close::RESTART, reason, moves: true },
+            ));
         }
     }
 
@@ -363,8 +369,8 @@
             // They are told to come back as evenly as they left, and no sooner than a restart
             // takes.
             let reason = close::come_back("this sidecar ends", 1 + n as u64 % 10);
-            let leave = Leave { code: close::GOING_AWAY, reason, moves: false };
-            entry.give(Order::Leave(now.saturating_add(step * n as u64), leave));
+            let leave = LeaveRequest { code: close::GOING_AWAY, reason, moves: false };
+            entry.give(Order::LeaveRequest(now.saturating_add(step * n as u64), leave));
         }
     }
 
@@ -372,7 +378,7 @@
     pub fn levels(&self) -> SocketLevels {
         let mut levels = SocketLevels { queued: self.queued.get(), ..SocketLevels::default() };
         for entry in self.entries.borrow().values() {
-            let Sitter { tenant, cluster, .. } = &entry.sitter;
+            let SlotOwner { tenant, cluster, .. } = &entry.sitter;
             *levels.clusters.entry(cluster.to_string()).or_default() += 1;
             *levels.tenants.entry(tenant.to_string()).or_default() += 1;
             let at = (cluster.to_string(), entry.server.get());
--- a/crates/proxy/src/sockets/relay.rs
+++ b/crates/proxy/src/sockets/relay.rs
@@ -5,8 +5,8 @@
 use crate::upstream::ServerSocket;
 use bytes::Bytes;
 use mintshelf_balancer::api::Nanos;
-use mintshelf_websocket::frame::End;
-use mintshelf_websocket::session::{Act, By, Leave, Over, Session};
+use mintshelf_websocket::frame::Peer;
+use mintshelf_websocket::session::{ClosedBy, LeaveRequest, Session, SessionAction, SessionEnd};
 use std::future::{poll_fn, Future};
 use std::pin::Pin;
 use std::rc::Rc;
@@ -38,43 +38,43 @@
 
 /// Why the two are no longer read and written for now.
 enum Pause {
-    Act(Act),
-    Leave(Nanos, Leave),
-    Over(Over),
+    SessionAction(SessionAction),
+    LeaveRequest(Nanos, LeaveRequest),
+    SessionEnd(SessionEnd),
 }
 
 impl Relay {
     /// Carries the socket to its end. `rest` was read from the client behind its handshake.
     pub async fn run(mut self, rest: Bytes, reopen: Box<Reopen>, advice: Box<Advice>) {
         let clock = self.sockets.clock();
-        self.session.received(End::Client, &rest, clock.now());
+        self.session.received(Peer::Client, &rest, clock.now());
         drop(rest);
         let ahead = std::mem::take(&mut self.server.rest);
-        self.session.received(End::Server, &ahead, clock.now());
+        self.session.received(Peer::Server, &ahead, clock.now());
         drop(ahead);
         let mut timer = Box::pin(sleep_until(clock.instant(self.session.next())));
         let mut leave = None;
         loop {
             let pause = poll_fn(|cx| self.poll(cx, &mut timer, &mut leave)).await;
             match pause {
-                Pause::Over(over) => return Box::pin(self.end(over)).await,
-                Pause::Leave(at, order) => leave = Some((at, order)),
-                Pause::Act(Act::Lost) => {
+                Pause::SessionEnd(over) => return Box::pin(self.end(over)).await,
+                Pause::LeaveRequest(at, order) => leave = Some((at, order)),
+                Pause::SessionAction(SessionAction::Lost) => {
                     // Its connection is of no use; its place at the server is free.
                     let slot = self.sockets.lost(&self.listed.entry);
                     sleep_until(clock.instant(slot)).await;
                     self.session.go(advice(), clock.now());
                 }
-                Pause::Act(Act::Move) => match reopen().await {
+                Pause::SessionAction(SessionAction::Move) => match reopen().await {
                     Some((pool, server)) => {
                         let farewell = self.session.moved(clock.now());
                         let old = std::mem::replace(&mut self.server, Box::new(server));
                         self.listed.entry.at(pool, self.server.to.server);
                         self.listed.moved();
                         // An order to leave the one that it has left is carried out.
-                        leave = leave.filter(|(_, order): &(_, Leave)| !order.moves);
+                        leave = leave.filter(|(_, order): &(_, LeaveRequest)| !order.moves);
                         let ahead = std::mem::take(&mut self.server.rest);
-                        self.session.received(End::Server, &ahead, clock.now());
+                        self.session.received(Peer::Server, &ahead, clock.now());
                         spawn_local(part(old, farewell));
                     }
                     None => self.session.stays(advice(), clock.now()),
@@ -87,7 +87,7 @@
         &mut self,
         cx: &mut Context<'_>,
         timer: &mut Pin<Box<Sleep>>,
-        leave: &mut Option<(Nanos, Leave)>,
+        leave: &mut Option<(Nanos, LeaveRequest)>,
     ) -> Poll<Pause> {
         let clock = self.sockets.clock();
         loop {
@@ -95,7 +95,9 @@
             let now = clock.now();
             while let Some(order) = self.listed.entry.take_order(cx.waker()) {
                 match order {
-                    Order::Leave(at, order) => return Poll::Ready(Pause::Leave(at, order)),
+                    Order::LeaveRequest(at, order) => {
+                        return Poll::Ready(Pause::LeaveRequest(at, order))
+                    }
                     Order::Doubt => self.session.doubt(now),
                 }
                 progress = true;
@@ -113,11 +115,11 @@
             }
             if let Some(act) = self.session.act() {
                 self.listed.note(&self.session, now);
-                return Poll::Ready(Pause::Act(act));
+                return Poll::Ready(Pause::SessionAction(act));
             }
             if let Some(over) = self.session.over() {
                 self.listed.note(&self.session, now);
-                return Poll::Ready(Pause::Over(over));
+                return Poll::Ready(Pause::SessionEnd(over));
             }
             if progress {
                 continue;
@@ -138,7 +140,7 @@
     /// Passes what can pass now; whether something did.
     fn pass(&mut self, cx: &mut Context<'_>) -> bool {
         let mut progress = false;
-        for end in [End::Server, End::Client] {
+        for end in [Peer::Server, Peer::Client] {
             progress |= self.read(end, cx);
             progress |= self.write(end.other(), cx);
             progress |= self.write(end, cx);
@@ -146,14 +148,14 @@
         progress
     }
 
-    fn stream(&self, end: End) -> &Stream {
+    fn stream(&self, end: Peer) -> &Stream {
         match end {
-            End::Client => &self.client,
-            End::Server => &self.server.stream,
+            Peer::Client => &self.client,
+            Peer::Server => &self.server.stream,
         }
     }
 
-    fn read(&mut self, end: End, cx: &mut Context<'_>) -> bool {
+    fn read(&mut self, end: Peer, cx: &mut Context<'_>) -> bool {
         if !self.session.wants_read(end) {
             return false;
         }
@@ -176,7 +178,7 @@
         true
     }
 
-    fn write(&mut self, end: End, cx: &mut Context<'_>) -> bool {
+    fn write(&mut self, end: Peer, cx: &mut Context<'_>) -> bool {
         let mut progress = false;
         while !self.session.to_write(end).is_empty() {
             let polled = {
@@ -198,14 +200,14 @@
     }
 
     /// Both connections end: quietly where the closing handshake was gone through.
-    async fn end(self, over: Over) {
+    async fn end(self, over: SessionEnd) {
         let Relay { session, client, server, listed, seated, .. } = self;
         listed.over(over);
         drop(listed);
-        let well = [End::Client, End::Server].map(|end| session.ended_well(end));
+        let well = [Peer::Client, Peer::Server].map(|end| session.ended_well(end));
         drop(session);
         // A client that was told something is given the time to read it.
-        let told = well[0] || over.by != By::Client;
+        let told = well[0] || over.by != ClosedBy::Client;
         tokio::join!(
             async {
                 if told {
--- a/crates/proxy/src/trying.rs
+++ b/crates/proxy/src/trying.rs
@@ -3,7 +3,7 @@
 use crate::seat::Cancel;
 use crate::upstream::Ended;
 use mintshelf_balancer::api::{Nanos, Outcome};
-use mintshelf_retry::attempts::Cut;
+use mintshelf_retry::attempts::TimeoutAction;
 use std::future::Future;
 use std::pin::pin;
 use std::time::Duration;
@@ -27,7 +27,7 @@
     attempt: impl Future<Output = Ended>,
     trial: Trial,
     cancel: &Cancel,
-    expired: impl Fn(Nanos) -> Cut,
+    expired: impl Fn(Nanos) -> TimeoutAction,
     copy: impl Fn(),
 ) -> Ended {
     let mut attempt = pin!(attempt);
@@ -49,7 +49,7 @@
             }
         };
         sleep_until(connected + Duration::from_nanos(limit)).await;
-        while let Cut::Wait(span) = expired(limit) {
+        while let TimeoutAction::Wait(span) = expired(limit) {
             sleep(Duration::from_nanos(span)).await;
         }
     };
--- a/crates/proxy/src/upstream.rs
+++ b/crates/proxy/src/upstream.rs
@@ -14,7 +14,7 @@
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
 use mintshelf_balancer::api::{Outcome, ServerId};
-use mintshelf_websocket::handshake::{Agreed, Asked};
+use mintshelf_websocket::handshake::{HandshakeRequest, NegotiatedTerms};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
 use std::future::poll_fn;
@@ -99,7 +99,7 @@
     /// Read already.
     pub rest: Bytes,
     /// What it agreed to.
-    pub agreed: Agreed,
+    pub agreed: NegotiatedTerms,
     /// The server.
     pub to: To,
     /// Counts while it lives.
@@ -347,7 +347,7 @@
         until: Until,
         cancel: &Cancel,
     ) -> Ended {
-        let asked = request.extensions().get::<Arc<Asked>>().cloned();
+        let asked = request.extensions().get::<Arc<HandshakeRequest>>().cloned();
         let link = async {
             match &asked {
                 // A socket takes its connection for good, and no idle one that may be closing.
@@ -425,7 +425,7 @@
         &self,
         link: Link,
         response: Response<Incoming>,
-        asked: &Asked,
+        asked: &HandshakeRequest,
     ) -> Ended {
         let (head, _) = response.into_parts();
         let to = link.to;
--- a/crates/proxy/tests/lists.rs
+++ b/crates/proxy/tests/lists.rs
@@ -1,6 +1,6 @@
 //! Discovery's lists, whole, cut and malformed.
 
-use mintshelf_balancer::api::{Condition, ListKind, ListedServer};
+use mintshelf_balancer::api::{EndpointState, ListKind, ListedServer};
 use mintshelf_config::platform::Names;
 use mintshelf_proxy::discovery::list::{read_list, Fleet};
 use mintshelf_proxy::endpoints::Endpoints;
@@ -84,6 +84,6 @@
     let gone = ENTRY.replace("SERVING", "DELETED");
     let text = format!(r#"{{"rev":2,"all":false,"targets":[{gone}]}}"#);
     let (kind, servers, _) = take(&mut fleet, &text, true);
-    assert_eq!((kind, servers[0].condition), (ListKind::Changes, Condition::Gone));
+    assert_eq!((kind, servers[0].condition), (ListKind::Changes, EndpointState::Gone));
     assert_eq!(addresses.address(id), None);
 }
--- a/crates/quota/src/state_machine.rs
+++ b/crates/quota/src/state_machine.rs
@@ -5,7 +5,7 @@
 use crate::ledger::{self, Ask, Beat, Ledger};
 use mintshelf_consensus::state_machine::Machine;
 use mintshelf_lease::expiry::Grantor;
-use mintshelf_lease::lease::{self, named_well, Leases};
+use mintshelf_lease::lease::{self, is_valid_name, Leases};
 use mintshelf_lease::timing::{ClockError, Nanos};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -49,7 +49,7 @@
     OtherFigures,
     /// As many as there can be.
     TooMany,
-    /// No name: see [`named_well`].
+    /// No name: see [`is_valid_name`].
     Name,
 }
 
@@ -79,7 +79,7 @@
 
     fn state(&mut self, name: &str, budget: Budget) -> Result<(), Unfit> {
         budget.check()?;
-        if !named_well(name) {
+        if !is_valid_name(name) {
             return Err(Unfit::Name);
         }
         if let Some(ledger) = self.budgets.get_mut(name) {
--- a/crates/quota/tests/voters.rs
+++ b/crates/quota/tests/voters.rs
@@ -7,7 +7,7 @@
 use common::seeds;
 use mintshelf_consensus::replica::{encode, Stored, Voter};
 use mintshelf_lease::lease::Owner;
-use mintshelf_lease::timing::{ClockError, Nanos, Spans, MS, SECOND};
+use mintshelf_lease::timing::{ClockError, Nanos, Timing, MS, SECOND};
 use mintshelf_quota::client::ShareHolder;
 use mintshelf_quota::config::Budget;
 use mintshelf_quota::ledger::{self, Ask};
@@ -67,9 +67,9 @@
     entries: u64,
 }
 
-fn spans() -> Spans {
+fn spans() -> Timing {
     let (election, heartbeat) = (500 * MS, 100 * MS);
-    Spans { election, heartbeat, session: 3 * SECOND, lease: 3 * SECOND, error: ERROR }
+    Timing { election, heartbeat, session: 3 * SECOND, lease: 3 * SECOND, error: ERROR }
 }
 
 fn member(n: usize, incarnation: u64, now: Nanos) -> Member {
--- a/crates/recovery/src/pace.rs
+++ b/crates/recovery/src/pace.rs
@@ -7,7 +7,7 @@
 use crate::usual::Usual;
 use crate::SECOND;
 use mintshelf_balancer::api::Outcome;
-use mintshelf_balancer::decay::Fading;
+use mintshelf_balancer::decay::DecayingCounter;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 
@@ -83,8 +83,8 @@
     answered: Usual,
     before: f64,
     /// Counts of all ends and of breaks.
-    ends: Fading,
-    breaks: Fading,
+    ends: DecayingCounter,
+    breaks: DecayingCounter,
     /// Requests a second let through now, and those that may go at once.
     rate: f64,
     credit: f64,
@@ -103,8 +103,8 @@
             ramp,
             answered: Usual::default(),
             before: 0.0,
-            ends: Fading::default(),
-            breaks: Fading::default(),
+            ends: DecayingCounter::default(),
+            breaks: DecayingCounter::default(),
             rate: 0.0,
             credit: 0.0,
             credit_at: 0,
--- a/crates/retry/src/attempts.rs
+++ b/crates/retry/src/attempts.rs
@@ -1,7 +1,7 @@
 //! How long one attempt may take, and when a second copy goes beside it.
 
-use crate::latency_window::Answers;
-use crate::schedule::PerTry;
+use crate::latency_window::LatencyWindow;
+use crate::schedule::AttemptTimeout;
 use mintshelf_balancer::api::{Effect, Nanos};
 use mintshelf_balancer::budget::RetryBudget;
 
@@ -15,7 +15,7 @@
 
 /// When a second copy goes.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum CopyAfter {
+pub enum HedgeDelay {
     /// After a fixed time.
     Span(Nanos),
     /// When 95 of a hundred answers would have come.
@@ -26,18 +26,18 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Hedge {
     /// When one goes.
-    pub after: CopyAfter,
+    pub after: HedgeDelay,
     /// The most of them, as a part of the requests.
     pub share: f64,
 }
 
 /// What one class of the decision module may do with its attempts.
 #[derive(Debug, Clone, PartialEq)]
-pub struct TryPlan {
+pub struct RetryPolicy {
     /// Its effect.
     pub effect: Effect,
     /// Time for one attempt.
-    pub per_try: PerTry,
+    pub per_try: AttemptTimeout,
     /// Bounds of an adaptive time.
     pub bounds: [Nanos; 2],
     /// Most attempts.
@@ -52,7 +52,7 @@
 
 /// What is to be done with an attempt whose time is up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Cut {
+pub enum TimeoutAction {
     /// It is ended; another may follow.
     Now,
     /// Nothing could follow: it is waited for, and looked at again after this span.
@@ -61,24 +61,24 @@
 
 /// The state of one class.
 #[derive(Debug)]
-pub struct Tries {
-    plan: TryPlan,
-    answers: Answers,
+pub struct AttemptTracker {
+    plan: RetryPolicy,
+    answers: LatencyWindow,
     copies: RetryBudget,
     cut: u64,
     copied: u64,
 }
 
-impl Tries {
+impl AttemptTracker {
     /// With nothing seen yet.
-    pub fn new(plan: TryPlan, now: Nanos) -> Self {
+    pub fn new(plan: RetryPolicy, now: Nanos) -> Self {
         let share = plan.hedge.map_or(0.0, |hedge| hedge.share);
         let copies = RetryBudget::new(share, COPIES_SAVED);
-        Tries { plan, answers: Answers::new(now), copies, cut: 0, copied: 0 }
+        AttemptTracker { plan, answers: LatencyWindow::new(now), copies, cut: 0, copied: 0 }
     }
 
     /// What it was made of.
-    pub fn plan(&self) -> &TryPlan {
+    pub fn plan(&self) -> &RetryPolicy {
         &self.plan
     }
 
@@ -94,9 +94,9 @@
             return None;
         }
         match self.plan.per_try {
-            PerTry::Whole => None,
-            PerTry::Fixed(span) => Some(span),
-            PerTry::Adaptive => {
+            AttemptTimeout::Whole => None,
+            AttemptTimeout::Fixed(span) => Some(span),
+            AttemptTimeout::Adaptive => {
                 let [least, most] = self.plan.bounds;
                 let seen = self.answers.quantiles(now).map(|seen| seen.p99.saturating_mul(BEYOND));
                 // Before anything is known, twice the least: the aim.
@@ -107,17 +107,23 @@
 
     /// What becomes of an attempt that has taken `limit`. `paid`: the retry budget covers
     /// another; `elsewhere`: there is another endpoint.
-    pub fn expired(&mut self, now: Nanos, limit: Nanos, paid: bool, elsewhere: bool) -> Cut {
+    pub fn expired(
+        &mut self,
+        now: Nanos,
+        limit: Nanos,
+        paid: bool,
+        elsewhere: bool,
+    ) -> TimeoutAction {
         // A keyed request's attempts end when the schedule says: its window is reckoned so.
-        let keyed = self.plan.effect == Effect::Keyed;
-        let elsewhere = elsewhere || self.plan.per_try != PerTry::Adaptive;
+        let keyed = self.plan.effect == Effect::Idempotent;
+        let elsewhere = elsewhere || self.plan.per_try != AttemptTimeout::Adaptive;
         if keyed || paid && elsewhere {
             self.cut += 1;
             // It would have taken at least that.
             self.answers.note(now, limit);
-            Cut::Now
+            TimeoutAction::Now
         } else {
-            Cut::Wait((limit / AGAIN).max(1_000_000))
+            TimeoutAction::Wait((limit / AGAIN).max(1_000_000))
         }
     }
 
@@ -125,8 +131,8 @@
     pub fn copy_after(&mut self, now: Nanos) -> Option<Nanos> {
         let hedge = self.plan.hedge.filter(|_| self.plan.effect == Effect::Safe)?;
         match hedge.after {
-            CopyAfter::Span(span) => Some(span),
-            CopyAfter::P95 => self.answers.quantiles(now).map(|seen| seen.p95),
+            HedgeDelay::Span(span) => Some(span),
+            HedgeDelay::P95 => self.answers.quantiles(now).map(|seen| seen.p95),
         }
     }
 
@@ -159,15 +165,16 @@
 
     const MS: Nanos = 1_000_000;
 
-    fn tries(per_try: PerTry, effect: Effect, hedge: Option<Hedge>) -> Tries {
+    fn tries(per_try: AttemptTimeout, effect: Effect, hedge: Option<Hedge>) -> AttemptTracker {
         let bounds = [50 * MS, 600 * MS];
-        let plan = TryPlan { effect, per_try, bounds, attempts: 3, hedge, connect: MS, idle: MS };
-        Tries::new(plan, 0)
+        let plan =
+            RetryPolicy { effect, per_try, bounds, attempts: 3, hedge, connect: MS, idle: MS };
+        AttemptTracker::new(plan, 0)
     }
 
     #[test]
     fn a_time_out_follows_the_answers_between_its_bounds() {
-        let mut tries = tries(PerTry::Adaptive, Effect::Safe, None);
+        let mut tries = tries(AttemptTimeout::Adaptive, Effect::Safe, None);
         assert_eq!(tries.limit(0, 0), Some(100 * MS));
         assert_eq!(tries.limit(0, 2), None, "the last attempt has all that is left");
         for n in 0..1000 {
@@ -187,21 +194,21 @@
 
     #[test]
     fn an_attempt_is_cut_only_where_another_can_follow() {
-        let mut safe = tries(PerTry::Adaptive, Effect::Safe, None);
-        assert!(matches!(safe.expired(0, 40 * MS, false, true), Cut::Wait(_)));
-        assert!(matches!(safe.expired(0, 40 * MS, true, false), Cut::Wait(_)));
-        assert_eq!(safe.expired(0, 40 * MS, true, true), Cut::Now);
-        let mut keyed = tries(PerTry::Fixed(MS), Effect::Keyed, None);
-        assert_eq!(keyed.expired(0, MS, false, false), Cut::Now);
-        let mut never = tries(PerTry::Fixed(MS), Effect::Unsafe, None);
+        let mut safe = tries(AttemptTimeout::Adaptive, Effect::Safe, None);
+        assert!(matches!(safe.expired(0, 40 * MS, false, true), TimeoutAction::Wait(_)));
+        assert!(matches!(safe.expired(0, 40 * MS, true, false), TimeoutAction::Wait(_)));
+        assert_eq!(safe.expired(0, 40 * MS, true, true), TimeoutAction::Now);
+        let mut keyed = tries(AttemptTimeout::Fixed(MS), Effect::Idempotent, None);
+        assert_eq!(keyed.expired(0, MS, false, false), TimeoutAction::Now);
+        let mut never = tries(AttemptTimeout::Fixed(MS), Effect::Unsafe, None);
         assert_eq!(never.limit(0, 0), None);
         assert_eq!(keyed.counts(), [1, 0]);
     }
 
     #[test]
     fn second_copies_keep_within_their_share() {
-        let hedge = Some(Hedge { after: CopyAfter::P95, share: 0.1 });
-        let mut tries = tries(PerTry::Whole, Effect::Safe, hedge);
+        let hedge = Some(Hedge { after: HedgeDelay::P95, share: 0.1 });
+        let mut tries = tries(AttemptTimeout::Whole, Effect::Safe, hedge);
         assert_eq!(tries.copy_after(0), None, "nothing is known yet");
         let mut sent = 0;
         for n in 0..1000 {
--- a/crates/retry/src/latency_window.rs
+++ b/crates/retry/src/latency_window.rs
@@ -16,7 +16,7 @@
 
 /// What was seen: some 30 KiB however many the answers are.
 #[derive(Debug, Clone)]
-pub struct Answers {
+pub struct LatencyWindow {
     halves: [Histogram<u32>; 2],
     turned_at: Nanos,
     /// Half, 95 and 99 of a hundred took no longer than this; absent while too few were seen.
@@ -41,10 +41,10 @@
     Histogram::new_with_bounds(1, LONGEST, 2).expect("a range and two digits")
 }
 
-impl Answers {
+impl LatencyWindow {
     /// None seen yet.
     pub fn new(now: Nanos) -> Self {
-        Answers {
+        LatencyWindow {
             halves: [histogram(), histogram()],
             turned_at: now,
             known: None,
@@ -100,7 +100,7 @@
 
     #[test]
     fn quantiles_follow_what_was_seen_and_forget() {
-        let mut answers = Answers::new(0);
+        let mut answers = LatencyWindow::new(0);
         assert_eq!(answers.quantiles(0), None);
         for n in 1..=1000 {
             answers.note(n * MS, n * MS / 10);
@@ -115,7 +115,7 @@
 
     #[test]
     fn no_time_is_too_long_to_be_noted() {
-        let mut answers = Answers::new(0);
+        let mut answers = LatencyWindow::new(0);
         for _ in 0..100 {
             answers.note(0, u64::MAX);
         }
