--- a/crates/retry/src/schedule.rs
+++ b/crates/retry/src/schedule.rs
@@ -15,7 +15,7 @@
 
 /// How long one attempt may take, from its connection on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum PerTry {
+pub enum AttemptTimeout {
     /// As long as the request.
     Whole,
     /// So long.
@@ -54,7 +54,7 @@
     /// Whether all endpoints of the cluster are of one group.
     pub one_group: bool,
     /// An answer within this time earns the full worth.
-    pub aim: Nanos,
+    pub latency_objective: Nanos,
     /// The whole time-out.
     pub deadline: Nanos,
     /// Most attempts.
@@ -62,7 +62,7 @@
     /// Longest wait for a connection.
     pub connect: Nanos,
     /// Time for one attempt.
-    pub per_try: PerTry,
+    pub per_try: AttemptTimeout,
     /// The bound of the first pause between attempts, which doubles, and the longest.
     pub backoff: [Nanos; 2],
     /// What may be followed by a further attempt.
@@ -93,7 +93,7 @@
 
 /// What a schedule breaks.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Breach {
+pub enum SafetyViolation {
     /// An unsafe request would be sent again though it may have run.
     UnsafeRetry,
     /// An unsafe or keyed request would have two attempts out.
@@ -171,8 +171,8 @@
         let other = pauses.saturating_add(self.connect.saturating_mul(attempts));
         let most = self.deadline.saturating_sub(other) / attempts;
         // What is answered within the aim is not to be cut, where two such tries fit.
-        let most = most.max(self.aim.min(self.deadline / 2)).max(1);
-        let least = (self.aim as f64 * ADAPTIVE_FLOOR) as Nanos;
+        let most = most.max(self.latency_objective.min(self.deadline / 2)).max(1);
+        let least = (self.latency_objective as f64 * ADAPTIVE_FLOOR) as Nanos;
         [least.min(most), most]
     }
 
@@ -184,16 +184,16 @@
     /// The time that one attempt before the last may take, its connection included.
     fn longest_try(&self) -> Nanos {
         let per_try = match self.per_try {
-            PerTry::Whole => return self.deadline,
-            PerTry::Fixed(span) => span,
-            PerTry::Adaptive => self.adaptive_bounds()[1],
+            AttemptTimeout::Whole => return self.deadline,
+            AttemptTimeout::Fixed(span) => span,
+            AttemptTimeout::Adaptive => self.adaptive_bounds()[1],
         };
         self.connect.saturating_add(per_try).min(self.deadline)
     }
 
     /// Each attempt in the worst case, the first at 0. Those that can't start are left out.
     pub fn steps(&self) -> Vec<Step> {
-        let hold = (self.aim as f64 * HOLD_SHARE) as Nanos;
+        let hold = (self.latency_objective as f64 * HOLD_SHARE) as Nanos;
         let mut latest: Nanos = 0;
         let mut steps = Vec::new();
         for number in 1..=self.attempts {
@@ -224,15 +224,15 @@
             n => format!("{n} x {}", told(span)),
         };
         let mut parts = match self.per_try {
-            PerTry::Whole => {
+            AttemptTimeout::Whole => {
                 return format!(
                     "attempt {before} has no per-try time-out and may break off at any time \
                      before the deadline, {}",
                     told(self.deadline)
                 )
             }
-            PerTry::Fixed(span) => vec![format!("{} per try", times(before, span))],
-            PerTry::Adaptive => {
+            AttemptTimeout::Fixed(span) => vec![format!("{} per try", times(before, span))],
+            AttemptTimeout::Adaptive => {
                 vec![format!("{} per try at most", times(before, self.adaptive_bounds()[1]))]
             }
         };
@@ -260,44 +260,47 @@
     }
 
     /// Everything that the settings break.
-    pub fn breaches(&self) -> Vec<Breach> {
+    pub fn breaches(&self) -> Vec<SafetyViolation> {
         let mut breaches = Vec::new();
         if self.effect == Effect::Unsafe && self.retry_on == RetryOn::MayHaveRun {
-            breaches.push(Breach::UnsafeRetry);
+            breaches.push(SafetyViolation::UnsafeRetry);
         }
         if self.hedged {
             match self.effect {
-                Effect::Keyed if !self.one_group => breaches.push(Breach::CopyCrossesGroup),
+                Effect::Idempotent if !self.one_group => {
+                    breaches.push(SafetyViolation::CopyCrossesGroup)
+                }
                 Effect::Safe if self.retry_on == RetryOn::NeverRan => {
-                    breaches.push(Breach::CopyNeverRan)
+                    breaches.push(SafetyViolation::CopyNeverRan)
                 }
                 Effect::Safe => {}
-                effect => breaches.push(Breach::CopyNotSafe(effect)),
+                effect => breaches.push(SafetyViolation::CopyNotSafe(effect)),
             }
             if !self.two_out {
-                breaches.push(Breach::CopyNotAllowed);
+                breaches.push(SafetyViolation::CopyNotAllowed);
             }
         }
-        if let PerTry::Fixed(span) = self.per_try {
+        if let AttemptTimeout::Fixed(span) = self.per_try {
             if span > self.deadline {
-                breaches.push(Breach::TryOverWhole);
+                breaches.push(SafetyViolation::TryOverWhole);
             } else {
                 let cannot = (2..=self.attempts)
                     .map(|n| (n, span.saturating_mul(u64::from(n - 1))))
                     .find(|(_, at)| *at >= self.deadline);
-                breaches.extend(cannot.map(|(attempt, at)| Breach::CannotFit { attempt, at }));
+                breaches
+                    .extend(cannot.map(|(attempt, at)| SafetyViolation::CannotFit { attempt, at }));
             }
             if self.repeats() < 2 {
-                breaches.push(Breach::PointlessTry);
+                breaches.push(SafetyViolation::PointlessTry);
             }
         }
-        if self.effect == Effect::Keyed {
+        if self.effect == Effect::Idempotent {
             self.window_breaches(&mut breaches);
         }
         breaches
     }
 
-    fn window_breaches(&self, breaches: &mut Vec<Breach>) {
+    fn window_breaches(&self, breaches: &mut Vec<SafetyViolation>) {
         let until = self.window.saturating_sub(self.tick);
         if until == 0 {
             // Without a window it is not keyed, which is told elsewhere.
@@ -305,7 +308,7 @@
         }
         let after = self.arrivals().into_iter().find(|(_, at)| *at >= until);
         if let Some((attempt, at)) = after {
-            breaches.push(Breach::AfterWindow { attempt, at, sum: self.sum(attempt) });
+            breaches.push(SafetyViolation::AfterWindow { attempt, at, sum: self.sum(attempt) });
         }
         // Each try of a client may last to the deadline, then it waits as it is told, and its
         // last one reaches a server as late as a further attempt of ours.
@@ -321,7 +324,7 @@
                     told(self.advice),
                     told(ours)
                 );
-                breaches.push(Breach::ClientAfterWindow { at, sum });
+                breaches.push(SafetyViolation::ClientAfterWindow { at, sum });
             }
         }
     }
@@ -329,7 +332,7 @@
     /// Most attempts that fit with a fixed time for each: what a default is lowered to.
     pub fn fitting_attempts(&self) -> u32 {
         match self.per_try {
-            PerTry::Fixed(span) if span > 0 => {
+            AttemptTimeout::Fixed(span) if span > 0 => {
                 let fit = self.deadline.saturating_sub(1) / span + 1;
                 self.attempts.min(u32::try_from(fit).unwrap_or(u32::MAX)).max(1)
             }
@@ -338,96 +341,104 @@
     }
 }
 
-impl Breach {
+impl SafetyViolation {
     /// Whether an effect could happen twice by it.
     pub fn twice(&self) -> bool {
         !matches!(
             self,
-            Breach::TryOverWhole
-                | Breach::CannotFit { .. }
-                | Breach::PointlessTry
-                | Breach::CopyNeverRan
-                | Breach::CopyNotAllowed
+            SafetyViolation::TryOverWhole
+                | SafetyViolation::CannotFit { .. }
+                | SafetyViolation::PointlessTry
+                | SafetyViolation::CopyNeverRan
+                | SafetyViolation::CopyNotAllowed
         )
     }
 
     /// The setting to look at, as the file names it.
     pub fn setting(&self) -> &'static str {
         match self {
-            Breach::UnsafeRetry => "retry-on",
-            Breach::CopyNotSafe(_)
-            | Breach::CopyCrossesGroup
-            | Breach::CopyNeverRan
-            | Breach::CopyNotAllowed => "hedge",
-            Breach::AfterWindow { .. } => "window",
-            Breach::ClientAfterWindow { .. } => "client-retries",
-            Breach::TryOverWhole | Breach::PointlessTry => "per-try-timeout",
-            Breach::CannotFit { .. } => "max-attempts",
+            SafetyViolation::UnsafeRetry => "retry-on",
+            SafetyViolation::CopyNotSafe(_)
+            | SafetyViolation::CopyCrossesGroup
+            | SafetyViolation::CopyNeverRan
+            | SafetyViolation::CopyNotAllowed => "hedge",
+            SafetyViolation::AfterWindow { .. } => "window",
+            SafetyViolation::ClientAfterWindow { .. } => "client-retries",
+            SafetyViolation::TryOverWhole | SafetyViolation::PointlessTry => "per-try-timeout",
+            SafetyViolation::CannotFit { .. } => "max-attempts",
         }
     }
 
     /// How to mend it.
     pub fn mend(&self) -> &'static str {
         match self {
-            Breach::UnsafeRetry => "write retry-on = \"never-ran\", or leave it out",
-            Breach::CopyNotSafe(_) => "remove hedge from this class and from what it inherits",
-            Breach::CopyCrossesGroup => "remove hedge: second copies are for safe classes",
-            Breach::CopyNeverRan => "remove hedge, or write retry-on = \"may-have-run\"",
-            Breach::CopyNotAllowed => "write second-copies = true in the cluster, or remove hedge",
-            Breach::AfterWindow { .. } => {
+            SafetyViolation::UnsafeRetry => "write retry-on = \"never-ran\", or leave it out",
+            SafetyViolation::CopyNotSafe(_) => {
+                "remove hedge from this class and from what it inherits"
+            }
+            SafetyViolation::CopyCrossesGroup => "remove hedge: second copies are for safe classes",
+            SafetyViolation::CopyNeverRan => "remove hedge, or write retry-on = \"may-have-run\"",
+            SafetyViolation::CopyNotAllowed => {
+                "write second-copies = true in the cluster, or remove hedge"
+            }
+            SafetyViolation::AfterWindow { .. } => {
                 "shorten per-try-timeout, backoff or the cluster's connect-timeout, or lower \
                  max-attempts or the deadline"
             }
-            Breach::ClientAfterWindow { .. } => {
+            SafetyViolation::ClientAfterWindow { .. } => {
                 "shorten the deadline or max-retry-after, or lower client-retries"
             }
-            Breach::TryOverWhole => "make it shorter than the deadline",
-            Breach::CannotFit { .. } => "lower max-attempts, or shorten per-try-timeout",
-            Breach::PointlessTry => "remove it: the deadline bounds the one attempt that there is",
+            SafetyViolation::TryOverWhole => "make it shorter than the deadline",
+            SafetyViolation::CannotFit { .. } => "lower max-attempts, or shorten per-try-timeout",
+            SafetyViolation::PointlessTry => {
+                "remove it: the deadline bounds the one attempt that there is"
+            }
         }
     }
 
     /// A plain sentence.
     pub fn sentence(&self, plan: &Plan) -> String {
         match self {
-            Breach::UnsafeRetry => {
+            SafetyViolation::UnsafeRetry => {
                 "an unsafe request would be sent again after an attempt that may have run".into()
             }
-            Breach::CopyNotSafe(Effect::Keyed) => {
+            SafetyViolation::CopyNotSafe(Effect::Idempotent) => {
                 "a keyed request would have two attempts out at once".into()
             }
-            Breach::CopyNotSafe(_) => {
+            SafetyViolation::CopyNotSafe(_) => {
                 "an unsafe request would have a second copy beside one that may have run".into()
             }
-            Breach::CopyCrossesGroup => {
+            SafetyViolation::CopyCrossesGroup => {
                 "a second copy could go to an endpoint outside the first one's dedup group".into()
             }
-            Breach::CopyNeverRan => {
+            SafetyViolation::CopyNeverRan => {
                 "a second copy goes beside an attempt that may run, which retry-on forbids".into()
             }
-            Breach::CopyNotAllowed => {
+            SafetyViolation::CopyNotAllowed => {
                 "the cluster does not allow two attempts of one request at a time".into()
             }
-            Breach::AfterWindow { attempt, at, sum } => format!(
+            SafetyViolation::AfterWindow { attempt, at, sum } => format!(
                 "attempt {attempt} could reach a server at {} ({sum}); the window is {}",
                 told(*at),
                 told(plan.window)
             ),
-            Breach::ClientAfterWindow { at, sum } => format!(
+            SafetyViolation::ClientAfterWindow { at, sum } => format!(
                 "a client's own retry could reach a server at {} ({sum}); the window is {}",
                 told(*at),
                 told(plan.window)
             ),
-            Breach::TryOverWhole => {
+            SafetyViolation::TryOverWhole => {
                 format!("one try may take longer than the whole request, {}", told(plan.deadline))
             }
-            Breach::CannotFit { attempt, at } => format!(
+            SafetyViolation::CannotFit { attempt, at } => format!(
                 "attempt {attempt} cannot fit: {} x per-try-timeout is {}, and the deadline {}",
                 attempt - 1,
                 told(*at),
                 told(plan.deadline)
             ),
-            Breach::PointlessTry => "no attempt may follow one that ran out of its own time".into(),
+            SafetyViolation::PointlessTry => {
+                "no attempt may follow one that ran out of its own time".into()
+            }
         }
     }
 }
@@ -450,14 +461,16 @@
             let mut line: Vec<char> = vec!['.'; WIDTH as usize + 1];
             line[from..=to].fill('=');
             line[from] = '|';
-            if place(self.aim) < line.len() && line[place(self.aim)] == '.' {
-                line[place(self.aim)] = 'a';
+            if place(self.latency_objective) < line.len()
+                && line[place(self.latency_objective)] == '.'
+            {
+                line[place(self.latency_objective)] = 'a';
             }
             let line: String = line.into_iter().collect();
             let (from, to) = (told(step.latest), told(step.end));
             writeln!(f, "  try {} [{line}] starts by {from}, ends by {to}", step.number)?;
         }
-        if self.effect == Effect::Keyed {
+        if self.effect == Effect::Idempotent {
             let at = told(self.last_arrival());
             writeln!(f, "  the last may reach a server at {at}; window {}", told(self.window))?;
         }
--- a/crates/retry/src/shutdown.rs
+++ b/crates/retry/src/shutdown.rs
@@ -17,7 +17,7 @@
 
 /// An end that has been announced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Ending {
+pub struct ShutdownDeadlines {
     cut_at: Nanos,
 }
 
@@ -30,11 +30,11 @@
     Fail,
 }
 
-impl Ending {
+impl ShutdownDeadlines {
     /// Announced at `begun`; `longest` is the longest deadline of any class.
     pub fn new(begun: Nanos, longest: Nanos) -> Self {
         let given = longest.min(LONGEST_COUNTED) + GRACE - MARGIN;
-        Ending { cut_at: begun.saturating_add(given) }
+        ShutdownDeadlines { cut_at: begun.saturating_add(given) }
     }
 
     /// When everything that is still open gets its final answer.
@@ -55,7 +55,7 @@
     pub fn verdict(effect: Effect, may_have_run: bool) -> Verdict {
         match (effect, may_have_run) {
             (Effect::Safe, _) | (_, false) => Verdict::Refuse,
-            (Effect::Keyed | Effect::Unsafe, true) => Verdict::Fail,
+            (Effect::Idempotent | Effect::Unsafe, true) => Verdict::Fail,
         }
     }
 }
--- a/crates/retry/tests/schedule.rs
+++ b/crates/retry/tests/schedule.rs
@@ -2,7 +2,7 @@
 //! of a schedule, and all of the extremes one after the other.
 
 use mintshelf_balancer::api::{Effect, Nanos};
-use mintshelf_retry::schedule::{told, Breach, DedupGroup, PerTry, Plan, RetryOn};
+use mintshelf_retry::schedule::{told, AttemptTimeout, DedupGroup, Plan, RetryOn, SafetyViolation};
 use proptest::prelude::*;
 
 const MS: Nanos = 1_000_000;
@@ -10,15 +10,15 @@
 
 fn keyed() -> Plan {
     Plan {
-        effect: Effect::Keyed,
+        effect: Effect::Idempotent,
         window: 20 * S,
         group: DedupGroup::Cluster,
         one_group: true,
-        aim: 750 * MS,
+        latency_objective: 750 * MS,
         deadline: 30 * S,
         attempts: 3,
         connect: 200 * MS,
-        per_try: PerTry::Fixed(5 * S),
+        per_try: AttemptTimeout::Fixed(5 * S),
         backoff: [0, 0],
         retry_on: RetryOn::MayHaveRun,
         hedged: false,
@@ -59,7 +59,7 @@
             // A pause that could outlast the request is left out.
             now += if now + bound < deadline { part(bound, pauses[number]) } else { 0 };
             // Held for want of a server, which ends at a part of the aim from the arrival.
-            let until = start + plan.aim / 2;
+            let until = start + plan.latency_objective / 2;
             now = now.max(start + part(until - start, hold));
         }
         if now >= deadline {
@@ -71,9 +71,9 @@
         let last = number + 1 == plan.attempts as usize;
         let own = match plan.per_try {
             _ if last => plan.deadline,
-            PerTry::Whole => plan.deadline,
-            PerTry::Fixed(span) => span,
-            PerTry::Adaptive => plan.adaptive_bounds()[1],
+            AttemptTimeout::Whole => plan.deadline,
+            AttemptTimeout::Fixed(span) => span,
+            AttemptTimeout::Adaptive => plan.adaptive_bounds()[1],
         };
         match *fate {
             Fate::NotConnected(wait) => now += part(plan.connect, wait),
@@ -109,7 +109,7 @@
         Effect::Safe => false,
         Effect::Unsafe => ran.len() > 1,
         // The window begins when a server may first have run it.
-        Effect::Keyed => ran.iter().any(|at| at - first >= plan.window),
+        Effect::Idempotent => ran.iter().any(|at| at - first >= plan.window),
     }
 }
 
@@ -144,11 +144,11 @@
 
 #[test]
 fn only_the_sum_of_all_parts_breaks_the_window() {
-    let plan = Plan { per_try: PerTry::Fixed(8 * S), attempts: 3, ..keyed() };
+    let plan = Plan { per_try: AttemptTimeout::Fixed(8 * S), attempts: 3, ..keyed() };
     assert_eq!(plan.breaches(), []);
     let plan = Plan { backoff: [1800 * MS, 3600 * MS], ..plan };
     let breaches = plan.breaches();
-    let [Breach::AfterWindow { attempt: 3, at, .. }] = &breaches[..] else {
+    let [SafetyViolation::AfterWindow { attempt: 3, at, .. }] = &breaches[..] else {
         panic!("{breaches:?}")
     };
     assert_eq!(*at, 22 * S);
@@ -160,41 +160,48 @@
     // Without any one of the three it holds.
     for less in [
         Plan { backoff: [0, 0], ..plan.clone() },
-        Plan { per_try: PerTry::Fixed(4 * S), ..plan.clone() },
-        Plan { per_try: PerTry::Fixed(6900 * MS), connect: 0, ..plan.clone() },
+        Plan { per_try: AttemptTimeout::Fixed(4 * S), ..plan.clone() },
+        Plan { per_try: AttemptTimeout::Fixed(6900 * MS), connect: 0, ..plan.clone() },
         Plan { attempts: 2, ..plan.clone() },
         Plan { deadline: 19 * S, ..plan.clone() },
-        Plan { retry_on: RetryOn::NeverRan, per_try: PerTry::Whole, ..plan.clone() },
+        Plan { retry_on: RetryOn::NeverRan, per_try: AttemptTimeout::Whole, ..plan.clone() },
     ] {
         assert_eq!(less.breaches(), [], "{less:?}");
     }
-    let slow = Plan { per_try: PerTry::Fixed(6900 * MS), connect: 400 * MS, ..plan };
+    let slow = Plan { per_try: AttemptTimeout::Fixed(6900 * MS), connect: 400 * MS, ..plan };
     assert_eq!(slow.breaches().len(), 1, "the connection alone makes the difference");
 }
 
 #[test]
 fn the_measured_file_is_refused() {
-    let plan =
-        Plan { deadline: 300 * S, attempts: 6, connect: 30 * S, per_try: PerTry::Whole, ..keyed() };
+    let plan = Plan {
+        deadline: 300 * S,
+        attempts: 6,
+        connect: 30 * S,
+        per_try: AttemptTimeout::Whole,
+        ..keyed()
+    };
     let sentence = plan.breaches()[0].sentence(&plan);
     assert!(sentence.contains("no per-try time-out") && sentence.contains("300 s"), "{sentence}");
 }
 
 #[test]
 fn a_client_of_its_own_counts() {
-    let plan = Plan { deadline: 4 * S, per_try: PerTry::Whole, ..keyed() };
+    let plan = Plan { deadline: 4 * S, per_try: AttemptTimeout::Whole, ..keyed() };
     assert_eq!(plan.breaches(), []);
     assert_eq!(Plan { client_retries: 1, ..plan.clone() }.breaches(), []);
     let plan = Plan { client_retries: 2, ..plan };
     let breaches = plan.breaches();
-    assert!(matches!(&breaches[..], [Breach::ClientAfterWindow { at, .. }] if *at == 22 * S));
+    assert!(
+        matches!(&breaches[..], [SafetyViolation::ClientAfterWindow { at, .. }] if *at == 22 * S)
+    );
 }
 
 #[test]
 fn what_an_unsafe_class_may_not_have() {
     let flash = Plan {
         effect: Effect::Unsafe,
-        per_try: PerTry::Whole,
+        per_try: AttemptTimeout::Whole,
         retry_on: RetryOn::NeverRan,
         deadline: 6 * S,
         ..keyed()
@@ -203,22 +210,28 @@
     let with = |plan: Plan| plan.breaches();
     assert_eq!(
         with(Plan { retry_on: RetryOn::MayHaveRun, ..flash.clone() }),
-        [Breach::UnsafeRetry]
+        [SafetyViolation::UnsafeRetry]
     );
     assert_eq!(
         with(Plan { hedged: true, two_out: true, ..flash.clone() }),
-        [Breach::CopyNotSafe(Effect::Unsafe)]
+        [SafetyViolation::CopyNotSafe(Effect::Unsafe)]
+    );
+    assert_eq!(
+        with(Plan { per_try: AttemptTimeout::Fixed(S), ..flash }),
+        [SafetyViolation::PointlessTry]
     );
-    assert_eq!(with(Plan { per_try: PerTry::Fixed(S), ..flash }), [Breach::PointlessTry]);
     let crossing = Plan { group: DedupGroup::Zone, one_group: false, hedged: true, ..keyed() };
-    assert_eq!(with(crossing), [Breach::CopyCrossesGroup, Breach::CopyNotAllowed]);
+    assert_eq!(
+        with(crossing),
+        [SafetyViolation::CopyCrossesGroup, SafetyViolation::CopyNotAllowed]
+    );
     let safe = Plan { effect: Effect::Safe, ..keyed() };
     assert_eq!(
-        with(Plan { per_try: PerTry::Fixed(31 * S), ..safe.clone() }),
-        [Breach::TryOverWhole]
+        with(Plan { per_try: AttemptTimeout::Fixed(31 * S), ..safe.clone() }),
+        [SafetyViolation::TryOverWhole]
     );
-    let fit = Plan { per_try: PerTry::Fixed(15 * S), ..safe };
-    assert_eq!(with(fit.clone()), [Breach::CannotFit { attempt: 3, at: 30 * S }]);
+    let fit = Plan { per_try: AttemptTimeout::Fixed(15 * S), ..safe };
+    assert_eq!(with(fit.clone()), [SafetyViolation::CannotFit { attempt: 3, at: 30 * S }]);
     assert_eq!(fit.fitting_attempts(), 2);
 }
 
@@ -230,12 +243,16 @@
 }
 
 fn plans() -> impl Strategy<Value = Plan> {
-    let effect =
-        prop::sample::select(vec![Effect::Safe, Effect::Keyed, Effect::Keyed, Effect::Unsafe]);
+    let effect = prop::sample::select(vec![
+        Effect::Safe,
+        Effect::Idempotent,
+        Effect::Idempotent,
+        Effect::Unsafe,
+    ]);
     let per_try = prop_oneof![
-        Just(PerTry::Whole),
-        Just(PerTry::Adaptive),
-        (50u64..12_000).prop_map(|ms| PerTry::Fixed(ms * MS)),
+        Just(AttemptTimeout::Whole),
+        Just(AttemptTimeout::Adaptive),
+        (50u64..12_000).prop_map(|ms| AttemptTimeout::Fixed(ms * MS)),
     ];
     let retry_on = prop::sample::select(vec![RetryOn::MayHaveRun, RetryOn::NeverRan]);
     (
@@ -245,13 +262,13 @@
     )
         .prop_map(|((effect, per_try, retry_on, hedged), a, b)| {
             let (attempts, deadline, connect, first, most) = a;
-            let (window, client_retries, advice, aim) = b;
+            let (window, client_retries, advice, latency_objective) = b;
             Plan {
                 effect,
                 window: window * MS,
                 attempts,
                 deadline: deadline * MS,
-                aim: (aim * MS).min(deadline * MS),
+                latency_objective: (latency_objective * MS).min(deadline * MS),
                 connect: connect * MS,
                 per_try,
                 backoff: [first * MS, most.max(first) * MS],
@@ -259,7 +276,7 @@
                 hedged: hedged && effect == Effect::Safe,
                 two_out: true,
                 advice: advice * MS,
-                client_retries: if effect == Effect::Keyed { client_retries } else { 0 },
+                client_retries: if effect == Effect::Idempotent { client_retries } else { 0 },
                 ..keyed()
             }
         })
@@ -324,7 +341,7 @@
     let (mut harmless, mut refused, mut harmful) = (0, 0, 0);
     for _ in 0..3_000 {
         let plan = plans().new_tree(&mut runner).unwrap().current();
-        if plan.effect != Effect::Keyed {
+        if plan.effect != Effect::Idempotent {
             continue;
         }
         let accepted = plan.breaches().iter().all(|breach| !breach.twice());
--- a/crates/retry/tests/shutdown.rs
+++ b/crates/retry/tests/shutdown.rs
@@ -1,7 +1,7 @@
 //! The planned end: what it leaves of a request's time, and what is told when it is over.
 
 use mintshelf_balancer::api::Effect;
-use mintshelf_retry::shutdown::{Ending, Verdict};
+use mintshelf_retry::shutdown::{ShutdownDeadlines, Verdict};
 use proptest::prelude::*;
 
 const MS: u64 = 1_000_000;
@@ -18,7 +18,7 @@
         late in 0..6_000 * MS,
         asked in 0..20_000 * MS,
     ) {
-        let ending = Ending::new(begun, longest);
+        let ending = ShutdownDeadlines::new(begun, longest);
         let killed = begun + longest.min(3_000 * MS) + 700 * MS;
         prop_assert!(ending.cut_at() < killed);
         prop_assert!(ending.cut_at() + 300 * MS > killed, "time is given away");
@@ -38,8 +38,9 @@
 #[test]
 fn only_what_may_be_repeated_is_refused() {
     use {Effect::*, Verdict::*};
-    let told = |effect| [false, true].map(|may_have_run| Ending::verdict(effect, may_have_run));
+    let told =
+        |effect| [false, true].map(|may_have_run| ShutdownDeadlines::verdict(effect, may_have_run));
     assert_eq!(told(Safe), [Refuse, Refuse]);
-    assert_eq!(told(Keyed), [Refuse, Fail]);
+    assert_eq!(told(Idempotent), [Refuse, Fail]);
     assert_eq!(told(Unsafe), [Refuse, Fail]);
 }
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -69,8 +69,11 @@
     ("revoked", Outcome::Cancelled),
     ("unused", Outcome::Unused),
 ];
-const CONDITIONS: &[(&str, Condition)] =
-    &[("live", Condition::Live), ("quiescing", Condition::Draining), ("dead", Condition::Gone)];
+const CONDITIONS: &[(&str, EndpointState)] = &[
+    ("live", EndpointState::Live),
+    ("quiescing", EndpointState::Draining),
+    ("dead", EndpointState::Gone),
+];
 const LIST_KINDS: &[(&str, ListKind)] = &[
     ("diff", ListKind::Changes),
     ("snapshot", ListKind::Full),
@@ -362,7 +365,7 @@
             server: f.number("server")?,
             report: f.report("metrics")?,
         },
-        "abandoned" => Event::Abandoned { id: f.word("op-id")?.into() },
+        "abandoned" => Event::ClientDisconnected { id: f.word("op-id")?.into() },
         "timer" => Event::Timer { token: f.number("label")? },
         "health" => Event::Probed {
             outcome: f.one_of("verdict", CALLED)?,
@@ -370,9 +373,7 @@
             took: f.number_or("took", 0)?,
             report: f.report("metrics")?,
         },
-        "peer_data" => {
-            Event::PeerMessage { from: f.number("src-peer")?, payload: f.bytes("octets")? }
-        }
+        "peer_data" => Event::Gossip { from: f.number("src-peer")?, payload: f.bytes("octets")? },
         _ => return Err(f.err(name, "is not a known message")),
     })
 }
@@ -389,14 +390,14 @@
             writeln!(out, "forward {id} {server} {timeout_at}")
         }
         Action::Cancel { id, attempt } => writeln!(out, "retract {id} {attempt}"),
-        Action::Refuse { id, retry_after } => writeln!(out, "shed {id} {retry_after}"),
+        Action::Reject { id, retry_after } => writeln!(out, "shed {id} {retry_after}"),
         Action::Fail { id } => writeln!(out, "drop_request {id}"),
         Action::SetTimer { after, token } => writeln!(out, "set_timer {after} {token}"),
         // The wire has no message for it.
         Action::DropTimer { .. } => Ok(()),
         Action::Probe { server } => writeln!(out, "probe {server}"),
         Action::CloseIdle { server } => writeln!(out, "drop_conns {server}"),
-        Action::TellPeer { peer, payload } => {
+        Action::SendGossip { peer, payload } => {
             let _ = match peer {
                 Some(peer) => write!(out, "signal {peer} "),
                 None => write!(out, "signal all "),
--- a/crates/websocket/src/close.rs
+++ b/crates/websocket/src/close.rs
@@ -1,6 +1,6 @@
 //! Close frames: which codes may be sent, and what this side says (RFC 6455 5.5.1, 7.4).
 
-use crate::frame::{control_frame, End, Violation, CONTROL_PAYLOAD};
+use crate::frame::{control_frame, Peer, Violation, CONTROL_PAYLOAD};
 
 /// All is done.
 pub const NORMAL: u16 = 1000;
@@ -52,7 +52,7 @@
     }
 
     /// Writes a frame as `from` would; a reason that is too long is cut between characters.
-    pub fn write(&self, from: End, key: [u8; 4], out: &mut Vec<u8>) {
+    pub fn write(&self, from: Peer, key: [u8; 4], out: &mut Vec<u8>) {
         if self.code == NO_STATUS {
             return control_frame(from, OPCODE, &[], key, out);
         }
@@ -91,12 +91,12 @@
     fn reasons_are_cut_between_characters() {
         let reason = "é".repeat(100);
         let mut out = Vec::new();
-        Close { code: RESTART, reason: &reason }.write(End::Server, [0; 4], &mut out);
+        Close { code: RESTART, reason: &reason }.write(Peer::Server, [0; 4], &mut out);
         assert_eq!(out[1], 124);
         let read = Close::read(&out[2..]).unwrap();
         assert_eq!((read.code, read.reason.chars().count()), (RESTART, 61));
         let mut out = Vec::new();
-        Close { code: NO_STATUS, reason: "" }.write(End::Server, [0; 4], &mut out);
+        Close { code: NO_STATUS, reason: "" }.write(Peer::Server, [0; 4], &mut out);
         assert_eq!(out, [0x88, 0]);
         assert_eq!(come_back("it has gone", 3), "it has gone; come back in 3 s");
     }
--- a/crates/websocket/src/frame.rs
+++ b/crates/websocket/src/frame.rs
@@ -14,19 +14,19 @@
 
 /// Which end of a socket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
+pub enum Peer {
     /// Masks its frames (RFC 6455 5.3).
     Client,
     /// Masks none.
     Server,
 }
 
-impl End {
+impl Peer {
     /// The other one.
-    pub fn other(self) -> End {
+    pub fn other(self) -> Peer {
         match self {
-            End::Client => End::Server,
-            End::Server => End::Client,
+            Peer::Client => Peer::Server,
+            Peer::Server => Peer::Client,
         }
     }
 }
@@ -116,8 +116,8 @@
 
 /// Follows what one end sends.
 #[derive(Debug, Clone)]
-pub struct Follower {
-    from: End,
+pub struct FrameDecoder {
+    from: Peer,
     /// Whether a set first reserved bit marks a compressed message (RFC 7692 6).
     deflate: bool,
     longest: u64,
@@ -131,11 +131,11 @@
     messages: u64,
 }
 
-impl Follower {
+impl FrameDecoder {
     /// At the start of what `from` sends. `deflate`: compressed messages were agreed on;
     /// `longest`: bytes that a message may have as it passes.
-    pub fn new(from: End, deflate: bool, longest: u64) -> Self {
-        Follower {
+    pub fn new(from: Peer, deflate: bool, longest: u64) -> Self {
+        FrameDecoder {
             from,
             deflate,
             longest,
@@ -279,7 +279,7 @@
         if first & 0x70 & !allowed != 0 {
             return Err(Violation::ReservedBits);
         }
-        if (second & 0x80 != 0) != (self.from == End::Client) {
+        if (second & 0x80 != 0) != (self.from == Peer::Client) {
             return Err(Violation::Masking);
         }
         let length = self.length()?;
@@ -364,9 +364,9 @@
 
 /// A frame of control of this side's own, as `from` would send it: a client masks with `key`.
 /// What is over 125 bytes is cut.
-pub fn control_frame(from: End, opcode: u8, payload: &[u8], key: [u8; 4], out: &mut Vec<u8>) {
+pub fn control_frame(from: Peer, opcode: u8, payload: &[u8], key: [u8; 4], out: &mut Vec<u8>) {
     let payload = &payload[..payload.len().min(CONTROL_PAYLOAD)];
-    let masked = from == End::Client;
+    let masked = from == Peer::Client;
     out.push(0x80 | opcode & 0x0f);
     out.push(payload.len() as u8 | if masked { 0x80 } else { 0 });
     if masked {
@@ -383,57 +383,57 @@
 mod tests {
     use super::*;
 
-    fn run(from: End, deflate: bool, bytes: &[u8]) -> (Result<(), Violation>, Vec<u8>) {
+    fn run(from: Peer, deflate: bool, bytes: &[u8]) -> (Result<(), Violation>, Vec<u8>) {
         let mut out = Vec::new();
-        let mut follower = Follower::new(from, deflate, 1000);
+        let mut follower = FrameDecoder::new(from, deflate, 1000);
         (follower.follow(bytes, &mut out, |_| Fate::Pass), out)
     }
 
     #[test]
     fn each_violation_is_told_and_nothing_behind_it_passes() {
         use Violation::*;
-        let cases: &[(End, &[u8], Violation)] = &[
-            (End::Server, &[0xc1, 0], ReservedBits),
-            (End::Server, &[0xa1, 0], ReservedBits),
-            (End::Server, &[0x91, 0], ReservedBits),
-            (End::Server, &[0x83, 0], Opcode),
-            (End::Server, &[0x8b, 0], Opcode),
-            (End::Server, &[0x81, 0x80, 0, 0, 0, 0], Masking),
-            (End::Client, &[0x81, 0], Masking),
-            (End::Server, &[0x81, 126, 0, 125], Length),
-            (End::Server, &[0x81, 127, 0, 0, 0, 0, 0, 0, 0xff, 0xff], Length),
-            (End::Server, &[0x81, 127, 0x80, 0, 0, 0, 0, 0, 0, 0], Length),
-            (End::Server, &[0x09, 0], Control),
-            (End::Server, &[0x89, 126, 0, 126], Control),
-            (End::Server, &[0x80, 0], Sequence),
-            (End::Server, &[0x01, 0, 0x01, 0], Sequence),
-            (End::Server, &[0x88, 1, 3], CloseCode),
-            (End::Server, &[0x88, 2, 3, 0xed], CloseCode),
-            (End::Server, &[0x88, 2, 0, 1], CloseCode),
-            (End::Server, &[0x88, 3, 3, 0xe8, 0xff], CloseText),
-            (End::Server, &[0x82, 126, 3, 0xe9], TooLong),
-            (End::Server, &[0x82, 127, 0, 0, 0, 0, 4, 0, 0, 0], TooLong),
+        let cases: &[(Peer, &[u8], Violation)] = &[
+            (Peer::Server, &[0xc1, 0], ReservedBits),
+            (Peer::Server, &[0xa1, 0], ReservedBits),
+            (Peer::Server, &[0x91, 0], ReservedBits),
+            (Peer::Server, &[0x83, 0], Opcode),
+            (Peer::Server, &[0x8b, 0], Opcode),
+            (Peer::Server, &[0x81, 0x80, 0, 0, 0, 0], Masking),
+            (Peer::Client, &[0x81, 0], Masking),
+            (Peer::Server, &[0x81, 126, 0, 125], Length),
+            (Peer::Server, &[0x81, 127, 0, 0, 0, 0, 0, 0, 0xff, 0xff], Length),
+            (Peer::Server, &[0x81, 127, 0x80, 0, 0, 0, 0, 0, 0, 0], Length),
+            (Peer::Server, &[0x09, 0], Control),
+            (Peer::Server, &[0x89, 126, 0, 126], Control),
+            (Peer::Server, &[0x80, 0], Sequence),
+            (Peer::Server, &[0x01, 0, 0x01, 0], Sequence),
+            (Peer::Server, &[0x88, 1, 3], CloseCode),
+            (Peer::Server, &[0x88, 2, 3, 0xed], CloseCode),
+            (Peer::Server, &[0x88, 2, 0, 1], CloseCode),
+            (Peer::Server, &[0x88, 3, 3, 0xe8, 0xff], CloseText),
+            (Peer::Server, &[0x82, 126, 3, 0xe9], TooLong),
+            (Peer::Server, &[0x82, 127, 0, 0, 0, 0, 4, 0, 0, 0], TooLong),
         ];
         for (from, bytes, violation) in cases {
             // The same before and behind a good frame.
             let good: &[u8] = match from {
-                End::Server => &[0x82, 1, 7],
-                End::Client => &[0x82, 0x81, 1, 2, 3, 4, 6],
+                Peer::Server => &[0x82, 1, 7],
+                Peer::Client => &[0x82, 0x81, 1, 2, 3, 4, 6],
             };
             let (end, out) = run(*from, false, &[good, bytes, good].concat());
             assert_eq!(end, Err(*violation), "{bytes:x?}");
             assert!(out.starts_with(good), "{bytes:x?}");
             assert!(out.len() < good.len() + bytes.len().max(3), "{bytes:x?}: {out:x?}");
         }
-        assert_eq!(run(End::Server, true, &[0xc1, 0]).0, Ok(()));
-        assert_eq!(run(End::Server, true, &[0xe1, 0]).0, Err(ReservedBits));
-        assert_eq!(run(End::Server, true, &[0x41, 0, 0xc0, 0]).0, Err(ReservedBits));
-        assert_eq!(run(End::Server, true, &[0xc9, 0]).0, Err(ReservedBits));
+        assert_eq!(run(Peer::Server, true, &[0xc1, 0]).0, Ok(()));
+        assert_eq!(run(Peer::Server, true, &[0xe1, 0]).0, Err(ReservedBits));
+        assert_eq!(run(Peer::Server, true, &[0x41, 0, 0xc0, 0]).0, Err(ReservedBits));
+        assert_eq!(run(Peer::Server, true, &[0xc9, 0]).0, Err(ReservedBits));
     }
 
     #[test]
     fn fragments_without_end_come_to_one() {
-        let mut follower = Follower::new(End::Server, false, u64::MAX);
+        let mut follower = FrameDecoder::new(Peer::Server, false, u64::MAX);
         let mut out = Vec::new();
         follower.follow(&[1, 0], &mut out, |_| Fate::Pass).unwrap();
         let empty = [0; 2].repeat(FRAGMENTS as usize - 1);
@@ -442,7 +442,7 @@
         assert_eq!(more, Err(Violation::Fragments));
         assert_eq!(out.len(), 2 * FRAGMENTS as usize);
         // Those that bring something go on.
-        let mut follower = Follower::new(End::Server, false, u64::MAX);
+        let mut follower = FrameDecoder::new(Peer::Server, false, u64::MAX);
         let frame = [&[0, 16][..], &[7; 16]].concat();
         follower.follow(&[1, 0], &mut out, |_| Fate::Pass).unwrap();
         assert_eq!(follower.follow(&frame.repeat(20_000), &mut out, |_| Fate::Pass), Ok(()));
@@ -451,11 +451,11 @@
     #[test]
     fn frames_of_control_are_seen_unmasked_and_swallowed_whole() {
         let mut bytes = vec![0x02, 0x81, 9, 9, 9, 9, 1];
-        control_frame(End::Client, 9, b"ping", [1, 2, 3, 4], &mut bytes);
+        control_frame(Peer::Client, 9, b"ping", [1, 2, 3, 4], &mut bytes);
         let mut all = bytes.clone();
-        control_frame(End::Client, 10, b"ours", [5, 6, 7, 8], &mut all);
+        control_frame(Peer::Client, 10, b"ours", [5, 6, 7, 8], &mut all);
         all.extend([0x80, 0x80, 9, 9, 9, 9]);
-        let mut follower = Follower::new(End::Client, false, 10);
+        let mut follower = FrameDecoder::new(Peer::Client, false, 10);
         let (mut out, mut seen) = (Vec::new(), Vec::new());
         for byte in &all {
             follower
--- a/crates/websocket/src/handshake.rs
+++ b/crates/websocket/src/handshake.rs
@@ -27,7 +27,7 @@
 
 /// Why a handshake is none that could be passed on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Bad {
+pub enum HandshakeError {
     /// Another method than GET, or an older version of HTTP.
     Method,
     /// The key is missing, twice there, or not 16 bytes in base64.
@@ -40,22 +40,22 @@
     List,
 }
 
-impl Bad {
+impl HandshakeError {
     /// What the client is told.
     pub fn reason(self) -> &'static str {
         match self {
-            Bad::Method => "a WebSocket is asked for with GET, HTTP/1.1",
-            Bad::Key => "Sec-WebSocket-Key is not one key of 16 bytes",
-            Bad::Version => "only WebSocket version 13 is spoken",
-            Bad::Origin => "its origin may open no sockets here",
-            Bad::List => "subprotocols or extensions can't be read",
+            HandshakeError::Method => "a WebSocket is asked for with GET, HTTP/1.1",
+            HandshakeError::Key => "Sec-WebSocket-Key is not one key of 16 bytes",
+            HandshakeError::Version => "only WebSocket version 13 is spoken",
+            HandshakeError::Origin => "its origin may open no sockets here",
+            HandshakeError::List => "subprotocols or extensions can't be read",
         }
     }
 }
 
 /// Why a server's 101 is none.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum BadAnswer {
+pub enum HandshakeResponseError {
     /// It does not name the protocol.
     Upgrade,
     /// Its accept does not fit the key.
@@ -125,30 +125,31 @@
         version: Version,
         headers: &HeaderMap,
         terms: &Terms,
-    ) -> Result<Self, Bad> {
+    ) -> Result<Self, HandshakeError> {
         if method != Method::GET || version != Version::HTTP_11 {
-            return Err(Bad::Method);
+            return Err(HandshakeError::Method);
         }
-        let stated = only(headers, &header::SEC_WEBSOCKET_VERSION).ok_or(Bad::Version)?;
+        let stated =
+            only(headers, &header::SEC_WEBSOCKET_VERSION).ok_or(HandshakeError::Version)?;
         if stated.as_bytes().trim_ascii() != VERSION.as_bytes() {
-            return Err(Bad::Version);
+            return Err(HandshakeError::Version);
         }
-        let key = only(headers, &header::SEC_WEBSOCKET_KEY).ok_or(Bad::Key)?;
+        let key = only(headers, &header::SEC_WEBSOCKET_KEY).ok_or(HandshakeError::Key)?;
         let key = key.as_bytes().trim_ascii();
-        if STANDARD.decode(key).map_err(|_| Bad::Key)?.len() != 16 {
-            return Err(Bad::Key);
+        if STANDARD.decode(key).map_err(|_| HandshakeError::Key)?.len() != 16 {
+            return Err(HandshakeError::Key);
         }
         if let (Some(origins), true) = (&terms.origins, headers.contains_key(header::ORIGIN)) {
             let origin = only(headers, &header::ORIGIN).and_then(|o| o.to_str().ok());
             let origin = origin.unwrap_or_default().to_ascii_lowercase();
             if !origins.contains(&origin) {
-                return Err(Bad::Origin);
+                return Err(HandshakeError::Origin);
             }
         }
         let mut subprotocols: Vec<String> = Vec::new();
         for name in list(headers, &header::SEC_WEBSOCKET_PROTOCOL) {
             if !is_token(name) || subprotocols.iter().any(|other| other == name) {
-                return Err(Bad::List);
+                return Err(HandshakeError::List);
             }
             subprotocols.push(name.to_string());
         }
@@ -163,7 +164,7 @@
 
     /// Puts the handshake towards a server into headers that were cleaned for the next hop.
     /// `nonce` is a new one; what is to be looked at when the answer comes.
-    pub fn ask(&self, nonce: [u8; 16], headers: &mut HeaderMap) -> Asked {
+    pub fn ask(&self, nonce: [u8; 16], headers: &mut HeaderMap) -> HandshakeRequest {
         let key = STANDARD.encode(nonce);
         headers.insert(header::CONNECTION, HeaderValue::from_static("Upgrade"));
         headers.insert(header::UPGRADE, HeaderValue::from_static("websocket"));
@@ -179,7 +180,7 @@
             }
         }
         let (subprotocols, deflate) = (self.subprotocols.clone(), !self.extensions.is_empty());
-        Asked { accept: accept_of(key.as_bytes()), subprotocols, deflate }
+        HandshakeRequest { accept: accept_of(key.as_bytes()), subprotocols, deflate }
     }
 
     /// Makes a server's good 101 the client's.
@@ -192,7 +193,7 @@
 
 /// A handshake that a server was sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Asked {
+pub struct HandshakeRequest {
     accept: String,
     subprotocols: Vec<String>,
     deflate: bool,
@@ -200,41 +201,42 @@
 
 /// What both ends agreed on.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Agreed {
+pub struct NegotiatedTerms {
     /// The subprotocol, if any.
     pub subprotocol: Option<String>,
     /// The compression with its parameters, if any.
     pub extension: Option<String>,
 }
 
-impl Asked {
+impl HandshakeRequest {
     /// Checks a server's 101 (RFC 6455 4.1): it proves that it has read the handshake, and
     /// agrees to nothing that it was not offered.
-    pub fn check(&self, headers: &HeaderMap) -> Result<Agreed, BadAnswer> {
+    pub fn check(&self, headers: &HeaderMap) -> Result<NegotiatedTerms, HandshakeResponseError> {
         if !asks(headers) {
-            return Err(BadAnswer::Upgrade);
+            return Err(HandshakeResponseError::Upgrade);
         }
-        let accept = only(headers, &header::SEC_WEBSOCKET_ACCEPT).ok_or(BadAnswer::Accept)?;
+        let accept =
+            only(headers, &header::SEC_WEBSOCKET_ACCEPT).ok_or(HandshakeResponseError::Accept)?;
         if accept.as_bytes().trim_ascii() != self.accept.as_bytes() {
-            return Err(BadAnswer::Accept);
+            return Err(HandshakeResponseError::Accept);
         }
         let mut names = list(headers, &header::SEC_WEBSOCKET_PROTOCOL);
         let subprotocol = names.next().map(str::to_string);
         let known = subprotocol.as_ref().is_none_or(|name| self.subprotocols.contains(name));
         if !known || names.next().is_some() {
-            return Err(BadAnswer::Subprotocol);
+            return Err(HandshakeResponseError::Subprotocol);
         }
         let mut elements = list(headers, &header::SEC_WEBSOCKET_EXTENSIONS);
         let extension = elements.next().map(str::to_string);
         let known = extension.as_ref().is_none_or(|element| self.deflate && is_deflate(element));
         if !known || elements.next().is_some() {
-            return Err(BadAnswer::Extension);
+            return Err(HandshakeResponseError::Extension);
         }
-        Ok(Agreed { subprotocol, extension })
+        Ok(NegotiatedTerms { subprotocol, extension })
     }
 }
 
-impl Agreed {
+impl NegotiatedTerms {
     /// Whether messages may be compressed.
     pub fn deflate(&self) -> bool {
         self.extension.is_some()
@@ -270,7 +272,7 @@
         all
     }
 
-    fn read(headers: &HeaderMap, terms: &Terms) -> Result<Offer, Bad> {
+    fn read(headers: &HeaderMap, terms: &Terms) -> Result<Offer, HandshakeError> {
         Offer::read(&Method::GET, Version::HTTP_11, headers, terms)
     }
 
@@ -285,17 +287,17 @@
         offer.answer(&mut answer);
         assert_eq!(answer["sec-websocket-accept"], ACCEPT);
         let bad = Offer::read(&Method::POST, Version::HTTP_11, &good(&[]), &terms);
-        assert_eq!(bad, Err(Bad::Method));
+        assert_eq!(bad, Err(HandshakeError::Method));
         let bad = Offer::read(&Method::GET, Version::HTTP_10, &good(&[]), &terms);
-        assert_eq!(bad, Err(Bad::Method));
+        assert_eq!(bad, Err(HandshakeError::Method));
         for (name, with, bad) in [
-            ("sec-websocket-version", Some("8"), Bad::Version),
-            ("sec-websocket-version", None, Bad::Version),
-            ("sec-websocket-key", None, Bad::Key),
-            ("sec-websocket-key", Some("dGhlIHNhbXBsZQ=="), Bad::Key),
-            ("sec-websocket-key", Some("no base64"), Bad::Key),
-            ("sec-websocket-protocol", Some("a, a"), Bad::List),
-            ("sec-websocket-protocol", Some("a b"), Bad::List),
+            ("sec-websocket-version", Some("8"), HandshakeError::Version),
+            ("sec-websocket-version", None, HandshakeError::Version),
+            ("sec-websocket-key", None, HandshakeError::Key),
+            ("sec-websocket-key", Some("dGhlIHNhbXBsZQ=="), HandshakeError::Key),
+            ("sec-websocket-key", Some("no base64"), HandshakeError::Key),
+            ("sec-websocket-protocol", Some("a, a"), HandshakeError::List),
+            ("sec-websocket-protocol", Some("a b"), HandshakeError::List),
         ] {
             let mut headers = good(&[]);
             headers.remove(name);
@@ -305,13 +307,13 @@
             assert_eq!(read(&headers, &terms), Err(bad), "{name} {with:?}");
         }
         let twice = good(&[("sec-websocket-key", KEY)]);
-        assert_eq!(read(&twice, &terms), Err(Bad::Key));
+        assert_eq!(read(&twice, &terms), Err(HandshakeError::Key));
         let origins = Some(vec!["https://lab.example".to_string()]);
         let terms = Terms { origins, ..Terms::default() };
         assert!(read(&good(&[("origin", "HTTPS://lab.example")]), &terms).is_ok());
         assert!(read(&good(&[]), &terms).is_ok());
         let foreign = good(&[("origin", "https://lab.example.evil")]);
-        assert_eq!(read(&foreign, &terms), Err(Bad::Origin));
+        assert_eq!(read(&foreign, &terms), Err(HandshakeError::Origin));
     }
 
     #[test]
@@ -350,13 +352,17 @@
         let agreed = agreed.unwrap();
         assert_eq!(agreed.subprotocol.as_deref(), Some("status.v1"));
         assert!(agreed.deflate());
-        assert_eq!(ask.check(&answer(&[])), Ok(Agreed::default()));
+        assert_eq!(ask.check(&answer(&[])), Ok(NegotiatedTerms::default()));
         for (name, value, bad) in [
-            ("upgrade", "h2c", BadAnswer::Upgrade),
-            ("sec-websocket-accept", "s3pPLMBiTxaQ9kYGzzhZRbK+xOp=", BadAnswer::Accept),
-            ("sec-websocket-protocol", "chat", BadAnswer::Subprotocol),
-            ("sec-websocket-protocol", "status.v1, status.v2", BadAnswer::Subprotocol),
-            ("sec-websocket-extensions", "x-mux", BadAnswer::Extension),
+            ("upgrade", "h2c", HandshakeResponseError::Upgrade),
+            (
+                "sec-websocket-accept",
+                "s3pPLMBiTxaQ9kYGzzhZRbK+xOp=",
+                HandshakeResponseError::Accept,
+            ),
+            ("sec-websocket-protocol", "chat", HandshakeResponseError::Subprotocol),
+            ("sec-websocket-protocol", "status.v1, status.v2", HandshakeResponseError::Subprotocol),
+            ("sec-websocket-extensions", "x-mux", HandshakeResponseError::Extension),
         ] {
             assert_eq!(ask.check(&answer(&[(name, value)])), Err(bad), "{name} {value}");
         }
@@ -364,6 +370,6 @@
         let (ask, out) = asked(&withheld);
         assert!(!out.contains_key("sec-websocket-extensions"));
         let deflate = answer(&[("sec-websocket-extensions", "permessage-deflate")]);
-        assert_eq!(ask.check(&deflate), Err(BadAnswer::Extension));
+        assert_eq!(ask.check(&deflate), Err(HandshakeResponseError::Extension));
     }
 }
--- a/crates/websocket/src/migration.rs
+++ b/crates/websocket/src/migration.rs
@@ -16,15 +16,15 @@
 
 /// The evacuations of one cluster.
 #[derive(Debug)]
-pub struct Evacuations {
+pub struct MigrationSchedule {
     span: Nanos,
     servers: BTreeMap<u32, Leaving>,
 }
 
-impl Evacuations {
+impl MigrationSchedule {
     /// Each server's sockets leave it within `span`.
     pub fn new(span: Nanos) -> Self {
-        Evacuations { span, servers: BTreeMap::new() }
+        MigrationSchedule { span, servers: BTreeMap::new() }
     }
 
     /// When one socket of a server may go. `there`: the server's sockets that have not been
@@ -51,7 +51,7 @@
 
     #[test]
     fn one_alone_goes_at_once_and_the_next_hardly_later() {
-        let mut all = Evacuations::new(5_000 * MS);
+        let mut all = MigrationSchedule::new(5_000 * MS);
         assert_eq!(all.slot(7, 1, 1), 7);
         assert_eq!(all.slot(7, 1, 1), 7 + 20 * MS);
         assert_eq!(all.slot(6_000 * MS, 1, 1), 6_000 * MS);
@@ -66,7 +66,7 @@
             span in 500u64..20_000,
         ) {
             let span = span * MS;
-            let mut all = Evacuations::new(span);
+            let mut all = MigrationSchedule::new(span);
             let mut slots = Vec::new();
             for (server, count) in counts.iter().enumerate() {
                 for left in (1..=*count).rev() {
--- a/crates/websocket/src/session.rs
+++ b/crates/websocket/src/session.rs
@@ -3,8 +3,8 @@
 //! is told once.
 
 use crate::close::{self, Close};
-use crate::frame::{control_frame, Control, End, Fate, Follower, Violation};
-use crate::timers::{Due, Life, LifeSet};
+use crate::frame::{control_frame, Control, Fate, FrameDecoder, Peer, Violation};
+use crate::timers::{SocketTimers, TimerConfig, TimerEvent};
 use mintshelf_balancer::api::Nanos;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
@@ -26,9 +26,9 @@
 
 /// What a socket is held to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct SocketSet {
+pub struct SessionConfig {
     /// Its times.
-    pub life: LifeSet,
+    pub life: TimerConfig,
     /// Longest message, in bytes as it passes.
     pub longest: u64,
     /// Bytes that may wait for one end before the other is no longer read.
@@ -39,7 +39,7 @@
 
 /// Who ended a socket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum By {
+pub enum ClosedBy {
     /// The client.
     Client,
     /// The server.
@@ -50,16 +50,16 @@
 
 /// What has come to an end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Over {
+pub struct SessionEnd {
     /// Who ended it.
-    pub by: By,
+    pub by: ClosedBy,
     /// With which code; 1006 if it broke.
     pub code: u16,
 }
 
 /// Why and how a socket is to leave a server that is still there.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Leave {
+pub struct LeaveRequest {
     /// What its client is told if it is closed.
     pub code: u16,
     /// The same in words.
@@ -70,7 +70,7 @@
 
 /// What is to be done beside reading and writing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Act {
+pub enum SessionAction {
     /// The server has gone: [`Session::go`] is owed when the socket's turn to leave has come.
     Lost,
     /// It is to be opened at another server: [`Session::moved`] or [`Session::stays`] is owed.
@@ -83,7 +83,7 @@
     /// To leave its server as soon as no message is under way, at the latest then.
     Leaving {
         by: Nanos,
-        leave: Leave,
+        leave: LeaveRequest,
     },
     /// The server has gone, and its turn has not come.
     Lost {
@@ -103,7 +103,7 @@
 #[derive(Debug)]
 struct Side {
     /// Follows what it sends.
-    sends: Follower,
+    sends: FrameDecoder,
     /// Read and not yet passed on, since the other end changes.
     rest: Vec<u8>,
     out: Vec<u8>,
@@ -118,9 +118,9 @@
 }
 
 impl Side {
-    fn new(end: End, deflate: bool, longest: u64) -> Self {
+    fn new(end: Peer, deflate: bool, longest: u64) -> Self {
         Side {
-            sends: Follower::new(end, deflate, longest),
+            sends: FrameDecoder::new(end, deflate, longest),
             rest: Vec::new(),
             out: Vec::new(),
             at: 0,
@@ -148,22 +148,22 @@
 /// A client's first message.
 #[derive(Debug)]
 struct First {
-    follower: Follower,
+    follower: FrameDecoder,
     bytes: Vec<u8>,
 }
 
 /// A socket.
 #[derive(Debug)]
 pub struct Session {
-    set: Rc<SocketSet>,
+    set: Rc<SessionConfig>,
     deflate: bool,
-    life: Life,
+    life: SocketTimers,
     sides: [Side; 2],
     state: State,
-    act: Option<Act>,
-    over: Option<Over>,
+    act: Option<SessionAction>,
+    over: Option<SessionEnd>,
     /// Follows what was written to the server: what it got ends with a message, or not.
-    written: Option<Follower>,
+    written: Option<FrameDecoder>,
     /// What the client said first, where that is to be said again.
     first: Option<First>,
     token: [u8; 8],
@@ -172,22 +172,22 @@
 
 impl Session {
     /// A socket that opens now; `deflate`: its ends agreed on compression; `seed` for masks.
-    pub fn new(set: Rc<SocketSet>, deflate: bool, seed: u64, now: Nanos) -> Self {
+    pub fn new(set: Rc<SessionConfig>, deflate: bool, seed: u64, now: Nanos) -> Self {
         let mut random = Pcg32::seed_from_u64(seed);
         let mut token = [0; 8];
         random.fill_bytes(&mut token);
         let part = f64::from(random.next_u32()) / f64::from(u32::MAX);
         let longest = set.longest;
         Session {
-            life: Life::new(set.life, now, part),
+            life: SocketTimers::new(set.life, now, part),
             deflate,
-            sides: [End::Client, End::Server].map(|end| Side::new(end, deflate, longest)),
+            sides: [Peer::Client, Peer::Server].map(|end| Side::new(end, deflate, longest)),
             state: State::Open,
             act: None,
             over: None,
-            written: set.resume.map(|_| Follower::new(End::Client, deflate, u64::MAX)),
+            written: set.resume.map(|_| FrameDecoder::new(Peer::Client, deflate, u64::MAX)),
             first: (set.resume == Some(Resume::FirstMessage)).then(|| First {
-                follower: Follower::new(End::Client, deflate, u64::MAX),
+                follower: FrameDecoder::new(Peer::Client, deflate, u64::MAX),
                 bytes: Vec::new(),
             }),
             set,
@@ -196,16 +196,16 @@
         }
     }
 
-    fn side(&self, end: End) -> &Side {
+    fn side(&self, end: Peer) -> &Side {
         &self.sides[end as usize]
     }
 
-    fn side_mut(&mut self, end: End) -> &mut Side {
+    fn side_mut(&mut self, end: Peer) -> &mut Side {
         &mut self.sides[end as usize]
     }
 
     /// What waits to be written to an end.
-    pub fn to_write(&self, end: End) -> &[u8] {
+    pub fn to_write(&self, end: Peer) -> &[u8] {
         self.side(end).waiting()
     }
 
@@ -215,12 +215,12 @@
     }
 
     /// Whole messages and bytes that an end has sent.
-    pub fn passed(&self, end: End) -> [u64; 2] {
+    pub fn passed(&self, end: Peer) -> [u64; 2] {
         [self.side(end).sends.messages(), self.side(end).bytes]
     }
 
     /// Whether an end is to be read now: not while the other takes nothing.
-    pub fn wants_read(&self, end: End) -> bool {
+    pub fn wants_read(&self, end: Peer) -> bool {
         let (side, other) = (self.side(end), self.side(end.other()));
         if side.gone || self.over().is_some() {
             return false;
@@ -254,18 +254,18 @@
     }
 
     /// What is to be done, once.
-    pub fn act(&mut self) -> Option<Act> {
+    pub fn act(&mut self) -> Option<SessionAction> {
         self.act.take()
     }
 
     /// How it ended, once nothing more is to pass.
-    pub fn over(&self) -> Option<Over> {
+    pub fn over(&self) -> Option<SessionEnd> {
         let done = self.sides.iter().all(Side::done);
         self.over.filter(|_| done)
     }
 
     /// Whether an end has had and given its close frame: its connection can end quietly.
-    pub fn ended_well(&self, end: End) -> bool {
+    pub fn ended_well(&self, end: Peer) -> bool {
         let side = self.side(end);
         side.said && side.told && !side.gone
     }
@@ -275,7 +275,7 @@
     }
 
     /// Bytes came from an end.
-    pub fn received(&mut self, end: End, bytes: &[u8], now: Nanos) {
+    pub fn received(&mut self, end: Peer, bytes: &[u8], now: Nanos) {
         if self.side(end).gone || self.over().is_some() {
             return;
         }
@@ -284,19 +284,19 @@
         if let State::Leaving { .. } = self.state {
             self.look_for_the_place(now);
         }
-        let (client, server) = (self.wants_read(End::Client), self.wants_read(End::Server));
-        self.life.paused(End::Client, !client, now);
-        self.life.paused(End::Server, !server, now);
+        let (client, server) = (self.wants_read(Peer::Client), self.wants_read(Peer::Server));
+        self.life.paused(Peer::Client, !client, now);
+        self.life.paused(Peer::Server, !server, now);
     }
 
-    fn take(&mut self, end: End, bytes: &[u8], now: Nanos) {
+    fn take(&mut self, end: Peer, bytes: &[u8], now: Nanos) {
         let leaving = matches!(self.state, State::Leaving { .. });
         let discards = matches!(self.state, State::Closing { .. })
             && (self.side(end.other()).told || self.side(end.other()).gone);
         let [client, server] = &mut self.sides;
         let (side, other) = match end {
-            End::Client => (client, server),
-            End::Server => (server, client),
+            Peer::Client => (client, server),
+            Peer::Server => (server, client),
         };
         if side.said {
             // Nothing counts behind a close frame (RFC 6455 5.5.1).
@@ -332,7 +332,7 @@
             self.life.active(end, now);
         }
         let grown = other.out.len() > before;
-        if end == End::Client && grown {
+        if end == Peer::Client && grown {
             self.keep_first(before);
         }
         if grown {
@@ -349,7 +349,7 @@
             self.side_mut(end).said = true;
             if !told {
                 self.side_mut(end.other()).told = true;
-                let by = if end == End::Client { By::Client } else { By::Server };
+                let by = if end == Peer::Client { ClosedBy::Client } else { ClosedBy::Server };
                 self.ends(by, code, now);
             }
         }
@@ -358,7 +358,7 @@
     /// Keeps what the client said first, from where the queue to the server had `before` bytes.
     fn keep_first(&mut self, before: usize) {
         let Some(first) = &mut self.first else { return };
-        let bytes = &self.sides[End::Server as usize].out[before..];
+        let bytes = &self.sides[Peer::Server as usize].out[before..];
         let followed = first.follower.follow_first(bytes, &mut first.bytes);
         if followed.is_err() || first.bytes.len() > FIRST_MAX {
             // Too long to be kept: such a socket is closed, not moved.
@@ -368,12 +368,12 @@
     }
 
     /// An end broke the protocol: it is told which way, the other that it is over.
-    fn violated(&mut self, end: End, violation: Violation, now: Nanos) {
+    fn violated(&mut self, end: Peer, violation: Violation, now: Nanos) {
         let reason = violation.reason();
         let (by, other) = match end {
-            End::Client => (By::Client, Close { code: close::GOING_AWAY, reason: "" }),
+            Peer::Client => (ClosedBy::Client, Close { code: close::GOING_AWAY, reason: "" }),
             // 1014 is what a gateway says of a bad answer, but clients take it for a violation.
-            End::Server => (By::Server, Close { code: close::UNEXPECTED, reason }),
+            Peer::Server => (ClosedBy::Server, Close { code: close::UNEXPECTED, reason }),
         };
         // Nothing of it can be followed any more, so its answer to a close frame can't be told.
         self.side_mut(end).said = true;
@@ -383,7 +383,7 @@
     }
 
     /// Sends an end a close frame, if it was sent none; between two frames, else it is cut off.
-    fn tell(&mut self, end: End, close: Close<'_>) {
+    fn tell(&mut self, end: Peer, close: Close<'_>) {
         let key = self.key();
         let between = self.side(end.other()).sends.between_frames();
         let side = self.side_mut(end);
@@ -399,8 +399,8 @@
     }
 
     /// It ends: what is owed to its ends has been queued.
-    fn ends(&mut self, by: By, code: u16, now: Nanos) {
-        self.over.get_or_insert(Over { by, code });
+    fn ends(&mut self, by: ClosedBy, code: u16, now: Nanos) {
+        self.over.get_or_insert(SessionEnd { by, code });
         if !matches!(self.state, State::Closing { .. }) {
             self.state = State::Closing { by: now.saturating_add(self.set.life.closing) };
         }
@@ -408,13 +408,13 @@
 
     /// This side closes it.
     fn close(&mut self, code: u16, reason: &str, now: Nanos) {
-        self.tell(End::Client, Close { code, reason });
-        self.tell(End::Server, Close { code: close::GOING_AWAY, reason: "" });
-        self.ends(By::Sidecar, code, now);
+        self.tell(Peer::Client, Close { code, reason });
+        self.tell(Peer::Server, Close { code: close::GOING_AWAY, reason: "" });
+        self.ends(ClosedBy::Sidecar, code, now);
     }
 
     /// An end has ended its sending, or its connection broke.
-    pub fn ended(&mut self, end: End, now: Nanos) {
+    pub fn ended(&mut self, end: Peer, now: Nanos) {
         if self.side(end).gone {
             return;
         }
@@ -424,19 +424,19 @@
             self.side_mut(end).leave();
             // The other was told, or is told now.
             self.tell(end.other(), Close { code: close::GOING_AWAY, reason: "" });
-            self.ends(By::Sidecar, close::GOING_AWAY, now);
+            self.ends(ClosedBy::Sidecar, close::GOING_AWAY, now);
             return;
         }
         match end {
-            End::Client => {
+            Peer::Client => {
                 self.side_mut(end).leave();
                 self.tell(
-                    End::Server,
+                    Peer::Server,
                     Close { code: close::GOING_AWAY, reason: "its client left" },
                 );
-                self.ends(By::Client, close::ABNORMAL, now);
+                self.ends(ClosedBy::Client, close::ABNORMAL, now);
             }
-            End::Server => self.lost("its server has gone", now),
+            Peer::Server => self.lost("its server has gone", now),
         }
     }
 
@@ -448,17 +448,17 @@
             // The one that it was to leave; nothing changes.
             State::Moving { .. } | State::Closing { .. } => return,
         }
-        self.life.gone(End::Server);
-        self.life.paused(End::Client, true, now);
+        self.life.gone(Peer::Server);
+        self.life.paused(Peer::Client, true, now);
         // What waits for it can still go to another.
-        self.sides[End::Server as usize].gone = true;
+        self.sides[Peer::Server as usize].gone = true;
         self.state = State::Lost { reason: reason.to_string() };
-        self.act = Some(Act::Lost);
+        self.act = Some(SessionAction::Lost);
     }
 
     /// The server is to be left, which is still there: drained, removed, or the sidecar ends.
     /// Happens between two messages where such a place comes in time.
-    pub fn leave(&mut self, leave: Leave, now: Nanos) {
+    pub fn leave(&mut self, leave: LeaveRequest, now: Nanos) {
         if self.state == State::Open {
             let by = now.saturating_add(self.set.life.closing);
             self.state = State::Leaving { by, leave };
@@ -477,10 +477,10 @@
         let (due, leave) = (*by <= now, leave.clone());
         let between = self.is_between_messages();
         let moves = leave.moves && self.written.is_some();
-        let flushed = self.side(End::Server).waiting().is_empty();
+        let flushed = self.side(Peer::Server).waiting().is_empty();
         if moves && between && flushed && self.can_move() {
             self.state = State::Moving { reason: leave.reason };
-            self.act = Some(Act::Move);
+            self.act = Some(SessionAction::Move);
         } else if due || between && !moves {
             self.close(leave.code, &leave.reason, now);
         }
@@ -489,8 +489,8 @@
     /// Whether another server could go on with it: the client sees whole messages alone, and so
     /// did the old server.
     fn can_move(&self) -> bool {
-        let written = self.written.as_ref().is_some_and(Follower::at_rest);
-        written && self.side(End::Server).sends.between_messages() && self.over.is_none()
+        let written = self.written.as_ref().is_some_and(FrameDecoder::at_rest);
+        written && self.side(Peer::Server).sends.between_messages() && self.over.is_none()
     }
 
     /// The turn of a socket that lost its server has come.
@@ -499,7 +499,7 @@
         let reason = reason.clone();
         if self.can_move() {
             self.state = State::Moving { reason };
-            self.act = Some(Act::Move);
+            self.act = Some(SessionAction::Move);
         } else {
             self.close(close::RESTART, &close::come_back(&reason, advice), now);
         }
@@ -510,29 +510,30 @@
         let mut farewell = Vec::new();
         let State::Moving { .. } = self.state else { return farewell };
         let key = self.key();
-        let old = self.side(End::Server);
+        let old = self.side(Peer::Server);
         if !old.gone && !old.told {
             let goodbye = Close { code: close::GOING_AWAY, reason: "" };
-            goodbye.write(End::Client, key, &mut farewell);
+            goodbye.write(Peer::Client, key, &mut farewell);
         }
         // What the old server said and nobody has read is gone with it; what waited for it is
         // not. The first message may be among that.
         let heard = self.written.as_ref().is_some_and(|written| written.messages() > 0);
-        let mut new = Side::new(End::Server, self.deflate, self.set.longest);
+        let mut new = Side::new(Peer::Server, self.deflate, self.set.longest);
         if let Some(first) = self.first.as_ref().filter(|_| heard) {
             new.out = first.bytes.clone();
         }
-        let old = std::mem::replace(self.side_mut(End::Server), new);
-        self.side_mut(End::Server).out.extend_from_slice(&old.out[old.at..]);
-        self.side_mut(End::Server).bytes = old.bytes;
-        self.written = self.set.resume.map(|_| Follower::new(End::Client, self.deflate, u64::MAX));
+        let old = std::mem::replace(self.side_mut(Peer::Server), new);
+        self.side_mut(Peer::Server).out.extend_from_slice(&old.out[old.at..]);
+        self.side_mut(Peer::Server).bytes = old.bytes;
+        self.written =
+            self.set.resume.map(|_| FrameDecoder::new(Peer::Client, self.deflate, u64::MAX));
         self.state = State::Open;
-        self.life.renewed(End::Server, now);
-        self.life.paused(End::Client, false, now);
-        if !self.to_write(End::Server).is_empty() {
-            self.life.waits(End::Server, now);
+        self.life.renewed(Peer::Server, now);
+        self.life.paused(Peer::Client, false, now);
+        if !self.to_write(Peer::Server).is_empty() {
+            self.life.waits(Peer::Server, now);
         }
-        for end in [End::Client, End::Server] {
+        for end in [Peer::Client, Peer::Server] {
             let rest = std::mem::take(&mut self.side_mut(end).rest);
             if !rest.is_empty() {
                 self.take(end, &rest, now);
@@ -550,9 +551,9 @@
     }
 
     /// An end took so many bytes.
-    pub fn wrote(&mut self, end: End, count: usize, now: Nanos) {
+    pub fn wrote(&mut self, end: Peer, count: usize, now: Nanos) {
         let [_, server] = &self.sides;
-        if let (End::Server, Some(written)) = (end, &mut self.written) {
+        if let (Peer::Server, Some(written)) = (end, &mut self.written) {
             let mut nowhere = Vec::new();
             let bytes = &server.out[server.at..(server.at + count).min(server.out.len())];
             if written.follow(bytes, &mut nowhere, |_| Fate::Swallow).is_err() {
@@ -589,40 +590,44 @@
         }
     }
 
-    fn act_on(&mut self, due: Due, now: Nanos) {
+    fn act_on(&mut self, due: TimerEvent, now: Nanos) {
         match due {
-            Due::Idle => self.close(close::GOING_AWAY, "no message has passed for long", now),
-            Due::Old => {
+            TimerEvent::Idle => {
+                self.close(close::GOING_AWAY, "no message has passed for long", now)
+            }
+            TimerEvent::Old => {
                 self.life.ending();
                 let (code, reason) = (close::GOING_AWAY, "it has lived long enough".into());
-                self.leave(Leave { code, reason, moves: false }, now);
+                self.leave(LeaveRequest { code, reason, moves: false }, now);
             }
-            Due::Ping(end) => self.ping(end, now),
-            Due::Silent(End::Client) | Due::Stalled(End::Client) => {
-                self.side_mut(End::Client).leave();
-                self.life.gone(End::Client);
+            TimerEvent::Ping(end) => self.ping(end, now),
+            TimerEvent::Silent(Peer::Client) | TimerEvent::Stalled(Peer::Client) => {
+                self.side_mut(Peer::Client).leave();
+                self.life.gone(Peer::Client);
                 let reason = match due {
-                    Due::Silent(_) => "its client is silent",
+                    TimerEvent::Silent(_) => "its client is silent",
                     _ => "its client reads nothing",
                 };
-                self.tell(End::Server, Close { code: close::GOING_AWAY, reason });
-                self.ends(By::Sidecar, close::ABNORMAL, now);
+                self.tell(Peer::Server, Close { code: close::GOING_AWAY, reason });
+                self.ends(ClosedBy::Sidecar, close::ABNORMAL, now);
             }
-            Due::Silent(End::Server) => self.lost("its server is silent", now),
-            Due::Stalled(End::Server) => self.lost("its server reads nothing", now),
-            Due::Dribble(End::Client) => {
+            TimerEvent::Silent(Peer::Server) => self.lost("its server is silent", now),
+            TimerEvent::Stalled(Peer::Server) => self.lost("its server reads nothing", now),
+            TimerEvent::Dribble(Peer::Client) => {
                 let reason = "a message took too long";
-                self.tell(End::Client, Close { code: close::POLICY, reason });
-                self.tell(End::Server, Close { code: close::GOING_AWAY, reason });
-                self.ends(By::Sidecar, close::POLICY, now);
+                self.tell(Peer::Client, Close { code: close::POLICY, reason });
+                self.tell(Peer::Server, Close { code: close::GOING_AWAY, reason });
+                self.ends(ClosedBy::Sidecar, close::POLICY, now);
+            }
+            TimerEvent::Dribble(Peer::Server) => {
+                self.lost("its server does not end its message", now)
             }
-            Due::Dribble(End::Server) => self.lost("its server does not end its message", now),
         }
     }
 
     /// Pings an end. Within a frame of the other's there is no place for that: then whether the
     /// end takes its bytes is what tells.
-    fn ping(&mut self, end: End, now: Nanos) {
+    fn ping(&mut self, end: Peer, now: Nanos) {
         if !self.side(end.other()).sends.between_frames() || self.side(end).told {
             return self.life.postponed(end, now);
         }
@@ -634,8 +639,8 @@
 
     /// Something makes its server doubtful: it is asked at once, not when its time comes.
     pub fn doubt(&mut self, now: Nanos) {
-        if self.state == State::Open && !self.life.is_pinged(End::Server) {
-            self.ping(End::Server, now);
+        if self.state == State::Open && !self.life.is_pinged(Peer::Server) {
+            self.ping(Peer::Server, now);
         }
     }
 }
--- a/crates/websocket/src/timers.rs
+++ b/crates/websocket/src/timers.rs
@@ -1,6 +1,6 @@
 //! How long a socket may live, be idle, say nothing, or leave what it is sent unread.
 
-use crate::frame::End;
+use crate::frame::Peer;
 use mintshelf_balancer::api::Nanos;
 
 /// When a ping that found no place is due again.
@@ -8,7 +8,7 @@
 
 /// The bounds of a socket's life.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct LifeSet {
+pub struct TimerConfig {
     /// Closed when no message has passed for so long.
     pub idle: Nanos,
     /// Closed when so old.
@@ -27,19 +27,19 @@
 
 /// What a socket's time has come for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Due {
+pub enum TimerEvent {
     /// No message has passed for long.
     Idle,
     /// It has lived long enough.
     Old,
     /// An end is to be pinged.
-    Ping(End),
+    Ping(Peer),
     /// An end has left a ping unanswered.
-    Silent(End),
+    Silent(Peer),
     /// An end takes nothing.
-    Stalled(End),
+    Stalled(Peer),
     /// An end does not come to the end of its message.
-    Dribble(End),
+    Dribble(Peer),
 }
 
 #[derive(Debug, Clone, Copy, Default)]
@@ -58,36 +58,36 @@
 
 /// The times of one socket.
 #[derive(Debug, Clone)]
-pub struct Life {
-    set: LifeSet,
+pub struct SocketTimers {
+    set: TimerConfig,
     old_at: Nanos,
     active: Nanos,
     ends: [Watch; 2],
 }
 
-const ENDS: [End; 2] = [End::Client, End::Server];
+const ENDS: [Peer; 2] = [Peer::Client, Peer::Server];
 
-impl Life {
+impl SocketTimers {
     /// Of a socket that opens now. `part`, 0 to 1, shortens its life by up to a tenth: those
     /// that open together do not end together.
-    pub fn new(set: LifeSet, now: Nanos, part: f64) -> Self {
+    pub fn new(set: TimerConfig, now: Nanos, part: f64) -> Self {
         let less = (set.lifetime as f64 * 0.1 * part.clamp(0.0, 1.0)) as Nanos;
         let old_at = now.saturating_add(set.lifetime - less);
         let watch = Watch { heard: now, ..Watch::default() };
-        Life { set, old_at, active: now, ends: [watch; 2] }
+        SocketTimers { set, old_at, active: now, ends: [watch; 2] }
     }
 
     /// What it was made of.
-    pub fn set(&self) -> &LifeSet {
+    pub fn set(&self) -> &TimerConfig {
         &self.set
     }
 
-    fn of(&mut self, end: End) -> &mut Watch {
+    fn of(&mut self, end: Peer) -> &mut Watch {
         &mut self.ends[end as usize]
     }
 
     /// Bytes came from an end; `message`: whether it is within a message now.
-    pub fn heard(&mut self, end: End, now: Nanos, message: bool) {
+    pub fn heard(&mut self, end: Peer, now: Nanos, message: bool) {
         let watch = self.of(end);
         watch.heard = now;
         watch.pinged = None;
@@ -99,7 +99,7 @@
     }
 
     /// A whole message passed.
-    pub fn active(&mut self, end: End, now: Nanos) {
+    pub fn active(&mut self, end: Peer, now: Nanos) {
         self.active = now;
         // What comes now is another message.
         let watch = self.of(end);
@@ -107,7 +107,7 @@
     }
 
     /// An end is read, or is not since the other takes nothing.
-    pub fn paused(&mut self, end: End, paused: bool, now: Nanos) {
+    pub fn paused(&mut self, end: Peer, paused: bool, now: Nanos) {
         let watch = self.of(end);
         if watch.paused && !paused {
             watch.heard = now;
@@ -118,27 +118,27 @@
     }
 
     /// Bytes wait for an end.
-    pub fn waits(&mut self, end: End, now: Nanos) {
+    pub fn waits(&mut self, end: Peer, now: Nanos) {
         self.of(end).blocked.get_or_insert(now);
     }
 
     /// An end took bytes; `all` of those that waited.
-    pub fn took(&mut self, end: End, now: Nanos, all: bool) {
+    pub fn took(&mut self, end: Peer, now: Nanos, all: bool) {
         self.of(end).blocked = (!all).then_some(now);
     }
 
     /// An end was pinged.
-    pub fn pinged(&mut self, end: End, now: Nanos) {
+    pub fn pinged(&mut self, end: Peer, now: Nanos) {
         self.of(end).pinged.get_or_insert(now);
     }
 
     /// Whether an answer to a ping is awaited from an end.
-    pub fn is_pinged(&self, end: End) -> bool {
+    pub fn is_pinged(&self, end: Peer) -> bool {
         self.ends[end as usize].pinged.is_some()
     }
 
     /// There is no place for a ping now: it is due again a little later.
-    pub fn postponed(&mut self, end: End, now: Nanos) {
+    pub fn postponed(&mut self, end: Peer, now: Nanos) {
         let again = now.saturating_add(POSTPONED);
         self.of(end).heard = again.saturating_sub(self.set.ping);
     }
@@ -149,29 +149,33 @@
     }
 
     /// An end has left.
-    pub fn gone(&mut self, end: End) {
+    pub fn gone(&mut self, end: Peer) {
         *self.of(end) = Watch { gone: true, ..Watch::default() };
     }
 
     /// Another server has taken the place of the one that left.
-    pub fn renewed(&mut self, end: End, now: Nanos) {
+    pub fn renewed(&mut self, end: Peer, now: Nanos) {
         *self.of(end) = Watch { heard: now, ..Watch::default() };
         self.active = now;
     }
 
-    fn dues(&self) -> impl Iterator<Item = (Nanos, Due)> + '_ {
+    fn dues(&self) -> impl Iterator<Item = (Nanos, TimerEvent)> + '_ {
         let set = &self.set;
-        let whole = [(self.old_at, Due::Old), (self.active.saturating_add(set.idle), Due::Idle)];
+        let whole = [
+            (self.old_at, TimerEvent::Old),
+            (self.active.saturating_add(set.idle), TimerEvent::Idle),
+        ];
         let each = ENDS.into_iter().flat_map(move |end| {
             let watch = &self.ends[end as usize];
             let expected = !watch.gone && !watch.paused;
             let silence = match watch.pinged {
-                None => (watch.heard.saturating_add(set.ping), Due::Ping(end)),
-                Some(at) => (at.saturating_add(set.silence), Due::Silent(end)),
+                None => (watch.heard.saturating_add(set.ping), TimerEvent::Ping(end)),
+                Some(at) => (at.saturating_add(set.silence), TimerEvent::Silent(end)),
             };
             let dribble =
-                watch.message.map(|at| (at.saturating_add(set.message), Due::Dribble(end)));
-            let stalled = watch.blocked.map(|at| (at.saturating_add(set.stall), Due::Stalled(end)));
+                watch.message.map(|at| (at.saturating_add(set.message), TimerEvent::Dribble(end)));
+            let stalled =
+                watch.blocked.map(|at| (at.saturating_add(set.stall), TimerEvent::Stalled(end)));
             [Some(silence), dribble]
                 .into_iter()
                 .map(move |due| due.filter(|_| expected))
@@ -182,7 +186,7 @@
     }
 
     /// What is due now, the longest overdue first.
-    pub fn due(&self, now: Nanos) -> Option<Due> {
+    pub fn due(&self, now: Nanos) -> Option<TimerEvent> {
         let due = self.dues().filter(|(at, _)| *at <= now);
         due.min_by_key(|(at, _)| *at).map(|(_, due)| due)
     }
@@ -199,8 +203,8 @@
 
     const S: Nanos = 1_000_000_000;
 
-    fn life() -> Life {
-        let set = LifeSet {
+    fn life() -> SocketTimers {
+        let set = TimerConfig {
             idle: 300 * S,
             lifetime: 1000 * S,
             ping: 30 * S,
@@ -209,65 +213,65 @@
             message: 60 * S,
             closing: 5 * S,
         };
-        Life::new(set, 0, 0.5)
+        SocketTimers::new(set, 0, 0.5)
     }
 
     #[test]
     fn a_quiet_end_is_pinged_and_then_taken_for_gone() {
         let mut life = life();
-        life.heard(End::Server, 20 * S, false);
+        life.heard(Peer::Server, 20 * S, false);
         assert_eq!((life.next(), life.due(29 * S)), (30 * S, None));
-        assert_eq!(life.due(30 * S), Some(Due::Ping(End::Client)));
-        life.pinged(End::Client, 30 * S);
-        life.pinged(End::Client, 35 * S);
+        assert_eq!(life.due(30 * S), Some(TimerEvent::Ping(Peer::Client)));
+        life.pinged(Peer::Client, 30 * S);
+        life.pinged(Peer::Client, 35 * S);
         assert_eq!(life.due(39 * S), None);
-        assert_eq!(life.due(40 * S), Some(Due::Silent(End::Client)));
-        life.heard(End::Client, 39 * S, false);
+        assert_eq!(life.due(40 * S), Some(TimerEvent::Silent(Peer::Client)));
+        life.heard(Peer::Client, 39 * S, false);
         assert_eq!(life.due(40 * S), None);
         // One that is not read can't be heard.
-        life.paused(End::Client, true, 40 * S);
+        life.paused(Peer::Client, true, 40 * S);
         assert_eq!(life.due(48 * S), None);
-        life.paused(End::Client, false, 90 * S);
-        life.heard(End::Server, 90 * S, false);
+        life.paused(Peer::Client, false, 90 * S);
+        life.heard(Peer::Server, 90 * S, false);
         assert_eq!(life.due(119 * S), None);
-        assert_eq!(life.due(120 * S), Some(Due::Ping(End::Client)));
-        life.gone(End::Client);
-        life.gone(End::Server);
+        assert_eq!(life.due(120 * S), Some(TimerEvent::Ping(Peer::Client)));
+        life.gone(Peer::Client);
+        life.gone(Peer::Server);
         assert_eq!(life.next(), 300 * S);
     }
 
     #[test]
     fn idle_old_stalled_and_dribbling_sockets_come_due() {
         let mut life = life();
-        let quiet = |life: &mut Life, now| {
-            life.heard(End::Client, now, false);
-            life.heard(End::Server, now, false);
+        let quiet = |life: &mut SocketTimers, now| {
+            life.heard(Peer::Client, now, false);
+            life.heard(Peer::Server, now, false);
         };
         quiet(&mut life, 299 * S);
-        assert_eq!(life.due(300 * S), Some(Due::Idle));
-        life.active(End::Server, 299 * S);
+        assert_eq!(life.due(300 * S), Some(TimerEvent::Idle));
+        life.active(Peer::Server, 299 * S);
         assert_eq!(life.due(300 * S), None);
-        life.waits(End::Client, 300 * S);
-        life.waits(End::Client, 304 * S);
-        assert_eq!(life.due(305 * S), Some(Due::Stalled(End::Client)));
-        life.took(End::Client, 304 * S, false);
+        life.waits(Peer::Client, 300 * S);
+        life.waits(Peer::Client, 304 * S);
+        assert_eq!(life.due(305 * S), Some(TimerEvent::Stalled(Peer::Client)));
+        life.took(Peer::Client, 304 * S, false);
         assert_eq!(life.due(305 * S), None);
-        life.took(End::Client, 306 * S, true);
+        life.took(Peer::Client, 306 * S, true);
         assert_eq!(life.due(328 * S), None);
         for at in 0..60 {
             quiet(&mut life, (310 + at) * S);
-            life.heard(End::Client, (310 + at) * S, true);
+            life.heard(Peer::Client, (310 + at) * S, true);
         }
         assert_eq!(life.due(369 * S), None);
         quiet(&mut life, 369 * S);
         assert_eq!(life.due(371 * S), None, "it was whole in time");
-        life.heard(End::Client, 371 * S, true);
-        life.heard(End::Client, 430 * S, true);
-        life.heard(End::Server, 430 * S, true);
-        assert_eq!(life.due(431 * S), Some(Due::Dribble(End::Client)));
+        life.heard(Peer::Client, 371 * S, true);
+        life.heard(Peer::Client, 430 * S, true);
+        life.heard(Peer::Server, 430 * S, true);
+        assert_eq!(life.due(431 * S), Some(TimerEvent::Dribble(Peer::Client)));
         // Between 0.9 and 1 of its longest life, as it was drawn.
         quiet(&mut life, 949 * S);
-        life.active(End::Client, 949 * S);
-        assert_eq!(life.due(950 * S), Some(Due::Old));
+        life.active(Peer::Client, 949 * S);
+        assert_eq!(life.due(950 * S), Some(TimerEvent::Old));
     }
 }
--- a/crates/websocket/tests/session.rs
+++ b/crates/websocket/tests/session.rs
@@ -1,9 +1,11 @@
 //! Sessions under drawn traffic, splits, failures and orders, read by an implementation of the
 //! protocol that shares nothing with this one.
 
-use mintshelf_websocket::frame::{End, Follower};
-use mintshelf_websocket::session::{Act, By, Leave, Resume, Session, SocketSet};
-use mintshelf_websocket::timers::LifeSet;
+use mintshelf_websocket::frame::{FrameDecoder, Peer};
+use mintshelf_websocket::session::{
+    ClosedBy, LeaveRequest, Resume, Session, SessionAction, SessionConfig,
+};
+use mintshelf_websocket::timers::TimerConfig;
 use proptest::prelude::*;
 use std::io::{self, Cursor, Read, Write};
 use std::rc::Rc;
@@ -14,8 +16,8 @@
 
 const S: u64 = 1_000_000_000;
 
-fn set(resume: Option<Resume>) -> Rc<SocketSet> {
-    let life = LifeSet {
+fn set(resume: Option<Resume>) -> Rc<SessionConfig> {
+    let life = TimerConfig {
         idle: 300 * S,
         lifetime: 10_000 * S,
         ping: 30 * S,
@@ -24,7 +26,7 @@
         message: 60 * S,
         closing: 5 * S,
     };
-    Rc::new(SocketSet { life, longest: 1 << 20, buffer: 8 << 10, resume })
+    Rc::new(SessionConfig { life, longest: 1 << 20, buffer: 8 << 10, resume })
 }
 
 fn frame(payload: &[u8], opcode: OpCode, last: bool, mask: Option<[u8; 4]>) -> Vec<u8> {
@@ -44,8 +46,8 @@
 }
 
 impl Drawn {
-    fn bytes(&self, from: End) -> Vec<u8> {
-        let mask = (from == End::Client).then_some(self.mask);
+    fn bytes(&self, from: Peer) -> Vec<u8> {
+        let mask = (from == Peer::Client).then_some(self.mask);
         let mut bytes = Vec::new();
         for (n, part) in self.parts.iter().enumerate() {
             let opcode = if n == 0 { Data::Binary } else { Data::Continue };
@@ -85,8 +87,8 @@
 }
 
 /// Whole messages that an independent end reads, and whether it broke off in the middle.
-fn read(bytes: &[u8], reader: End) -> Result<(Vec<Message>, bool), tungstenite::Error> {
-    let role = if reader == End::Client { Role::Client } else { Role::Server };
+fn read(bytes: &[u8], reader: Peer) -> Result<(Vec<Message>, bool), tungstenite::Error> {
+    let role = if reader == Peer::Client { Role::Client } else { Role::Server };
     let mut socket = WebSocket::from_raw_socket(Wire(Cursor::new(bytes.to_vec())), role, None);
     let mut seen = Vec::new();
     loop {
@@ -102,7 +104,7 @@
     }
 }
 
-fn flush(session: &mut Session, end: End, most: usize, now: u64) -> Vec<u8> {
+fn flush(session: &mut Session, end: Peer, most: usize, now: u64) -> Vec<u8> {
     let count = session.to_write(end).len().min(most);
     let bytes = session.to_write(end)[..count].to_vec();
     if count > 0 {
@@ -113,8 +115,8 @@
 
 #[test]
 fn a_frame_split_at_every_byte_passes_unchanged() {
-    for from in [End::Client, End::Server] {
-        let mask = (from == End::Client).then_some([9, 8, 7, 6]);
+    for from in [Peer::Client, Peer::Server] {
+        let mask = (from == Peer::Client).then_some([9, 8, 7, 6]);
         let mut bytes = frame(b"", OpCode::Data(Data::Text), true, mask);
         bytes.extend(frame(b"pong", OpCode::Control(Control::Pong), true, mask));
         bytes.extend(frame(&[5; 300], OpCode::Data(Data::Binary), false, mask));
@@ -137,16 +139,16 @@
 fn a_whole_closing_handshake_passes_and_ends_it() {
     let mut session = Session::new(set(None), false, 1, 0);
     let said = frame(&[3, 0xe8, b'b', b'y', b'e'], OpCode::Control(Control::Close), true, None);
-    session.received(End::Server, &said, S);
-    assert_eq!(flush(&mut session, End::Client, usize::MAX, S), said);
+    session.received(Peer::Server, &said, S);
+    assert_eq!(flush(&mut session, Peer::Client, usize::MAX, S), said);
     assert_eq!(session.over(), None);
     let mask = Some([1, 2, 3, 4]);
     let answer = frame(&[3, 0xe8], OpCode::Control(Control::Close), true, mask);
-    session.received(End::Client, &answer, S);
-    assert_eq!(flush(&mut session, End::Server, usize::MAX, S), answer);
+    session.received(Peer::Client, &answer, S);
+    assert_eq!(flush(&mut session, Peer::Server, usize::MAX, S), answer);
     let over = session.over().unwrap();
-    assert_eq!((over.by, over.code), (By::Server, 1000));
-    assert!(session.ended_well(End::Client) && session.ended_well(End::Server));
+    assert_eq!((over.by, over.code), (ClosedBy::Server, 1000));
+    assert!(session.ended_well(Peer::Client) && session.ended_well(Peer::Server));
 }
 
 #[test]
@@ -155,28 +157,28 @@
         |text: &str| frame(text.as_bytes(), OpCode::Data(Data::Text), true, Some([1, 2, 3, 4]));
     let mut session = Session::new(set(Some(Resume::FirstMessage)), false, 1, 0);
     let (first, second, third) = (message("devices 7"), message("faster"), message("slower"));
-    session.received(End::Client, &[&first[..], &second[..]].concat(), 0);
-    flush(&mut session, End::Server, usize::MAX, 0);
+    session.received(Peer::Client, &[&first[..], &second[..]].concat(), 0);
+    flush(&mut session, Peer::Server, usize::MAX, 0);
     // The third waits whole when the server dies.
-    session.received(End::Client, &third, 0);
-    session.ended(End::Server, S);
-    assert_eq!(session.act(), Some(Act::Lost));
-    assert!(!session.wants_read(End::Client));
+    session.received(Peer::Client, &third, 0);
+    session.ended(Peer::Server, S);
+    assert_eq!(session.act(), Some(SessionAction::Lost));
+    assert!(!session.wants_read(Peer::Client));
     session.go(7, 2 * S);
-    assert_eq!(session.act(), Some(Act::Move));
+    assert_eq!(session.act(), Some(SessionAction::Move));
     assert_eq!(session.moved(2 * S), Vec::<u8>::new());
-    let out = flush(&mut session, End::Server, usize::MAX, 2 * S);
+    let out = flush(&mut session, Peer::Server, usize::MAX, 2 * S);
     assert_eq!(out, [first.clone(), third.clone()].concat());
-    assert!(session.to_write(End::Client).is_empty(), "the client has seen nothing of it");
+    assert!(session.to_write(Peer::Client).is_empty(), "the client has seen nothing of it");
     // Again, and the server has got half of a message: that can't be restored.
-    session.received(End::Client, &second, 3 * S);
-    flush(&mut session, End::Server, 3, 3 * S);
-    session.ended(End::Server, 3 * S);
+    session.received(Peer::Client, &second, 3 * S);
+    flush(&mut session, Peer::Server, 3, 3 * S);
+    session.ended(Peer::Server, 3 * S);
     session.act();
     session.go(7, 3 * S);
     assert_eq!(session.act(), None);
-    let told = flush(&mut session, End::Client, usize::MAX, 3 * S);
-    let (seen, _) = read(&told, End::Client).unwrap();
+    let told = flush(&mut session, Peer::Client, usize::MAX, 3 * S);
+    let (seen, _) = read(&told, Peer::Client).unwrap();
     let Message::Close(Some(close)) = &seen[0] else { panic!("{seen:?}") };
     assert_eq!(u16::from(close.code), 1012);
     assert!(close.reason.contains("come back in 7 s"), "{}", close.reason);
@@ -186,26 +188,26 @@
 fn a_server_to_be_left_is_left_between_messages_and_told() {
     let part = |payload: &[u8], code, last| frame(payload, OpCode::Data(code), last, None);
     let mut session = Session::new(set(Some(Resume::Handshake)), false, 1, 0);
-    session.received(End::Server, &part(b"half", Data::Text, false), 0);
-    let leave = Leave { code: 1012, reason: "drained".into(), moves: true };
+    session.received(Peer::Server, &part(b"half", Data::Text, false), 0);
+    let leave = LeaveRequest { code: 1012, reason: "drained".into(), moves: true };
     session.leave(leave, S);
     assert_eq!(session.act(), None, "not within a message");
     let rest = [part(b"whole", Data::Continue, true), part(b"next", Data::Text, true)].concat();
-    session.received(End::Server, &rest, 2 * S);
-    assert_eq!(session.act(), Some(Act::Move));
+    session.received(Peer::Server, &rest, 2 * S);
+    assert_eq!(session.act(), Some(SessionAction::Move));
     let farewell = session.moved(2 * S);
-    let (seen, _) = read(&farewell, End::Server).unwrap();
+    let (seen, _) = read(&farewell, Peer::Server).unwrap();
     assert!(matches!(&seen[..], [Message::Close(Some(close))] if u16::from(close.code) == 1001));
-    let out = flush(&mut session, End::Client, usize::MAX, 2 * S);
-    let (seen, _) = read(&out, End::Client).unwrap();
+    let out = flush(&mut session, Peer::Client, usize::MAX, 2 * S);
+    let (seen, _) = read(&out, Peer::Client).unwrap();
     assert_eq!(seen, [Message::text("halfwhole")]);
     // Another does not come to the end of its message: closed when that has taken too long.
-    session.received(End::Server, &part(b"half", Data::Text, false), 3 * S);
-    let leave = Leave { code: 1012, reason: "drained".into(), moves: true };
+    session.received(Peer::Server, &part(b"half", Data::Text, false), 3 * S);
+    let leave = LeaveRequest { code: 1012, reason: "drained".into(), moves: true };
     session.leave(leave, 3 * S);
     session.tick(session.next());
     assert_eq!(session.next(), 13 * S, "within its time to close, then that of the answer");
-    let out = flush(&mut session, End::Client, usize::MAX, 8 * S);
+    let out = flush(&mut session, Peer::Client, usize::MAX, 8 * S);
     assert!(out.ends_with(b"drained"));
 }
 
@@ -217,7 +219,7 @@
     /// An end takes so many bytes.
     Takes(bool, usize),
     Eof(bool),
-    Leave(bool),
+    LeaveRequest(bool),
     Wait(u64),
     Doubt,
 }
@@ -227,17 +229,17 @@
         12 => (any::<bool>(), prop_oneof![1usize..20, 1usize..9_000]).prop_map(|(e, n)| Step::Bytes(e, n)),
         12 => (any::<bool>(), prop_oneof![1usize..20, 1usize..99_000]).prop_map(|(e, n)| Step::Takes(e, n)),
         1 => any::<bool>().prop_map(Step::Eof),
-        1 => any::<bool>().prop_map(Step::Leave),
+        1 => any::<bool>().prop_map(Step::LeaveRequest),
         2 => (0u64..40).prop_map(Step::Wait),
         1 => Just(Step::Doubt),
     ]
 }
 
-fn end(client: bool) -> End {
+fn end(client: bool) -> Peer {
     if client {
-        End::Client
+        Peer::Client
     } else {
-        End::Server
+        Peer::Server
     }
 }
 
@@ -259,8 +261,8 @@
         takes_over in any::<bool>(),
     ) {
         let says = |all: &[Drawn], from| -> Vec<u8> { all.iter().flat_map(|d| d.bytes(from)).collect() };
-        let client_says = says(&client, End::Client);
-        let server_says = says(&server, End::Server);
+        let client_says = says(&client, Peer::Client);
+        let server_says = says(&server, Peer::Server);
         let set = set(resume);
         let mut session = Session::new(set.clone(), false, 7, 0);
         let (mut now, mut at) = (0u64, [0usize; 2]);
@@ -268,11 +270,11 @@
         let mut servers_read = vec![Vec::new()];
         let mut eof = [false; 2];
         let mut stopped = false;
-        let take = |session: &mut Session, who: End, most, now, client_read: &mut Vec<u8>, servers: &mut Vec<Vec<u8>>| {
+        let take = |session: &mut Session, who: Peer, most, now, client_read: &mut Vec<u8>, servers: &mut Vec<Vec<u8>>| {
             let bytes = flush(session, who, most, now);
             match who {
-                End::Client => client_read.extend(bytes),
-                End::Server => servers.last_mut().unwrap().extend(bytes),
+                Peer::Client => client_read.extend(bytes),
+                Peer::Server => servers.last_mut().unwrap().extend(bytes),
             }
         };
         for step in steps {
@@ -292,8 +294,8 @@
                     eof[c as usize] = true;
                     session.ended(end(c), now);
                 },
-                Step::Leave(moves) => {
-                    session.leave(Leave { code: 1012, reason: "x".into(), moves }, now);
+                Step::LeaveRequest(moves) => {
+                    session.leave(LeaveRequest { code: 1012, reason: "x".into(), moves }, now);
                 }
                 Step::Wait(seconds) => {
                     let until = now + seconds * S;
@@ -309,10 +311,10 @@
                 }
                 Step::Doubt => session.doubt(now),
             }
-            if session.act() == Some(Act::Lost) {
+            if session.act() == Some(SessionAction::Lost) {
                 session.go(3, now);
             }
-            if session.act() == Some(Act::Move) {
+            if session.act() == Some(SessionAction::Move) {
                 if takes_over {
                     session.moved(now);
                     servers_read.push(Vec::new());
@@ -327,7 +329,7 @@
             if session.over().is_some() { stopped = true; break; }
         }
         if !stopped {
-            session.ended(End::Client, now);
+            session.ended(Peer::Client, now);
             for _ in 0..50 {
                 if session.over().is_some() { break; }
                 session.act();
@@ -335,15 +337,15 @@
                 now = now.max(session.next().min(now + S));
                 session.tick(now);
                 session.stays(1, now);
-                take(&mut session, End::Server, usize::MAX, now, &mut client_read, &mut servers_read);
+                take(&mut session, Peer::Server, usize::MAX, now, &mut client_read, &mut servers_read);
             }
             prop_assert!(session.over().is_some(), "it does not end");
         }
-        let (seen, _) = read(&client_read, End::Client).map_err(|e| TestCaseError::fail(e.to_string()))?;
+        let (seen, _) = read(&client_read, Peer::Client).map_err(|e| TestCaseError::fail(e.to_string()))?;
         let closes = seen.iter().filter(|m| m.is_close()).count();
         prop_assert!(closes <= 1);
         // Nothing comes behind the close frame.
-        let mut follower = Follower::new(End::Server, false, 1 << 20);
+        let mut follower = FrameDecoder::new(Peer::Server, false, 1 << 20);
         let mut behind = false;
         let mut last = false;
         for byte in &client_read {
@@ -355,12 +357,12 @@
             last = behind;
         }
         for read_by in &servers_read {
-            read(read_by, End::Server).map_err(|e| TestCaseError::fail(e.to_string()))?;
+            read(read_by, Peer::Server).map_err(|e| TestCaseError::fail(e.to_string()))?;
         }
         // Whole messages, as they were said, in their order.
         let said: Vec<Vec<u8>> = client.iter().map(|d| d.parts.concat()).collect();
         for (n, read_by) in servers_read.iter().enumerate() {
-            let (seen, _) = read(read_by, End::Server).unwrap();
+            let (seen, _) = read(read_by, Peer::Server).unwrap();
             let data: Vec<Vec<u8>> = seen.into_iter().filter(Message::is_binary).map(|m| m.into_data().to_vec()).collect();
             if n == 0 {
                 prop_assert!(said.starts_with(&data));
@@ -375,12 +377,12 @@
 fn a_close_that_says_nothing_passes_both_ways() {
     let mut session = Session::new(set(None), false, 1, 0);
     let said = frame(&[], OpCode::Control(Control::Close), true, Some([1, 2, 3, 4]));
-    session.received(End::Client, &said, S);
-    assert_eq!(flush(&mut session, End::Server, usize::MAX, S), said);
-    assert!(session.wants_read(End::Server));
+    session.received(Peer::Client, &said, S);
+    assert_eq!(flush(&mut session, Peer::Server, usize::MAX, S), said);
+    assert!(session.wants_read(Peer::Server));
     let answer = frame(&[], OpCode::Control(Control::Close), true, None);
-    session.received(End::Server, &answer, S);
-    assert_eq!(flush(&mut session, End::Client, usize::MAX, S), answer);
+    session.received(Peer::Server, &answer, S);
+    assert_eq!(flush(&mut session, Peer::Client, usize::MAX, S), answer);
     let over = session.over().unwrap();
-    assert_eq!((over.by, over.code), (By::Client, 1005));
+    assert_eq!((over.by, over.code), (ClosedBy::Client, 1005));
 }
