--- /dev/null
+++ b/crates/mintshelf/tests/compatibility/bindings.rs
@@ -0,0 +1,399 @@
+//! The only file of this test that names types of the workspace.
+//!
+//! A renaming changes names here and nowhere else. Labels are fixed: fixtures refer to them.
+
+use super::fixtures::hex;
+use mintshelf_balancer::api::{Action, Condition};
+use mintshelf_balancer::peer::Evidence;
+use mintshelf_benchlink::host::Host;
+use mintshelf_benchlink::wire::write_action;
+use mintshelf_config::platform::{Config, Names};
+use mintshelf_fleet::lease::{Answer, Command, Held, Lease, Owner, Refusal, Waiter};
+use mintshelf_fleet::machine::Machine;
+use mintshelf_fleet::span::{ClockError, Spans};
+use mintshelf_fleet::voter::{Status, Stored, Ticket, Voter};
+use mintshelf_fleetnet::frame::{pack, unpack, Frame, Hello, Report, Speaker};
+use mintshelf_fleetnet::store::{Identity, Opened, Store};
+use mintshelf_proxy::discovery::list::{read_list, Fleet};
+use mintshelf_proxy::endpoints::Endpoints;
+use mintshelf_shares::agreed::{self, Agreed, Unfit};
+use mintshelf_shares::budget::Budget;
+use mintshelf_shares::ledger::{self, Ask, Beat, Ended, Promise};
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+use std::fmt::Debug;
+use std::path::Path;
+
+const MILLISECOND: u64 = 1_000_000;
+const SECOND: u64 = 1_000 * MILLISECOND;
+const DAY: u64 = 86_400 * SECOND;
+/// The token that the replica of the store fixture grants next.
+const NEXT_TOKEN: u64 = 7;
+
+/// A label and the bytes of a value, which read back to the same value.
+pub type Sample = (&'static str, Vec<u8>);
+
+fn sample<T>(label: &'static str, value: T) -> Sample
+where
+    T: Serialize + DeserializeOwned + PartialEq + Debug,
+{
+    let bytes = pack(&value).to_vec();
+    assert_eq!(unpack::<T>(&bytes), Ok(value), "{label}");
+    (label, bytes)
+}
+
+fn owner(member: &str, incarnation: u64) -> Owner {
+    Owner { member: member.into(), incarnation }
+}
+
+/// The first message in each direction.
+pub fn encoded_greetings() -> Vec<Sample> {
+    let hello = |speaker| Hello { version: 1, fleet: "harbour".into(), speaker };
+    vec![
+        sample("greeting of a replica", hello(Speaker::Voter(1))),
+        sample("greeting of a member", hello(Speaker::Member(owner("alpha", 3)))),
+    ]
+}
+
+fn lease_commands() -> [(&'static str, Command); 8] {
+    let lease = || String::from("berth");
+    let (alpha, beta) = (owner("alpha", 3), owner("beta", 1));
+    let acquire = |owner: &Owner, wait| Command::Acquire {
+        lease: lease(),
+        owner: owner.clone(),
+        span: 30 * SECOND,
+        wait,
+    };
+    let (holder, token) = (alpha.clone(), NEXT_TOKEN);
+    [
+        ("acquire", acquire(&alpha, false)),
+        ("acquire and wait", acquire(&beta, true)),
+        ("renew", Command::Renew { lease: lease(), owner: holder.clone(), token }),
+        ("forget", Command::Forget { lease: lease(), owner: beta.clone(), asks: 2 }),
+        ("leave", Command::Leave { lease: lease(), owner: beta }),
+        ("expire", Command::Expire { lease: lease(), token, renewal: 300 }),
+        ("revoke", Command::Revoke { lease: lease() }),
+        ("release", Command::Release { lease: lease(), owner: holder, token }),
+    ]
+}
+
+fn lease_answers() -> [(&'static str, Answer); 10] {
+    let by = Some(owner("alpha", 3));
+    [
+        ("granted", Answer::Granted { token: NEXT_TOKEN }),
+        ("held", Answer::Held { by: by.clone(), place: None }),
+        ("held, waiting", Answer::Held { by, place: Some(2) }),
+        ("done", Answer::Done),
+        ("refused, not held", Answer::Refused(Refusal::NotHeld)),
+        ("refused, revoked", Answer::Refused(Refusal::Revoked)),
+        ("refused, too many", Answer::Refused(Refusal::TooMany)),
+        ("refused, queue full", Answer::Refused(Refusal::QueueFull)),
+        ("refused, name", Answer::Refused(Refusal::Name)),
+        ("refused, span", Answer::Refused(Refusal::Span)),
+    ]
+}
+
+fn report() -> Report {
+    let holder =
+        Held { owner: owner("alpha", 3), token: 7, span: 30 * SECOND, renewal: 400, revoked: true };
+    let waiter = Waiter { owner: owner("beta", 1), asks: 2, span: SECOND };
+    let lease = Lease { held: Some(holder), queue: [waiter].into() };
+    let leases = vec![("berth".into(), lease), ("free".into(), Lease::default())];
+    let status = Status { id: 1, term: 5, leader: 2, leads: false, applied: 300, committed: 301 };
+    Report { status, life: 4, members: 6, leases }
+}
+
+/// All messages after the greeting, and the parts of entries in the log.
+pub fn encoded_frames() -> Vec<Sample> {
+    let mut samples = vec![
+        sample("replication", Frame::Raft(vec![8, 1, 16, 2])),
+        sample("status question", Frame::Tell),
+        sample("status answer", Frame::Told(Box::new(report()))),
+        sample("not now", Frame::NotNow { number: 300 }),
+        sample("proposal's origin", Ticket { voter: 1, life: 2, number: 300 }),
+    ];
+    for (label, command) in lease_commands() {
+        samples.push(sample(label, Frame::Ask { number: 300, command }));
+    }
+    for (label, answer) in lease_answers() {
+        samples.push(sample(label, Frame::Answer { number: 300, answer }));
+    }
+    samples
+}
+
+/// The lease commands as entries of the log hold them.
+pub fn encoded_lease_commands() -> Vec<Sample> {
+    lease_commands().into_iter().map(|(label, command)| sample(label, command)).collect()
+}
+
+fn budget() -> Budget {
+    let error = ClockError { ppm: 1_000 };
+    let (span, hold) = (3 * SECOND, 2 * SECOND);
+    Budget { whole: 1_000, floor: 10, members: 20, reserve: 100, span, hold, error }
+}
+
+fn beat() -> Beat {
+    let ask = |member, need, leaves| Ask {
+        owner: owner(member, 3),
+        number: 300,
+        need,
+        weight: 2,
+        confirms: 5,
+        leaves,
+    };
+    let ended = vec![Ended { owner: owner("gamma", 7), grant: 400 }];
+    Beat { asks: vec![ask("alpha", 600, false), ask("beta", 50, true)], ended }
+}
+
+/// Commands, answers and the snapshot of a fleet that divides budgets.
+pub fn encoded_budget_messages() -> Vec<Sample> {
+    use agreed::{Answer as Reply, Command as Order};
+    let [(_, acquire), ..] = lease_commands();
+    let orders = [
+        Order::Lease(acquire),
+        Order::Budget { name: "calls".into(), budget: budget() },
+        Order::Beat(vec![("calls".into(), beat())]),
+    ];
+    let mut state = Agreed::default();
+    for order in &orders {
+        Machine::apply(&mut state, order);
+    }
+    let [lease, budget, beat] = orders;
+    let promise = Promise { grant: 300, units: 500 };
+    let shares = ledger::Answer { owner: owner("alpha", 3), number: 300, promise };
+    vec![
+        sample("lease command", lease),
+        sample("budget", budget),
+        sample("beat", beat),
+        sample("lease answer", Reply::Lease(Answer::Done)),
+        sample("budget in force", Reply::Budget(Ok(()))),
+        sample("budget refused", Reply::Budget(Err(Unfit::Problem("why".into())))),
+        sample("budget with other figures", Reply::Budget(Err(Unfit::OtherFigures))),
+        sample("too many budgets", Reply::Budget(Err(Unfit::TooMany))),
+        sample("budget's name", Reply::Budget(Err(Unfit::Name))),
+        sample("shares", Reply::Shares(vec![("calls".into(), shares)])),
+        sample("snapshot", state),
+    ]
+}
+
+/// A gossip datagram.
+pub fn encoded_gossip() -> Vec<u8> {
+    let servers = vec![(51, 2.5, 4.0), (70_000, -0.75, 0.5)];
+    Evidence { weight: 0.5, tenants: vec![3.25, 0.0], servers }.encode()
+}
+
+/// What a datagram says: weight, traffic of each tenant, sum and count of each server.
+#[allow(clippy::type_complexity)]
+pub fn decoded_gossip(bytes: &[u8]) -> Option<(f64, Vec<f64>, Vec<(u32, f64, f64)>)> {
+    Evidence::decode(bytes).map(|said| (said.weight, said.tenants, said.servers))
+}
+
+/// What an endpoint list says, a line for the list and one for each endpoint.
+pub fn described_list(text: &str, came_whole: bool) -> String {
+    let zones = vec!["east".to_string(), "west".to_string()];
+    let names = Names { zones, kinds: vec!["small".to_string()], ..Names::default() };
+    let addresses = Endpoints::default();
+    let mut lists = Fleet::new(names, addresses.clone());
+    let list = read_list(text.as_bytes());
+    let well_formed = list.well_formed;
+    let (_, endpoints) = lists.take(list, came_whole);
+    let mut lines = format!("well-formed {well_formed}, revision {}\n", lists.revision());
+    for it in endpoints {
+        let state = match it.condition {
+            Condition::Live => "serving",
+            Condition::Draining => "draining",
+            Condition::Gone => "deleted",
+        };
+        let at = addresses.address(it.id).map_or("nowhere".into(), |at| at.to_string());
+        lines.push_str(&format!(
+            "  number {} zone {} model {} group {} {state} capacity {} started {} at {at}\n",
+            it.id, it.zone, it.kind, it.cell, it.size, it.started_at
+        ));
+    }
+    lines
+}
+
+/// Why a platform configuration is refused, without the file's name.
+pub fn platform_refusal(file: &Path) -> Option<String> {
+    let error = Config::read(file).err()?.to_string();
+    Some(error.replacen(&format!("{}: ", file.display()), "", 1))
+}
+
+/// The simulator's adapter: lines in, its replies out, then the error if there was one.
+pub fn simulator_replies(input: &str) -> String {
+    let (mut host, mut replies) = (Host::default(), String::new());
+    for line in input.lines() {
+        match host.line(line) {
+            Ok(true) => replies.push_str(&host.reply()),
+            Ok(false) => {}
+            Err(error) => return replies + &format!("error: {error}\n"),
+        }
+    }
+    match host.finish() {
+        Ok(()) => replies,
+        Err(error) => replies + &format!("error: {error}\n"),
+    }
+}
+
+/// A line of the adapter's for each action; the one that it has no message for gives none.
+pub fn simulator_actions() -> Vec<(&'static str, String)> {
+    let payload = vec![1, 0x2b, 0xff];
+    let actions = [
+        ("send", Action::Send { id: "t/a".into(), server: 51, timeout_at: 900 }),
+        ("cancel", Action::Cancel { id: "t/a".into(), attempt: 2 }),
+        ("refuse", Action::Refuse { id: "t/a".into(), retry_after: 700 }),
+        ("fail", Action::Fail { id: "t/a".into() }),
+        ("set a timer", Action::SetTimer { after: 600, token: 4 }),
+        ("drop a timer", Action::DropTimer { token: 4 }),
+        ("probe", Action::Probe { server: 51 }),
+        ("close idle connections", Action::CloseIdle { server: 51 }),
+        ("tell one peer", Action::TellPeer { peer: Some(3), payload: payload.clone() }),
+        ("tell all peers", Action::TellPeer { peer: None, payload }),
+        ("tell nothing", Action::TellPeer { peer: None, payload: Vec::new() }),
+        ("watch", Action::Watch { on: true }),
+        ("watch no more", Action::Watch { on: false }),
+        ("fetch", Action::FetchServers),
+        ("log", Action::Log { text: "two\nlines".into() }),
+    ];
+    let written = |(label, action): (&'static str, Action)| {
+        let mut line = String::new();
+        write_action(&mut line, &action);
+        (label, line)
+    };
+    actions.into_iter().map(written).collect()
+}
+
+fn open(directory: &Path) -> (Store, Opened) {
+    Store::open(directory, &Identity { fleet: "harbour".into(), voter: 1 }).unwrap()
+}
+
+/// What a replica's directory holds: the log as stored, and the leases once it is applied.
+pub fn described_store(directory: &Path) -> String {
+    let (store, Opened::Stored(stored)) = open(directory) else { panic!("an empty store") };
+    let (state, snapshot, entries) = stored.parts();
+    let place = snapshot.get_metadata();
+    let mut lines = format!(
+        "opened {}\nterm {} vote {} commit {}\nsnapshot index {} term {} replicas {:?}\n  {}\n",
+        store.opened(),
+        state.term,
+        state.vote,
+        state.commit,
+        place.index,
+        place.term,
+        place.get_conf_state().voters,
+        hex(snapshot.get_data()),
+    );
+    for entry in entries {
+        let (data, context) = (hex(&entry.data), hex(&entry.context));
+        lines.push_str(&format!("entry {} term {} {data} {context}\n", entry.index, entry.term));
+    }
+    let mut replica: Voter = Voter::new(1, &stored, &Spans::default(), store.opened()).unwrap();
+    settle(&mut replica, &store, SECOND);
+    lines.push_str(&format!("last token {}\n", replica.leases().last_token()));
+    for (name, lease) in replica.leases().iter() {
+        lines.push_str(&described_lease(name, lease));
+    }
+    lines
+}
+
+fn described_lease(name: &str, lease: &Lease) -> String {
+    let mut lines = match &lease.held {
+        None => format!("lease {name} held by nobody\n"),
+        Some(held) => format!(
+            "lease {name} held by {}/{} token {} span {} renewals {} revoked {}\n",
+            held.owner.member,
+            held.owner.incarnation,
+            held.token,
+            held.span,
+            held.renewal,
+            held.revoked
+        ),
+    };
+    for waiter in &lease.queue {
+        let Owner { member, incarnation } = &waiter.owner;
+        let (asks, span) = (waiter.asks, waiter.span);
+        lines.push_str(&format!("  waits {member}/{incarnation} asks {asks} span {span}\n"));
+    }
+    lines
+}
+
+fn settle(replica: &mut Voter, store: &Store, now: u64) {
+    while let Some(batch) = replica.batch(now).unwrap() {
+        store.write(&batch).unwrap();
+        replica.synced(now);
+    }
+}
+
+/// A single replica that is given commands and time.
+struct Session {
+    store: Store,
+    replica: Voter,
+    now: u64,
+}
+
+impl Session {
+    fn begin(directory: &Path) -> Self {
+        let (store, Opened::Empty) = open(directory) else { panic!("a store is there already") };
+        let stored = Stored::new_fleet(&[1]);
+        store.begin_fleet(&stored).unwrap();
+        let replica = Voter::new(1, &stored, &Spans::default(), store.opened()).unwrap();
+        let mut session = Session { store, replica, now: SECOND };
+        while !session.replica.status().leads {
+            session.pass(100 * MILLISECOND);
+        }
+        session
+    }
+
+    fn pass(&mut self, span: u64) {
+        let end = self.now + span;
+        while self.now < end {
+            self.now += 100 * MILLISECOND;
+            self.replica.tick(self.now);
+            settle(&mut self.replica, &self.store, self.now);
+        }
+    }
+
+    fn agree(&mut self, command: Command) {
+        self.replica.propose(&command).unwrap();
+        settle(&mut self.replica, &self.store, self.now);
+    }
+
+    fn acquire(&mut self, lease: &str, member: &str, span: u64) {
+        let (lease, owner) = (lease.to_owned(), owner(member, 3));
+        self.agree(Command::Acquire { lease, owner, span, wait: true });
+    }
+
+    fn renew(&mut self, lease: &str, member: &str, token: u64) {
+        let (lease, owner) = (lease.to_owned(), owner(member, 3));
+        self.agree(Command::Renew { lease, owner, token });
+    }
+}
+
+/// Writes a replica's directory with leases held, waited for, given back, revoked and expired,
+/// on both sides of a snapshot.
+pub fn write_store(directory: &Path) {
+    let mut session = Session::begin(directory);
+    session.acquire("crane", "alpha", DAY);
+    session.acquire("crane", "beta", DAY);
+    session.acquire("crane", "gamma", DAY);
+    session.acquire("crane", "beta", DAY);
+    session.acquire("lock", "beta", SECOND);
+    session.pass(2 * SECOND);
+    session.acquire("gate", "alpha", DAY);
+    session.acquire("gate", "delta", DAY);
+    let (lease, holder) = ("gate".to_string(), owner("alpha", 3));
+    session.agree(Command::Release { lease, owner: holder, token: 3 });
+    session.acquire("pilot", "beta", DAY);
+    for _ in 0..1_024 {
+        session.renew("crane", "alpha", 1);
+    }
+    session.agree(Command::Revoke { lease: "pilot".into() });
+    session.acquire("tug", "epsilon", SECOND);
+    session.pass(2 * SECOND);
+    session.acquire("quay", "gamma", DAY);
+    session.acquire("quay", "delta", SECOND);
+    session.acquire("quay", "epsilon", DAY);
+    session.pass(2 * SECOND);
+    session.renew("quay", "gamma", 6);
+    session.agree(Command::Leave { lease: "crane".into(), owner: owner("gamma", 3) });
+}
--- /dev/null
+++ b/crates/mintshelf/tests/compatibility/endpoint_lists.rs
@@ -0,0 +1,31 @@
+//! Endpoint lists as discovery sends them, and as a configuration keeps the last one.
+
+use super::bindings::described_list;
+use super::fixtures::{assert_same, text, PROGRAM};
+use mintshelf_testkit::{answer, config, free_address, request, Server, Sidecar};
+use serde_json::Value;
+
+#[test]
+fn a_list_written_before_says_the_same() {
+    let list = text("endpoint-list.json");
+    let mut described = format!("whole: {}", described_list(&list, true));
+    let cut = list.find(r#"{"uid":"s-3""#).unwrap();
+    described.push_str(&format!("cut: {}", described_list(&list[..cut], false)));
+    let changes = list.replace(r#""all":true"#, r#""all":false"#);
+    described.push_str(&format!("changes: {}", described_list(&changes, true)));
+    described.push_str(&format!("malformed: {}", described_list(&list[..cut], true)));
+    assert_same("endpoint-list.txt", &described);
+}
+
+#[test]
+fn a_sidecar_sends_by_the_list_in_its_configuration_while_discovery_is_away() {
+    let server = Server::start(|_, _| Some(answer("listed")));
+    let list = text("endpoint-list.json").replace("127.0.0.1:9001", &server.at.to_string());
+    let mut configuration = config(free_address(), Vec::new());
+    configuration["known"] = serde_json::from_str::<Value>(&list).unwrap();
+    let sidecar = Sidecar::start(PROGRAM, configuration);
+    for number in 0..5 {
+        let got = sidecar.ask(&request("safe", &format!("txn-{number}"))).unwrap();
+        assert_eq!((got.status(), got.body.as_slice()), (200, &b"listed"[..]));
+    }
+}
--- /dev/null
+++ b/crates/mintshelf/tests/compatibility/metrics.rs
@@ -0,0 +1,150 @@
+//! What the admin listener tells, and the errors that clients are told.
+
+use super::fixtures::{assert_same, PROGRAM};
+use mintshelf_testkit::{
+    answer, ask, connect, free_address, get, wait_until, Daemon, Peer, Server,
+};
+use serde_json::Value;
+use std::collections::BTreeSet;
+use std::net::SocketAddr;
+use tungstenite::Message;
+
+/// A cluster for plain requests, one for sockets, and one that nobody serves.
+fn file(at: SocketAddr, admin: SocketAddr, servers: [SocketAddr; 3]) -> String {
+    let [plain, live, other] = servers;
+    format!(
+        "listen = \"{at}\"\ntenant-header = \"x-member\"\n[admin]\naddress = \"{admin}\"\n\
+         [tenants.t]\nheader-values = [\"t\"]\n\
+         [clusters.plain]\nendpoints = [\"{plain}\"]\nconcurrency = 4\nqueue = 4\n\
+         [clusters.live]\nendpoints = [\"{live}\", \"{other}\"]\n\
+         [clusters.away]\nendpoints = [\"127.0.0.1:9\"]\n\
+         [[routes]]\nname = \"plain\"\nprefix = \"/plain\"\ncluster = \"plain\"\n\
+         [[routes]]\nname = \"away\"\nprefix = \"/away\"\ncluster = \"away\"\n\
+         [[routes]]\nname = \"live\"\nprefix = \"/live\"\ncluster = \"live\"\n\
+         websocket = {{ resume = \"handshake\" }}\n"
+    )
+}
+
+/// A server of WebSockets that says back what it hears, and breaks off when told to.
+fn echo() -> Peer {
+    Peer::start(|stream| {
+        let Ok(mut socket) = tungstenite::accept(stream) else { return };
+        while let Ok(message) = socket.read() {
+            if message == Message::text("break off") || socket.send(message).is_err() {
+                return;
+            }
+        }
+    })
+}
+
+/// Opens a socket and has one message said back.
+fn socket(at: SocketAddr) -> tungstenite::WebSocket<std::net::TcpStream> {
+    let address = format!("ws://{at}/live");
+    let (mut socket, _) = tungstenite::client(address, connect(at).unwrap()).unwrap();
+    socket.send(Message::text("hello")).unwrap();
+    assert_eq!(socket.read().unwrap(), Message::text("hello"));
+    socket
+}
+
+/// Runs the program with traffic of each kind, then calls `look` with both addresses.
+fn with_traffic(look: impl FnOnce(&Daemon, SocketAddr)) {
+    let plain = Server::start(|_, _| Some(answer("good")));
+    let (live, other) = (echo(), echo());
+    let (at, admin) = (free_address(), free_address());
+    let text = file(at, admin, [plain.at, live.at, other.at]);
+    let daemon = Daemon::start(PROGRAM, at, &text, &[]);
+    assert_eq!(daemon.ask(&get("/plain")).unwrap().status(), 200);
+    assert_eq!(daemon.ask(&get("/nowhere")).unwrap().status(), 404);
+    let mut ended = socket(at);
+    ended.close(None).unwrap();
+    while ended.read().is_ok() {}
+    let mut moved = socket(at);
+    moved.send(Message::text("break off")).unwrap();
+    daemon.reload(&text);
+    for figure in ["closed", "moved"] {
+        wait_until(figure, || {
+            page(admin, "/-/metrics").contains(&format!("mintshelf_sockets_{figure}_total{{"))
+        });
+    }
+    look(&daemon, admin);
+}
+
+fn page(admin: SocketAddr, path: &str) -> String {
+    String::from_utf8(ask(admin, &get(path)).unwrap().body).unwrap()
+}
+
+/// Names and kinds of all figures, and the label keys of each sample.
+fn outline(metrics: &str) -> String {
+    let lines = metrics.lines().filter(|line| !line.starts_with("# HELP "));
+    let outline = lines.map(|line| match line.split_once('{') {
+        Some((name, rest)) if !line.starts_with('#') => {
+            let labels = rest.split('}').next().unwrap().split(',');
+            let keys: Vec<&str> = labels.map(|label| label.split('=').next().unwrap()).collect();
+            format!("{name}{{{}}}", keys.join(","))
+        }
+        _ if line.starts_with('#') => line.to_string(),
+        _ => line.split(' ').next().unwrap().to_string(),
+    });
+    let sorted: BTreeSet<String> = outline.collect();
+    sorted.into_iter().map(|line| line + "\n").collect()
+}
+
+/// The keys of all objects, with the way to them.
+fn keys(value: &Value, way: &str, into: &mut BTreeSet<String>) {
+    match value {
+        Value::Object(fields) => {
+            for (name, field) in fields {
+                let way = format!("{way}.{name}");
+                into.insert(way.clone());
+                keys(field, &way, into);
+            }
+        }
+        Value::Array(items) => items.iter().for_each(|item| keys(item, &format!("{way}[]"), into)),
+        _ => {}
+    }
+}
+
+#[test]
+fn figures_have_the_same_names_and_labels() {
+    with_traffic(|_, admin| assert_same("metrics.txt", &outline(&page(admin, "/-/metrics"))));
+}
+
+#[test]
+fn what_is_in_force_has_the_same_keys() {
+    with_traffic(|_, admin| {
+        let value: Value = serde_json::from_str(&page(admin, "/-/config")).unwrap();
+        let mut found = BTreeSet::new();
+        keys(&value, "", &mut found);
+        let lines: String = found.into_iter().map(|way| way + "\n").collect();
+        assert_same("in-force.txt", &lines);
+        assert_eq!(page(admin, "/-/ready"), "ready\n");
+    });
+}
+
+#[test]
+fn clients_are_told_the_same_errors() {
+    with_traffic(|daemon, admin| {
+        let mut told = String::new();
+        let requests = [
+            ("no route", daemon.at, "GET /nowhere HTTP/1.1\r\nHost: h\r\n\r\n"),
+            ("nobody serves", daemon.at, "GET /away HTTP/1.1\r\nHost: h\r\n\r\n"),
+            ("no host", daemon.at, "GET /plain HTTP/1.1\r\n\r\n"),
+            ("no tunnel", daemon.at, "CONNECT h:1 HTTP/1.1\r\nHost: h:1\r\n\r\n"),
+            (
+                "another version of WebSocket",
+                daemon.at,
+                "GET /live HTTP/1.1\r\nHost: h\r\nConnection: upgrade\r\nUpgrade: websocket\r\n\
+                 Sec-WebSocket-Version: 12\r\nSec-WebSocket-Key: dGhlIHNhbXBsZSBub25jZQ==\r\n\r\n",
+            ),
+            ("no page", admin, "GET /metrics HTTP/1.1\r\nHost: h\r\n\r\n"),
+            ("only told", admin, "POST /-/ready HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n"),
+        ];
+        for (label, at, request) in requests {
+            let got = ask(at, request.as_bytes()).unwrap();
+            let kind = got.header("content-type").unwrap_or("");
+            let body = String::from_utf8(got.body.clone()).unwrap();
+            told.push_str(&format!("{label}: {} {kind}\n  {body}", got.status()));
+        }
+        assert_same("client-errors.txt", &told);
+    });
+}
--- /dev/null
+++ b/crates/mintshelf/tests/compatibility/operator_files.rs
@@ -0,0 +1,88 @@
+//! Operators' files of `deploy/` and what they make of requests.
+
+use super::fixtures::{assert_same, run, TemporaryDirectory};
+use std::path::PathBuf;
+
+fn root() -> PathBuf {
+    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../..")
+}
+
+fn deployed(name: &str) -> String {
+    root().join("deploy").join(name).display().to_string()
+}
+
+#[test]
+fn the_files_of_the_deployment_have_no_errors() {
+    for name in ["lab.toml", "minimal.toml"] {
+        assert_eq!(run(&["check", &deployed(name)]), (0, String::new(), String::new()), "{name}");
+    }
+}
+
+#[test]
+fn requests_by_the_deployed_files_are_explained_with_the_same_words() {
+    let keyed: &[&str] = &["-H", "Idempotency-Key: k"];
+    let requests = [
+        ("minimal.toml", "GET", "http://web/", &[][..]),
+        ("lab.toml", "GET", "http://bench/devices/7", &[]),
+        ("lab.toml", "HEAD", "http://bench/runs/1", &[]),
+        ("lab.toml", "POST", "http://bench/runs", &[]),
+        ("lab.toml", "POST", "http://bench/runs", keyed),
+        ("lab.toml", "POST", "http://bench/devices/7/flash?x=1", keyed),
+        ("lab.toml", "GET", "http://bench/nothing", &[]),
+    ];
+    let mut explained = String::new();
+    for (name, method, url, headers) in requests {
+        let file = deployed(name);
+        let (code, text, errors) = run(&[&["explain", &file, method, url], headers].concat());
+        assert_eq!((code, errors.as_str()), (0, ""), "{method} {url}");
+        explained.push_str(&format!("== {name}: {method} {url}\n{}", text.replace(&file, "FILE")));
+    }
+    assert_same("explained.txt", &explained);
+}
+
+#[test]
+fn a_file_with_every_table_has_no_errors_and_is_explained_with_the_same_words() {
+    let directory = TemporaryDirectory::new("every-table");
+    let file = directory.write("every.toml", &super::fixtures::text("every-table.toml"));
+    assert_eq!(run(&["check", &file]), (0, String::new(), String::new()));
+    let header = "x: a";
+    let (code, text, _) = run(&["explain", &file, "GET", "http://h/?x=a", "-H", header]);
+    assert_eq!(code, 0);
+    assert_same("every-table.txt", &text.replace(&file, "FILE"));
+}
+
+/// The first column of the tables of `docs/config.md`, under the names of the file's tables.
+fn documented_keys() -> String {
+    let page = std::fs::read_to_string(root().join("docs/config.md")).unwrap();
+    let mut keys = String::new();
+    for line in page.lines() {
+        if line.starts_with("## `") {
+            keys.push_str(&format!("{line}\n"));
+        } else if let Some(row) = line.strip_prefix("| `") {
+            let keys_of_row = row.split('|').next().unwrap().trim_end();
+            keys.push_str(&format!("  `{keys_of_row}\n"));
+        }
+    }
+    keys
+}
+
+#[test]
+fn the_documentation_lists_the_same_keys() {
+    assert_same("documented-keys.txt", &documented_keys());
+}
+
+#[test]
+fn the_deployment_names_files_that_exist() {
+    let text = std::fs::read_to_string(root().join("deploy/balancer.toml")).unwrap();
+    let deployment: toml::Value = toml::from_str(&text).unwrap();
+    for key in ["policy", "node"] {
+        for file in deployment[key].as_array().unwrap() {
+            let file = file.as_str().unwrap();
+            assert!(root().join(file).exists(), "{key}: {file}");
+        }
+    }
+    for (key, command) in [("run", "mintshelf"), ("sim", "mintshelf-benchlink")] {
+        let line = deployment[key].as_str().unwrap();
+        assert_eq!(line, format!("exec target/release/{command}"));
+    }
+}
