--- a/crates/mintshelf/tests/compatibility/endpoint_lists.rs
+++ b/crates/mintshelf/tests/compatibility/endpoint_lists.rs
@@ -1,8 +1,9 @@
 //! Endpoint lists as discovery sends them, and as a configuration keeps the last one.
 
-use super::bindings::described_list;
+use super::bindings::{
+    answer, config, described_list, free_address, request, wait_until, Server, Sidecar,
+};
 use super::fixtures::{assert_same, text, PROGRAM};
-use mintshelf_testkit::{answer, config, free_address, request, Server, Sidecar};
 use serde_json::Value;
 
 #[test]
@@ -29,3 +30,18 @@
         assert_eq!((got.status(), got.body.as_slice()), (200, &b"listed"[..]));
     }
 }
+
+#[test]
+fn discovery_is_called_by_the_same_path_and_its_list_is_used() {
+    let server = Server::start(|_, _| Some(answer("listed")));
+    let list = text("endpoint-list.json").replace("127.0.0.1:9001", &server.at.to_string());
+    let discovery = Server::start(move |_, _| Some(answer(&list)));
+    let sidecar = Sidecar::start(PROGRAM, config(discovery.at, Vec::new()));
+    wait_until("the list is held", || discovery.seen().iter().any(|call| call.after() == Some(41)));
+    let calls = discovery.seen();
+    let (path, wait) = calls[0].path().split_once("&wait_ms=").unwrap();
+    assert_eq!(path, "/api/targets?after=1");
+    assert!(wait.parse::<u64>().is_ok(), "{wait}");
+    let got = sidecar.ask(&request("safe", "txn-1")).unwrap();
+    assert_eq!((got.status(), got.body.as_slice()), (200, &b"listed"[..]));
+}
--- a/crates/mintshelf/tests/compatibility/operator_files.rs
+++ b/crates/mintshelf/tests/compatibility/operator_files.rs
@@ -2,6 +2,7 @@
 
 use super::fixtures::{assert_same, run, TemporaryDirectory};
 use std::path::PathBuf;
+use std::process::Command;
 
 fn root() -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../..")
@@ -86,3 +87,24 @@
         assert_eq!(line, format!("exec target/release/{command}"));
     }
 }
+
+/// The names of the programs that the workspace builds.
+fn programs() -> Vec<String> {
+    let output = Command::new(env!("CARGO"))
+        .args(["metadata", "--no-deps", "--offline", "--format-version", "1"])
+        .current_dir(root())
+        .output()
+        .unwrap();
+    let workspace: serde_json::Value = serde_json::from_slice(&output.stdout).unwrap();
+    let packages = workspace["packages"].as_array().unwrap().iter();
+    let targets = packages.flat_map(|package| package["targets"].as_array().unwrap());
+    let programs = targets.filter(|target| target["kind"][0] == "bin");
+    programs.map(|target| target["name"].as_str().unwrap().to_string()).collect()
+}
+
+#[test]
+fn the_programs_keep_their_names() {
+    let mut programs = programs();
+    programs.sort();
+    assert_eq!(programs, ["mintshelf", "mintshelf-benchlink"]);
+}
--- a/crates/mintshelf/tests/compatibility/platform_configuration.rs
+++ b/crates/mintshelf/tests/compatibility/platform_configuration.rs
@@ -1,8 +1,7 @@
 //! The configuration file of the platform's sidecar.
 
-use super::bindings::platform_refusal;
+use super::bindings::{answer, free_address, platform_refusal, request, Server, Sidecar};
 use super::fixtures::{assert_same, run, text, TemporaryDirectory, PROGRAM};
-use mintshelf_testkit::{answer, free_address, request, Server, Sidecar};
 use serde_json::{json, Value};
 
 /// A configuration with every key that there is.
--- a/crates/mintshelf/tests/compatibility/sample_fleet.rs
+++ b/crates/mintshelf/tests/compatibility/sample_fleet.rs
@@ -1,8 +1,8 @@
 //! A fleet of one replica that goes on from the store fixture.
 
+use super::bindings::{free_address, wait_until, Daemon};
 use super::fixtures::{run, TemporaryDirectory, PROGRAM};
 use super::store::copied_store;
-use mintshelf_testkit::{free_address, wait_until, Daemon};
 use std::net::SocketAddr;
 
 /// The running fleet and its file.
