--- a/crates/balancer/examples/choose.rs
+++ b/crates/balancer/examples/choose.rs
@@ -19,7 +19,7 @@
     let mut actions = Vec::new();
     let mut balancer = Balancer::new(parse_settings(SETTINGS)?, 7, 0, &mut actions);
     let server =
-        |id, size| ListedServer { id, size, condition: EndpointState::Live, ..Default::default() };
+        |id, size| ListedServer { id, size, state: EndpointState::Live, ..Default::default() };
     let entries = vec![server(11, 1.0), server(12, 2.0), server(13, 4.0)].into();
     balancer.handle(0, Event::Servers { kind: ListKind::Full, version: 1, entries }, &mut actions);
     let request = Event::Request {
@@ -29,7 +29,7 @@
         key: None,
         cost_hint: None,
         repeat: false,
-        patience: 1_000_000_000,
+        client_timeout: 1_000_000_000,
     };
     balancer.handle(1_000_000, request, &mut actions);
     for action in actions {
--- /dev/null
+++ b/crates/balancer/src/api/action.rs
@@ -0,0 +1,77 @@
+//! What a balancer asks of its sidecar.
+
+use super::{Nanos, RequestId, ServerId};
+
+/// An output of the balancer, to be carried out by the sidecar.
+#[derive(Debug, Clone, PartialEq)]
+pub enum Action {
+    /// Send a request to a server.
+    Send {
+        /// The request.
+        id: RequestId,
+        /// The server.
+        server: ServerId,
+        /// When the attempt times out.
+        timeout_at: Nanos,
+    },
+    /// Stop waiting for an attempt.
+    Cancel {
+        /// The request.
+        id: RequestId,
+        /// The attempt's number.
+        attempt: u32,
+    },
+    /// End a request unserved; the client may safely repeat it.
+    Reject {
+        /// The request.
+        id: RequestId,
+        /// Delay after which the client should retry; 0 for no advice.
+        retry_after: Nanos,
+    },
+    /// End a request as failed; it may or may not have run.
+    Fail {
+        /// The request.
+        id: RequestId,
+    },
+    /// Report [`Event::Timer`](super::Event::Timer) later.
+    SetTimer {
+        /// Delay from now.
+        after: Nanos,
+        /// Returned with the event.
+        token: u64,
+    },
+    /// Forget a timer that has not fired. One that fires all the same has no effect.
+    DropTimer {
+        /// The timer's token.
+        token: u64,
+    },
+    /// Probe a server.
+    Probe {
+        /// The server.
+        server: ServerId,
+    },
+    /// Close this instance's idle connections to a server.
+    CloseIdle {
+        /// The server.
+        server: ServerId,
+    },
+    /// Send a message to one peer, or to all.
+    SendGossip {
+        /// The peer's number; all peers if absent.
+        peer: Option<u32>,
+        /// An encoded [`GossipMessage`](crate::gossip::GossipMessage) of at most 256 bytes.
+        payload: Vec<u8>,
+    },
+    /// Start or end a watch on discovery.
+    Watch {
+        /// Whether to start one.
+        on: bool,
+    },
+    /// Fetch the complete list from discovery.
+    FetchServers,
+    /// Write a log line for the operators.
+    Log {
+        /// Its text.
+        text: String,
+    },
+}
--- /dev/null
+++ b/crates/balancer/src/api/event.rs
@@ -0,0 +1,138 @@
+//! What a sidecar reports to its balancer.
+
+use super::{ListKind, ListedServer, Nanos, RequestId, ServerId};
+use std::sync::Arc;
+
+/// How an attempt or a probe ended.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Outcome {
+    /// Served.
+    Ok,
+    /// The server responded with an error.
+    Error,
+    /// The server responded that the request itself is invalid.
+    Rejected,
+    /// The server's queue was full; it did not look at the request.
+    Full,
+    /// No response in time.
+    TimedOut,
+    /// No connection was made.
+    ConnectFailed,
+    /// The connection broke.
+    Reset,
+    /// Cancelled by this side.
+    Cancelled,
+    /// Never sent.
+    Unused,
+}
+
+impl Outcome {
+    /// Whether it counts as a failure of the server.
+    #[must_use]
+    pub fn failed(self) -> bool {
+        matches!(self, Outcome::Error | Outcome::Reset | Outcome::ConnectFailed)
+    }
+
+    /// Whether the server has responded in any way.
+    #[must_use]
+    pub fn answered(self) -> bool {
+        matches!(self, Outcome::Ok | Outcome::Full | Outcome::Error | Outcome::Rejected)
+    }
+
+    /// Whether the attempt certainly never ran.
+    #[must_use]
+    pub fn never_ran(self) -> bool {
+        matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::Unused)
+    }
+}
+
+/// An input of the balancer.
+#[derive(Debug, Clone, PartialEq)]
+pub enum Event {
+    /// An update from discovery.
+    Servers {
+        /// What it contains.
+        kind: ListKind,
+        /// Version of the list.
+        version: u64,
+        /// Its entries; none for [`ListKind::Failed`].
+        entries: Arc<[ListedServer]>,
+    },
+    /// Discovery has a new address, to which the next call goes.
+    DiscoveryAddressChanged,
+    /// A client's request has arrived.
+    Request {
+        /// Its id.
+        id: RequestId,
+        /// Its class, an index into [`Settings::classes`](super::Settings::classes).
+        class: u32,
+        /// Its tenant, if there are tenants.
+        tenant: u32,
+        /// Hash of the object that it concerns.
+        key: Option<u64>,
+        /// Expected work in core time, if known.
+        cost_hint: Option<Nanos>,
+        /// Marked by the client as a repeat.
+        repeat: bool,
+        /// How long the client waits for a response to this request.
+        client_timeout: Nanos,
+    },
+    /// A response stream has begun on an attempt, or so much of the request's own body was
+    /// sent that it can't be sent again.
+    StreamStarted {
+        /// The request.
+        id: RequestId,
+        /// The attempt's number, from 0.
+        attempt: u32,
+    },
+    /// The only attempt of a safe request is slow: a hedge may be sent.
+    HedgeRequested {
+        /// The request.
+        id: RequestId,
+    },
+    /// An attempt has ended.
+    AttemptEnded {
+        /// The request.
+        id: RequestId,
+        /// The attempt's number, from 0.
+        attempt: u32,
+        /// How it ended.
+        outcome: Outcome,
+        /// Whether the request has ended with it.
+        finished: bool,
+        /// Time since the attempt was sent.
+        took: Nanos,
+        /// The server it went to.
+        server: ServerId,
+        /// A load report, in the order of the settings.
+        report: Option<Vec<f64>>,
+    },
+    /// The client has disconnected and awaits no response.
+    ClientDisconnected {
+        /// The request.
+        id: RequestId,
+    },
+    /// A timer set earlier has fired.
+    Timer {
+        /// Its token.
+        token: u64,
+    },
+    /// A probe has ended.
+    Probed {
+        /// The server.
+        server: ServerId,
+        /// How it ended.
+        outcome: Outcome,
+        /// Time since it was sent.
+        took: Nanos,
+        /// A load report, in the order of the settings.
+        report: Option<Vec<f64>>,
+    },
+    /// A message from another instance.
+    Gossip {
+        /// The sender's number.
+        from: u32,
+        /// An encoded [`GossipMessage`](crate::gossip::GossipMessage).
+        payload: Vec<u8>,
+    },
+}
--- a/crates/balancer/src/decide/admission.rs
+++ b/crates/balancer/src/decide/admission.rs
@@ -74,14 +74,14 @@
             (0..n).map(|c| of(c) / all.max(1e-9)).collect()
         };
         let work = parts(&|c| self.mix[c] * self.typical_of(c));
-        let by = |c: usize| if self.set.worth_by_work { work[c] } else { self.mix[c] };
+        let by = |c: usize| if self.set.is_weighted_by_work { work[c] } else { self.mix[c] };
         let priority_weight = parts(&|c| self.set.classes[c].priority_weight * by(c));
         let density = |c: usize| priority_weight[c] / work[c].max(1e-9);
         let mut by_density: Vec<usize> = (0..n).collect();
         by_density.sort_by(|a, b| density(*a).total_cmp(&density(*b)));
         let (low, high) = (by_density[0], by_density[n - 1]);
-        let goal = &self.set.goal;
-        let gain = (goal.whole + goal.worst_window) * work[low] * (density(high) - density(low));
+        let goal = &self.set.objective;
+        let gain = (goal.overall + goal.worst_window) * work[low] * (density(high) - density(low));
         let level = (self.refuse_level - ADMIT_DEADBAND).max(0.0) / (1.0 - ADMIT_DEADBAND);
         let mut left = level;
         for c in by_density {
@@ -94,7 +94,7 @@
 
     /// Chance that a request is refused on arrival. What is past a quota goes first.
     pub(super) fn refuse_chance(&self, now: Nanos, class: usize, tenant: usize) -> f64 {
-        let from = if self.set.peers { OVER_FROM } else { ADMIT_DEADBAND };
+        let from = if self.set.has_peers { OVER_FROM } else { ADMIT_DEADBAND };
         let ramp = ((self.refuse_level - from) / OVER_SPAN).clamp(0.0, 1.0);
         let over = if ramp > 0.0 { self.over_quota(now, tenant) } else { 0.0 };
         1.0 - (1.0 - self.refuse[class]) * (1.0 - ramp * over.clamp(0.0, ADMIT_MAX))
@@ -126,12 +126,12 @@
         let scale = f64::from(self.set.instances) / RATE_SPAN / weight;
         let fleet = |seen: &DecayingCounter| seen.get(now, RATE_HALF_LIFE) * scale;
         let mut rate = fleet(&self.tenant_seen[tenant]);
-        if !self.set.peers {
-            let quotas: f64 = self.set.tenants.iter().map(|t| t.quota_per_s).sum();
+        if !self.set.has_peers {
+            let quotas: f64 = self.set.tenants.iter().map(|t| t.quota_per_second).sum();
             let all: f64 = self.tenant_seen.iter().map(fleet).sum();
             rate *= (quotas / all.max(1e-9)).min(1.0);
         }
-        1.0 - set.quota_per_s / rate.max(1e-9)
+        1.0 - set.quota_per_second / rate.max(1e-9)
     }
 
     pub(super) fn count_mix(&mut self, now: Nanos, class: usize, tenant: usize) {
--- a/crates/balancer/src/decide/attempts.rs
+++ b/crates/balancer/src/decide/attempts.rs
@@ -49,7 +49,7 @@
         }
         let room = request.attempts.len() < class.max_attempts.min(self.set.max_attempts) as usize
             && now < request.deadline
-            && (self.set.parallel_attempts || !request.attempts.iter().any(Attempt::out));
+            && (self.set.allows_parallel_attempts || !request.attempts.iter().any(Attempt::out));
         let first = request.attempts.iter().find(|a| a.may_have_run());
         match (class.effect, first) {
             (Effect::Safe, _) | (_, None) => Legal { send: room, group_of: None, refuse: true },
@@ -256,14 +256,14 @@
     /// Silent for half of an attempt while others end: stuck; a jammed one answers what came before.
     fn silent(&self, now: Nanos, s: usize, sent: Nanos) -> bool {
         let half = now - now.saturating_sub(sent) / 2;
-        self.set.silence_is_local && self.servers[s].heard < half && self.ended_at > half
+        self.set.is_silence_local && self.servers[s].heard < half && self.ended_at > half
     }
 
     /// Full jitter under a doubling bound, so that those who failed together part; none
     /// where it might outlast the request.
     fn backoff(&mut self, now: Nanos, id: &RequestId) -> Nanos {
         let Some(r) = self.requests.get(id) else { return 0 };
-        let bound = backoff_bound(self.set.classes[r.class].backoff, r.attempts.len());
+        let bound = self.set.classes[r.class].backoff.bound(r.attempts.len());
         let part = if bound > 0 && now + bound < r.deadline { self.rng.draw() } else { 0.0 };
         (part * bound as f64) as Nanos
     }
--- a/crates/balancer/src/decide/cold.rs
+++ b/crates/balancer/src/decide/cold.rs
@@ -9,9 +9,10 @@
     /// Fraction of its capacity that a server surely has: the slowest warming allowed.
     pub(super) fn warmth(&self, server: &Server, now: Nanos) -> f64 {
         match server.started {
-            Some(at) if self.set.cold > 0 => {
-                let age = now.saturating_sub(at) as f64 / self.set.cold as f64;
-                (self.set.cold_from + (1.0 - self.set.cold_from) * age).clamp(0.01, 1.0)
+            Some(at) if self.set.warm_up > 0 => {
+                let age = now.saturating_sub(at) as f64 / self.set.warm_up as f64;
+                (self.set.initial_capacity + (1.0 - self.set.initial_capacity) * age)
+                    .clamp(0.01, 1.0)
             }
             _ => 1.0,
         }
@@ -36,8 +37,8 @@
             return f64::INFINITY;
         }
         let warm = self.unit_rate(now) * self.servers[s].listed.size;
-        let rate = warm * warmth * self.set.fall_multiple * COLD_SAFETY;
-        let depth = (rate * self.set.tip_after as f64 / SECOND as f64 * 0.5).max(1.0);
+        let rate = warm * warmth * self.set.overload_multiple * COLD_SAFETY;
+        let depth = (rate * self.set.overload_duration as f64 / SECOND as f64 * 0.5).max(1.0);
         let server = &mut self.servers[s];
         let passed = now.saturating_sub(server.credit_at) as f64 / SECOND as f64;
         server.credit_at = now;
--- a/crates/balancer/src/decide/discovery.rs
+++ b/crates/balancer/src/decide/discovery.rs
@@ -30,22 +30,22 @@
         }
         if kind != ListKind::Changes {
             // What a complete list leaves out is gone.
-            self.servers.iter_mut().for_each(|s| s.listed.condition = EndpointState::Gone);
+            self.servers.iter_mut().for_each(|s| s.listed.state = EndpointState::Removed);
         }
         for entry in list {
             self.on_entry(now, entry);
         }
-        let here = |s: &usize| self.servers[*s].listed.condition != EndpointState::Gone;
+        let here = |s: &usize| self.servers[*s].listed.state != EndpointState::Removed;
         self.order = (0..self.servers.len()).filter(here).collect();
         // Its idle connections are of no use, and cost both sides descriptors.
-        let leaving = list.iter().filter(|entry| entry.condition != EndpointState::Live);
+        let leaving = list.iter().filter(|entry| entry.state != EndpointState::Live);
         out.extend(leaving.map(|entry| Action::CloseIdle { server: entry.id }));
         self.order.sort_by_key(|s| (self.servers[*s].rank, self.servers[*s].listed.id));
         self.line_stale = true;
     }
 
     fn on_entry(&mut self, now: Nanos, entry: &ListedServer) {
-        let recent = |at: &Nanos| *at > 0 && now.saturating_sub(*at) < self.set.cold;
+        let recent = |at: &Nanos| *at > 0 && now.saturating_sub(*at) < self.set.warm_up;
         let started = Some(entry.started_at).filter(recent);
         let hash = mix(mix(u64::from(entry.id)) ^ mix(u64::from(self.set.self_index) + 1));
         // A line that is cut short holds more of the own zone, by its price.
@@ -66,7 +66,7 @@
         // A server that is new to a list already held has just started, whatever it says.
         let started = started.or((!self.order.is_empty() && entry.started_at == 0).then_some(now));
         // Danger: ids are ever new; the place of one gone serves the next.
-        let gone = |s: &Server| s.listed.condition == EndpointState::Gone;
+        let gone = |s: &Server| s.listed.state == EndpointState::Removed;
         let place = self.servers.iter().position(gone);
         self.index.insert(entry.id, place.unwrap_or(self.servers.len()));
         self.servers.push(Server { started, ..fresh });
--- a/crates/balancer/src/decide/health.rs
+++ b/crates/balancer/src/decide/health.rs
@@ -72,7 +72,7 @@
 
     /// Reports are worth asking for before a send: cheap, and shown to be fresh.
     pub(super) fn asks_first(&self) -> bool {
-        self.set.probes
+        self.set.can_probe
             && self.set.report_fields.contains(&ReportField::InFlight)
             && self.set.prices.probe <= PROBE_PRICE_MAX
             && self.reports[0] <= self.reports[1] + REPORT_TRIALS
@@ -102,7 +102,7 @@
             self.reports[usize::from(moved)] += 1;
         }
         (server.report, server.report_queue, server.report_at) = (report.to_vec(), queue, now);
-        if value(ReportField::ErrorsPerS).is_some_and(|e| e > 1.0 && e > ERROR_SHARE * usual) {
+        if value(ReportField::ErrorsPerSecond).is_some_and(|e| e > 1.0 && e > ERROR_SHARE * usual) {
             self.record_failure(now, s, EJECT_AFTER);
         }
     }
--- a/crates/balancer/src/decide/mod.rs
+++ b/crates/balancer/src/decide/mod.rs
@@ -57,7 +57,7 @@
 impl Server {
     /// Draining or gone, as far as this instance has heard.
     fn leaving(&self) -> bool {
-        self.listed.condition != EndpointState::Live
+        self.listed.state != EndpointState::Live
     }
 }
 
@@ -149,15 +149,15 @@
     pub fn handle(&mut self, now: Nanos, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Servers { kind, entries, .. } => self.on_list(now, kind, &entries, out),
-            Event::DiscoveryMoved => {
+            Event::DiscoveryAddressChanged => {
                 (self.watching, self.call_out) = (false, false);
                 self.call_discovery(discovery::MOVE_SPREAD, out);
             }
-            Event::Request { id, class, tenant, patience, repeat, cost_hint, .. } => {
+            Event::Request { id, class, tenant, client_timeout, repeat, cost_hint, .. } => {
                 let (class, tenant) = (class as usize, tenant as usize);
                 let cost = cost_hint.filter(|cost| *cost > 0).map(|cost| (cost as f64).ln());
                 let (arrived, deadline, rest) =
-                    (now, now.saturating_add(patience), Request::default());
+                    (now, now.saturating_add(client_timeout), Request::default());
                 let request = Request { class, tenant, cost, repeat, arrived, deadline, ..rest };
                 self.on_request(now, id, request, out)
             }
--- a/crates/balancer/src/decide/speed.rs
+++ b/crates/balancer/src/decide/speed.rs
@@ -102,7 +102,7 @@
     }
 
     fn speed_memory(&self) -> (f64, Nanos) {
-        let pooled = self.set.peers;
+        let pooled = self.set.has_peers;
         [(SPEED_PRIOR, SPEED_HALF_LIFE), (POOLED_PRIOR, POOLED_HALF_LIFE)][usize::from(pooled)]
     }
 
@@ -115,7 +115,7 @@
     /// instance which server is slow; by halves nothing counts twice and all hold the mean.
     pub(super) fn tell_peer(&mut self, now: Nanos, out: Out<'_>) {
         let others = self.set.instances.saturating_sub(1);
-        if !self.set.peers || others == 0 || now.saturating_sub(self.told_at) < TELL_EVERY {
+        if !self.set.has_peers || others == 0 || now.saturating_sub(self.told_at) < TELL_EVERY {
             return;
         }
         self.told_at = now;
--- /dev/null
+++ b/crates/balancer/src/settings/document.rs
@@ -0,0 +1,142 @@
+//! The JSON document of an instance's settings, as serde reads it.
+//!
+//! Field names follow the terms of this package; the document's own keys stand in `rename`.
+//! All durations are nanoseconds.
+
+use serde::Deserialize;
+
+/// The complete document.
+#[derive(Deserialize)]
+#[serde(rename_all = "kebab-case")]
+pub(super) struct SettingsDocument {
+    pub(super) self_index: u32,
+    #[serde(rename = "balancers")]
+    pub(super) instances: u32,
+    #[serde(default)]
+    pub(super) zone: u32,
+    #[serde(default)]
+    pub(super) zones: Vec<String>,
+    #[serde(rename = "flavors", default)]
+    pub(super) kinds: Vec<String>,
+    pub(super) classes: Vec<ClassEntry>,
+    #[serde(default)]
+    pub(super) tenants: Vec<TenantEntry>,
+    #[serde(rename = "over-share-worth", default)]
+    pub(super) over_quota_weight: f64,
+    #[serde(rename = "worth-by", default)]
+    pub(super) weighted_by: String,
+    pub(super) registry_mode: String,
+    #[serde(rename = "weight-kind", default)]
+    pub(super) size_kind: String,
+    #[serde(rename = "report", default)]
+    pub(super) load_report: LoadReportEntry,
+    pub(super) tick: f64,
+    pub(super) invariants: InvariantsEntry,
+    pub(super) limits: LimitsEntry,
+    #[serde(rename = "goal", default)]
+    pub(super) objective: ObjectiveEntry,
+    #[serde(default)]
+    pub(super) prices: PricesEntry,
+}
+
+/// One request class.
+#[derive(Deserialize)]
+#[serde(rename_all = "kebab-case")]
+pub(super) struct ClassEntry {
+    pub(super) semantics: String,
+    #[serde(default)]
+    pub(super) group: String,
+    #[serde(rename = "memory-span", default)]
+    pub(super) dedup_window: f64,
+    #[serde(rename = "goal-time")]
+    pub(super) latency_objective: f64,
+    pub(super) deadline: f64,
+    #[serde(rename = "worth")]
+    pub(super) priority_weight: f64,
+    #[serde(rename = "late-worth", default)]
+    pub(super) late_weight: f64,
+}
+
+/// One tenant.
+#[derive(Deserialize)]
+#[serde(rename_all = "kebab-case")]
+pub(super) struct TenantEntry {
+    #[serde(rename = "quota-rps", default)]
+    pub(super) quota_per_second: f64,
+    #[serde(default)]
+    pub(super) share: f64,
+}
+
+/// How load reports arrive and what they contain.
+#[derive(Deserialize, Default)]
+pub(super) struct LoadReportEntry {
+    #[serde(rename = "how", default)]
+    pub(super) mode: String,
+    #[serde(default)]
+    pub(super) fields: Vec<String>,
+}
+
+/// Guarantees that the deployment requires or gives.
+#[derive(Deserialize)]
+#[serde(rename_all = "kebab-case")]
+pub(super) struct InvariantsEntry {
+    #[serde(rename = "grace-to-answer")]
+    pub(super) answer_slack: f64,
+    #[serde(rename = "ask-within", default)]
+    pub(super) poll_within: f64,
+    #[serde(rename = "stop-sending-within")]
+    pub(super) drain_grace: f64,
+    #[serde(rename = "cold-from")]
+    pub(super) initial_capacity: f64,
+    #[serde(rename = "cold")]
+    pub(super) warm_up: f64,
+    #[serde(rename = "fall-multiple")]
+    pub(super) overload_multiple: f64,
+    #[serde(rename = "tip-after")]
+    pub(super) overload_duration: f64,
+}
+
+/// What the deployment permits.
+#[derive(Deserialize)]
+#[serde(rename_all = "kebab-case")]
+pub(super) struct LimitsEntry {
+    #[serde(rename = "cancel")]
+    pub(super) can_cancel: bool,
+    #[serde(rename = "probes")]
+    pub(super) can_probe: bool,
+    #[serde(rename = "peers")]
+    pub(super) has_peers: bool,
+    pub(super) retry_after: bool,
+    #[serde(default)]
+    pub(super) max_retry_after: f64,
+    #[serde(rename = "parallel-tries")]
+    pub(super) allows_parallel_attempts: bool,
+    pub(super) max_attempts: u32,
+    pub(super) connect_timeout: f64,
+    #[serde(rename = "conn-idle")]
+    pub(super) idle_timeout: f64,
+}
+
+/// Weights of the parts of the objective.
+#[derive(Deserialize, Default)]
+#[serde(rename_all = "kebab-case", default)]
+pub(super) struct ObjectiveEntry {
+    #[serde(rename = "whole")]
+    pub(super) overall: f64,
+    pub(super) worst_window: f64,
+    pub(super) worst_class: f64,
+    pub(super) worst_tenant: f64,
+}
+
+/// Costs of traffic side effects.
+#[derive(Deserialize, Default)]
+#[serde(rename_all = "kebab-case", default)]
+pub(super) struct PricesEntry {
+    pub(super) cross_zone: f64,
+    pub(super) waste: f64,
+    pub(super) handshake: f64,
+    pub(super) connection: f64,
+    pub(super) probe: f64,
+    pub(super) peer: f64,
+    pub(super) late_fail: f64,
+}
--- /dev/null
+++ b/crates/balancer/src/settings/mod.rs
@@ -0,0 +1,202 @@
+//! Reads the settings of an instance from their JSON document.
+
+mod document;
+
+use crate::api::{
+    Backoff, Class, Effect, Group, Nanos, Objective, Prices, ReportField, ReportMode, Settings,
+    SizeKind, Tenant,
+};
+use document::{ClassEntry, ObjectiveEntry, PricesEntry, SettingsDocument, TenantEntry};
+use thiserror::Error;
+
+/// Retry credits that each request adds on the platform, whose document has no key for it.
+const RETRY_RATIO: f64 = 0.2;
+/// Most retry credits that may be saved up on the platform.
+const RETRY_BUDGET_MAX: f64 = 5.0;
+
+/// Why a settings document was rejected.
+#[derive(Debug, Error)]
+pub enum SettingsError {
+    /// The text is not JSON, or a key is missing or of the wrong type.
+    #[error(transparent)]
+    Syntax(#[from] serde_json::Error),
+    /// The list of request classes is empty.
+    #[error("classes: there are none")]
+    NoClasses,
+    /// A key that names one of several choices names none of them.
+    #[error("{key}: '{value}' is not known")]
+    UnknownValue {
+        /// Path of the key.
+        key: &'static str,
+        /// The value found.
+        value: String,
+    },
+    /// A duration is negative, not finite or too long for nanoseconds in 64 bits.
+    #[error("{key}: {value} is not a span of time")]
+    InvalidDuration {
+        /// Path of the key.
+        key: &'static str,
+        /// The value found, in nanoseconds.
+        value: f64,
+    },
+}
+
+/// Reads the settings of an instance from their JSON text.
+///
+/// # Errors
+///
+/// [`SettingsError`] if the text is not a valid settings document.
+pub fn parse_settings(text: &str) -> Result<Settings, SettingsError> {
+    let document: SettingsDocument = serde_json::from_str(text)?;
+    if document.classes.is_empty() {
+        return Err(SettingsError::NoClasses);
+    }
+    let max_attempts = document.limits.max_attempts;
+    let classes = document.classes.iter().map(|entry| class(entry, max_attempts));
+    let classes = classes.collect::<Result<Vec<_>, _>>()?;
+    let (invariants, limits) = (&document.invariants, &document.limits);
+    Ok(Settings {
+        self_index: document.self_index,
+        instances: document.instances.max(1),
+        zone: document.zone,
+        zones: (document.zones.len() as u32).max(1),
+        kinds: (document.kinds.len() as u32).max(1),
+        classes,
+        tenants: document.tenants.iter().map(tenant).collect(),
+        over_quota_weight: document.over_quota_weight,
+        is_weighted_by_work: document.weighted_by == "work",
+        must_poll: must_poll(&document.registry_mode)?,
+        poll_within: duration("invariants.ask-within", invariants.poll_within)?,
+        size_kind: size_kind(&document.size_kind),
+        report_mode: report_mode(&document.load_report.mode),
+        report_fields: document.load_report.fields.iter().map(|name| report_field(name)).collect(),
+        tick: duration("tick", document.tick)?,
+        answer_slack: duration("invariants.grace-to-answer", invariants.answer_slack)?,
+        drain_grace: duration("invariants.stop-sending-within", invariants.drain_grace)?,
+        initial_capacity: invariants.initial_capacity,
+        warm_up: duration("invariants.cold", invariants.warm_up)?,
+        overload_multiple: invariants.overload_multiple,
+        overload_duration: duration("invariants.tip-after", invariants.overload_duration)?,
+        can_cancel: limits.can_cancel,
+        can_probe: limits.can_probe,
+        has_peers: limits.has_peers,
+        retry_after: limits.retry_after,
+        max_retry_after: duration("limits.max-retry-after", limits.max_retry_after)?,
+        allows_parallel_attempts: limits.allows_parallel_attempts,
+        max_attempts,
+        retry_ratio: RETRY_RATIO,
+        retry_budget_max: RETRY_BUDGET_MAX,
+        is_silence_local: false,
+        connect_timeout: duration("limits.connect-timeout", limits.connect_timeout)?,
+        idle_timeout: duration("limits.conn-idle", limits.idle_timeout)?,
+        objective: objective(&document.objective),
+        prices: prices(&document.prices),
+    })
+}
+
+/// Converts a duration in nanoseconds; a float holds spans of up to a few centuries well enough.
+fn duration(key: &'static str, value: f64) -> Result<Nanos, SettingsError> {
+    if (0.0..1e19).contains(&value) {
+        Ok(value as Nanos)
+    } else {
+        Err(SettingsError::InvalidDuration { key, value })
+    }
+}
+
+fn unknown<T>(key: &'static str, value: &str) -> Result<T, SettingsError> {
+    Err(SettingsError::UnknownValue { key, value: value.to_string() })
+}
+
+fn class(entry: &ClassEntry, max_attempts: u32) -> Result<Class, SettingsError> {
+    Ok(Class {
+        effect: effect(&entry.semantics)?,
+        group: group(&entry.group)?,
+        dedup_window: duration("classes.memory-span", entry.dedup_window)?,
+        latency_objective: duration("classes.goal-time", entry.latency_objective)?,
+        deadline: duration("classes.deadline", entry.deadline)?,
+        priority_weight: entry.priority_weight,
+        late_weight: entry.late_weight,
+        max_attempts,
+        backoff: Backoff::default(),
+    })
+}
+
+fn effect(name: &str) -> Result<Effect, SettingsError> {
+    match name {
+        "pure" => Ok(Effect::Safe),
+        "token" => Ok(Effect::Idempotent),
+        "side_effect" => Ok(Effect::Unsafe),
+        other => unknown("classes.semantics", other),
+    }
+}
+
+fn group(name: &str) -> Result<Group, SettingsError> {
+    match name {
+        "zone" => Ok(Group::Zone),
+        "cell" => Ok(Group::Cell),
+        "all" | "" => Ok(Group::All),
+        other => unknown("classes.group", other),
+    }
+}
+
+fn tenant(entry: &TenantEntry) -> Tenant {
+    Tenant { quota_per_second: entry.quota_per_second, share: entry.share }
+}
+
+fn must_poll(registry_mode: &str) -> Result<bool, SettingsError> {
+    match registry_mode {
+        "subscribe" => Ok(true),
+        "automatic" => Ok(false),
+        other => unknown("registry-mode", other),
+    }
+}
+
+fn size_kind(name: &str) -> SizeKind {
+    match name {
+        "nominal" => SizeKind::Nominal,
+        "rough" => SizeKind::Rough,
+        "live" => SizeKind::Live,
+        _ => SizeKind::Absent,
+    }
+}
+
+fn report_mode(name: &str) -> ReportMode {
+    match name {
+        "piggyback" => ReportMode::Answers,
+        "pull" => ReportMode::Probes,
+        _ => ReportMode::Absent,
+    }
+}
+
+fn report_field(name: &str) -> ReportField {
+    match name {
+        "inflight" => ReportField::InFlight,
+        "queue" => ReportField::Queue,
+        "util" => ReportField::Utilization,
+        "latency_ms" => ReportField::LatencyMs,
+        "qps" => ReportField::ServedPerSecond,
+        "eps" => ReportField::ErrorsPerSecond,
+        _ => ReportField::Other,
+    }
+}
+
+fn objective(entry: &ObjectiveEntry) -> Objective {
+    Objective {
+        overall: entry.overall,
+        worst_window: entry.worst_window,
+        worst_class: entry.worst_class,
+        worst_tenant: entry.worst_tenant,
+    }
+}
+
+fn prices(entry: &PricesEntry) -> Prices {
+    Prices {
+        cross_zone: entry.cross_zone,
+        waste: entry.waste,
+        handshake: entry.handshake,
+        connection: entry.connection,
+        probe: entry.probe,
+        peer: entry.peer,
+        late_fail: entry.late_fail,
+    }
+}
--- a/crates/balancer/tests/cold.rs
+++ b/crates/balancer/tests/cold.rs
@@ -60,10 +60,10 @@
         self_index,
         instances: world.instances as u32,
         classes: vec![class(Effect::Safe, Group::All)],
-        cold_from: 0.3,
-        cold: COLD,
-        fall_multiple: 3.0,
-        parallel_attempts: false,
+        initial_capacity: 0.3,
+        warm_up: COLD,
+        overload_multiple: 3.0,
+        allows_parallel_attempts: false,
         ..settings()
     };
     let mut heap: BinaryHeap<Reverse<(Nanos, u64, usize)>> = BinaryHeap::new();
@@ -96,7 +96,7 @@
     let mut free_at = vec![0; world.servers as usize + 1];
     let leaving: Vec<_> = warm[..9]
         .iter()
-        .map(|s| ListedServer { condition: EndpointState::Draining, ..s.clone() })
+        .map(|s| ListedServer { state: EndpointState::Draining, ..s.clone() })
         .collect();
     let (mut told, mut lost) = (false, false);
     let mut times = Vec::new();
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -18,7 +18,7 @@
         priority_weight: 1.0,
         late_weight: 0.0,
         max_attempts: 6,
-        backoff: [0; 2],
+        backoff: Backoff::default(),
     }
 }
 
@@ -37,8 +37,8 @@
             class(Effect::Unsafe, Group::All),
         ],
         tenants: Vec::new(),
-        over_share_worth: 0.1,
-        worth_by_work: false,
+        over_quota_weight: 0.1,
+        is_weighted_by_work: false,
         must_poll: false,
         poll_within: 10 * S,
         size_kind: SizeKind::Nominal,
@@ -47,23 +47,23 @@
         tick: 5 * MS,
         answer_slack: 15 * MS,
         drain_grace: 500 * MS,
-        cold_from: 0.2,
-        cold: 10 * S,
-        fall_multiple: 4.0,
-        tip_after: 2 * S,
-        cancel: true,
-        probes: false,
-        peers: false,
+        initial_capacity: 0.2,
+        warm_up: 10 * S,
+        overload_multiple: 4.0,
+        overload_duration: 2 * S,
+        can_cancel: true,
+        can_probe: false,
+        has_peers: false,
         retry_after: true,
         max_retry_after: 2 * S,
-        parallel_attempts: true,
+        allows_parallel_attempts: true,
         max_attempts: 5,
         retry_ratio: 0.2,
         retry_budget_max: 5.0,
-        silence_is_local: false,
+        is_silence_local: false,
         connect_timeout: 200 * MS,
         idle_timeout: 15 * S,
-        goal: Objective { whole: 1.0, ..Objective::default() },
+        objective: Objective { overall: 1.0, ..Objective::default() },
         prices: Prices::default(),
     }
 }
@@ -76,7 +76,7 @@
     Event::Servers { kind, version: 1, entries: entries.into() }
 }
 
-pub fn request(id: &str, class: u32, patience: Nanos) -> Event {
+pub fn request(id: &str, class: u32, client_timeout: Nanos) -> Event {
     Event::Request {
         id: id.into(),
         class,
@@ -84,7 +84,7 @@
         key: None,
         cost_hint: None,
         repeat: false,
-        patience,
+        client_timeout,
     }
 }
 
--- a/crates/balancer/tests/gossip.rs
+++ b/crates/balancer/tests/gossip.rs
@@ -44,7 +44,7 @@
 /// Danger: a trickle over many servers shows no instance which of them is slow.
 #[test]
 fn a_peer_tells_which_server_is_slow() {
-    let mut rig = Rig::with(Settings { peers: true, ..settings() }, 1..=4);
+    let mut rig = Rig::with(Settings { has_peers: true, ..settings() }, 1..=4);
     let told = GossipMessage { weight: 1.0, tenants: vec![], servers: vec![(2, 60.0, 30.0)] };
     let (from, payload) = (9, told.encode());
     rig.feed(S, Event::Gossip { from, payload });
@@ -62,7 +62,7 @@
 /// What is given to a peer is halved, or evidence would grow as it goes round.
 #[test]
 fn an_instance_tells_one_peer_a_second_at_most_and_never_itself() {
-    let mut rig = Rig::with(Settings { peers: true, ..settings() }, 1..=4);
+    let mut rig = Rig::with(Settings { has_peers: true, ..settings() }, 1..=4);
     let mut told = Vec::new();
     for i in 0..100 {
         let now = S + i * 100 * MS;
--- a/crates/balancer/tests/jams.rs
+++ b/crates/balancer/tests/jams.rs
@@ -6,8 +6,15 @@
 use mintshelf_balancer::api::*;
 
 /// Sends a safe request; how it ends, after `took`, if it is sent at all.
-fn one(rig: &mut Rig, now: Nanos, id: &str, patience: Nanos, took: Nanos, end: Outcome) -> bool {
-    let actions = rig.feed(now, request(id, 0, patience));
+fn one(
+    rig: &mut Rig,
+    now: Nanos,
+    id: &str,
+    client_timeout: Nanos,
+    took: Nanos,
+    end: Outcome,
+) -> bool {
+    let actions = rig.feed(now, request(id, 0, client_timeout));
     let Some(&server) = sends(&actions).first() else { return false };
     rig.feed(now + took, ended_after(took, id, server, end));
     true
@@ -73,8 +80,8 @@
         let now = S + n * 50 * MS;
         assert!(one(&mut rig, now, &format!("a{n}"), 2 * S, 80 * MS, Outcome::Ok));
     }
-    let hurried = |rig: &mut Rig, id: &str, patience| {
-        let actions = rig.feed(4 * S, request(id, 0, patience));
+    let hurried = |rig: &mut Rig, id: &str, client_timeout| {
+        let actions = rig.feed(4 * S, request(id, 0, client_timeout));
         refused(&actions) && sends(&actions).is_empty()
     };
     assert!(hurried(&mut rig, "x", 40 * MS), "half of what answers take");
--- a/crates/balancer/tests/rules.rs
+++ b/crates/balancer/tests/rules.rs
@@ -85,7 +85,7 @@
 
 #[test]
 fn no_parallel_attempts_where_forbidden() {
-    let mut rig = Rig::with(Settings { parallel_attempts: false, ..settings() }, 1..=4);
+    let mut rig = Rig::with(Settings { allows_parallel_attempts: false, ..settings() }, 1..=4);
     let out = rig.feed(S, request("a", 0, 2 * S));
     for action in out {
         if let Action::SetTimer { after, token } = action {
@@ -97,7 +97,7 @@
 #[test]
 fn a_draining_or_missing_server_gets_nothing_more() {
     let mut rig = Rig::with(settings(), 1..=3);
-    let draining = ListedServer { condition: EndpointState::Draining, ..server(1) };
+    let draining = ListedServer { state: EndpointState::Draining, ..server(1) };
     rig.feed(S, list(ListKind::Changes, vec![draining]));
     for i in 0..50 {
         let out = rig.feed(S, request(&format!("a{i}"), 0, 2 * S));
@@ -232,8 +232,8 @@
 
 fn hinted(id: &str, cost: Nanos) -> Event {
     match request(id, 0, 2 * S) {
-        Event::Request { id, class, tenant, key, repeat, patience, .. } => {
-            Event::Request { id, class, tenant, key, repeat, patience, cost_hint: Some(cost) }
+        Event::Request { id, class, tenant, key, repeat, client_timeout, .. } => {
+            Event::Request { id, class, tenant, key, repeat, client_timeout, cost_hint: Some(cost) }
         }
         other => other,
     }
@@ -349,20 +349,27 @@
 /// Danger: refusing all alike in overload, while one tenant sends past its quota.
 #[test]
 fn a_tenant_past_its_quota_gives_way_first() {
-    let tenant = |quota_per_s| Tenant { quota_per_s, share: 0.5 };
+    let tenant = |quota_per_second| Tenant { quota_per_second, share: 0.5 };
     let tenants = vec![tenant(1_000.0), tenant(100.0)];
-    let mut rig = Rig::with(Settings { tenants, peers: true, ..settings() }, 1..=4);
+    let mut rig = Rig::with(Settings { tenants, has_peers: true, ..settings() }, 1..=4);
     let (mut refusals, mut ends) = ([0, 0], 0);
     for i in 0..400u64 {
         let (now, id) = (S + i * 20 * MS, format!("a{i}"));
-        let Event::Request { id, class, key, repeat, patience, cost_hint, .. } =
+        let Event::Request { id, class, key, repeat, client_timeout, cost_hint, .. } =
             request(&id, 0, 2 * S)
         else {
             unreachable!()
         };
         let tenant = (i % 2) as u32;
-        let event =
-            Event::Request { id: id.clone(), class, tenant, key, repeat, patience, cost_hint };
+        let event = Event::Request {
+            id: id.clone(),
+            class,
+            tenant,
+            key,
+            repeat,
+            client_timeout,
+            cost_hint,
+        };
         let out = rig.feed(now, event);
         refusals[tenant as usize] += i32::from(refused(&out));
         if let Some(to) = sends(&out).first() {
@@ -381,8 +388,8 @@
 #[test]
 fn lost_messages_do_not_put_a_tenant_past_its_quota() {
     // 20 instances at 10 requests a second each: half the quota.
-    let tenants = vec![Tenant { quota_per_s: 400.0, share: 1.0 }];
-    let mut rig = Rig::with(Settings { tenants, peers: true, ..settings() }, 1..=4);
+    let tenants = vec![Tenant { quota_per_second: 400.0, share: 1.0 }];
+    let mut rig = Rig::with(Settings { tenants, has_peers: true, ..settings() }, 1..=4);
     let mut refusals = 0;
     for i in 0..400u64 {
         let (now, id) = (S + i * 100 * MS, format!("a{i}"));
@@ -502,7 +509,7 @@
             (state >> 33) % n
         };
         let parallel = rand(2) == 0;
-        let set = Settings { parallel_attempts: parallel, ..settings() };
+        let set = Settings { allows_parallel_attempts: parallel, ..settings() };
         let classes = set.classes.clone();
         let mut rig = Rig::with(set, 1..=6);
         let mut now = S;
@@ -544,8 +551,10 @@
                 let id = 1 + rand(6) as u32;
                 let leaving = rand(2) == 0;
                 let condition = if leaving { EndpointState::Draining } else { EndpointState::Live };
-                events
-                    .push(list(ListKind::Changes, vec![ListedServer { condition, ..server(id) }]));
+                events.push(list(
+                    ListKind::Changes,
+                    vec![ListedServer { state: condition, ..server(id) }],
+                ));
             }
             if step < 340 {
                 let (id, class) = (format!("r{step}"), rand(5));
@@ -554,7 +563,7 @@
             }
             for event in events {
                 if let Event::Servers { entries, .. } = &event {
-                    draining.insert(entries[0].id, entries[0].condition != EndpointState::Live);
+                    draining.insert(entries[0].id, entries[0].state != EndpointState::Live);
                 }
                 if let Event::AttemptEnded { id, finished: true, .. } = &event {
                     open.iter_mut().filter(|o| o.0 == **id).for_each(|o| o.1 .3 = true);
@@ -660,7 +669,7 @@
 #[test]
 fn a_deep_reported_queue_is_refused_from_the_first_request_on() {
     let set = Settings {
-        probes: true,
+        can_probe: true,
         report_mode: ReportMode::Probes,
         report_fields: vec![ReportField::Queue, ReportField::InFlight],
         ..settings()
@@ -689,7 +698,7 @@
 #[test]
 fn a_report_asked_for_again_while_fresh_is_not_stale() {
     let settings = Settings {
-        probes: true,
+        can_probe: true,
         report_mode: ReportMode::Probes,
         report_fields: vec![ReportField::Queue, ReportField::InFlight],
         ..settings()
--- a/crates/balancer/tests/tries.rs
+++ b/crates/balancer/tests/tries.rs
@@ -11,7 +11,7 @@
     for class in &mut set.classes {
         class.dedup_window = S;
         class.deadline = 60 * S;
-        class.backoff = [20 * S, 20 * S];
+        class.backoff = Backoff { initial: 20 * S, max: 20 * S };
         class.max_attempts = 6;
     }
     set
@@ -78,7 +78,7 @@
     for class in 1..=4 {
         assert_eq!(copy(careless(), class), 0, "class {class}");
     }
-    assert_eq!(copy(Settings { parallel_attempts: false, ..careless() }, 0), 0);
+    assert_eq!(copy(Settings { allows_parallel_attempts: false, ..careless() }, 0), 0);
     assert_eq!(copy(Settings { retry_ratio: 0.0, retry_budget_max: 0.0, ..careless() }, 0), 0);
     let mut one = careless();
     one.classes[0].max_attempts = 1;
@@ -87,7 +87,7 @@
 
 #[test]
 fn a_silent_server_is_no_sign_of_congestion_while_others_answer() {
-    let set = Settings { silence_is_local: true, ..settings() };
+    let set = Settings { is_silence_local: true, ..settings() };
     let level = |set: Settings| {
         let mut rig = Rig::with(set, 1..=4);
         let mut refusals = 0;
@@ -119,7 +119,7 @@
 
 #[test]
 fn what_was_under_way_when_a_server_froze_is_no_sign_of_congestion() {
-    let set = Settings { silence_is_local: true, retry_budget_max: 100.0, ..settings() };
+    let set = Settings { is_silence_local: true, retry_budget_max: 100.0, ..settings() };
     let mut rig = Rig::with(set, 1..=4);
     let answer = |rig: &mut Rig, now: Nanos, id: &str, server| {
         rig.feed(now, ended(id, 0, server, Outcome::Ok, true));
--- a/crates/config/src/module.rs
+++ b/crates/config/src/module.rs
@@ -179,7 +179,7 @@
                 priority_weight: class.priority_weight,
                 late_weight: class.late_weight,
                 max_attempts: plan.attempts,
-                backoff: plan.backoff,
+                backoff: plan.backoff.into(),
             });
         }
         let class = ModuleClass {
@@ -216,21 +216,26 @@
         tick: TICK,
         answer_slack: 4 * TICK,
         drain_grace: 250_000_000,
-        cold_from: cluster.warm_from,
-        cold: nanos(cluster.warm_up),
-        fall_multiple: FALL_MULTIPLE,
-        tip_after: TIP_AFTER,
-        cancel: true,
+        initial_capacity: cluster.warm_from,
+        warm_up: nanos(cluster.warm_up),
+        overload_multiple: FALL_MULTIPLE,
+        overload_duration: TIP_AFTER,
+        can_cancel: true,
         retry_after: true,
         max_retry_after: nanos(cluster.max_retry_after),
         max_attempts,
-        parallel_attempts: cluster.second_copies,
+        allows_parallel_attempts: cluster.second_copies,
         retry_ratio: cluster.retry_budget.0,
         retry_budget_max: f64::from(cluster.retry_budget.1),
-        silence_is_local: true,
+        is_silence_local: true,
         connect_timeout: nanos(cluster.connect_timeout),
         idle_timeout: nanos(cluster.idle_timeout),
-        goal: Objective { whole: 0.5, worst_window: 0.3, worst_class: 0.2, worst_tenant: 0.0 },
+        objective: Objective {
+            overall: 0.5,
+            worst_window: 0.3,
+            worst_class: 0.2,
+            worst_tenant: 0.0,
+        },
         prices: Prices {
             cross_zone: if cluster.zone.is_empty() { 0.0 } else { CROSS_ZONE },
             ..Prices::default()
--- a/crates/config/src/platform.rs
+++ b/crates/config/src/platform.rs
@@ -147,7 +147,8 @@
             return Err(error("limits.sockets", what));
         }
         let text = raw.settings.to_string();
-        let settings = parse_settings(&text).map_err(|what| error("settings", what))?;
+        let settings =
+            parse_settings(&text).map_err(|cause| error("settings", cause.to_string()))?;
         let names: Names =
             parse(&text).map_err(|(field, what)| error(&format!("settings.{field}"), what))?;
         for (field, names) in [("classes", &names.classes), ("tenants", &names.tenants)] {
@@ -162,7 +163,7 @@
             let what = "is 0: nothing could be sent to any server; it is 1 at least";
             return Err(error("settings.limits.max-attempts", what.into()));
         }
-        if settings.peers && raw.peer_listen.is_none() {
+        if settings.has_peers && raw.peer_listen.is_none() {
             return Err(error("peer_listen", "is missing, but the settings allow peers".into()));
         }
         Ok(Config {
--- a/crates/discovery/tests/told.rs
+++ b/crates/discovery/tests/told.rs
@@ -55,7 +55,7 @@
             priority_weight: 1.0,
             late_weight: 0.0,
             max_attempts: 6,
-            backoff: [0, 0],
+            backoff: Backoff::default(),
         };
         let settings = Settings {
             must_poll: true,
--- a/crates/fleet-simulator/src/lists.rs
+++ b/crates/fleet-simulator/src/lists.rs
@@ -43,7 +43,7 @@
 
     /// It hears of a change; who is to be told, and how much later.
     pub fn change(&mut self, entry: ListedServer) -> Vec<(usize, Nanos)> {
-        if entry.condition == EndpointState::Gone {
+        if entry.state == EndpointState::Removed {
             self.held.remove(&entry.id);
         } else {
             self.held.insert(entry.id, entry);
--- a/crates/fleet-simulator/src/sidecar.rs
+++ b/crates/fleet-simulator/src/sidecar.rs
@@ -5,7 +5,7 @@
 use crate::{MS, SECOND};
 use mintshelf_balancer::api::*;
 use mintshelf_balancer::decide::Balancer;
-use mintshelf_recovery::{End, Recovery};
+use mintshelf_recovery::{OutageSignal, Recovery};
 use std::collections::{HashMap, VecDeque};
 
 /// Most attempts of one request.
@@ -96,7 +96,7 @@
         priority_weight: lab.priority_weight,
         late_weight: 0.0,
         max_attempts: MAX_ATTEMPTS,
-        backoff: [0; 2],
+        backoff: Backoff::default(),
     };
     Settings {
         self_index: number as u32,
@@ -112,20 +112,25 @@
         tick: 5 * MS,
         answer_slack: 20 * MS,
         drain_grace: 250 * MS,
-        cold_from: plan.cold_from,
-        cold: plan.cold,
-        fall_multiple: 3.0,
-        tip_after: SECOND,
-        cancel: true,
+        initial_capacity: plan.cold_from,
+        warm_up: plan.cold,
+        overload_multiple: 3.0,
+        overload_duration: SECOND,
+        can_cancel: true,
         retry_after: true,
         max_retry_after: plan.max_retry_after,
         max_attempts: MAX_ATTEMPTS,
         retry_ratio: 0.2,
         retry_budget_max: 5.0,
-        silence_is_local: false,
+        is_silence_local: false,
         connect_timeout: CONNECT_TIMEOUT,
         idle_timeout: 15 * SECOND,
-        goal: Objective { whole: 0.5, worst_window: 0.3, worst_class: 0.2, worst_tenant: 0.0 },
+        objective: Objective {
+            overall: 0.5,
+            worst_window: 0.3,
+            worst_class: 0.2,
+            worst_tenant: 0.0,
+        },
         ..Settings::default()
     }
 }
@@ -171,7 +176,7 @@
         deeds: &mut Vec<Deed>,
     ) {
         for entry in entries {
-            match entry.condition {
+            match entry.state {
                 EndpointState::Live => drop(self.told.remove(&entry.id)),
                 _ => drop(self.told.entry(entry.id).or_insert(now)),
             }
@@ -225,7 +230,7 @@
         patience: Nanos,
         deeds: &mut Vec<Deed>,
     ) -> Option<RequestId> {
-        if self.recovery.as_mut().is_some_and(|recovery| !recovery.pace.admit(now)) {
+        if self.recovery.as_mut().is_some_and(|recovery| !recovery.ramp.admit(now)) {
             let reply = Reply::Paced(self.advise(now, class));
             deeds.push(Deed::Reply { client, reply });
             return None;
@@ -242,7 +247,7 @@
             key: None,
             cost_hint: None,
             repeat: false,
-            patience,
+            client_timeout: patience,
         };
         self.post(now, request, deeds);
         Some(id)
@@ -275,12 +280,14 @@
             taken.open = false;
             deeds.push(Deed::Reply { client: taken.client, reply: Reply::Served });
             if let Some(recovery) = &mut self.recovery {
-                recovery.calendar.served(now);
+                recovery.retry_after.record_served(now);
             }
         }
         let (finished, in_time) = (!taken.open, took <= CLASSES[taken.class].latency_objective);
-        if let Some((recovery, end)) = self.recovery.as_mut().zip(End::of(outcome, in_time)) {
-            recovery.pace.ended(now, end);
+        if let Some((recovery, end)) =
+            self.recovery.as_mut().zip(OutageSignal::from_outcome(outcome, in_time))
+        {
+            recovery.ramp.record(now, end);
         }
         self.forget(id);
         let (id, attempt, report) = (id.clone(), number, None);
@@ -296,7 +303,7 @@
     fn advise(&mut self, now: Nanos, class: usize) -> Nanos {
         let window = (CLASSES[class].effect == Effect::Idempotent).then_some(WINDOW);
         let recovery = self.recovery.as_mut();
-        recovery.map_or(0, |recovery| recovery.calendar.advise(now, window) * SECOND)
+        recovery.map_or(0, |recovery| recovery.retry_after.advise_seconds(now, window) * SECOND)
     }
 
     fn forget(&mut self, id: &RequestId) {
--- a/crates/fleet-simulator/src/world.rs
+++ b/crates/fleet-simulator/src/world.rs
@@ -285,7 +285,7 @@
                     self.servers[server].troubles.push((number, trouble.kind));
                     if trouble.kind == Kind::Crash {
                         self.crash(server);
-                        self.listed_soon(server, EndpointState::Gone, 0);
+                        self.listed_soon(server, EndpointState::Removed, 0);
                     }
                 }
             }
@@ -321,7 +321,7 @@
             Happens::Leaves(server) => {
                 self.servers[server].troubles.push((usize::MAX - 1, Kind::Crash));
                 self.crash(server);
-                self.listed_soon(server, EndpointState::Gone, 0);
+                self.listed_soon(server, EndpointState::Removed, 0);
             }
             Happens::Born { old } => {
                 let zone = self.servers[old].zone;
--- a/crates/fleet-simulator/src/world/fleet.rs
+++ b/crates/fleet-simulator/src/world/fleet.rs
@@ -8,7 +8,7 @@
 /// How a server is listed.
 fn entry(id: usize, zone: u32, condition: EndpointState, started_at: Nanos) -> ListedServer {
     let id = id as ServerId;
-    ListedServer { id, zone, condition, size: 1.0, started_at, ..ListedServer::default() }
+    ListedServer { id, zone, state: condition, size: 1.0, started_at, ..ListedServer::default() }
 }
 
 /// The servers that are there from the start.
--- a/crates/mintshelf/src/daemon.rs
+++ b/crates/mintshelf/src/daemon.rs
@@ -345,11 +345,11 @@
         let state = self.state.borrow();
         let pool = |(name, running): (&String, &Running)| {
             let (open, timers) = running.pool.driver.open();
-            let (phase, told) = running.pool.driver.recovery().unwrap_or((Phase::Calm, 0));
+            let (phase, told) = running.pool.driver.recovery().unwrap_or((Phase::Normal, 0));
             let phase = match phase {
-                Phase::Calm => 0,
-                Phase::Out => 1,
-                Phase::Return => 2,
+                Phase::Normal => 0,
+                Phase::Outage => 1,
+                Phase::Recovering => 2,
             };
             (name.clone(), [open, timers, running.module.servers.len(), phase, told as usize])
         };
--- a/crates/mintshelf/src/platform.rs
+++ b/crates/mintshelf/src/platform.rs
@@ -38,7 +38,7 @@
     // Danger: taken before anything else, so that an early SIGTERM is not deadly.
     let mut terminated = signal(SignalKind::terminate()).map_err(|e| format!("SIGTERM: {e}"))?;
     let mut reload = signal(SignalKind::hangup()).map_err(|e| format!("SIGHUP: {e}"))?;
-    let peers = match config.peer_listen.filter(|_| config.settings.peers) {
+    let peers = match config.peer_listen.filter(|_| config.settings.has_peers) {
         None => None,
         Some(address) => {
             let peers = Peers::bind(address, config.peers.clone(), config.peers_all).await;
--- a/crates/mintshelf/tests/conformance/module.rs
+++ b/crates/mintshelf/tests/conformance/module.rs
@@ -31,11 +31,11 @@
 fn listed((id, state): (u32, &State)) -> ListedServer {
     let condition = match state {
         State::Draining => EndpointState::Draining,
-        State::Gone => EndpointState::Gone,
+        State::Gone => EndpointState::Removed,
         _ => EndpointState::Live,
     };
     let started_at = if *state == State::Cold { START } else { 0 };
-    ListedServer { id, size: 1.0, condition, started_at, ..ListedServer::default() }
+    ListedServer { id, size: 1.0, state: condition, started_at, ..ListedServer::default() }
 }
 
 impl Stage for Module {
@@ -66,7 +66,15 @@
     fn request(&mut self, id: &str, class: usize, patience: u64) {
         let (key, cost_hint) = (None, None);
         let (id, class, tenant, repeat) = (id.into(), class as u32, 0, false);
-        self.feed(Event::Request { id, class, tenant, key, cost_hint, repeat, patience });
+        self.feed(Event::Request {
+            id,
+            class,
+            tenant,
+            key,
+            cost_hint,
+            repeat,
+            client_timeout: patience,
+        });
     }
 
     fn ended(&mut self, ended: Ended) {
--- a/crates/proxy/src/discovery/list.rs
+++ b/crates/proxy/src/discovery/list.rs
@@ -143,10 +143,10 @@
             zone: place(&self.names.zones, &entry.az),
             kind: place(&self.names.kinds, &entry.model),
             cell: entry.pod_group,
-            condition: match entry.state {
+            state: match entry.state {
                 State::Serving => EndpointState::Live,
                 State::Draining => EndpointState::Draining,
-                State::Deleted => EndpointState::Gone,
+                State::Deleted => EndpointState::Removed,
             },
             size: entry.capacity_hint,
             started_at: nanos(Duration::from_millis(entry.boot_ms)),
--- a/crates/proxy/src/driver.rs
+++ b/crates/proxy/src/driver.rs
@@ -21,7 +21,7 @@
 use mintshelf_balancer::api::*;
 use mintshelf_balancer::decide::Balancer;
 use mintshelf_config::platform::Names;
-use mintshelf_recovery::{End, Phase, Recovery, WINDOW_PART};
+use mintshelf_recovery::{OutageSignal, Phase, Recovery, DEDUP_WINDOW_DIVISOR};
 use mintshelf_retry::attempts::{AttemptTracker, RetryPolicy, TimeoutAction};
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet, VecDeque};
@@ -135,7 +135,7 @@
                 fields: if mode == ReportMode::Absent { Vec::new() } else { fields.clone() },
                 timeout: connect_timeout,
             },
-            peers: peers.filter(|_| settings.peers),
+            peers: peers.filter(|_| settings.has_peers),
             max_attempts: settings.max_attempts as usize,
             classes: settings.classes.clone(),
             weights: Weights::new(socket_weight),
@@ -210,7 +210,7 @@
     /// come back later and whose time is ahead.
     pub fn recovery(&self) -> Option<(Phase, u64)> {
         let recovery = self.recovery.as_ref()?.borrow();
-        Some((recovery.pace.phase(), recovery.calendar.expected()))
+        Some((recovery.ramp.phase(), recovery.retry_after.expected_clients()))
     }
 
     /// Runs what goes by the clock: timers, tidying, and peers' messages.
@@ -329,7 +329,7 @@
             return self.attend(now, arrival, message).await;
         };
         let class = arrival.class;
-        if !recovery.borrow_mut().pace.admit(now) {
+        if !recovery.borrow_mut().ramp.admit(now) {
             return Some(Reply::Paced(self.advice(class)));
         }
         let reply = self.attend(now, arrival, message).await?;
@@ -339,7 +339,7 @@
                 None => Reply::Failed { timed_out: false },
             },
             Reply::Served(answer) if !answer.status.is_server_error() => {
-                recovery.borrow_mut().calendar.served(self.clock.now());
+                recovery.borrow_mut().retry_after.record_served(self.clock.now());
                 Reply::Served(answer)
             }
             reply => reply,
@@ -355,9 +355,9 @@
         if let Some((span, ran_at)) = window.zip(ran_at) {
             let left = ran_at.saturating_add(span).saturating_sub(now);
             let most = left.checked_sub(ADVICE_MARGIN).filter(|most| *most >= SECOND)?;
-            window = Some(span.min(most.saturating_mul(WINDOW_PART)));
+            window = Some(span.min(most.saturating_mul(DEDUP_WINDOW_DIVISOR)));
         }
-        let advice = |r: &RefCell<Recovery>| r.borrow_mut().calendar.advise(now, window);
+        let advice = |r: &RefCell<Recovery>| r.borrow_mut().retry_after.advise_seconds(now, window);
         Some(self.recovery.as_ref().map_or(0, advice) * SECOND)
     }
 
@@ -405,7 +405,7 @@
                 key: arrival.key,
                 cost_hint: arrival.cost_hint,
                 repeat: arrival.repeat,
-                patience: arrival.patience,
+                client_timeout: arrival.patience,
             });
             self.turn(&mut core);
             id
@@ -561,9 +561,9 @@
                     self.on_doubt.borrow().iter().for_each(|call| call(*server));
                 }
             }
-            let end = End::of(outcome, in_time);
+            let end = OutageSignal::from_outcome(outcome, in_time);
             if let Some((recovery, end)) = self.recovery.as_ref().zip(end) {
-                recovery.borrow_mut().pace.ended(now, end);
+                recovery.borrow_mut().ramp.record(now, end);
             }
             core.events.push_back(event);
         }
@@ -596,7 +596,7 @@
     /// the module starts new ones, so that no news is missed in between.
     pub fn move_discovery(self: &Rc<Self>, to: SocketAddr) {
         if self.discovery.as_ref().is_some_and(|discovery| discovery.move_to(to)) {
-            self.post(Event::DiscoveryMoved);
+            self.post(Event::DiscoveryAddressChanged);
         }
     }
 }
--- a/crates/proxy/tests/lists.rs
+++ b/crates/proxy/tests/lists.rs
@@ -84,6 +84,6 @@
     let gone = ENTRY.replace("SERVING", "DELETED");
     let text = format!(r#"{{"rev":2,"all":false,"targets":[{gone}]}}"#);
     let (kind, servers, _) = take(&mut fleet, &text, true);
-    assert_eq!((kind, servers[0].condition), (ListKind::Changes, EndpointState::Gone));
+    assert_eq!((kind, servers[0].state), (ListKind::Changes, EndpointState::Removed));
     assert_eq!(addresses.address(id), None);
 }
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -1,30 +1,52 @@
-//! What to do when servers come back after an outage, as far as the decision module does
-//! not decide it. No I/O: time is an argument, and random numbers come from a seed.
+//! Outage detection and recovery of one cluster, beside the decisions of the balancer.
+//!
+//! Performs no I/O: the time is an argument, in nanoseconds of the caller's monotonic clock,
+//! and random numbers come from a seed.
+//!
+//! ```
+//! use mintshelf_recovery::{OutageSignal, Recovery};
+//!
+//! let mut recovery = Recovery::new(7, 2_000_000_000, 60_000_000_000);
+//! let now = 1_000_000_000;
+//! if recovery.ramp.admit(now) {
+//!     recovery.ramp.record(now, OutageSignal::InTime);
+//!     recovery.retry_after.record_served(now);
+//! } else {
+//!     let seconds = recovery.retry_after.advise_seconds(now, None);
+//!     println!("Retry-After: {seconds}");
+//! }
+//! ```
 #![forbid(unsafe_code)]
 
-mod calendar;
-mod pace;
-mod usual;
+mod baseline;
+mod ramp;
+mod retry_after;
+mod signal;
 
 /// A second in nanoseconds.
-const SECOND: u64 = 1_000_000_000;
+const SECOND_NS: u64 = 1_000_000_000;
 
-pub use calendar::{Calendar, MOST_SECONDS, WINDOW_PART};
-pub use pace::{End, Pace, Phase};
+pub use ramp::{Phase, RecoveryRamp};
+pub use retry_after::{RetryAfterSchedule, DEDUP_WINDOW_DIVISOR, MAX_RETRY_AFTER_SECONDS};
+pub use signal::OutageSignal;
 
-/// What one cluster's sidecar does about outages.
+/// Outage handling of one cluster in one sidecar.
 #[derive(Debug)]
 pub struct Recovery {
-    /// What may be sent while the cluster is out or coming back.
-    pub pace: Pace,
-    /// When those who are refused are told to come back.
-    pub calendar: Calendar,
+    /// Which requests may be sent during an outage and while the cluster recovers.
+    pub ramp: RecoveryRamp,
+    /// When rejected clients are advised to retry.
+    pub retry_after: RetryAfterSchedule,
 }
 
 impl Recovery {
-    /// For a cluster that is taken to be up; `ramp` and `most` in nanoseconds, as in
-    /// [`Pace::new`] and [`Calendar::new`].
-    pub fn new(seed: u64, ramp: u64, most: u64) -> Self {
-        Recovery { pace: Pace::new(seed, ramp), calendar: Calendar::new(seed, most) }
+    /// Starts with a cluster that is presumed to be up. `ramp_ns` and `max_retry_after_ns` are
+    /// as in [`RecoveryRamp::new`] and [`RetryAfterSchedule::new`].
+    #[must_use]
+    pub fn new(seed: u64, ramp_ns: u64, max_retry_after_ns: u64) -> Self {
+        Recovery {
+            ramp: RecoveryRamp::new(seed, ramp_ns),
+            retry_after: RetryAfterSchedule::new(seed, max_retry_after_ns),
+        }
     }
 }
--- /dev/null
+++ b/crates/recovery/src/retry_after.rs
@@ -0,0 +1,128 @@
+//! Retry-after advice for rejected clients, spread so that they do not return together and
+//! over the longer, the more of them there are.
+
+use crate::baseline::RateBaseline;
+use crate::SECOND_NS;
+use rand_core::{RngCore, SeedableRng};
+use rand_pcg::Pcg32;
+use std::collections::VecDeque;
+
+/// The longest advice, and so the length of the schedule, in seconds.
+pub const MAX_RETRY_AFTER_SECONDS: u64 = 600;
+/// An idempotent request is advised to retry within its deduplication window divided by this.
+/// An earlier attempt may have run, and a retry past the window would run again.
+pub const DEDUP_WINDOW_DIVISOR: u64 = 4;
+/// Returning clients may add this fraction of the baseline rate in any second.
+const RETURNING_SHARE: f64 = 0.2;
+
+/// A schedule of how many clients were advised to retry in which second.
+///
+/// RFC 9110, section 10.2.3, gives `Retry-After` in whole seconds. A client that is advised
+/// to wait `n` seconds returns `n` seconds after the response, so clients that got the same
+/// advice within one second return spread over a second as their own responses were.
+#[derive(Debug)]
+pub struct RetryAfterSchedule {
+    /// Clients expected in the current second, the next one, and so on.
+    expected_by_second: VecDeque<u32>,
+    /// Sum of `expected_by_second`.
+    expected: u64,
+    max_seconds: u64,
+    /// Requests served; `expected_by_second` begins with its current second.
+    served: RateBaseline,
+    rng: Pcg32,
+}
+
+impl RetryAfterSchedule {
+    /// Creates an empty schedule. Advice is at most `max_ns` nanoseconds, but at least one
+    /// second and at most [`MAX_RETRY_AFTER_SECONDS`].
+    #[must_use]
+    pub fn new(seed: u64, max_ns: u64) -> Self {
+        let max_seconds = (max_ns / SECOND_NS).clamp(1, MAX_RETRY_AFTER_SECONDS);
+        RetryAfterSchedule {
+            expected_by_second: VecDeque::from(vec![0; max_seconds as usize + 1]),
+            expected: 0,
+            max_seconds,
+            served: RateBaseline::default(),
+            rng: Pcg32::seed_from_u64(seed),
+        }
+    }
+
+    /// Records that a request was served at `now` in nanoseconds.
+    pub fn record_served(&mut self, now: u64) {
+        self.advance(now);
+        self.served.count(now);
+    }
+
+    /// Returns how many seconds a client that is rejected at `now` should wait, and schedules
+    /// its return. `dedup_window_ns` is for how long servers discard repeats of the request,
+    /// if it is idempotent.
+    #[must_use = "the client is scheduled as one that got the advice"]
+    pub fn advise_seconds(&mut self, now: u64, dedup_window_ns: Option<u64>) -> u64 {
+        self.advance(now);
+        let max_seconds = match dedup_window_ns {
+            Some(window) => (window / DEDUP_WINDOW_DIVISOR / SECOND_NS).clamp(1, self.max_seconds),
+            None => self.max_seconds,
+        };
+        let needed = (self.expected + 1) as f64 / self.returning_per_second();
+        let spread = needed.ceil().min(max_seconds as f64) as u64;
+        let second = self.least_expected_second(spread);
+        self.schedule(second);
+        second
+    }
+
+    /// How many clients are expected to return in the future.
+    #[must_use]
+    pub fn expected_clients(&self) -> u64 {
+        self.expected
+    }
+
+    /// Normal number of requests served a second.
+    #[must_use]
+    pub fn baseline_per_second(&self) -> f64 {
+        self.served.per_second()
+    }
+
+    /// How many clients may return in a second. A sidecar without a baseline counts on one a
+    /// second and no fewer; one with a small baseline on less than that, since there may be
+    /// many such sidecars.
+    fn returning_per_second(&self) -> f64 {
+        let baseline = self.baseline_per_second();
+        if baseline > 0.0 {
+            baseline * RETURNING_SHARE
+        } else {
+            1.0
+        }
+    }
+
+    /// Picks, of two random seconds and the last one, that with the fewest clients: this fills
+    /// the seconds evenly, and sidecars differ.
+    fn least_expected_second(&mut self, spread: u64) -> u64 {
+        let candidates = [1 + self.below(spread), 1 + self.below(spread), spread];
+        let expected = |second: &u64| self.expected_by_second[*second as usize];
+        candidates.into_iter().min_by_key(expected).unwrap_or(spread)
+    }
+
+    fn schedule(&mut self, second: u64) {
+        let expected = &mut self.expected_by_second[second as usize];
+        if let Some(increased) = expected.checked_add(1) {
+            *expected = increased;
+            self.expected += 1;
+        }
+    }
+
+    /// A uniform number below `bound`, which is not 0.
+    fn below(&mut self, bound: u64) -> u64 {
+        (u64::from(self.rng.next_u32()) * bound) >> 32
+    }
+
+    /// Drops the seconds that have passed.
+    fn advance(&mut self, now: u64) {
+        let passed = self.served.advance(now);
+        // After the length of the schedule nothing of it is left.
+        for _ in 0..passed.min(self.max_seconds + 1) {
+            let returned = self.expected_by_second.pop_front().unwrap_or(0);
+            self.expected -= u64::from(returned);
+            self.expected_by_second.push_back(0);
+        }
+    }
+}
--- a/crates/recovery/tests/calendar.rs
+++ b/crates/recovery/tests/retry_after.rs
@@ -1,15 +1,15 @@
 //! The rules of the calendar: bounded, spread, longer as more wait.
 
-use mintshelf_recovery::{Calendar, MOST_SECONDS};
+use mintshelf_recovery::{RetryAfterSchedule, MAX_RETRY_AFTER_SECONDS};
 use proptest::prelude::*;
 
 const SECOND: u64 = 1_000_000_000;
 
 /// A calendar that has seen `rate` answers a second for a minute, and the time then.
-fn after_a_minute(rate: u64, most: u64) -> (Calendar, u64) {
-    let mut calendar = Calendar::new(7, most * SECOND);
+fn after_a_minute(rate: u64, most: u64) -> (RetryAfterSchedule, u64) {
+    let mut calendar = RetryAfterSchedule::new(7, most * SECOND);
     for second in 0..60 {
-        (0..rate).for_each(|n| calendar.served(second * SECOND + n * (SECOND / rate)));
+        (0..rate).for_each(|n| calendar.record_served(second * SECOND + n * (SECOND / rate)));
     }
     (calendar, 60 * SECOND)
 }
@@ -18,14 +18,14 @@
 fn come_backs(rate: u64, most: u64, refused: usize) -> Vec<u32> {
     let (mut calendar, now) = after_a_minute(rate, most);
     let mut seconds = vec![0; most as usize + 1];
-    (0..refused).for_each(|_| seconds[calendar.advise(now, None) as usize] += 1);
+    (0..refused).for_each(|_| seconds[calendar.advise_seconds(now, None) as usize] += 1);
     seconds
 }
 
 #[test]
 fn a_crowd_comes_back_as_a_fifth_of_the_usual_rate() {
     for (rate, refused) in [(340, 680), (340, 3_400), (1_500, 15_000), (20, 200)] {
-        let seconds = come_backs(rate, MOST_SECONDS, refused);
+        let seconds = come_backs(rate, MAX_RETRY_AFTER_SECONDS, refused);
         let peak = *seconds.iter().max().unwrap();
         let share = f64::from(peak) / rate as f64;
         assert!(share < 0.3, "{refused} refused at {rate}/s: {share} of the usual in one second");
@@ -50,17 +50,21 @@
 #[test]
 fn an_outage_is_not_taken_for_the_usual_rate() {
     let (mut calendar, now) = after_a_minute(340, 60);
-    let before = calendar.usual();
+    let before = calendar.baseline_per_second();
     // A minute with nothing served.
-    calendar.advise(now + 60 * SECOND, None);
-    assert!(calendar.usual() > 0.5 * before, "{} after {before}", calendar.usual());
+    let _ = calendar.advise_seconds(now + 60 * SECOND, None);
+    assert!(
+        calendar.baseline_per_second() > 0.5 * before,
+        "{} after {before}",
+        calendar.baseline_per_second()
+    );
 }
 
 #[test]
 fn two_sidecars_fill_different_seconds() {
     let told = |seed| {
-        let mut calendar = Calendar::new(seed, 60 * SECOND);
-        (0..200).map(|_| calendar.advise(SECOND, None)).collect::<Vec<_>>()
+        let mut calendar = RetryAfterSchedule::new(seed, 60 * SECOND);
+        (0..200).map(|_| calendar.advise_seconds(SECOND, None)).collect::<Vec<_>>()
     };
     assert_ne!(told(1), told(2));
     assert_eq!(told(1), told(1));
@@ -69,9 +73,10 @@
 #[test]
 fn a_keyed_request_is_told_to_come_well_within_its_window() {
     let (mut calendar, now) = after_a_minute(340, 60);
-    let told: Vec<u64> = (0..5_000).map(|_| calendar.advise(now, Some(20 * SECOND))).collect();
+    let told: Vec<u64> =
+        (0..5_000).map(|_| calendar.advise_seconds(now, Some(20 * SECOND))).collect();
     assert_eq!(told.iter().max(), Some(&5));
-    assert!(calendar.advise(now, None) > 5, "others make room for them");
+    assert!(calendar.advise_seconds(now, None) > 5, "others make room for them");
 }
 
 proptest! {
@@ -83,27 +88,27 @@
         most in 0u64..2_000,
         steps in proptest::collection::vec((0u64..5_000_000_000, 0u8..4), 1..400),
     ) {
-        let mut calendar = Calendar::new(seed, most * SECOND);
-        let most = most.clamp(1, MOST_SECONDS);
+        let mut calendar = RetryAfterSchedule::new(seed, most * SECOND);
+        let most = most.clamp(1, MAX_RETRY_AFTER_SECONDS);
         let (mut now, mut due) = (0, Vec::new());
         for (passed, what) in steps {
             now += passed;
             match what {
-                0 => calendar.served(now),
+                0 => calendar.record_served(now),
                 // The clock stands still, or jumps.
                 1 => now += passed * 500,
                 _ => {
-                    let told = calendar.advise(now, None);
+                    let told = calendar.advise_seconds(now, None);
                     prop_assert!((1..=most).contains(&told));
                     due.push(now / SECOND + told);
                 }
             }
-            calendar.served(now);
+            calendar.record_served(now);
             due.retain(|second| *second >= now / SECOND);
-            prop_assert_eq!(calendar.expected(), due.len() as u64);
+            prop_assert_eq!(calendar.expected_clients(), due.len() as u64);
         }
         // Time that goes back changes nothing.
-        calendar.served(0);
-        prop_assert_eq!(calendar.expected(), due.len() as u64);
+        calendar.record_served(0);
+        prop_assert_eq!(calendar.expected_clients(), due.len() as u64);
     }
 }
--- a/crates/retry/src/schedule.rs
+++ b/crates/retry/src/schedule.rs
@@ -4,7 +4,7 @@
 //! each pause is as long as it may be, and the first attempt may have run. Against this the
 //! deadline, the dedup window and the dedup group are held.
 
-use mintshelf_balancer::api::{backoff_bound, Effect, Nanos};
+use mintshelf_balancer::api::{Backoff, Effect, Nanos};
 use mintshelf_balancer::decide::attempts::{HOLD_SHARE, HOLD_STEP};
 use std::fmt;
 use std::time::Duration;
@@ -178,7 +178,7 @@
 
     /// The longest pause after so many attempts.
     fn pause(&self, made: u32) -> Nanos {
-        backoff_bound(self.backoff, made as usize)
+        Backoff::from(self.backoff).bound(made as usize)
     }
 
     /// The time that one attempt before the last may take, its connection included.
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -72,7 +72,7 @@
 const CONDITIONS: &[(&str, EndpointState)] = &[
     ("live", EndpointState::Live),
     ("quiescing", EndpointState::Draining),
-    ("dead", EndpointState::Gone),
+    ("dead", EndpointState::Removed),
 ];
 const LIST_KINDS: &[(&str, ListKind)] = &[
     ("diff", ListKind::Changes),
@@ -242,7 +242,7 @@
             "attach" => {
                 let seed = f.number("prng")?;
                 let settings = parse_settings(f.text("profile-data")?)
-                    .map_err(|what| f.err("profile-data", what))?;
+                    .map_err(|cause| f.err("profile-data", cause.to_string()))?;
                 Some(Message::Attach { seed, settings: Box::new(settings) })
             }
             "killed" => Some(Message::Killed),
@@ -291,7 +291,7 @@
             zone: f.number_or("rack-zone", 0)?,
             kind: f.number_or("shape", 0)?,
             cell: f.number_or("stripe", 0)?,
-            condition: f.one_of("condition", CONDITIONS)?,
+            state: f.one_of("condition", CONDITIONS)?,
             size: {
                 let word = f.word("size")?;
                 f.finite("size", word)?
@@ -347,7 +347,7 @@
                 key,
                 cost_hint: (bits & 1 != 0 && cost > 0).then_some(cost),
                 repeat: bits & 2 != 0,
-                patience: f.number("grace")?,
+                client_timeout: f.number("grace")?,
             }
         }
         "under_way" => {
