--- a/crates/mintshelf/tests/compatibility/bindings.rs
+++ b/crates/mintshelf/tests/compatibility/bindings.rs
@@ -207,10 +207,10 @@
     let (_, endpoints) = lists.take(list, came_whole);
     let mut lines = format!("well-formed {well_formed}, revision {}\n", lists.revision());
     for endpoint in endpoints {
-        let state = match endpoint.condition {
+        let state = match endpoint.state {
             EndpointState::Live => "serving",
             EndpointState::Draining => "draining",
-            EndpointState::Gone => "deleted",
+            EndpointState::Removed => "deleted",
         };
         let at = addresses.address(endpoint.id).map_or("nowhere".into(), |at| at.to_string());
         lines.push_str(&format!(
