--- a/crates/config/src/file/sockets.rs
+++ b/crates/config/src/file/sockets.rs
@@ -8,7 +8,7 @@
 use crate::module::nanos;
 use crate::problem::BrokenRule;
 use mintshelf_balancer::api::Effect;
-use mintshelf_websocket::handshake::Terms;
+use mintshelf_websocket::handshake::HandshakePolicy;
 use mintshelf_websocket::session::{Resume, SessionConfig};
 use mintshelf_websocket::timers::TimerConfig;
 use std::collections::BTreeMap;
@@ -25,13 +25,13 @@
     let seconds = |n| nanos(Duration::from_secs(n));
     SocketClass {
         life: TimerConfig {
-            idle: seconds(3600),
-            lifetime: seconds(86_400),
-            ping: seconds(30),
-            silence: seconds(10),
-            stall: seconds(10),
-            message: seconds(60),
-            closing: seconds(5),
+            idle_timeout_ns: seconds(3600),
+            max_lifetime_ns: seconds(86_400),
+            ping_interval_ns: seconds(30),
+            pong_timeout_ns: seconds(10),
+            write_stall_timeout_ns: seconds(10),
+            message_timeout_ns: seconds(60),
+            close_timeout_ns: seconds(5),
         },
         longest: 1 << 20,
         buffer: 64 << 10,
@@ -48,13 +48,13 @@
     let life = standard.life;
     let set = SocketClass {
         life: TimerConfig {
-            idle: span("idle-timeout", life.idle, ms(100)),
-            lifetime: span("lifetime", life.lifetime, ms(100)),
-            ping: span("ping-interval", life.ping, ms(50)),
-            silence: span("ping-timeout", life.silence, ms(10)),
-            stall: span("stall-timeout", life.stall, ms(10)),
-            message: span("message-timeout", life.message, ms(10)),
-            closing: span("close-timeout", life.closing, ms(10)),
+            idle_timeout_ns: span("idle-timeout", life.idle_timeout_ns, ms(100)),
+            max_lifetime_ns: span("lifetime", life.max_lifetime_ns, ms(100)),
+            ping_interval_ns: span("ping-interval", life.ping_interval_ns, ms(50)),
+            pong_timeout_ns: span("ping-timeout", life.pong_timeout_ns, ms(10)),
+            write_stall_timeout_ns: span("stall-timeout", life.write_stall_timeout_ns, ms(10)),
+            message_timeout_ns: span("message-timeout", life.message_timeout_ns, ms(10)),
+            close_timeout_ns: span("close-timeout", life.close_timeout_ns, ms(10)),
         },
         longest: inner.size("longest-message", standard.longest as usize, 1..=1 << 30).value as u64,
         buffer: inner.size("buffer", standard.buffer, 4 << 10..=1 << 20).value,
@@ -68,7 +68,7 @@
     let flag = table.plain_flag("websocket");
     let (terms, resume, span, field) = match flag {
         Some(At { value: false, .. }) => return None,
-        Some(At { span, field, .. }) => (Terms::default(), None, span, field),
+        Some(At { span, field, .. }) => (HandshakePolicy::default(), None, span, field),
         None => {
             let inner = table.table("websocket")?;
             let (span, field) = (inner.span.clone(), inner.field.clone());
@@ -84,7 +84,7 @@
     Some(At { value: WebSocket { terms, session }, span, field })
 }
 
-fn terms(inner: Table) -> (Terms, Option<Resume>) {
+fn terms(inner: Table) -> (HandshakePolicy, Option<Resume>) {
     let list = |key, read: fn(&str) -> Result<String, String>, mend: &str| {
         let texts = inner.texts(key).into_iter();
         let read = texts.filter_map(|at| inner.parse(at, mend, read).map(|at| at.value));
@@ -111,7 +111,12 @@
         inner.reader.breaks(&at.span, &at.field, what, mend, BrokenRule::Lost);
     }
     inner.finish();
-    (Terms { origins, subprotocols, extensions }, resume.map(|at| at.value))
+    let policy = HandshakePolicy {
+        allowed_origins: origins,
+        allowed_subprotocols: subprotocols,
+        allow_compression: extensions,
+    };
+    (policy, resume.map(|at| at.value))
 }
 
 fn origin(text: &str) -> Result<String, String> {
@@ -178,6 +183,6 @@
     /// As a session takes it.
     fn with(&self, resume: Option<Resume>) -> SessionConfig {
         let SocketClass { life, longest, buffer } = *self;
-        SessionConfig { life, longest, buffer, resume }
+        SessionConfig { timers: life, max_message_bytes: longest, buffer_bytes: buffer, resume }
     }
 }
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -9,7 +9,7 @@
 use mintshelf_retry::attempts::Hedge;
 use mintshelf_retry::schedule::{AttemptTimeout, DedupGroup, RetryOn};
 use mintshelf_routing::{Rule, Split};
-use mintshelf_websocket::handshake::Terms;
+use mintshelf_websocket::handshake::HandshakePolicy;
 use mintshelf_websocket::session::SessionConfig;
 use mintshelf_websocket::timers::TimerConfig;
 use std::collections::BTreeMap;
@@ -121,7 +121,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WebSocket {
     /// What of a handshake passes.
-    pub terms: Terms,
+    pub terms: HandshakePolicy,
     /// What its sockets are held to.
     pub session: Rc<SessionConfig>,
 }
--- a/crates/mintshelf/src/admin.rs
+++ b/crates/mintshelf/src/admin.rs
@@ -94,7 +94,7 @@
 impl Admin {
     /// What the open WebSockets are and were.
     fn sockets(&self, registry: &mut Registry) {
-        let levels = self.daemon.sockets.levels();
+        let levels = self.daemon.sockets.usage();
         let of = |levels: BTreeMap<String, u64>| levels.into_iter().map(|(of, n)| (of, n as i64));
         gauges(registry, "sockets", "Open WebSockets, by cluster", "cluster", of(levels.clusters));
         let help = "Open WebSockets, by tenant";
@@ -107,15 +107,15 @@
         }
         registry.register("endpoint_sockets", "Open WebSockets, by endpoint", endpoints);
         let queued: Gauge = Gauge::default();
-        queued.set(levels.queued as i64);
+        queued.set(levels.queued_bytes as i64);
         registry.register("socket_queued_bytes", "Bytes that wait for an end", queued);
-        let counts = self.daemon.sockets.counts.borrow();
+        let counts = self.daemon.sockets.stats.borrow();
         let of = |counts: &BTreeMap<Rc<str>, u64>| -> Vec<(String, u64)> {
             counts.iter().map(|(of, n)| (of.to_string(), *n)).collect()
         };
         counters(registry, "sockets_opened", "WebSockets opened", "cluster", of(&counts.opened));
         let help = "WebSockets that went on at another server";
-        counters(registry, "sockets_moved", help, "cluster", of(&counts.moved));
+        counters(registry, "sockets_moved", help, "cluster", of(&counts.migrated));
         let closed = Family::<Pair, Counter>::default();
         for ((by, code), count) in &counts.closed {
             let by = match by {
@@ -128,14 +128,13 @@
         }
         let help = "WebSockets ended, by who ended them and with which code";
         registry.register("sockets_closed", help, closed);
-        for (what, name, help) in [
-            (0, "socket_messages", "Messages passed, by who sent them"),
-            (1, "socket_bytes", "Bytes received, by who sent them"),
-        ] {
-            let of = ["client", "server"].into_iter().zip(&counts.passed);
-            let of = of.map(|(from, passed)| (from.to_string(), passed[what]));
-            counters(registry, name, help, "from", of);
-        }
+        let senders = [("client", counts.from_client), ("server", counts.from_server)];
+        let of = senders.map(|(from, traffic)| (from.to_string(), traffic.messages));
+        let help = "Messages passed, by who sent them";
+        counters(registry, "socket_messages", help, "from", of.into_iter());
+        let of = senders.map(|(from, traffic)| (from.to_string(), traffic.bytes));
+        let help = "Bytes received, by who sent them";
+        counters(registry, "socket_bytes", help, "from", of.into_iter());
     }
 
     fn metrics(&self) -> String {
--- a/crates/mintshelf/src/daemon.rs
+++ b/crates/mintshelf/src/daemon.rs
@@ -14,8 +14,8 @@
 use mintshelf_proxy::limits::Limits;
 use mintshelf_proxy::link::Most;
 use mintshelf_proxy::plain::{Counts, Limited, Plain, Pool, Serving};
-use mintshelf_proxy::sockets::registry::Sockets;
 use mintshelf_proxy::upstream::{Connections, Style};
+use mintshelf_proxy::websocket::registry::SocketRegistry;
 use mintshelf_recovery::Phase;
 use mintshelf_routing::Table;
 use std::cell::{Cell, RefCell};
@@ -72,7 +72,7 @@
     /// The planned end has begun.
     ending: CancellationToken,
     /// All open WebSockets.
-    pub sockets: Rc<Sockets>,
+    pub sockets: Rc<SocketRegistry>,
     /// All clients' connections.
     pub clients: Rc<Clients>,
     /// What was done.
@@ -109,7 +109,7 @@
                 by_progress: true,
                 half_close: !file.limits.abort_on_close,
             },
-            sockets: Sockets::new(queues, RandomState::new().build_hasher().finish()),
+            sockets: SocketRegistry::new(queues, RandomState::new().build_hasher().finish()),
             fixed: (file.limits.clone(), file.admin, file.fleet.clone()),
             ending: CancellationToken::new(),
             clients: Rc::default(),
@@ -174,7 +174,7 @@
             if let Some(listening) = state.listeners.remove(&address) {
                 listening.draining.cancel();
                 let front = Rc::as_ptr(&listening.front) as usize;
-                self.sockets.end(Some(front), self.socket_drain());
+                self.sockets.drain(Some(front), self.socket_drain());
                 spawn_local(async move {
                     sleep(LINGER).await;
                     listening.accepting.abort();
@@ -183,7 +183,7 @@
         }
         let set = admission(&file);
         self.gates.set(&set);
-        self.sockets.set(SlotConfig { most: self.fixed.0.websockets, ..seats(&file) });
+        self.sockets.configure(SlotConfig { most: self.fixed.0.websockets, ..seats(&file) });
         let tenants = tenants(&file).map(Rc::new);
         for (listener, routes, table) in tables {
             let limited = (!set.is_empty()).then(|| Limited {
@@ -249,7 +249,11 @@
                         running.pool.driver.list(module.servers.clone());
                         let servers = module.servers.iter().map(|(server, _)| server.id).collect();
                         let number = running.pool.driver.number();
-                        self.sockets.keep(number, &servers, "its server leaves the cluster");
+                        self.sockets.retain_servers(
+                            number,
+                            &servers,
+                            "its server leaves the cluster",
+                        );
                         running.module = module;
                     }
                     running
@@ -280,10 +284,10 @@
         };
         let driver = Driver::start(spec, self.connections.clone());
         driver.list(module.servers.clone());
-        self.sockets.spread(driver.number(), module.socket_spread);
+        self.sockets.set_migration_window(driver.number(), module.socket_spread);
         let (sockets, number) = (self.sockets.clone(), driver.number());
         driver.on_doubt(move |server| {
-            sockets.doubt(number, server);
+            sockets.probe_server(number, server);
         });
         let pool = Rc::new(Pool { driver: driver.clone(), classes: module.classes.clone() });
         let run = spawn_local(async move { driver.run().await }).abort_handle();
@@ -294,13 +298,13 @@
     /// go on at what took its place, where they may, or are closed.
     fn retire(&self, running: Running) {
         let (sockets, number) = (self.sockets.clone(), running.pool.driver.number());
-        sockets.keep(number, &HashSet::new(), "its cluster has changed");
+        sockets.retain_servers(number, &HashSet::new(), "its cluster has changed");
         spawn_local(async move {
             // Those that still hold the snapshot may yet begin one: their count tells.
             while !running.pool.driver.is_idle() || Rc::strong_count(&running.pool) > 1 {
                 sleep(LOOK).await;
             }
-            sockets.forget(number);
+            sockets.remove_cluster(number);
             running.run.abort();
         });
     }
@@ -404,10 +408,10 @@
         self.ending.cancel();
         let listeners = std::mem::take(&mut self.state.borrow_mut().listeners);
         listeners.values().for_each(|listening| listening.draining.cancel());
-        self.sockets.end(None, self.socket_drain());
+        self.sockets.drain(None, self.socket_drain());
         sleep(LINGER).await;
         // Those whose handshake was under way.
-        self.sockets.end(None, self.socket_drain());
+        self.sockets.drain(None, self.socket_drain());
         listeners.values().for_each(|listening| listening.accepting.abort());
         let busy = || self.state.borrow().pools.values().any(|r| !r.pool.driver.is_idle());
         let over = async {
--- a/crates/mintshelf/src/explain.rs
+++ b/crates/mintshelf/src/explain.rs
@@ -165,16 +165,16 @@
             Some(Resume::Handshake) => "opened elsewhere by their handshake",
             Some(Resume::FirstMessage) => "opened elsewhere by their handshake and first message",
         };
-        let life = &socket.session.life;
+        let life = &socket.session.timers;
         let _ = writeln!(text, "WebSocket: sockets whose server goes are {resume}");
         for (key, nanos) in [
-            ("idle-timeout", life.idle),
-            ("lifetime", life.lifetime),
-            ("ping-interval", life.ping),
-            ("ping-timeout", life.silence),
-            ("stall-timeout", life.stall),
-            ("message-timeout", life.message),
-            ("close-timeout", life.closing),
+            ("idle-timeout", life.idle_timeout_ns),
+            ("lifetime", life.max_lifetime_ns),
+            ("ping-interval", life.ping_interval_ns),
+            ("ping-timeout", life.pong_timeout_ns),
+            ("stall-timeout", life.write_stall_timeout_ns),
+            ("message-timeout", life.message_timeout_ns),
+            ("close-timeout", life.close_timeout_ns),
         ] {
             let field = format!("classes.{}.sockets.{key}", route.class);
             setting(text, file, &field, schedule::told(nanos));
--- a/crates/proxy/src/discovery/list.rs
+++ b/crates/proxy/src/discovery/list.rs
@@ -125,16 +125,16 @@
 
 /// Reads lists into the module's numbers and the servers' addresses.
 #[derive(Debug)]
-pub struct Fleet {
+pub struct EndpointListReader {
     names: Names,
     addresses: Endpoints,
     revision: Revision,
 }
 
-impl Fleet {
+impl EndpointListReader {
     /// Knows no server; the addresses of those it will know go to `addresses`.
     pub fn new(names: Names, addresses: Endpoints) -> Self {
-        Fleet { names, addresses, revision: Revision::default() }
+        EndpointListReader { names, addresses, revision: Revision::default() }
     }
 
     fn listed(&self, entry: &Entry) -> ListedServer {
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -5,7 +5,7 @@
 
 use crate::endpoints::ListSink;
 use call::{Caller, Received, ANSWER_GRACE};
-use list::{read_list, Fleet};
+use list::{read_list, EndpointListReader};
 use mintshelf_balancer::api::ListKind;
 use mintshelf_discovery::revision::{Verdict, PROOF_PACE};
 use mintshelf_discovery::watch::{CallEnd, Next, Watch};
@@ -28,24 +28,24 @@
 /// The service that lists the servers, at an address that may change.
 #[derive(Debug)]
 pub struct Discovery {
-    fleet: RefCell<Fleet>,
+    fleet: RefCell<EndpointListReader>,
     at: Cell<SocketAddr>,
     begun: Instant,
 }
 
 impl Discovery {
     /// A service that has not been asked yet.
-    pub fn new(fleet: Fleet, at: SocketAddr) -> Self {
+    pub fn new(fleet: EndpointListReader, at: SocketAddr) -> Self {
         Discovery { fleet: RefCell::new(fleet), at: Cell::new(at), begun: Instant::now() }
     }
 
     /// Turns to another address; whether it is another. Calls under way go on.
-    pub fn move_to(&self, at: SocketAddr) -> bool {
+    pub fn set_address(&self, at: SocketAddr) -> bool {
         self.at.replace(at) != at
     }
 
     /// Passes on the list that the configuration brought.
-    pub fn cached(&self, text: Option<&str>, sink: &impl ListSink) {
+    pub fn load_cached_list(&self, text: Option<&str>, sink: &impl ListSink) {
         let servers = text.and_then(|text| self.fleet.borrow_mut().take_known(text));
         sink.listed(ListKind::Cached, self.revision(), servers.unwrap_or_default());
     }
@@ -81,7 +81,7 @@
     }
 
     /// Follows an agent that lists are pushed to. Its silence is no failed call.
-    pub async fn follow(self: Rc<Self>, sink: impl ListSink) {
+    pub async fn follow_agent(self: Rc<Self>, sink: impl ListSink) {
         let mut caller = Caller::new(self.at.get());
         loop {
             if caller.to != self.at.get() {
--- a/crates/proxy/src/driver.rs
+++ b/crates/proxy/src/driver.rs
@@ -3,7 +3,7 @@
 
 use crate::body::Outbound;
 use crate::clock::Clock;
-use crate::discovery::{list::Fleet, Discovery};
+use crate::discovery::{list::EndpointListReader, Discovery};
 use crate::endpoints::{Endpoints, ListSink};
 use crate::link::{Most, To};
 use crate::message::parse_report;
@@ -110,8 +110,8 @@
         let mode = settings.report_mode;
         let endpoints = Endpoints::default();
         let (at, known) = discovery.map_or((None, None), |(at, known)| (Some(at), known));
-        let fleet = Fleet::new(names, endpoints.clone());
-        let discovery = at.map(|at| Rc::new(Discovery::new(fleet, at)));
+        let reader = EndpointListReader::new(names, endpoints.clone());
+        let discovery = at.map(|at| Rc::new(Discovery::new(reader, at)));
         let recovery = return_ramp.map(|ramp| Recovery::new(seed, ramp, settings.max_retry_after));
         let mut actions = Vec::new();
         let balancer = Balancer::new(settings.clone(), seed, clock.now(), &mut actions);
@@ -150,9 +150,9 @@
         });
         driver.perform(&mut driver.core.borrow_mut(), actions);
         if let Some(discovery) = discovery {
-            discovery.cached(known.as_deref(), &driver);
+            discovery.load_cached_list(known.as_deref(), &driver);
             if !settings.must_poll {
-                spawn_local(discovery.follow(driver.clone()));
+                spawn_local(discovery.follow_agent(driver.clone()));
             }
         }
         driver
@@ -595,7 +595,7 @@
     /// Turns to another address of discovery. The calls under way go on until
     /// the module starts new ones, so that no news is missed in between.
     pub fn move_discovery(self: &Rc<Self>, to: SocketAddr) {
-        if self.discovery.as_ref().is_some_and(|discovery| discovery.move_to(to)) {
+        if self.discovery.as_ref().is_some_and(|discovery| discovery.set_address(to)) {
             self.post(Event::DiscoveryMoved);
         }
     }
--- a/crates/proxy/src/plain.rs
+++ b/crates/proxy/src/plain.rs
@@ -8,9 +8,9 @@
 use crate::inbound::{Front, FrontBody};
 use crate::message::{strip_for_next_hop, Held, BODY_MAX};
 use crate::refusal::Refusal;
-use crate::sockets::front::{Opening, Place};
-use crate::sockets::registry::Sockets;
 use crate::upstream::{Answer, AnswerBody};
+use crate::websocket::registry::SocketRegistry;
+use crate::websocket::upgrade::{PendingUpgrade, ReconnectTarget};
 use bytes::{Bytes, BytesMut};
 use hyper::body::{Body, Incoming};
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
@@ -115,7 +115,7 @@
     serving: RefCell<Rc<Serving>>,
     room: Arc<Semaphore>,
     counts: Rc<Counts>,
-    pub(crate) sockets: Rc<Sockets>,
+    pub(crate) sockets: Rc<SocketRegistry>,
     last_id: Cell<u64>,
     seed: u64,
 }
@@ -126,7 +126,7 @@
         serving: Rc<Serving>,
         room: Arc<Semaphore>,
         counts: Rc<Counts>,
-        sockets: Rc<Sockets>,
+        sockets: Rc<SocketRegistry>,
         seed: u64,
     ) -> Rc<Self> {
         let (serving, last_id) = (RefCell::new(serving), Cell::new(0));
@@ -259,7 +259,7 @@
             None => None,
         };
         let opening = match &forward.websocket {
-            Some(set) if handshake::asks(request.headers()) => {
+            Some(set) if handshake::is_upgrade_request(request.headers()) => {
                 let sitter = SlotOwner {
                     tenant: entered
                         .as_ref()
@@ -267,7 +267,7 @@
                     route: route.name.as_str().into(),
                     cluster: name.into(),
                 };
-                Some(Opening::begin(&self.sockets, set, &request, sitter, draining)?)
+                Some(PendingUpgrade::accept(&self.sockets, set, &request, sitter, draining)?)
             }
             _ => None,
         };
@@ -285,7 +285,7 @@
             head.headers.insert(header::HOST, host);
         }
         if let Some(opening) = &opening {
-            opening.ask(&mut head);
+            opening.prepare_request(&mut head);
         }
         let filled = match serving.limited.as_ref().zip(entered.as_ref()) {
             Some((limited, entered)) if !body.is_end_stream() => {
@@ -313,15 +313,15 @@
                 let AnswerBody::Socket(socket) = body else { return Err(gone()) };
                 let body = AnswerBody::Whole(Bytes::new());
                 let mut response = self.passed(serving, forward, Answer { status, headers, body });
-                opening.answer(response.headers_mut());
-                let place = Place {
+                opening.finish_response(response.headers_mut());
+                let target = ReconnectTarget {
                     cluster: name.to_string(),
                     policy: route.policy.clone(),
                     effect,
                     head,
-                    agreed: socket.agreed.clone(),
+                    negotiated: socket.agreed.clone(),
                 };
-                let upgrade = opening.upgrade(self, pool, class, place, socket);
+                let upgrade = opening.into_upgrade(self, pool, class, target, socket);
                 *client.upgrade.borrow_mut() = Some(upgrade);
                 Ok(response)
             }
--- a/crates/proxy/src/upstream.rs
+++ b/crates/proxy/src/upstream.rs
@@ -429,7 +429,7 @@
     ) -> Ended {
         let (head, _) = response.into_parts();
         let to = link.to;
-        let body = match (asked.check(&head.headers), link.into_socket().await) {
+        let body = match (asked.verify_response(&head.headers), link.into_socket().await) {
             (Ok(agreed), Some((stream, rest, held))) => {
                 let _held = held;
                 let socket = ServerSocket { stream, rest, agreed, to, _held, seat: None };
--- a/crates/proxy/src/sockets/mod.rs
+++ b/crates/proxy/src/websocket/mod.rs
@@ -1,5 +1,5 @@
 //! WebSocket: upgraded connections through the same routes, limits and decisions as requests.
 
-pub mod front;
 pub mod registry;
 pub mod relay;
+pub mod upgrade;
--- a/crates/proxy/src/sockets/registry.rs
+++ b/crates/proxy/src/websocket/registry.rs
@@ -82,19 +82,30 @@
 
 /// What was done, for the figures.
 #[derive(Debug, Default)]
-pub struct SocketCounts {
+pub struct SocketStats {
     /// Opened, by cluster.
     pub opened: BTreeMap<Rc<str>, u64>,
     /// Moved to another server, by cluster.
-    pub moved: BTreeMap<Rc<str>, u64>,
+    pub migrated: BTreeMap<Rc<str>, u64>,
     /// Ended, by who ended them and with which code.
     pub closed: BTreeMap<(ClosedBy, u16), u64>,
-    /// Messages and bytes from clients and from servers.
-    pub passed: [[u64; 2]; 2],
+    /// What clients have sent.
+    pub from_client: Traffic,
+    /// What servers have sent.
+    pub from_server: Traffic,
+}
+
+/// Messages and bytes that one side has sent.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub struct Traffic {
+    /// Complete messages.
+    pub messages: u64,
+    /// Bytes, frame heads included.
+    pub bytes: u64,
 }
 
 /// All open sockets of a process.
-pub struct Sockets {
+pub struct SocketRegistry {
     entries: RefCell<BTreeMap<u64, Rc<Entry>>>,
     last: Cell<u64>,
     seats: RefCell<SlotTable>,
@@ -105,7 +116,7 @@
     queued: Cell<usize>,
     queued_most: usize,
     /// What was done.
-    pub counts: RefCell<SocketCounts>,
+    pub stats: RefCell<SocketStats>,
     /// What connections are read into.
     pub scratch: RefCell<Vec<u8>>,
     clock: Clock,
@@ -114,7 +125,7 @@
 
 /// A socket's seat until this is dropped.
 pub struct Seated {
-    sockets: Rc<Sockets>,
+    sockets: Rc<SocketRegistry>,
     sitter: SlotOwner,
 }
 
@@ -126,7 +137,7 @@
 
 /// An open socket until this is dropped.
 pub struct Listed {
-    sockets: Rc<Sockets>,
+    sockets: Rc<SocketRegistry>,
     number: u64,
     /// The socket.
     pub entry: Rc<Entry>,
@@ -142,12 +153,14 @@
         self.sockets.queued.set(all.saturating_sub(self.queued) + queued);
         self.queued = queued;
         let passed = [Peer::Client, Peer::Server].map(|end| session.passed(end));
-        let mut counts = self.sockets.counts.borrow_mut();
+        let mut counts = self.sockets.stats.borrow_mut();
         for (end, of) in passed.iter().enumerate() {
             for (what, count) in of.iter().enumerate() {
                 // A server that took over begins its messages anew.
                 let more = count.saturating_sub(self.passed[end][what]);
-                counts.passed[end][what] += more;
+                let sender =
+                    if end == 0 { &mut counts.from_client } else { &mut counts.from_server };
+                *(if what == 0 { &mut sender.messages } else { &mut sender.bytes }) += more;
                 if what == 0 && more > 0 {
                     self.entry.active(now);
                 }
@@ -158,14 +171,14 @@
 
     /// It has ended.
     pub fn over(&self, over: SessionEnd) {
-        let mut counts = self.sockets.counts.borrow_mut();
+        let mut counts = self.sockets.stats.borrow_mut();
         *counts.closed.entry((over.by, over.code)).or_default() += 1;
     }
 
     /// It has gone on at another server.
     pub fn moved(&self) {
-        let mut counts = self.sockets.counts.borrow_mut();
-        *counts.moved.entry(self.entry.sitter.cluster.clone()).or_default() += 1;
+        let mut counts = self.sockets.stats.borrow_mut();
+        *counts.migrated.entry(self.entry.sitter.cluster.clone()).or_default() += 1;
     }
 }
 
@@ -179,7 +192,7 @@
 
 /// Where sockets are, for the figures: by cluster, tenant and endpoint, and bytes in queues.
 #[derive(Debug, Default)]
-pub struct SocketLevels {
+pub struct SocketUsage {
     /// By cluster.
     pub clusters: BTreeMap<String, u64>,
     /// By tenant.
@@ -187,13 +200,13 @@
     /// By cluster and server.
     pub endpoints: BTreeMap<(String, ServerId), u64>,
     /// Bytes that wait for a client or a server.
-    pub queued: usize,
+    pub queued_bytes: usize,
 }
 
-impl Sockets {
+impl SocketRegistry {
     /// None open; their queues may hold so many bytes together.
     pub fn new(queued_most: usize, seed: u64) -> Rc<Self> {
-        Rc::new(Sockets {
+        Rc::new(SocketRegistry {
             entries: RefCell::default(),
             last: Cell::new(0),
             seats: RefCell::default(),
@@ -201,7 +214,7 @@
             doubted: RefCell::default(),
             queued: Cell::new(0),
             queued_most,
-            counts: RefCell::default(),
+            stats: RefCell::default(),
             scratch: RefCell::new(vec![0; READ]),
             clock: Clock::start(),
             seed,
@@ -209,7 +222,7 @@
     }
 
     /// Puts a file's numbers in force.
-    pub fn set(&self, set: SlotConfig) {
+    pub fn configure(&self, set: SlotConfig) {
         self.seats.borrow_mut().set(set);
     }
 
@@ -272,7 +285,7 @@
     ) -> Listed {
         self.last.set(self.last.get() + 1);
         let number = self.last.get();
-        *self.counts.borrow_mut().opened.entry(sitter.cluster.clone()).or_default() += 1;
+        *self.stats.borrow_mut().opened.entry(sitter.cluster.clone()).or_default() += 1;
         let entry = Rc::new(Entry {
             sitter,
             front,
@@ -290,12 +303,12 @@
     }
 
     /// In how long a cluster's sockets leave a server that has gone.
-    pub fn spread(&self, pool: u32, span: Nanos) {
+    pub fn set_migration_window(&self, pool: u32, span: Nanos) {
         self.evacuations.borrow_mut().insert(pool, MigrationSchedule::new(span));
     }
 
     /// A cluster is no more, and its last socket has left.
-    pub fn forget(&self, pool: u32) {
+    pub fn remove_cluster(&self, pool: u32) {
         self.evacuations.borrow_mut().remove(&pool);
     }
 
@@ -309,13 +322,13 @@
     pub fn lost(&self, entry: &Entry) -> Nanos {
         let (pool, server) = (entry.pool.get(), entry.server.get());
         entry.leaving.set(true);
-        let there = self.doubt(pool, server);
+        let there = self.probe_server(pool, server);
         self.slot(self.clock.now(), pool, server, there + 1)
     }
 
     /// A cluster's server is doubtful: its sockets ask it for a sign of life. Back comes how
     /// many there are.
-    pub fn doubt(&self, pool: u32, server: ServerId) -> usize {
+    pub fn probe_server(&self, pool: u32, server: ServerId) -> usize {
         let now = self.clock.now();
         let mut doubted = self.doubted.borrow_mut();
         doubted.retain(|_, (at, _)| now.saturating_sub(*at) < DOUBT_AGAIN);
@@ -332,7 +345,7 @@
     }
 
     /// A cluster has these servers and no others: sockets leave those that it has no more.
-    pub fn keep(&self, pool: u32, servers: &HashSet<ServerId>, reason: &str) {
+    pub fn retain_servers(&self, pool: u32, servers: &HashSet<ServerId>, reason: &str) {
         let now = self.clock.now();
         let entries = self.entries.borrow();
         let of = |entry: &&Rc<Entry>| {
@@ -358,7 +371,7 @@
     }
 
     /// The process ends, or one front does: its sockets are closed within `span`, evenly.
-    pub fn end(&self, front: Option<usize>, span: Nanos) {
+    pub fn drain(&self, front: Option<usize>, span: Nanos) {
         let now = self.clock.now();
         let entries = self.entries.borrow();
         let these = entries.values().filter(|e| front.is_none_or(|front| e.front == front));
@@ -375,8 +388,8 @@
     }
 
     /// Where they are.
-    pub fn levels(&self) -> SocketLevels {
-        let mut levels = SocketLevels { queued: self.queued.get(), ..SocketLevels::default() };
+    pub fn usage(&self) -> SocketUsage {
+        let mut levels = SocketUsage { queued_bytes: self.queued.get(), ..SocketUsage::default() };
         for entry in self.entries.borrow().values() {
             let SlotOwner { tenant, cluster, .. } = &entry.sitter;
             *levels.clusters.entry(cluster.to_string()).or_default() += 1;
--- a/crates/proxy/src/sockets/relay.rs
+++ b/crates/proxy/src/websocket/relay.rs
@@ -1,6 +1,6 @@
 //! One socket's two connections: bytes into its session, bytes and closes out of it.
 
-use super::registry::{Listed, Order, Seated, Sockets};
+use super::registry::{Listed, Order, Seated, SocketRegistry};
 use crate::socket::{close_gently, Stream};
 use crate::upstream::ServerSocket;
 use bytes::Bytes;
@@ -29,7 +29,7 @@
     /// The server's.
     pub server: Box<ServerSocket>,
     /// All sockets.
-    pub sockets: Rc<Sockets>,
+    pub sockets: Rc<SocketRegistry>,
     /// This one among them.
     pub listed: Listed,
     /// Its seat.
--- a/crates/proxy/src/sockets/front.rs
+++ b/crates/proxy/src/websocket/upgrade.rs
@@ -1,6 +1,6 @@
 //! From a handshake to an open socket, and from one server to the next.
 
-use super::registry::{Seated, Sockets};
+use super::registry::{Seated, SocketRegistry};
 use super::relay::Relay;
 use crate::body::Outbound;
 use crate::clients::Upgrade;
@@ -24,16 +24,16 @@
 const SECOND: Nanos = 1_000_000_000;
 
 /// A handshake that has a seat and waits for a server.
-pub(crate) struct Opening {
+pub(crate) struct PendingUpgrade {
     offer: Offer,
     seated: Seated,
     sitter: SlotOwner,
-    sockets: Rc<Sockets>,
+    sockets: Rc<SocketRegistry>,
     set: Rc<WebSocket>,
 }
 
 /// What it takes to open a socket again elsewhere.
-pub(crate) struct Place {
+pub(crate) struct ReconnectTarget {
     pub(crate) cluster: String,
     /// Name of its class with its route's own settings.
     pub(crate) policy: String,
@@ -41,13 +41,13 @@
     /// The handshake as it goes to servers.
     pub(crate) head: Parts,
     /// What its ends agreed on: another server has to agree to the same.
-    pub(crate) agreed: NegotiatedTerms,
+    pub(crate) negotiated: NegotiatedTerms,
 }
 
-impl Opening {
+impl PendingUpgrade {
     /// Checks a client's handshake and takes a seat.
-    pub(crate) fn begin(
-        sockets: &Rc<Sockets>,
+    pub(crate) fn accept(
+        sockets: &Rc<SocketRegistry>,
         set: &Rc<WebSocket>,
         request: &Request<Incoming>,
         sitter: SlotOwner,
@@ -92,39 +92,39 @@
             Refusal::new(StatusCode::SERVICE_UNAVAILABLE, code, what).after(SECOND)
         })?;
         let (sockets, set) = (sockets.clone(), set.clone());
-        Ok(Opening { offer, seated, sitter, sockets, set })
+        Ok(PendingUpgrade { offer, seated, sitter, sockets, set })
     }
 
     /// Makes a request the handshake towards a server.
-    pub(crate) fn ask(&self, head: &mut Parts) {
+    pub(crate) fn prepare_request(&self, head: &mut Parts) {
         ask(&self.offer, &self.sockets, head);
     }
 
     /// Makes a server's good 101 the client's.
-    pub(crate) fn answer(&self, headers: &mut HeaderMap) {
+    pub(crate) fn finish_response(&self, headers: &mut HeaderMap) {
         self.offer.answer(headers);
     }
 
     /// What becomes of the client's connection once its 101 is out.
-    pub(crate) fn upgrade(
+    pub(crate) fn into_upgrade(
         self,
         front: &Rc<Plain>,
         pool: &Pool,
         class: u32,
-        place: Place,
+        target: ReconnectTarget,
         server: Box<ServerSocket>,
     ) -> Upgrade {
-        let Opening { offer, seated, sitter, sockets, set } = self;
+        let PendingUpgrade { offer, seated, sitter, sockets, set } = self;
         let front = front.clone();
         let driver = Rc::downgrade(&pool.driver);
         let number = pool.driver.number();
         Upgrade(Box::new(move |client, rest| {
             let now = sockets.clock().now();
-            let deflate = server.agreed.deflate();
+            let deflate = server.agreed.uses_compression();
             let session = Session::new(set.session.clone(), deflate, sockets.next_seed(), now);
             let by = Rc::as_ptr(&front) as usize;
             let listed = sockets.list(sitter.clone(), by, number, server.to.server);
-            let again = Rc::new(Again { front, place, offer, sockets: sockets.clone(), sitter });
+            let again = Rc::new(Again { front, target, offer, sockets: sockets.clone(), sitter });
             let reopen = move || {
                 let again = again.clone();
                 Box::pin(async move { again.open().await }) as std::pin::Pin<Box<_>>
@@ -136,7 +136,7 @@
     }
 }
 
-fn ask(offer: &Offer, sockets: &Sockets, head: &mut Parts) {
+fn ask(offer: &Offer, sockets: &SocketRegistry, head: &mut Parts) {
     let mut nonce = [0; 16];
     nonce[..8].copy_from_slice(&sockets.next_seed().to_le_bytes());
     nonce[8..].copy_from_slice(&sockets.next_seed().to_le_bytes());
@@ -147,9 +147,9 @@
 /// Opens a socket again.
 struct Again {
     front: Rc<Plain>,
-    place: Place,
+    target: ReconnectTarget,
     offer: Offer,
-    sockets: Rc<Sockets>,
+    sockets: Rc<SocketRegistry>,
     sitter: SlotOwner,
 }
 
@@ -157,7 +157,7 @@
     /// At another server of what is in force now, through the same limits and decisions.
     async fn open(&self) -> Option<(u32, ServerSocket)> {
         let serving = self.front.serving();
-        let Place { cluster, policy, effect, head, agreed } = &self.place;
+        let ReconnectTarget { cluster, policy, effect, head, negotiated } = &self.target;
         let pool = serving.clusters.get(cluster)?;
         let class = pool.classes.get(policy)?;
         let mut head = head.clone();
@@ -174,7 +174,7 @@
         let (reply, _through) = send(&serving, cluster, pool, asks, message).await.ok()?;
         match reply? {
             Reply::Served(answer) => match *answer {
-                Answer { body: AnswerBody::Socket(socket), .. } if socket.agreed == *agreed => {
+                Answer { body: AnswerBody::Socket(socket), .. } if socket.agreed == *negotiated => {
                     Some((pool.driver.number(), *socket))
                 }
                 _ => None,
--- a/crates/proxy/tests/lists.rs
+++ b/crates/proxy/tests/lists.rs
@@ -2,23 +2,27 @@
 
 use mintshelf_balancer::api::{EndpointState, ListKind, ListedServer};
 use mintshelf_config::platform::Names;
-use mintshelf_proxy::discovery::list::{read_list, Fleet};
+use mintshelf_proxy::discovery::list::{read_list, EndpointListReader};
 use mintshelf_proxy::endpoints::Endpoints;
 
 const ENTRY: &str = r#"{"uid":"s-1","endpoint":"127.0.0.1:9","az":"a","model":"m","pod_group":3,"state":"SERVING","capacity_hint":1.5,"boot_ms":7}"#;
 
-fn fleet() -> Fleet {
+fn fleet() -> EndpointListReader {
     fleet_at(Endpoints::default())
 }
 
-fn fleet_at(addresses: Endpoints) -> Fleet {
+fn fleet_at(addresses: Endpoints) -> EndpointListReader {
     let zones = vec!["a".to_string()];
     let names = Names { zones, kinds: vec!["m".to_string()], ..Names::default() };
-    Fleet::new(names, addresses)
+    EndpointListReader::new(names, addresses)
 }
 
 /// Takes an answer over: what it says, and whether it was whole.
-fn take(fleet: &mut Fleet, text: &str, whole: bool) -> (ListKind, Vec<ListedServer>, bool) {
+fn take(
+    fleet: &mut EndpointListReader,
+    text: &str,
+    whole: bool,
+) -> (ListKind, Vec<ListedServer>, bool) {
     let list = read_list(text.as_bytes());
     let well_formed = list.well_formed;
     let (kind, servers) = fleet.take(list, whole);
--- a/crates/websocket/src/handshake.rs
+++ b/crates/websocket/src/handshake.rs
@@ -15,14 +15,14 @@
 
 /// What a route lets through.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Terms {
+pub struct HandshakePolicy {
     /// Origins that may open sockets, in lower case; all if absent. A client that is no
     /// browser sends none, and may.
-    pub origins: Option<Vec<String>>,
+    pub allowed_origins: Option<Vec<String>>,
     /// Subprotocols that are passed on; all if absent.
-    pub subprotocols: Option<Vec<String>>,
+    pub allowed_subprotocols: Option<Vec<String>>,
     /// Whether compression is passed on.
-    pub extensions: bool,
+    pub allow_compression: bool,
 }
 
 /// Why a handshake is none that could be passed on.
@@ -78,7 +78,7 @@
 }
 
 /// Whether a request asks for a WebSocket, well or not.
-pub fn asks(headers: &HeaderMap) -> bool {
+pub fn is_upgrade_request(headers: &HeaderMap) -> bool {
     list(headers, &header::CONNECTION).any(|token| token.eq_ignore_ascii_case("upgrade"))
         && list(headers, &header::UPGRADE).any(|token| token.eq_ignore_ascii_case("websocket"))
 }
@@ -118,13 +118,13 @@
 }
 
 impl Offer {
-    /// Reads a client's handshake, for which [`asks`] holds, against what its route lets
+    /// Reads a client's handshake, for which [`is_upgrade_request`] holds, against what its route lets
     /// through.
     pub fn read(
         method: &Method,
         version: Version,
         headers: &HeaderMap,
-        terms: &Terms,
+        terms: &HandshakePolicy,
     ) -> Result<Self, HandshakeError> {
         if method != Method::GET || version != Version::HTTP_11 {
             return Err(HandshakeError::Method);
@@ -139,7 +139,9 @@
         if STANDARD.decode(key).map_err(|_| HandshakeError::Key)?.len() != 16 {
             return Err(HandshakeError::Key);
         }
-        if let (Some(origins), true) = (&terms.origins, headers.contains_key(header::ORIGIN)) {
+        if let (Some(origins), true) =
+            (&terms.allowed_origins, headers.contains_key(header::ORIGIN))
+        {
             let origin = only(headers, &header::ORIGIN).and_then(|o| o.to_str().ok());
             let origin = origin.unwrap_or_default().to_ascii_lowercase();
             if !origins.contains(&origin) {
@@ -153,11 +155,12 @@
             }
             subprotocols.push(name.to_string());
         }
-        if let Some(passed) = &terms.subprotocols {
+        if let Some(passed) = &terms.allowed_subprotocols {
             subprotocols.retain(|name| passed.contains(name));
         }
         let extensions = list(headers, &header::SEC_WEBSOCKET_EXTENSIONS);
-        let extensions = extensions.filter(|element| terms.extensions && is_deflate(element));
+        let extensions =
+            extensions.filter(|element| terms.allow_compression && is_deflate(element));
         let extensions = extensions.map(str::to_string).collect();
         Ok(Offer { accept: value(&accept_of(key)), subprotocols, extensions })
     }
@@ -211,8 +214,11 @@
 impl HandshakeRequest {
     /// Checks a server's 101 (RFC 6455 4.1): it proves that it has read the handshake, and
     /// agrees to nothing that it was not offered.
-    pub fn check(&self, headers: &HeaderMap) -> Result<NegotiatedTerms, HandshakeResponseError> {
-        if !asks(headers) {
+    pub fn verify_response(
+        &self,
+        headers: &HeaderMap,
+    ) -> Result<NegotiatedTerms, HandshakeResponseError> {
+        if !is_upgrade_request(headers) {
             return Err(HandshakeResponseError::Upgrade);
         }
         let accept =
@@ -238,7 +244,7 @@
 
 impl NegotiatedTerms {
     /// Whether messages may be compressed.
-    pub fn deflate(&self) -> bool {
+    pub fn uses_compression(&self) -> bool {
         self.extension.is_some()
     }
 }
@@ -272,16 +278,16 @@
         all
     }
 
-    fn read(headers: &HeaderMap, terms: &Terms) -> Result<Offer, HandshakeError> {
+    fn read(headers: &HeaderMap, terms: &HandshakePolicy) -> Result<Offer, HandshakeError> {
         Offer::read(&Method::GET, Version::HTTP_11, headers, terms)
     }
 
     #[test]
     fn clients_handshakes_are_checked() {
-        let terms = Terms::default();
-        assert!(asks(&good(&[])));
-        assert!(!asks(&headers(&[("upgrade", "websocket")])));
-        assert!(!asks(&headers(&[("upgrade", "h2c"), ("connection", "upgrade")])));
+        let terms = HandshakePolicy::default();
+        assert!(is_upgrade_request(&good(&[])));
+        assert!(!is_upgrade_request(&headers(&[("upgrade", "websocket")])));
+        assert!(!is_upgrade_request(&headers(&[("upgrade", "h2c"), ("connection", "upgrade")])));
         let offer = read(&good(&[]), &terms).unwrap();
         let mut answer = HeaderMap::new();
         offer.answer(&mut answer);
@@ -308,8 +314,8 @@
         }
         let twice = good(&[("sec-websocket-key", KEY)]);
         assert_eq!(read(&twice, &terms), Err(HandshakeError::Key));
-        let origins = Some(vec!["https://lab.example".to_string()]);
-        let terms = Terms { origins, ..Terms::default() };
+        let allowed_origins = Some(vec!["https://lab.example".to_string()]);
+        let terms = HandshakePolicy { allowed_origins, ..HandshakePolicy::default() };
         assert!(read(&good(&[("origin", "HTTPS://lab.example")]), &terms).is_ok());
         assert!(read(&good(&[]), &terms).is_ok());
         let foreign = good(&[("origin", "https://lab.example.evil")]);
@@ -322,13 +328,17 @@
             ("sec-websocket-protocol", "status.v2, status.v1, chat"),
             ("sec-websocket-extensions", "permessage-deflate; client_max_window_bits, x-mux"),
         ];
-        let asked = |terms: &Terms| {
+        let asked = |terms: &HandshakePolicy| {
             let offer = read(&good(&more), terms).unwrap();
             let mut out = HeaderMap::new();
             (offer.ask(*b"the sample nonce", &mut out), out)
         };
         let some = vec!["status.v1".to_string(), "status.v2".to_string()];
-        let terms = Terms { subprotocols: Some(some), extensions: true, ..Terms::default() };
+        let terms = HandshakePolicy {
+            allowed_subprotocols: Some(some),
+            allow_compression: true,
+            ..HandshakePolicy::default()
+        };
         let (ask, out) = asked(&terms);
         assert_eq!(out["sec-websocket-key"], KEY);
         assert_eq!(out["sec-websocket-protocol"], "status.v2, status.v1");
@@ -345,14 +355,14 @@
             }
             all
         };
-        let agreed = ask.check(&answer(&[
+        let agreed = ask.verify_response(&answer(&[
             ("sec-websocket-protocol", "status.v1"),
             ("sec-websocket-extensions", "permessage-deflate; server_no_context_takeover"),
         ]));
         let agreed = agreed.unwrap();
         assert_eq!(agreed.subprotocol.as_deref(), Some("status.v1"));
-        assert!(agreed.deflate());
-        assert_eq!(ask.check(&answer(&[])), Ok(NegotiatedTerms::default()));
+        assert!(agreed.uses_compression());
+        assert_eq!(ask.verify_response(&answer(&[])), Ok(NegotiatedTerms::default()));
         for (name, value, bad) in [
             ("upgrade", "h2c", HandshakeResponseError::Upgrade),
             (
@@ -364,12 +374,12 @@
             ("sec-websocket-protocol", "status.v1, status.v2", HandshakeResponseError::Subprotocol),
             ("sec-websocket-extensions", "x-mux", HandshakeResponseError::Extension),
         ] {
-            assert_eq!(ask.check(&answer(&[(name, value)])), Err(bad), "{name} {value}");
+            assert_eq!(ask.verify_response(&answer(&[(name, value)])), Err(bad), "{name} {value}");
         }
-        let withheld = Terms { extensions: false, ..terms };
+        let withheld = HandshakePolicy { allow_compression: false, ..terms };
         let (ask, out) = asked(&withheld);
         assert!(!out.contains_key("sec-websocket-extensions"));
         let deflate = answer(&[("sec-websocket-extensions", "permessage-deflate")]);
-        assert_eq!(ask.check(&deflate), Err(HandshakeResponseError::Extension));
+        assert_eq!(ask.verify_response(&deflate), Err(HandshakeResponseError::Extension));
     }
 }
--- a/crates/websocket/src/session.rs
+++ b/crates/websocket/src/session.rs
@@ -28,11 +28,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SessionConfig {
     /// Its times.
-    pub life: TimerConfig,
+    pub timers: TimerConfig,
     /// Longest message, in bytes as it passes.
-    pub longest: u64,
+    pub max_message_bytes: u64,
     /// Bytes that may wait for one end before the other is no longer read.
-    pub buffer: usize,
+    pub buffer_bytes: usize,
     /// Whether it may go on at another server.
     pub resume: Option<Resume>,
 }
@@ -177,9 +177,9 @@
         let mut token = [0; 8];
         random.fill_bytes(&mut token);
         let part = f64::from(random.next_u32()) / f64::from(u32::MAX);
-        let longest = set.longest;
+        let longest = set.max_message_bytes;
         Session {
-            life: SocketTimers::new(set.life, now, part),
+            life: SocketTimers::new(set.timers, now, part),
             deflate,
             sides: [Peer::Client, Peer::Server].map(|end| Side::new(end, deflate, longest)),
             state: State::Open,
@@ -226,14 +226,14 @@
             return false;
         }
         match &self.state {
-            State::Open => other.waiting().len() < self.set.buffer,
+            State::Open => other.waiting().len() < self.set.buffer_bytes,
             State::Leaving { .. } => {
-                side.rest.is_empty() && other.waiting().len() < self.set.buffer
+                side.rest.is_empty() && other.waiting().len() < self.set.buffer_bytes
             }
             State::Lost { .. } | State::Moving { .. } => false,
             // What an end says to its close frame is awaited.
             State::Closing { .. } => {
-                !(side.said && side.told) && other.waiting().len() < self.set.buffer
+                !(side.said && side.told) && other.waiting().len() < self.set.buffer_bytes
             }
         }
     }
@@ -402,7 +402,8 @@
     fn ends(&mut self, by: ClosedBy, code: u16, now: Nanos) {
         self.over.get_or_insert(SessionEnd { by, code });
         if !matches!(self.state, State::Closing { .. }) {
-            self.state = State::Closing { by: now.saturating_add(self.set.life.closing) };
+            self.state =
+                State::Closing { by: now.saturating_add(self.set.timers.close_timeout_ns) };
         }
     }
 
@@ -460,7 +461,7 @@
     /// Happens between two messages where such a place comes in time.
     pub fn leave(&mut self, leave: LeaveRequest, now: Nanos) {
         if self.state == State::Open {
-            let by = now.saturating_add(self.set.life.closing);
+            let by = now.saturating_add(self.set.timers.close_timeout_ns);
             self.state = State::Leaving { by, leave };
             self.look_for_the_place(now);
         }
@@ -518,7 +519,7 @@
         // What the old server said and nobody has read is gone with it; what waited for it is
         // not. The first message may be among that.
         let heard = self.written.as_ref().is_some_and(|written| written.messages() > 0);
-        let mut new = Side::new(Peer::Server, self.deflate, self.set.longest);
+        let mut new = Side::new(Peer::Server, self.deflate, self.set.max_message_bytes);
         if let Some(first) = self.first.as_ref().filter(|_| heard) {
             new.out = first.bytes.clone();
         }
--- a/crates/websocket/src/timers.rs
+++ b/crates/websocket/src/timers.rs
@@ -10,19 +10,19 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TimerConfig {
     /// Closed when no message has passed for so long.
-    pub idle: Nanos,
+    pub idle_timeout_ns: Nanos,
     /// Closed when so old.
-    pub lifetime: Nanos,
+    pub max_lifetime_ns: Nanos,
     /// An end that has said nothing for so long is pinged.
-    pub ping: Nanos,
+    pub ping_interval_ns: Nanos,
     /// An end that says nothing for so long after a ping is gone.
-    pub silence: Nanos,
+    pub pong_timeout_ns: Nanos,
     /// An end that takes nothing of what waits for it for so long is cut off.
-    pub stall: Nanos,
+    pub write_stall_timeout_ns: Nanos,
     /// A message that has begun must be whole within this.
-    pub message: Nanos,
+    pub message_timeout_ns: Nanos,
     /// How long a close frame may go unanswered.
-    pub closing: Nanos,
+    pub close_timeout_ns: Nanos,
 }
 
 /// What a socket's time has come for.
@@ -71,8 +71,8 @@
     /// Of a socket that opens now. `part`, 0 to 1, shortens its life by up to a tenth: those
     /// that open together do not end together.
     pub fn new(set: TimerConfig, now: Nanos, part: f64) -> Self {
-        let less = (set.lifetime as f64 * 0.1 * part.clamp(0.0, 1.0)) as Nanos;
-        let old_at = now.saturating_add(set.lifetime - less);
+        let less = (set.max_lifetime_ns as f64 * 0.1 * part.clamp(0.0, 1.0)) as Nanos;
+        let old_at = now.saturating_add(set.max_lifetime_ns - less);
         let watch = Watch { heard: now, ..Watch::default() };
         SocketTimers { set, old_at, active: now, ends: [watch; 2] }
     }
@@ -140,7 +140,7 @@
     /// There is no place for a ping now: it is due again a little later.
     pub fn postponed(&mut self, end: Peer, now: Nanos) {
         let again = now.saturating_add(POSTPONED);
-        self.of(end).heard = again.saturating_sub(self.set.ping);
+        self.of(end).heard = again.saturating_sub(self.set.ping_interval_ns);
     }
 
     /// It has been told that it has lived long enough.
@@ -163,19 +163,21 @@
         let set = &self.set;
         let whole = [
             (self.old_at, TimerEvent::Old),
-            (self.active.saturating_add(set.idle), TimerEvent::Idle),
+            (self.active.saturating_add(set.idle_timeout_ns), TimerEvent::Idle),
         ];
         let each = ENDS.into_iter().flat_map(move |end| {
             let watch = &self.ends[end as usize];
             let expected = !watch.gone && !watch.paused;
             let silence = match watch.pinged {
-                None => (watch.heard.saturating_add(set.ping), TimerEvent::Ping(end)),
-                Some(at) => (at.saturating_add(set.silence), TimerEvent::Silent(end)),
+                None => (watch.heard.saturating_add(set.ping_interval_ns), TimerEvent::Ping(end)),
+                Some(at) => (at.saturating_add(set.pong_timeout_ns), TimerEvent::Silent(end)),
             };
-            let dribble =
-                watch.message.map(|at| (at.saturating_add(set.message), TimerEvent::Dribble(end)));
-            let stalled =
-                watch.blocked.map(|at| (at.saturating_add(set.stall), TimerEvent::Stalled(end)));
+            let dribble = watch
+                .message
+                .map(|at| (at.saturating_add(set.message_timeout_ns), TimerEvent::Dribble(end)));
+            let stalled = watch.blocked.map(|at| {
+                (at.saturating_add(set.write_stall_timeout_ns), TimerEvent::Stalled(end))
+            });
             [Some(silence), dribble]
                 .into_iter()
                 .map(move |due| due.filter(|_| expected))
@@ -205,13 +207,13 @@
 
     fn life() -> SocketTimers {
         let set = TimerConfig {
-            idle: 300 * S,
-            lifetime: 1000 * S,
-            ping: 30 * S,
-            silence: 10 * S,
-            stall: 5 * S,
-            message: 60 * S,
-            closing: 5 * S,
+            idle_timeout_ns: 300 * S,
+            max_lifetime_ns: 1000 * S,
+            ping_interval_ns: 30 * S,
+            pong_timeout_ns: 10 * S,
+            write_stall_timeout_ns: 5 * S,
+            message_timeout_ns: 60 * S,
+            close_timeout_ns: 5 * S,
         };
         SocketTimers::new(set, 0, 0.5)
     }
--- a/crates/websocket/tests/session.rs
+++ b/crates/websocket/tests/session.rs
@@ -17,16 +17,16 @@
 const S: u64 = 1_000_000_000;
 
 fn set(resume: Option<Resume>) -> Rc<SessionConfig> {
-    let life = TimerConfig {
-        idle: 300 * S,
-        lifetime: 10_000 * S,
-        ping: 30 * S,
-        silence: 10 * S,
-        stall: 20 * S,
-        message: 60 * S,
-        closing: 5 * S,
+    let timers = TimerConfig {
+        idle_timeout_ns: 300 * S,
+        max_lifetime_ns: 10_000 * S,
+        ping_interval_ns: 30 * S,
+        pong_timeout_ns: 10 * S,
+        write_stall_timeout_ns: 20 * S,
+        message_timeout_ns: 60 * S,
+        close_timeout_ns: 5 * S,
     };
-    Rc::new(SessionConfig { life, longest: 1 << 20, buffer: 8 << 10, resume })
+    Rc::new(SessionConfig { timers, max_message_bytes: 1 << 20, buffer_bytes: 8 << 10, resume })
 }
 
 fn frame(payload: &[u8], opcode: OpCode, last: bool, mask: Option<[u8; 4]>) -> Vec<u8> {
@@ -325,7 +325,7 @@
                     session.stays(3, now);
                 }
             }
-            prop_assert!(session.queued() < 4 * (set.buffer + 9_000) + 66_000);
+            prop_assert!(session.queued() < 4 * (set.buffer_bytes + 9_000) + 66_000);
             if session.over().is_some() { stopped = true; break; }
         }
         if !stopped {
