--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -1,6 +1,17 @@
-//! Discovery without sockets: which of its answers are believed, and how long a call may wait.
+//! Discovery without I/O: which endpoint lists are accepted, and how long a poll may wait.
 //!
-//! Times are spans since any moment that the caller keeps to.
+//! The caller makes the calls and reads the clock. Every time is a [`std::time::Duration`] since
+//! a moment that the caller chooses once and keeps.
+//!
+//! ```
+//! use mintshelf_discovery::watch::{CallOutcome, NextCall, WatchState};
+//!
+//! let mut watch = WatchState::default();
+//! let first_poll = watch.poll_timeout();
+//! assert_eq!(watch.on_call_end(CallOutcome::Answered), NextCall::Continue);
+//! assert!(watch.poll_timeout() > first_poll, "a watch that works may poll for longer");
+//! assert_eq!(watch.on_call_end(CallOutcome::TimedOut), NextCall::Reconnect);
+//! ```
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/discovery/src/revision.rs
+++ b/crates/discovery/src/revision.rs
@@ -1,66 +1,86 @@
-//! Revisions go one way.
+//! Accepts endpoint lists in the order of their revisions, and detects a service that was reset.
 //!
-//! A list that is older than the one held would undo what was told since: a drain, a removal.
-//! It may come from a service that lags behind another, or from an answer that waited
-//! somewhere. Only a service that counts anew gives lower numbers for good.
+//! An older list would undo a drain or a removal that came after it. Such a list comes from a
+//! replica that lags behind another, or from a response that was delayed. Only a service whose
+//! counter was reset gives lower revisions for good.
 
 use std::time::Duration;
 
-/// A service that gave a lower number is believed to count anew when complete lists have gone
-/// on giving such numbers for so long. One that only lags has caught up by then; longer, and
-/// what it has to tell would not be heard in the time that the platform gives (4 s after a
-/// move).
-pub const PROOF: Duration = Duration::from_millis(1_000);
-/// Pace of the calls that ask for that proof.
-pub const PROOF_PACE: Duration = Duration::from_millis(350);
+/// A lower revision is accepted when complete lists have gone on having lower revisions for so
+/// long. A replica that only lags has caught up by then. A longer time would not leave enough of
+/// the 4 s within which the platform wants changes to be followed after discovery has moved.
+pub const RESET_CONFIRMATION: Duration = Duration::from_millis(1_000);
+/// Time between the calls that ask for complete lists while a reset is to be confirmed.
+pub const RESET_POLL_INTERVAL: Duration = Duration::from_millis(350);
 
-/// What becomes of an answer.
+/// What is done with a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// It is taken over.
-    Take,
-    /// It is left, and a complete list is asked for after [`PROOF_PACE`].
-    Doubt,
+    /// It is applied.
+    Accept,
+    /// It is ignored, and a complete list is requested after [`RESET_POLL_INTERVAL`].
+    Suspect,
 }
 
-/// The revision of the list held.
+/// Complete lists that all had revisions below the current one.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+struct Regression {
+    /// When the first of them came.
+    since: Duration,
+    /// Revision of the last of them.
+    last_revision: u64,
+}
+
+/// The revision of the list that is applied now, and the regression under observation.
+///
+/// ```
+/// use mintshelf_discovery::revision::{RevisionTracker, Verdict, RESET_CONFIRMATION};
+/// use std::time::Duration;
+///
+/// let mut tracker = RevisionTracker::default();
+/// tracker.accept(41);
+/// assert_eq!(tracker.evaluate(Duration::ZERO, 3, true), Verdict::Suspect);
+/// assert_eq!(tracker.evaluate(RESET_CONFIRMATION, 3, true), Verdict::Accept);
+/// ```
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Revision {
-    held: u64,
-    /// Since when complete lists have had lower numbers, and the last such number.
-    doubt: Option<(Duration, u64)>,
+pub struct RevisionTracker {
+    current: u64,
+    regression: Option<Regression>,
 }
 
-impl Revision {
-    /// The number held.
-    pub fn held(&self) -> u64 {
-        self.held
+impl RevisionTracker {
+    /// The revision that was accepted last; 0 before the first.
+    pub fn current(&self) -> u64 {
+        self.current
     }
 
-    /// What becomes of an answer of this revision that came `now`; `complete`: it is a complete
-    /// list and came whole.
-    pub fn judge(&mut self, now: Duration, revision: u64, complete: bool) -> Verdict {
-        if revision >= self.held {
-            self.doubt = None;
-            return Verdict::Take;
+    /// What is done with a response of `revision` that came at `now`. `is_complete`: it has the
+    /// complete list and was received to its end. The caller calls [`Self::accept`] once it has
+    /// applied the response.
+    #[must_use]
+    pub fn evaluate(&mut self, now: Duration, revision: u64, is_complete: bool) -> Verdict {
+        if revision >= self.current {
+            self.regression = None;
+            return Verdict::Accept;
+        }
+        if !is_complete {
+            return Verdict::Suspect;
         }
-        match self.doubt {
-            Some((since, last)) if complete && revision >= last => {
-                if now.saturating_sub(since) >= PROOF {
-                    self.doubt = None;
-                    return Verdict::Take;
-                }
-                self.doubt = Some((since, revision));
-            }
-            // Lower once more: another service than the one that was to prove itself.
-            _ if complete => self.doubt = Some((now, revision)),
-            _ => {}
+        let since = match self.regression {
+            Some(regression) if revision >= regression.last_revision => regression.since,
+            // Lower once more: another replica than the one that was under observation.
+            _ => now,
+        };
+        if now.saturating_sub(since) >= RESET_CONFIRMATION {
+            self.regression = None;
+            return Verdict::Accept;
         }
-        Verdict::Doubt
+        self.regression = Some(Regression { since, last_revision: revision });
+        Verdict::Suspect
     }
 
-    /// Notes that a list of this revision is held now.
-    pub fn taken(&mut self, revision: u64) {
-        self.held = revision;
+    /// Makes `revision` the current one.
+    pub fn accept(&mut self, revision: u64) {
+        self.current = revision;
     }
 }
--- a/crates/discovery/src/watch.rs
+++ b/crates/discovery/src/watch.rs
@@ -1,77 +1,81 @@
-//! How long the calls of a watch may wait, and what follows when one ends.
+//! Time limits of the long polls of a watch, and what follows when one ends.
 //!
-//! A change counts as told 6 s after discovery had it and could be reached, whatever call
-//! failed, was refused or was given up. A watch that has fallen silent looks like one without
-//! news, so no call may wait for longer than leaves time to notice, connect and ask once more.
+//! A change has to be followed 6 s after discovery had it and could be reached, whatever poll
+//! failed, was rejected or timed out. A watch whose connection is dead looks like one without
+//! changes, so no poll may wait for longer than leaves time to notice, connect and poll once more.
 
 use std::time::Duration;
 
-/// How long a call of a watch that goes well waits for news: half of that time. Calls cost the
-/// service work for every sidecar; shorter ones would cost more and tell nothing sooner.
-const WAIT: Duration = Duration::from_secs(3);
-/// The first call of a watch shows whether it can go well.
-const FIRST_WAIT: Duration = Duration::from_secs(1);
-/// An answer is overdue so long after its wait is over: it comes out of turn then.
-const GRACE: Duration = Duration::from_millis(400);
-/// The same for a first call: the service may still be working through a crowd's calls in turn.
-const FIRST_GRACE: Duration = Duration::from_millis(1_500);
+/// How long a poll of a watch that works waits for changes: half of that time. Polls cost the
+/// service work for every sidecar; shorter ones would cost more and find nothing sooner.
+const POLL_TIMEOUT: Duration = Duration::from_secs(3);
+/// The same for the first poll of a watch, which shows whether the watch works.
+const FIRST_POLL_TIMEOUT: Duration = Duration::from_secs(1);
+/// How much later than its poll timeout a response may begin. It is served out of turn then.
+const RESPONSE_GRACE: Duration = Duration::from_millis(400);
+/// The same for a first poll: the service may still be working through many clients in turn.
+const FIRST_RESPONSE_GRACE: Duration = Duration::from_millis(1_500);
 
 /// How a call ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CallEnd {
-    /// With a whole answer.
+pub enum CallOutcome {
+    /// With a complete response.
     Answered,
-    /// With nothing in its time.
-    Silent,
-    /// With a refusal, a break, or an answer that can't be read.
+    /// Without a response in its time.
+    TimedOut,
+    /// With a rejection, a broken connection or a malformed response.
     Failed,
 }
 
-/// What follows.
+/// What follows a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Next {
-    /// The next call of the watch.
-    GoOn,
-    /// A new watch, at once, on a new connection.
-    Anew,
-    /// The watch has failed: a new one after a wait.
-    Fail,
+pub enum NextCall {
+    /// The next poll of the same watch.
+    Continue,
+    /// The first poll of a new watch, at once, on a new connection.
+    Reconnect,
+    /// The watch has failed: a new one begins after a backoff.
+    BackOff,
 }
 
-/// A watch as its calls have shown it.
+/// Whether the last poll of a watch was answered.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Watch {
-    answered: bool,
+pub struct WatchState {
+    is_established: bool,
 }
 
-impl Watch {
-    /// How long the next call waits for news.
-    pub fn wait(&self) -> Duration {
-        if self.answered {
-            WAIT
+impl WatchState {
+    /// How long the next poll asks the service to wait for changes.
+    pub fn poll_timeout(&self) -> Duration {
+        if self.is_established {
+            POLL_TIMEOUT
         } else {
-            FIRST_WAIT
+            FIRST_POLL_TIMEOUT
         }
     }
 
-    /// How much longer its answer may take.
-    pub fn grace(&self) -> Duration {
-        if self.answered {
-            GRACE
+    /// How much longer than [`Self::poll_timeout`] its response may take to begin.
+    pub fn response_grace(&self) -> Duration {
+        if self.is_established {
+            RESPONSE_GRACE
         } else {
-            FIRST_GRACE
+            FIRST_RESPONSE_GRACE
         }
     }
 
-    /// Notes how a call ended. Where a watch that went well fell silent a new one begins at once:
-    /// the time it has missed is gone, and as many fall silent together, their calls do not end
-    /// together. Calls that fail are those that come together, and may have been too many.
-    pub fn ended(&mut self, end: CallEnd) -> Next {
-        let answered = std::mem::replace(&mut self.answered, end == CallEnd::Answered);
-        match end {
-            CallEnd::Answered => Next::GoOn,
-            CallEnd::Silent if answered => Next::Anew,
-            CallEnd::Silent | CallEnd::Failed => Next::Fail,
+    /// Records how a call ended.
+    ///
+    /// An established watch that times out is replaced at once: it has lost time already, and
+    /// although the watches of many sidecars die together, their polls do not end together.
+    /// Failures do come together and may be due to overload, so they back off.
+    #[must_use]
+    pub fn on_call_end(&mut self, outcome: CallOutcome) -> NextCall {
+        let was_established = self.is_established;
+        self.is_established = outcome == CallOutcome::Answered;
+        match outcome {
+            CallOutcome::Answered => NextCall::Continue,
+            CallOutcome::TimedOut if was_established => NextCall::Reconnect,
+            CallOutcome::TimedOut | CallOutcome::Failed => NextCall::BackOff,
         }
     }
 }
--- a/crates/discovery/tests/revisions.rs
+++ b/crates/discovery/tests/revisions.rs
@@ -1,78 +1,78 @@
-//! Revisions go one way, but for a service that is proved to count anew.
+//! Lower revisions are accepted only from a service whose counter was reset.
 
-use mintshelf_discovery::revision::*;
+use mintshelf_discovery::revision::{RevisionTracker, Verdict, RESET_CONFIRMATION};
 use proptest::prelude::*;
 use std::time::Duration;
 
-fn ms(ms: u64) -> Duration {
-    Duration::from_millis(ms)
+fn ms(millis: u64) -> Duration {
+    Duration::from_millis(millis)
 }
 
-fn held(revision: u64) -> Revision {
-    let mut held = Revision::default();
-    held.taken(revision);
-    held
+fn tracker_at(revision: u64) -> RevisionTracker {
+    let mut tracker = RevisionTracker::default();
+    tracker.accept(revision);
+    tracker
 }
 
 #[test]
-fn what_is_as_new_or_newer_is_taken() {
+fn equal_and_higher_revisions_are_accepted() {
     for revision in [41, 42, u64::MAX] {
-        assert_eq!(held(41).judge(ms(0), revision, false), Verdict::Take);
+        assert_eq!(tracker_at(41).evaluate(ms(0), revision, false), Verdict::Accept);
     }
 }
 
 #[test]
-fn a_service_that_lags_and_catches_up_undoes_nothing() {
-    let mut revision = held(41);
-    assert_eq!(revision.judge(ms(0), 39, false), Verdict::Doubt);
-    assert_eq!(revision.judge(ms(300), 39, true), Verdict::Doubt);
-    assert_eq!(revision.judge(ms(900), 40, true), Verdict::Doubt);
-    assert_eq!(revision.judge(ms(1_250), 41, true), Verdict::Take);
+fn a_lagging_replica_that_catches_up_undoes_nothing() {
+    let mut tracker = tracker_at(41);
+    assert_eq!(tracker.evaluate(ms(0), 39, false), Verdict::Suspect);
+    assert_eq!(tracker.evaluate(ms(300), 39, true), Verdict::Suspect);
+    assert_eq!(tracker.evaluate(ms(900), 40, true), Verdict::Suspect);
+    assert_eq!(tracker.evaluate(ms(1_250), 41, true), Verdict::Accept);
 }
 
 #[test]
-fn a_service_that_counts_anew_is_believed_in_a_second() {
-    let mut revision = held(41);
-    assert_eq!(revision.judge(ms(0), 1, true), Verdict::Doubt);
-    assert_eq!(revision.judge(ms(999), 2, true), Verdict::Doubt);
-    assert_eq!(revision.judge(ms(1_000), 2, true), Verdict::Take);
-    revision.taken(2);
-    assert_eq!(revision.held(), 2);
-    assert_eq!(revision.judge(ms(1_001), 1, true), Verdict::Doubt);
+fn a_reset_service_is_accepted_after_one_second() {
+    let mut tracker = tracker_at(41);
+    assert_eq!(tracker.evaluate(ms(0), 1, true), Verdict::Suspect);
+    assert_eq!(tracker.evaluate(ms(999), 2, true), Verdict::Suspect);
+    assert_eq!(tracker.evaluate(ms(1_000), 2, true), Verdict::Accept);
+    tracker.accept(2);
+    assert_eq!(tracker.current(), 2);
+    assert_eq!(tracker.evaluate(ms(1_001), 1, true), Verdict::Suspect);
 }
 
 proptest! {
-    /// Checked from outside: a lower number is taken only after a complete list, a second at the
-    /// least before it, was lower too, and none in between was lower than the one before it or
-    /// as new as what is held.
+    /// Checked against an independent model: a lower revision is accepted only if a complete list
+    /// at least one second before it was lower too, and none in between was lower than the one
+    /// before it or at least the current revision.
     #[test]
-    fn a_lower_number_is_taken_only_with_proof(
-        answers in proptest::collection::vec((0..700u64, 0..6u64, any::<bool>()), 1..40),
+    fn a_lower_revision_is_accepted_only_when_confirmed(
+        responses in proptest::collection::vec((0..700u64, 0..6u64, any::<bool>()), 1..40),
     ) {
-        let mut revision = held(3);
+        let mut tracker = tracker_at(3);
         let mut now = 0;
-        // Complete lower lists since the last break in their row.
-        let mut row: Vec<(u64, u64)> = Vec::new();
-        for (after, number, complete) in answers {
-            now += after;
-            let before = revision.held();
-            let verdict = revision.judge(ms(now), number, complete);
-            if number >= before {
-                prop_assert_eq!(verdict, Verdict::Take);
-                row.clear();
-            } else if complete {
-                if row.last().is_some_and(|(_, last)| number < *last) {
-                    row.clear();
+        // Times and revisions of consecutive complete lower lists.
+        let mut regression: Vec<(u64, u64)> = Vec::new();
+        for (elapsed, revision, is_complete) in responses {
+            now += elapsed;
+            let before = tracker.current();
+            let verdict = tracker.evaluate(ms(now), revision, is_complete);
+            if revision >= before {
+                prop_assert_eq!(verdict, Verdict::Accept);
+                regression.clear();
+            } else if is_complete {
+                if regression.last().is_some_and(|(_, last)| revision < *last) {
+                    regression.clear();
                 }
-                row.push((now, number));
-                let proved = now - row[0].0 >= PROOF.as_millis() as u64;
-                prop_assert_eq!(verdict == Verdict::Take, proved);
+                regression.push((now, revision));
+                let is_confirmed = now - regression[0].0 >= RESET_CONFIRMATION.as_millis() as u64;
+                prop_assert_eq!(verdict == Verdict::Accept, is_confirmed);
             } else {
-                prop_assert_eq!(verdict, Verdict::Doubt);
+                prop_assert_eq!(verdict, Verdict::Suspect);
             }
-            if verdict == Verdict::Take {
-                revision.taken(number);
-                row.clear();
+            if verdict == Verdict::Accept {
+                tracker.accept(revision);
+                regression.clear();
             }
         }
     }
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -1,131 +1,152 @@
-//! Discovery: its calls, one after the other, and what is made of their answers.
+//! Follows the discovery service: polls it, and passes accepted endpoint lists to the cluster.
 
-mod call;
+mod client;
 pub mod list;
+pub mod reader;
 
 use crate::endpoints::ListSink;
-use call::{Caller, Received, ANSWER_GRACE};
-use list::{read_list, EndpointListReader};
+use client::{DiscoveryClient, ReceivedBody};
+use list::EndpointList;
 use mintshelf_balancer::api::ListKind;
-use mintshelf_discovery::revision::{Verdict, PROOF_PACE};
-use mintshelf_discovery::watch::{CallEnd, Next, Watch};
+use mintshelf_discovery::revision::{Verdict, RESET_POLL_INTERVAL};
+use mintshelf_discovery::watch::{CallOutcome, NextCall, WatchState};
+use reader::EndpointListReader;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// Shortest time between two calls of a watch, well within what keeps it going.
-const WATCH_PACE: Duration = Duration::from_millis(20);
-/// Pace of calls to an agent that pushes: it answers at once even with no news.
-const AGENT_PACE: Duration = Duration::from_millis(50);
-/// An agent that waits for news waits no longer than this: another may have its place.
-const AGENT_WAIT: Duration = Duration::from_millis(500);
-/// One that says nothing for so long is asked anew on another connection: it is silent while it
-/// has nothing to go by, and what it gets after that counts at once.
-const AGENT_GRACE: Duration = Duration::from_millis(500);
+/// Least time between the starts of two polls of a watch, short enough to keep it established.
+const MIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Least time between two polls of a push agent, which answers at once even without changes.
+const AGENT_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// How long an agent is asked to wait for changes: no longer, as another may take its place.
+const AGENT_POLL_TIMEOUT: Duration = Duration::from_millis(500);
+/// How much longer an agent's response may take before it is polled on another connection. An
+/// agent is silent until it has a list, and that list is wanted at once.
+const AGENT_RESPONSE_GRACE: Duration = Duration::from_millis(500);
 
-/// The service that lists the servers, at an address that may change.
+/// The discovery service of one cluster, at an address that may change.
 #[derive(Debug)]
 pub struct Discovery {
-    fleet: RefCell<EndpointListReader>,
-    at: Cell<SocketAddr>,
-    begun: Instant,
+    reader: RefCell<EndpointListReader>,
+    address: Cell<SocketAddr>,
+    created_at: Instant,
 }
 
 impl Discovery {
-    /// A service that has not been asked yet.
-    pub fn new(fleet: EndpointListReader, at: SocketAddr) -> Self {
-        Discovery { fleet: RefCell::new(fleet), at: Cell::new(at), begun: Instant::now() }
+    /// A service that has not been called yet.
+    pub fn new(reader: EndpointListReader, address: SocketAddr) -> Self {
+        Discovery {
+            reader: RefCell::new(reader),
+            address: Cell::new(address),
+            created_at: Instant::now(),
+        }
     }
 
-    /// Turns to another address; whether it is another. Calls under way go on.
-    pub fn set_address(&self, at: SocketAddr) -> bool {
-        self.at.replace(at) != at
+    /// Changes the address of later calls; whether it differs from the one before. Calls in
+    /// flight go on.
+    pub fn set_address(&self, address: SocketAddr) -> bool {
+        self.address.replace(address) != address
     }
 
-    /// Passes on the list that the configuration brought.
+    /// Passes on the list that the configuration has cached.
     pub fn load_cached_list(&self, text: Option<&str>, sink: &impl ListSink) {
-        let servers = text.and_then(|text| self.fleet.borrow_mut().take_known(text));
+        let servers = text.and_then(|text| self.reader.borrow_mut().apply_cached(text));
         sink.listed(ListKind::Cached, self.revision(), servers.unwrap_or_default());
     }
 
     fn revision(&self) -> u64 {
-        self.fleet.borrow().revision()
+        self.reader.borrow().revision()
+    }
+
+    fn connect(&self) -> DiscoveryClient {
+        DiscoveryClient::new(self.address.get())
     }
 
     /// Watches until a call fails.
     pub async fn watch(self: Rc<Self>, sink: impl ListSink) {
-        let (mut caller, mut watch) = (Caller::new(self.at.get()), Watch::default());
+        let mut client = self.connect();
+        let mut watch = WatchState::default();
         loop {
-            let asked = Instant::now();
-            let answer = caller.news(self.revision(), watch.wait(), watch.grace()).await;
-            let end = self.heard(&mut caller, &sink, answer).await;
-            match watch.ended(end) {
-                Next::GoOn => {}
-                Next::Anew => caller = Caller::new(self.at.get()),
-                Next::Fail => return self.failed(&sink),
+            let started_at = Instant::now();
+            let timeout = watch.poll_timeout();
+            let response =
+                client.poll_changes(self.revision(), timeout, watch.response_grace()).await;
+            let outcome = self.handle_response(&mut client, &sink, response).await;
+            match watch.on_call_end(outcome) {
+                NextCall::Continue => {}
+                NextCall::Reconnect => client = self.connect(),
+                NextCall::BackOff => return self.report_failure(&sink),
             }
-            // A watch that is answered at once, over and over, must not spin.
-            sleep(WATCH_PACE.saturating_sub(asked.elapsed())).await;
+            // A service that answers every poll at once must not make this loop spin.
+            sleep(MIN_POLL_INTERVAL.saturating_sub(started_at.elapsed())).await;
         }
     }
 
-    /// Asks for the whole list once.
+    /// Fetches the complete list once.
     pub async fn fetch(self: Rc<Self>, sink: impl ListSink) {
-        let mut caller = Caller::new(self.at.get());
-        let answer = caller.call("", ANSWER_GRACE).await;
-        if self.heard(&mut caller, &sink, answer).await != CallEnd::Answered {
-            self.failed(&sink);
+        let mut client = self.connect();
+        let response = client.fetch_list().await;
+        let outcome = self.handle_response(&mut client, &sink, response).await;
+        if outcome != CallOutcome::Answered {
+            self.report_failure(&sink);
         }
     }
 
-    /// Follows an agent that lists are pushed to. Its silence is no failed call.
+    /// Follows an agent that lists are pushed to. A poll without a response is no failure there.
     pub async fn follow_agent(self: Rc<Self>, sink: impl ListSink) {
-        let mut caller = Caller::new(self.at.get());
+        let mut client = self.connect();
         loop {
-            if caller.to != self.at.get() {
-                caller = Caller::new(self.at.get());
+            if client.address() != self.address.get() {
+                client = self.connect();
             }
-            let asked = Instant::now();
-            let answer = caller.news(self.revision(), AGENT_WAIT, AGENT_GRACE).await;
-            self.heard(&mut caller, &sink, answer).await;
-            sleep(AGENT_PACE.saturating_sub(asked.elapsed())).await;
+            let started_at = Instant::now();
+            let response = client
+                .poll_changes(self.revision(), AGENT_POLL_TIMEOUT, AGENT_RESPONSE_GRACE)
+                .await;
+            self.handle_response(&mut client, &sink, response).await;
+            sleep(AGENT_POLL_INTERVAL.saturating_sub(started_at.elapsed())).await;
         }
     }
 
-    fn failed(&self, sink: &impl ListSink) {
+    fn report_failure(&self, sink: &impl ListSink) {
         sink.listed(ListKind::Failed, self.revision(), Vec::new());
     }
 
-    /// Makes of an answer what its revision allows. Danger: an older list would undo what has
-    /// been told since; a service that counts anew would never have news for what is held.
-    async fn heard(
+    /// Applies a response if its revision allows.
+    ///
+    /// An older list would undo later changes. But a service that was reset never reaches the
+    /// current revision, so complete lists are fetched until one is accepted.
+    async fn handle_response(
         &self,
-        caller: &mut Caller,
+        client: &mut DiscoveryClient,
         sink: &impl ListSink,
-        mut answer: Received,
-    ) -> CallEnd {
+        mut response: ReceivedBody,
+    ) -> CallOutcome {
         loop {
-            let list = read_list(&answer.bytes);
-            let whole = list.well_formed && answer.whole;
-            let verdict = self.fleet.borrow_mut().judge(self.begun.elapsed(), &list, whole);
-            match verdict {
-                Verdict::Take => {
-                    let (kind, servers) = self.fleet.borrow_mut().take(list, answer.whole);
-                    if whole || !servers.is_empty() {
-                        sink.listed(kind, self.revision(), servers);
-                    }
-                    return answer.end(whole);
-                }
-                Verdict::Doubt if !whole || caller.to != self.at.get() => {
-                    return answer.end(false);
-                }
-                Verdict::Doubt => {
-                    sleep(PROOF_PACE).await;
-                    answer = caller.call("", ANSWER_GRACE).await;
-                }
+            let list = EndpointList::parse(&response.bytes);
+            let is_valid = list.is_well_formed && response.is_complete;
+            let now = self.created_at.elapsed();
+            let verdict = self.reader.borrow_mut().evaluate(now, &list, is_valid);
+            if verdict == Verdict::Accept {
+                self.apply(list, &response, sink);
+                return response.outcome(is_valid);
+            }
+            if !is_valid || client.address() != self.address.get() {
+                return response.outcome(false);
             }
+            sleep(RESET_POLL_INTERVAL).await;
+            response = client.fetch_list().await;
+        }
+    }
+
+    fn apply(&self, list: EndpointList, response: &ReceivedBody, sink: &impl ListSink) {
+        let is_valid = list.is_well_formed && response.is_complete;
+        let update = self.reader.borrow_mut().apply(list, response.is_complete);
+        if is_valid || !update.servers.is_empty() {
+            sink.listed(update.kind, self.revision(), update.servers);
         }
     }
 }
--- /dev/null
+++ b/crates/proxy/src/discovery/reader.rs
@@ -0,0 +1,115 @@
+//! Applies endpoint lists: translates entries into the balancer's numbers, keeps the servers'
+//! addresses, and tracks the revision.
+
+use super::list::{EndpointEntry, EndpointList, EntryState};
+use crate::clock::nanos;
+use crate::endpoints::{number, Endpoints};
+use mintshelf_balancer::api::{EndpointState, ListKind, ListedServer};
+use mintshelf_config::platform::Names;
+use mintshelf_discovery::revision::{RevisionTracker, Verdict};
+use std::time::Duration;
+
+/// Set in the numbers of zones and models that the settings do not name.
+const UNKNOWN_NAME: u32 = 1 << 31;
+
+/// The index of a name in the settings; for an unknown one, a number above all indices.
+fn name_index(names: &[String], name: &str) -> u32 {
+    let index = names.iter().position(|known| known == name);
+    index.map_or_else(|| number(name) | UNKNOWN_NAME, |index| index as u32)
+}
+
+/// What a list has for the balancer.
+#[derive(Debug)]
+pub struct ListUpdate {
+    /// Whether it replaces the servers known before or changes some of them.
+    pub kind: ListKind,
+    /// The servers that it has.
+    pub servers: Vec<ListedServer>,
+}
+
+/// Reads the lists of one cluster and owns the revision of the last one.
+#[derive(Debug)]
+pub struct EndpointListReader {
+    names: Names,
+    addresses: Endpoints,
+    revision: RevisionTracker,
+}
+
+impl EndpointListReader {
+    /// A reader that knows no servers. It writes the addresses of listed servers to `addresses`.
+    pub fn new(names: Names, addresses: Endpoints) -> Self {
+        EndpointListReader { names, addresses, revision: RevisionTracker::default() }
+    }
+
+    fn listed_server(&self, entry: &EndpointEntry) -> ListedServer {
+        ListedServer {
+            id: number(&entry.uid),
+            zone: name_index(&self.names.zones, &entry.az),
+            kind: name_index(&self.names.kinds, &entry.model),
+            cell: entry.pod_group,
+            condition: match entry.state {
+                EntryState::Serving => EndpointState::Live,
+                EntryState::Draining => EndpointState::Draining,
+                EntryState::Deleted => EndpointState::Gone,
+            },
+            size: entry.capacity_hint,
+            started_at: nanos(Duration::from_millis(entry.boot_ms)),
+        }
+    }
+
+    /// Applies a list. `was_received_whole`: its response came to its end.
+    ///
+    /// Entries of a truncated response are applied as far as they came. Nothing of a malformed
+    /// one is: an error within a complete response makes all of it doubtful.
+    pub fn apply(&mut self, list: EndpointList, was_received_whole: bool) -> ListUpdate {
+        let is_valid = list.is_well_formed && was_received_whole;
+        let is_truncated = !was_received_whole;
+        let is_full = is_valid && list.has_all_endpoints;
+        let entries = list.entries.filter(|_| is_valid || is_truncated).unwrap_or_default();
+        if is_full {
+            self.addresses.clear();
+        }
+        for entry in &entries {
+            self.update_address(entry);
+        }
+        if let Some(revision) = list.revision.filter(|_| is_valid) {
+            self.revision.accept(revision);
+        }
+        ListUpdate {
+            kind: if is_full { ListKind::Full } else { ListKind::Changes },
+            servers: entries.iter().map(|entry| self.listed_server(entry)).collect(),
+        }
+    }
+
+    fn update_address(&self, entry: &EndpointEntry) {
+        let server = number(&entry.uid);
+        match entry.state {
+            EntryState::Deleted => self.addresses.remove(server),
+            EntryState::Serving | EntryState::Draining => {
+                self.addresses.insert(server, entry.endpoint);
+            }
+        }
+    }
+
+    /// Applies the list that the configuration has cached; none if it is malformed.
+    pub fn apply_cached(&mut self, text: &str) -> Option<Vec<ListedServer>> {
+        let list = EndpointList::parse(text.as_bytes());
+        let is_well_formed = list.is_well_formed;
+        let update = self.apply(list, true);
+        is_well_formed.then_some(update.servers)
+    }
+
+    /// What is done with a list because of its revision. `now`: the time since any fixed moment;
+    /// `is_valid`: the list is well formed and its response came to its end.
+    #[must_use]
+    pub fn evaluate(&mut self, now: Duration, list: &EndpointList, is_valid: bool) -> Verdict {
+        // A response that was truncated before its revision counts as current.
+        let revision = list.revision.unwrap_or(self.revision.current());
+        self.revision.evaluate(now, revision, is_valid && list.has_all_endpoints)
+    }
+
+    /// Revision of the last valid list; 0 before the first.
+    pub fn revision(&self) -> u64 {
+        self.revision.current()
+    }
+}
--- a/crates/proxy/src/driver.rs
+++ b/crates/proxy/src/driver.rs
@@ -3,7 +3,7 @@
 
 use crate::body::Outbound;
 use crate::clock::Clock;
-use crate::discovery::{list::EndpointListReader, Discovery};
+use crate::discovery::{reader::EndpointListReader, Discovery};
 use crate::endpoints::{Endpoints, ListSink};
 use crate::link::{Most, To};
 use crate::message::parse_report;
--- /dev/null
+++ b/crates/proxy/tests/endpoint_lists.rs
@@ -0,0 +1,97 @@
+//! Endpoint lists of the discovery service: complete, truncated and malformed.
+
+use mintshelf_balancer::api::{EndpointState, ListKind, ListedServer};
+use mintshelf_config::platform::Names;
+use mintshelf_proxy::discovery::list::EndpointList;
+use mintshelf_proxy::discovery::reader::EndpointListReader;
+use mintshelf_proxy::endpoints::Endpoints;
+
+const ENTRY: &str = r#"{"uid":"s-1","endpoint":"127.0.0.1:9","az":"a","model":"m","pod_group":3,"state":"SERVING","capacity_hint":1.5,"boot_ms":7}"#;
+
+fn reader() -> EndpointListReader {
+    reader_at(Endpoints::default())
+}
+
+fn reader_at(addresses: Endpoints) -> EndpointListReader {
+    let zones = vec!["a".to_string()];
+    let names = Names { zones, kinds: vec!["m".to_string()], ..Names::default() };
+    EndpointListReader::new(names, addresses)
+}
+
+/// What came of applying a response.
+struct Applied {
+    kind: ListKind,
+    servers: Vec<ListedServer>,
+    is_valid: bool,
+}
+
+fn apply(reader: &mut EndpointListReader, text: &str, was_received_whole: bool) -> Applied {
+    let list = EndpointList::parse(text.as_bytes());
+    let is_valid = was_received_whole && list.is_well_formed;
+    let update = reader.apply(list, was_received_whole);
+    Applied { kind: update.kind, servers: update.servers, is_valid }
+}
+
+#[test]
+fn a_complete_list_is_applied() {
+    let addresses = Endpoints::default();
+    let mut reader = reader_at(addresses.clone());
+    let text = format!(r#"{{"rev":41,"all":true,"extra":{{}},"targets":[{ENTRY}]}}"#);
+    let Applied { kind, servers, is_valid } = apply(&mut reader, &text, true);
+    assert!(is_valid);
+    assert_eq!((kind, servers.len(), reader.revision()), (ListKind::Full, 1, 41));
+    assert_eq!((servers[0].zone, servers[0].kind, servers[0].cell), (0, 0, 3));
+    assert_eq!(servers[0].started_at, 7_000_000);
+    assert!(addresses.address(servers[0].id).is_some());
+}
+
+#[test]
+fn complete_entries_of_a_truncated_response_are_applied() {
+    let text = format!(r#"{{"rev":41,"all":true,"targets":[{ENTRY},{ENTRY}]}}"#);
+    let first = text.find("},").unwrap() + 1;
+    for cut in 0..text.len() {
+        let mut reader = reader();
+        let Applied { kind, servers, is_valid } = apply(&mut reader, &text[..cut], false);
+        assert!(!is_valid);
+        assert_eq!((kind, reader.revision()), (ListKind::Changes, 0));
+        assert_eq!(!servers.is_empty(), cut >= first, "{cut}");
+    }
+}
+
+#[test]
+fn a_malformed_response_changes_nothing() {
+    for text in ["", "[]", "{}", r#"{"rev":1,"all":true}"#, r#"{"rev":"x","targets":[]}"#, "<"] {
+        let Applied { servers, is_valid, .. } = apply(&mut reader(), text, true);
+        assert!(!is_valid && servers.is_empty(), "{text}");
+    }
+    let text = format!(r#"{{"rev":41,"all":true,"targets":[{ENTRY}],,}}"#);
+    let addresses = Endpoints::default();
+    let mut reader = reader_at(addresses.clone());
+    let Applied { servers, is_valid, .. } = apply(&mut reader, &text, true);
+    assert!(!is_valid && servers.is_empty() && addresses.is_empty());
+}
+
+#[test]
+fn a_malformed_entry_does_not_affect_the_others() {
+    let unknown_zone = ENTRY.replace("\"a\"", "\"moon\"").replace("s-1", "s-2");
+    let bad_address = ENTRY.replace("127.0.0.1:9", "nowhere").replace("s-1", "s-3");
+    let text =
+        format!(r#"{{"rev":2,"all":true,"targets":[{bad_address},{unknown_zone},{ENTRY}]}}"#);
+    let Applied { servers, is_valid, .. } = apply(&mut reader(), &text, true);
+    assert!(is_valid);
+    assert_eq!(servers.len(), 2);
+    assert!(servers[0].zone > 1 && servers[1].zone == 0);
+}
+
+#[test]
+fn a_deleted_server_has_no_address() {
+    let addresses = Endpoints::default();
+    let mut reader = reader_at(addresses.clone());
+    let text = format!(r#"{{"rev":1,"all":true,"targets":[{ENTRY}]}}"#);
+    let id = apply(&mut reader, &text, true).servers[0].id;
+    let deleted = ENTRY.replace("SERVING", "DELETED");
+    let text = format!(r#"{{"rev":2,"all":false,"targets":[{deleted}]}}"#);
+    let Applied { kind, servers, .. } = apply(&mut reader, &text, true);
+    assert_eq!((kind, servers[0].condition), (ListKind::Changes, EndpointState::Gone));
+    assert_eq!(addresses.address(id), None);
+}
