--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -52,9 +52,9 @@
     }
 
     /// Passes on the list that the configuration has cached.
-    pub fn load_cached_list(&self, text: Option<&str>, sink: &impl ListSink) {
+    pub fn load_cached_list(&self, text: Option<&str>, observer: &impl ListSink) {
         let servers = text.and_then(|text| self.reader.borrow_mut().apply_cached(text));
-        sink.listed(ListKind::Cached, self.revision(), servers.unwrap_or_default());
+        observer.listed(ListKind::Cached, self.revision(), servers.unwrap_or_default());
     }
 
     fn revision(&self) -> u64 {
@@ -66,7 +66,7 @@
     }
 
     /// Watches until a call fails.
-    pub async fn watch(self: Rc<Self>, sink: impl ListSink) {
+    pub async fn watch(self: Rc<Self>, observer: impl ListSink) {
         let mut client = self.connect();
         let mut watch = WatchState::default();
         loop {
@@ -74,11 +74,11 @@
             let timeout = watch.poll_timeout();
             let response =
                 client.poll_changes(self.revision(), timeout, watch.response_grace()).await;
-            let outcome = self.handle_response(&mut client, &sink, response).await;
+            let outcome = self.handle_response(&mut client, &observer, response).await;
             match watch.on_call_end(outcome) {
                 NextCall::Continue => {}
                 NextCall::Reconnect => client = self.connect(),
-                NextCall::BackOff => return self.report_failure(&sink),
+                NextCall::BackOff => return self.report_failure(&observer),
             }
             // A service that answers every poll at once must not make this loop spin.
             sleep(MIN_POLL_INTERVAL.saturating_sub(started_at.elapsed())).await;
@@ -86,17 +86,17 @@
     }
 
     /// Fetches the complete list once.
-    pub async fn fetch(self: Rc<Self>, sink: impl ListSink) {
+    pub async fn fetch(self: Rc<Self>, observer: impl ListSink) {
         let mut client = self.connect();
         let response = client.fetch_list().await;
-        let outcome = self.handle_response(&mut client, &sink, response).await;
+        let outcome = self.handle_response(&mut client, &observer, response).await;
         if outcome != CallOutcome::Answered {
-            self.report_failure(&sink);
+            self.report_failure(&observer);
         }
     }
 
     /// Follows an agent that lists are pushed to. A poll without a response is no failure there.
-    pub async fn follow_agent(self: Rc<Self>, sink: impl ListSink) {
+    pub async fn follow_agent(self: Rc<Self>, observer: impl ListSink) {
         let mut client = self.connect();
         loop {
             if client.address() != self.address.get() {
@@ -106,13 +106,13 @@
             let response = client
                 .poll_changes(self.revision(), AGENT_POLL_TIMEOUT, AGENT_RESPONSE_GRACE)
                 .await;
-            self.handle_response(&mut client, &sink, response).await;
+            self.handle_response(&mut client, &observer, response).await;
             sleep(AGENT_POLL_INTERVAL.saturating_sub(started_at.elapsed())).await;
         }
     }
 
-    fn report_failure(&self, sink: &impl ListSink) {
-        sink.listed(ListKind::Failed, self.revision(), Vec::new());
+    fn report_failure(&self, observer: &impl ListSink) {
+        observer.listed(ListKind::Failed, self.revision(), Vec::new());
     }
 
     /// Applies a response if its revision allows.
@@ -122,7 +122,7 @@
     async fn handle_response(
         &self,
         client: &mut DiscoveryClient,
-        sink: &impl ListSink,
+        observer: &impl ListSink,
         mut response: ReceivedBody,
     ) -> CallOutcome {
         loop {
@@ -131,7 +131,7 @@
             let now = self.created_at.elapsed();
             let verdict = self.reader.borrow_mut().evaluate(now, &list, is_valid);
             if verdict == Verdict::Accept {
-                self.apply(list, &response, sink);
+                self.apply(list, &response, observer);
                 return response.outcome(is_valid);
             }
             if !is_valid || client.address() != self.address.get() {
@@ -142,11 +142,11 @@
         }
     }
 
-    fn apply(&self, list: EndpointList, response: &ReceivedBody, sink: &impl ListSink) {
+    fn apply(&self, list: EndpointList, response: &ReceivedBody, observer: &impl ListSink) {
         let is_valid = list.is_well_formed && response.is_complete;
         let update = self.reader.borrow_mut().apply(list, response.is_complete);
         if is_valid || !update.servers.is_empty() {
-            sink.listed(update.kind, self.revision(), update.servers);
+            observer.listed(update.kind, self.revision(), update.servers);
         }
     }
 }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -26,6 +26,7 @@
 pub mod scan;
 pub mod seat;
 pub mod socket;
+mod socket_connector;
 pub mod stream;
 pub mod trying;
 pub mod upstream;
--- a/crates/proxy/src/plain.rs
+++ b/crates/proxy/src/plain.rs
@@ -9,8 +9,9 @@
 use crate::message::{strip_for_next_hop, Held, BODY_MAX};
 use crate::refusal::Refusal;
 use crate::upstream::{Answer, AnswerBody};
+use crate::websocket::reconnect::ReconnectTarget;
 use crate::websocket::registry::SocketRegistry;
-use crate::websocket::upgrade::{PendingUpgrade, ReconnectTarget};
+use crate::websocket::upgrade::PendingUpgrade;
 use bytes::{Bytes, BytesMut};
 use hyper::body::{Body, Incoming};
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
@@ -321,7 +322,7 @@
                     head,
                     negotiated: socket.agreed.clone(),
                 };
-                let upgrade = opening.into_upgrade(self, pool, class, target, socket);
+                let upgrade = opening.into_upgrade(self, &pool.driver, class, target, socket);
                 *client.upgrade.borrow_mut() = Some(upgrade);
                 Ok(response)
             }
--- /dev/null
+++ b/crates/proxy/src/websocket/entry.rs
@@ -0,0 +1,133 @@
+//! One open socket as the registry sees it, and the commands that reach its task.
+
+use mintshelf_admission::slots::SlotOwner;
+use mintshelf_balancer::api::{Nanos, ServerId};
+use mintshelf_websocket::session::EvictionRequest;
+use std::cell::{Cell, RefCell};
+use std::task::Waker;
+
+/// An eviction that is due at a time.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct ScheduledEviction {
+    /// When the socket leaves its server, by the registry's clock.
+    pub at_ns: Nanos,
+    /// How it leaves.
+    pub request: EvictionRequest,
+}
+
+/// A command to the task of one socket.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum SocketCommand {
+    /// Leave the server at a time.
+    Evict(ScheduledEviction),
+    /// Ping the server now.
+    ProbeServer,
+}
+
+/// A server of a cluster.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
+pub struct ServerLocation {
+    /// Number of the cluster.
+    pub cluster: u32,
+    /// The server within it.
+    pub server: ServerId,
+}
+
+/// The state that a socket's task shares with the registry.
+pub struct SocketEntry {
+    /// Whose slot it uses.
+    pub owner: SlotOwner,
+    /// Identifies the request handler that it was accepted by.
+    pub(super) handler_id: usize,
+    location: Cell<ServerLocation>,
+    /// When the last message passed.
+    last_message_at_ns: Cell<Nanos>,
+    /// Whether a time to leave its server has been set.
+    is_evicted: Cell<bool>,
+    /// Whether it is being closed because its handler or the process shuts down.
+    is_draining: Cell<bool>,
+    /// The command that its task has not taken yet. A later one replaces an earlier one.
+    command: RefCell<Option<SocketCommand>>,
+    /// Wakes the task when there is a command.
+    waker: Cell<Option<Waker>>,
+}
+
+impl SocketEntry {
+    pub(super) fn new(
+        owner: SlotOwner,
+        handler_id: usize,
+        location: ServerLocation,
+        now: Nanos,
+    ) -> Self {
+        SocketEntry {
+            owner,
+            handler_id,
+            location: Cell::new(location),
+            last_message_at_ns: Cell::new(now),
+            is_evicted: Cell::new(false),
+            is_draining: Cell::new(false),
+            command: RefCell::default(),
+            waker: Cell::default(),
+        }
+    }
+
+    /// Takes the pending command. If there is none, `waker` is woken when there is one.
+    pub fn take_command(&self, waker: &Waker) -> Option<SocketCommand> {
+        let command = self.command.borrow_mut().take();
+        if command.is_none() {
+            self.waker.set(Some(waker.clone()));
+        }
+        command
+    }
+
+    pub(super) fn send(&self, command: SocketCommand) {
+        if matches!(command, SocketCommand::Evict(_)) {
+            self.is_evicted.set(true);
+        }
+        *self.command.borrow_mut() = Some(command);
+        if let Some(waker) = self.waker.take() {
+            waker.wake();
+        }
+    }
+
+    pub(super) fn evict(&self, at_ns: Nanos, request: EvictionRequest) {
+        self.send(SocketCommand::Evict(ScheduledEviction { at_ns, request }));
+    }
+
+    /// The server that it is connected to.
+    pub fn location(&self) -> ServerLocation {
+        self.location.get()
+    }
+
+    /// Records that it has migrated to another server.
+    pub fn set_location(&self, location: ServerLocation) {
+        self.location.set(location);
+        self.is_evicted.set(false);
+    }
+
+    pub(super) fn is_evicted(&self) -> bool {
+        self.is_evicted.get()
+    }
+
+    /// Records that it has lost its server, so that no command evicts it from there.
+    pub(super) fn set_evicted(&self) {
+        self.is_evicted.set(true);
+    }
+
+    pub(super) fn is_draining(&self) -> bool {
+        self.is_draining.get()
+    }
+
+    pub(super) fn set_draining(&self) {
+        self.is_draining.set(true);
+    }
+
+    pub(super) fn last_message_at_ns(&self) -> Nanos {
+        self.last_message_at_ns.get()
+    }
+
+    /// Records that a message passed.
+    pub(super) fn set_last_message_at(&self, now: Nanos) {
+        self.last_message_at_ns.set(now);
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/websocket/eviction.rs
@@ -0,0 +1,150 @@
+//! Evictions and probes of many sockets: when servers are lost or removed, slots are reclaimed,
+//! or a handler or the process shuts down.
+
+use super::entry::{ServerLocation, SocketCommand, SocketEntry};
+use super::registry::SocketRegistry;
+use mintshelf_balancer::api::{Nanos, ServerId};
+use mintshelf_websocket::close;
+use mintshelf_websocket::migration::MigrationSchedule;
+use mintshelf_websocket::session::EvictionRequest;
+use std::collections::{HashMap, HashSet};
+use std::rc::Rc;
+
+/// Least time between two probes of the same server.
+const PROBE_INTERVAL_NS: Nanos = 1_000_000_000;
+/// Seconds after which a client may come back whose slot was reclaimed.
+const RECLAIM_RETRY_AFTER_S: u64 = 5;
+
+/// The migration schedules of the clusters, by their numbers.
+#[derive(Debug, Default)]
+pub(super) struct MigrationTimes(HashMap<u32, MigrationSchedule>);
+
+impl MigrationTimes {
+    /// When one more socket may leave a server, `remaining` sockets being there with it; at once
+    /// in a cluster without a schedule.
+    fn next(&mut self, now: Nanos, location: ServerLocation, remaining: usize) -> Nanos {
+        let schedule = self.0.get_mut(&location.cluster);
+        schedule.map_or(now, |schedule| schedule.slot(now, location.server, remaining))
+    }
+}
+
+/// A probe of a server by all its sockets.
+#[derive(Debug, Clone, Copy)]
+struct ServerProbe {
+    at_ns: Nanos,
+    sockets: usize,
+}
+
+/// The probes of the last [`PROBE_INTERVAL_NS`].
+#[derive(Debug, Default)]
+pub(super) struct ServerProbes(HashMap<ServerLocation, ServerProbe>);
+
+impl ServerProbes {
+    fn recent(&mut self, now: Nanos, location: ServerLocation) -> Option<ServerProbe> {
+        self.0.retain(|_, probe| now.saturating_sub(probe.at_ns) < PROBE_INTERVAL_NS);
+        self.0.get(&location).copied()
+    }
+}
+
+impl SocketRegistry {
+    /// Sets within how many nanoseconds the sockets of a cluster leave a server that is lost or
+    /// removed.
+    pub fn set_migration_window(&self, cluster: u32, window_ns: Nanos) {
+        let schedule = MigrationSchedule::new(window_ns);
+        self.migration_times.borrow_mut().0.insert(cluster, schedule);
+    }
+
+    /// Forgets a cluster whose last socket has ended.
+    pub fn remove_cluster(&self, cluster: u32) {
+        self.migration_times.borrow_mut().0.remove(&cluster);
+    }
+
+    /// When a socket that has lost its server may migrate. The other sockets of that server
+    /// probe it, as they may not have noticed yet.
+    pub fn schedule_after_loss(&self, entry: &SocketEntry) -> Nanos {
+        let location = entry.location();
+        entry.set_evicted();
+        let others = self.probe_server(location.cluster, location.server);
+        let now = self.clock().now();
+        self.migration_times.borrow_mut().next(now, location, others + 1)
+    }
+
+    /// Has all sockets of a server that is suspected to be down ping it, and returns how many
+    /// there are. Nothing is done if the server was probed within the last second.
+    pub fn probe_server(&self, cluster: u32, server: ServerId) -> usize {
+        let now = self.clock().now();
+        let location = ServerLocation { cluster, server };
+        let mut probes = self.server_probes.borrow_mut();
+        if let Some(probe) = probes.recent(now, location) {
+            return probe.sockets;
+        }
+        let entries = self.entries.borrow();
+        let probed = entries
+            .values()
+            .filter(|entry| entry.location() == location && !entry.is_evicted())
+            .inspect(|entry| entry.send(SocketCommand::ProbeServer));
+        let probe = ServerProbe { at_ns: now, sockets: probed.count() };
+        probes.0.insert(location, probe);
+        probe.sockets
+    }
+
+    /// Evicts the sockets of a cluster from all servers but these. They may migrate.
+    pub fn retain_servers(&self, cluster: u32, servers: &HashSet<ServerId>, reason: &str) {
+        let now = self.clock().now();
+        let entries = self.entries.borrow();
+        let evicted: Vec<&Rc<SocketEntry>> = entries
+            .values()
+            .filter(|entry| entry.location().cluster == cluster)
+            .filter(|entry| !servers.contains(&entry.location().server) && !entry.is_evicted())
+            .collect();
+        let mut remaining: HashMap<ServerId, usize> = HashMap::new();
+        for entry in &evicted {
+            *remaining.entry(entry.location().server).or_default() += 1;
+        }
+        for entry in evicted {
+            let location = entry.location();
+            let left = remaining.entry(location.server).or_default();
+            let at_ns = self.migration_times.borrow_mut().next(now, location, *left);
+            *left = left.saturating_sub(1);
+            let reason = reason.to_string();
+            let close_code = close::RESTART;
+            entry.evict(at_ns, EvictionRequest { close_code, reason, may_migrate: true });
+        }
+    }
+
+    /// Closes the sockets of one handler that shuts down, or all, evenly within `window_ns`.
+    pub fn drain(&self, handler_id: Option<usize>, window_ns: Nanos) {
+        let now = self.clock().now();
+        let entries = self.entries.borrow();
+        let drained: Vec<&Rc<SocketEntry>> = entries
+            .values()
+            .filter(|entry| handler_id.is_none_or(|handler_id| entry.handler_id == handler_id))
+            .filter(|entry| !entry.is_draining())
+            .collect();
+        let step_ns = window_ns / (drained.len() as u64).max(1);
+        for (position, entry) in drained.into_iter().enumerate() {
+            let position = position as u64;
+            entry.set_draining();
+            // Clients are asked to come back as evenly as they were closed, and no sooner than
+            // a restart takes.
+            let retry_after_s = 1 + position % 10;
+            let reason = close::reason_with_retry("this sidecar ends", retry_after_s);
+            let close_code = close::GOING_AWAY;
+            let request = EvictionRequest { close_code, reason, may_migrate: false };
+            entry.evict(now.saturating_add(step_ns * position), request);
+        }
+    }
+
+    /// Closes the socket of a tenant whose last message is the oldest.
+    pub(super) fn reclaim_slot(&self, now: Nanos, tenant: &str) {
+        let entries = self.entries.borrow();
+        let candidates =
+            entries.values().filter(|entry| *entry.owner.tenant == *tenant && !entry.is_evicted());
+        if let Some(entry) = candidates.min_by_key(|entry| entry.last_message_at_ns()) {
+            let reason = "others want their share of the sockets";
+            let reason = close::reason_with_retry(reason, RECLAIM_RETRY_AFTER_S);
+            let close_code = close::TRY_LATER;
+            entry.evict(now, EvictionRequest { close_code, reason, may_migrate: false });
+        }
+    }
+}
--- a/crates/proxy/src/websocket/mod.rs
+++ b/crates/proxy/src/websocket/mod.rs
@@ -1,5 +1,11 @@
-//! WebSocket: upgraded connections through the same routes, limits and decisions as requests.
+//! WebSocket connections, from the handshake to the close: they pass through the same routes,
+//! limits and decisions as requests, and may migrate from one server to another.
 
+pub mod entry;
+pub mod eviction;
+pub mod reconnect;
 pub mod registry;
+mod rejections;
 pub mod relay;
+pub mod stats;
 pub mod upgrade;
--- a/crates/proxy/src/websocket/registry.rs
+++ b/crates/proxy/src/websocket/registry.rs
@@ -1,402 +1,199 @@
-//! All open sockets: who holds them and where, and the orders that reach many at one time.
+//! The registry of all open sockets of a process: their slots, entries and queued bytes.
 
+use super::entry::{ServerLocation, SocketEntry};
+use super::eviction::{MigrationTimes, ServerProbes};
+use super::stats::{SocketStats, SocketTraffic, SocketUsage};
 use crate::clock::Clock;
 use mintshelf_admission::slots::{SlotConfig, SlotOwner, SlotTable, SlotUnavailable};
-use mintshelf_balancer::api::{Nanos, ServerId};
-use mintshelf_websocket::close;
-use mintshelf_websocket::frame::Peer;
-use mintshelf_websocket::migration::MigrationSchedule;
-use mintshelf_websocket::session::{ClosedBy, LeaveRequest, Session, SessionEnd};
+use mintshelf_balancer::api::Nanos;
+use mintshelf_websocket::session::{Session, SessionEnd};
 use std::cell::{Cell, RefCell};
-use std::collections::{BTreeMap, HashMap, HashSet};
+use std::collections::BTreeMap;
 use std::rc::Rc;
-use std::task::Waker;
 
-/// Bytes that are read of a connection at one time.
-pub const READ: usize = 16 << 10;
-/// The same while the queues of all sockets hold as much as they may.
-pub const READ_LEAST: usize = 512;
-
-/// A server's sockets are asked for a sign of life no more often than this.
-const DOUBT_AGAIN: Nanos = 1_000_000_000;
-
-/// What a socket is told from outside.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Order {
-    /// To leave its server at a time.
-    LeaveRequest(Nanos, LeaveRequest),
-    /// To ask its server for a sign of life.
-    Doubt,
-}
-
-/// One socket as seen from outside its task.
-pub struct Entry {
-    /// Whose it is.
-    pub sitter: SlotOwner,
-    /// The front that it came by.
-    front: usize,
-    pool: Cell<u32>,
-    server: Cell<ServerId>,
-    /// A message last passed.
-    active: Cell<Nanos>,
-    /// It has been given a time to leave.
-    leaving: Cell<bool>,
-    /// Its front ends.
-    ending: Cell<bool>,
-    order: RefCell<Option<Order>>,
-    waker: Cell<Option<Waker>>,
-}
-
-impl Entry {
-    /// Its order, if there is one; else `waker` is woken when there is.
-    pub fn take_order(&self, waker: &Waker) -> Option<Order> {
-        let order = self.order.borrow_mut().take();
-        if order.is_none() {
-            self.waker.set(Some(waker.clone()));
-        }
-        order
-    }
-
-    fn give(&self, order: Order) {
-        if matches!(order, Order::LeaveRequest(..)) {
-            self.leaving.set(true);
-        }
-        *self.order.borrow_mut() = Some(order);
-        if let Some(waker) = self.waker.take() {
-            waker.wake();
-        }
-    }
-
-    /// It is at a server of a cluster now.
-    pub fn at(&self, pool: u32, server: ServerId) {
-        self.pool.set(pool);
-        self.server.set(server);
-        self.leaving.set(false);
-    }
-
-    /// A message passed.
-    pub fn active(&self, now: Nanos) {
-        self.active.set(now);
-    }
-}
-
-/// What was done, for the figures.
-#[derive(Debug, Default)]
-pub struct SocketStats {
-    /// Opened, by cluster.
-    pub opened: BTreeMap<Rc<str>, u64>,
-    /// Moved to another server, by cluster.
-    pub migrated: BTreeMap<Rc<str>, u64>,
-    /// Ended, by who ended them and with which code.
-    pub closed: BTreeMap<(ClosedBy, u16), u64>,
-    /// What clients have sent.
-    pub from_client: Traffic,
-    /// What servers have sent.
-    pub from_server: Traffic,
-}
-
-/// Messages and bytes that one side has sent.
-#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Traffic {
-    /// Complete messages.
-    pub messages: u64,
-    /// Bytes, frame heads included.
-    pub bytes: u64,
-}
+/// Bytes that are read from a connection at one time.
+pub const READ_BYTES: usize = 16 << 10;
+/// The same while the queues of all sockets are full.
+pub const MIN_READ_BYTES: usize = 512;
 
 /// All open sockets of a process.
 pub struct SocketRegistry {
-    entries: RefCell<BTreeMap<u64, Rc<Entry>>>,
-    last: Cell<u64>,
-    seats: RefCell<SlotTable>,
-    evacuations: RefCell<HashMap<u32, MigrationSchedule>>,
-    /// When the sockets of a server were last asked for a sign of life, and how many.
-    doubted: RefCell<HashMap<(u32, ServerId), (Nanos, usize)>>,
-    /// Bytes that wait in all sockets' queues, and how many may.
-    queued: Cell<usize>,
-    queued_most: usize,
-    /// What was done.
+    pub(super) entries: RefCell<BTreeMap<u64, Rc<SocketEntry>>>,
+    /// The last number given to a socket or used for a seed.
+    last_number: Cell<u64>,
+    slots: RefCell<SlotTable>,
+    pub(super) migration_times: RefCell<MigrationTimes>,
+    pub(super) server_probes: RefCell<ServerProbes>,
+    /// Bytes in the queues of all sockets.
+    queued_bytes: Cell<usize>,
+    max_queued_bytes: usize,
+    /// Totals for the metrics.
     pub stats: RefCell<SocketStats>,
-    /// What connections are read into.
+    /// The buffer that all connections are read into, one after the other.
     pub scratch: RefCell<Vec<u8>>,
     clock: Clock,
     seed: u64,
 }
 
-/// A socket's seat until this is dropped.
-pub struct Seated {
-    sockets: Rc<SocketRegistry>,
-    sitter: SlotOwner,
+/// Holds a slot of the registry until it is dropped.
+#[must_use = "the slot is released when this is dropped"]
+pub struct SlotReservation {
+    registry: Rc<SocketRegistry>,
+    owner: SlotOwner,
 }
 
-impl Drop for Seated {
+impl Drop for SlotReservation {
     fn drop(&mut self) {
-        self.sockets.seats.borrow_mut().leave(&self.sitter);
+        self.registry.slots.borrow_mut().leave(&self.owner);
     }
 }
 
-/// An open socket until this is dropped.
-pub struct Listed {
-    sockets: Rc<SocketRegistry>,
+/// Keeps a socket in the registry until it is dropped.
+#[must_use = "the socket leaves the registry when this is dropped"]
+pub struct RegisteredSocket {
+    registry: Rc<SocketRegistry>,
     number: u64,
-    /// The socket.
-    pub entry: Rc<Entry>,
-    queued: usize,
-    passed: [[u64; 2]; 2],
+    /// The socket's entry.
+    pub entry: Rc<SocketEntry>,
+    queued_bytes: usize,
+    traffic: SocketTraffic,
 }
 
-impl Listed {
-    /// Notes what a session has come to since the last time.
-    pub fn note(&mut self, session: &Session, now: Nanos) {
-        let queued = session.queued();
-        let all = self.sockets.queued.get();
-        self.sockets.queued.set(all.saturating_sub(self.queued) + queued);
-        self.queued = queued;
-        let passed = [Peer::Client, Peer::Server].map(|end| session.passed(end));
-        let mut counts = self.sockets.stats.borrow_mut();
-        for (end, of) in passed.iter().enumerate() {
-            for (what, count) in of.iter().enumerate() {
-                // A server that took over begins its messages anew.
-                let more = count.saturating_sub(self.passed[end][what]);
-                let sender =
-                    if end == 0 { &mut counts.from_client } else { &mut counts.from_server };
-                *(if what == 0 { &mut sender.messages } else { &mut sender.bytes }) += more;
-                if what == 0 && more > 0 {
-                    self.entry.active(now);
-                }
-            }
+impl RegisteredSocket {
+    /// Adds what a session has queued and passed since the last call to the registry's figures.
+    pub fn record_progress(&mut self, session: &Session, now: Nanos) {
+        let queued_bytes = session.buffered_bytes();
+        let total = self.registry.queued_bytes.get();
+        self.registry.queued_bytes.set(total.saturating_sub(self.queued_bytes) + queued_bytes);
+        self.queued_bytes = queued_bytes;
+        let traffic = SocketTraffic::of(session);
+        if self.registry.stats.borrow_mut().add_traffic(self.traffic, traffic) {
+            self.entry.set_last_message_at(now);
         }
-        self.passed = passed;
+        self.traffic = traffic;
     }
 
-    /// It has ended.
-    pub fn over(&self, over: SessionEnd) {
-        let mut counts = self.sockets.stats.borrow_mut();
-        *counts.closed.entry((over.by, over.code)).or_default() += 1;
+    /// Counts that it has ended.
+    pub fn record_end(&self, end: SessionEnd) {
+        let mut stats = self.registry.stats.borrow_mut();
+        *stats.closed.entry((end.by, end.code)).or_default() += 1;
     }
 
-    /// It has gone on at another server.
-    pub fn moved(&self) {
-        let mut counts = self.sockets.stats.borrow_mut();
-        *counts.migrated.entry(self.entry.sitter.cluster.clone()).or_default() += 1;
+    /// Counts that it has migrated to another server.
+    pub fn record_migration(&self) {
+        let mut stats = self.registry.stats.borrow_mut();
+        *stats.migrated.entry(self.entry.owner.cluster.clone()).or_default() += 1;
     }
 }
 
-impl Drop for Listed {
+impl Drop for RegisteredSocket {
     fn drop(&mut self) {
-        self.sockets.entries.borrow_mut().remove(&self.number);
-        let queued = self.sockets.queued.get();
-        self.sockets.queued.set(queued.saturating_sub(self.queued));
+        self.registry.entries.borrow_mut().remove(&self.number);
+        let total = self.registry.queued_bytes.get();
+        self.registry.queued_bytes.set(total.saturating_sub(self.queued_bytes));
     }
 }
 
-/// Where sockets are, for the figures: by cluster, tenant and endpoint, and bytes in queues.
-#[derive(Debug, Default)]
-pub struct SocketUsage {
-    /// By cluster.
-    pub clusters: BTreeMap<String, u64>,
-    /// By tenant.
-    pub tenants: BTreeMap<String, u64>,
-    /// By cluster and server.
-    pub endpoints: BTreeMap<(String, ServerId), u64>,
-    /// Bytes that wait for a client or a server.
-    pub queued_bytes: usize,
-}
-
 impl SocketRegistry {
-    /// None open; their queues may hold so many bytes together.
-    pub fn new(queued_most: usize, seed: u64) -> Rc<Self> {
+    /// An empty registry. `max_queued_bytes`: what all queues together may have before less is
+    /// read of each connection; `seed`: a secret of the process.
+    pub fn new(max_queued_bytes: usize, seed: u64) -> Rc<Self> {
         Rc::new(SocketRegistry {
             entries: RefCell::default(),
-            last: Cell::new(0),
-            seats: RefCell::default(),
-            evacuations: RefCell::default(),
-            doubted: RefCell::default(),
-            queued: Cell::new(0),
-            queued_most,
+            last_number: Cell::new(0),
+            slots: RefCell::default(),
+            migration_times: RefCell::default(),
+            server_probes: RefCell::default(),
+            queued_bytes: Cell::new(0),
+            max_queued_bytes,
             stats: RefCell::default(),
-            scratch: RefCell::new(vec![0; READ]),
+            scratch: RefCell::new(vec![0; READ_BYTES]),
             clock: Clock::start(),
             seed,
         })
     }
 
-    /// Puts a file's numbers in force.
-    pub fn configure(&self, set: SlotConfig) {
-        self.seats.borrow_mut().set(set);
+    /// Applies the limits of a configuration. Open sockets stay.
+    pub fn configure(&self, config: SlotConfig) {
+        self.slots.borrow_mut().set(config);
     }
 
-    /// The clock of all sockets' times.
+    /// The clock of all times of sockets.
     pub fn clock(&self) -> Clock {
         self.clock
     }
 
-    /// How many bytes of a connection are read now.
+    /// How many bytes are read from a connection at one time now.
     pub fn read_size(&self) -> usize {
-        if self.queued.get() < self.queued_most {
-            READ
+        if self.queued_bytes.get() < self.max_queued_bytes {
+            READ_BYTES
         } else {
-            READ_LEAST
+            MIN_READ_BYTES
         }
     }
 
-    /// A number that no other socket of this process had, and that nobody can guess.
+    fn next_number(&self) -> u64 {
+        self.last_number.set(self.last_number.get() + 1);
+        self.last_number.get()
+    }
+
+    /// A number that is unique in this process and that peers can't predict.
     pub fn next_seed(&self) -> u64 {
-        self.last.set(self.last.get() + 1);
-        let mixed = self.seed ^ self.last.get().wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        let mixed = self.seed ^ self.next_number().wrapping_mul(0x9e37_79b9_7f4a_7c15);
         (mixed ^ (mixed >> 31)).wrapping_mul(0xbf58_476d_1ce4_e5b9)
     }
 
-    /// Takes a seat; if there is none, one of whoever has more than its share may be sent away.
-    pub fn seat(self: &Rc<Self>, sitter: &SlotOwner) -> Result<Seated, SlotUnavailable> {
+    /// Reserves a slot.
+    ///
+    /// # Errors
+    ///
+    /// The limit that is exhausted. Where the owner is below its share, a socket of a tenant
+    /// above its own is evicted, so that a later call may succeed.
+    pub fn reserve(self: &Rc<Self>, owner: &SlotOwner) -> Result<SlotReservation, SlotUnavailable> {
         let now = self.clock.now();
-        let taken = self.seats.borrow_mut().take(now, sitter);
+        let taken = self.slots.borrow_mut().take(now, owner);
         match taken {
-            Ok(()) => Ok(Seated { sockets: self.clone(), sitter: sitter.clone() }),
-            Err(refused) => {
-                if let Some(from) = refused.reclaim {
-                    self.reclaim(now, &from);
+            Ok(()) => Ok(SlotReservation { registry: self.clone(), owner: owner.clone() }),
+            Err(rejected) => {
+                if let Some(tenant) = rejected.reclaim {
+                    self.reclaim_slot(now, &tenant);
                 }
-                Err(refused.why)
+                Err(rejected.why)
             }
         }
     }
 
-    /// Sends one socket of a tenant away: the one that has been quiet for longest.
-    fn reclaim(&self, now: Nanos, tenant: &str) {
-        let entries = self.entries.borrow();
-        let of = entries.values().filter(|e| *e.sitter.tenant == *tenant && !e.leaving.get());
-        if let Some(entry) = of.min_by_key(|entry| entry.active.get()) {
-            let reason = close::come_back("others want their share of the sockets", 5);
-            entry.give(Order::LeaveRequest(
-                now,
-                LeaveRequest { code: close::TRY_LATER, reason, moves: false },
-            ));
-        }
-    }
-
-    /// A socket has opened.
-    pub fn list(
+    /// Registers a socket that has opened.
+    pub fn register(
         self: &Rc<Self>,
-        sitter: SlotOwner,
-        front: usize,
-        pool: u32,
-        server: ServerId,
-    ) -> Listed {
-        self.last.set(self.last.get() + 1);
-        let number = self.last.get();
-        *self.stats.borrow_mut().opened.entry(sitter.cluster.clone()).or_default() += 1;
-        let entry = Rc::new(Entry {
-            sitter,
-            front,
-            pool: Cell::new(pool),
-            server: Cell::new(server),
-            active: Cell::new(self.clock.now()),
-            leaving: Cell::new(false),
-            ending: Cell::new(false),
-            order: RefCell::default(),
-            waker: Cell::default(),
-        });
+        owner: SlotOwner,
+        handler_id: usize,
+        location: ServerLocation,
+    ) -> RegisteredSocket {
+        let number = self.next_number();
+        *self.stats.borrow_mut().opened.entry(owner.cluster.clone()).or_default() += 1;
+        let entry = Rc::new(SocketEntry::new(owner, handler_id, location, self.clock.now()));
         self.entries.borrow_mut().insert(number, entry.clone());
-        let (queued, passed) = (0, Default::default());
-        Listed { sockets: self.clone(), number, entry, queued, passed }
-    }
-
-    /// In how long a cluster's sockets leave a server that has gone.
-    pub fn set_migration_window(&self, pool: u32, span: Nanos) {
-        self.evacuations.borrow_mut().insert(pool, MigrationSchedule::new(span));
-    }
-
-    /// A cluster is no more, and its last socket has left.
-    pub fn remove_cluster(&self, pool: u32) {
-        self.evacuations.borrow_mut().remove(&pool);
-    }
-
-    fn slot(&self, now: Nanos, pool: u32, server: ServerId, there: usize) -> Nanos {
-        let mut all = self.evacuations.borrow_mut();
-        all.get_mut(&pool).map_or(now, |of| of.slot(now, server, there))
-    }
-
-    /// When a socket may go that has lost its server. The others of that server are asked for a
-    /// sign of life: they may not have heard.
-    pub fn lost(&self, entry: &Entry) -> Nanos {
-        let (pool, server) = (entry.pool.get(), entry.server.get());
-        entry.leaving.set(true);
-        let there = self.probe_server(pool, server);
-        self.slot(self.clock.now(), pool, server, there + 1)
-    }
-
-    /// A cluster's server is doubtful: its sockets ask it for a sign of life. Back comes how
-    /// many there are.
-    pub fn probe_server(&self, pool: u32, server: ServerId) -> usize {
-        let now = self.clock.now();
-        let mut doubted = self.doubted.borrow_mut();
-        doubted.retain(|_, (at, _)| now.saturating_sub(*at) < DOUBT_AGAIN);
-        if let Some((_, there)) = doubted.get(&(pool, server)) {
-            return *there;
-        }
-        let entries = self.entries.borrow();
-        let of = entries.values().filter(|entry| {
-            entry.pool.get() == pool && entry.server.get() == server && !entry.leaving.get()
-        });
-        let there = of.inspect(|entry| entry.give(Order::Doubt)).count();
-        doubted.insert((pool, server), (now, there));
-        there
-    }
-
-    /// A cluster has these servers and no others: sockets leave those that it has no more.
-    pub fn retain_servers(&self, pool: u32, servers: &HashSet<ServerId>, reason: &str) {
-        let now = self.clock.now();
-        let entries = self.entries.borrow();
-        let of = |entry: &&Rc<Entry>| {
-            entry.pool.get() == pool
-                && !servers.contains(&entry.server.get())
-                && !entry.leaving.get()
-        };
-        let mut there: HashMap<ServerId, usize> = HashMap::new();
-        for entry in entries.values().filter(of) {
-            *there.entry(entry.server.get()).or_default() += 1;
-        }
-        for entry in entries.values().filter(of) {
-            let server = entry.server.get();
-            let left = there.entry(server).or_default();
-            let at = self.slot(now, pool, server, *left);
-            *left = left.saturating_sub(1);
-            let reason = reason.to_string();
-            entry.give(Order::LeaveRequest(
-                at,
-                LeaveRequest { code: close::RESTART, reason, moves: true },
-            ));
-        }
-    }
-
-    /// The process ends, or one front does: its sockets are closed within `span`, evenly.
-    pub fn drain(&self, front: Option<usize>, span: Nanos) {
-        let now = self.clock.now();
-        let entries = self.entries.borrow();
-        let these = entries.values().filter(|e| front.is_none_or(|front| e.front == front));
-        let all: Vec<_> = these.filter(|entry| !entry.ending.get()).collect();
-        let step = span / (all.len() as u64).max(1);
-        for (n, entry) in all.into_iter().enumerate() {
-            entry.ending.set(true);
-            // They are told to come back as evenly as they left, and no sooner than a restart
-            // takes.
-            let reason = close::come_back("this sidecar ends", 1 + n as u64 % 10);
-            let leave = LeaveRequest { code: close::GOING_AWAY, reason, moves: false };
-            entry.give(Order::LeaveRequest(now.saturating_add(step * n as u64), leave));
+        RegisteredSocket {
+            registry: self.clone(),
+            number,
+            entry,
+            queued_bytes: 0,
+            traffic: SocketTraffic::default(),
         }
     }
 
-    /// Where they are.
+    /// Counts the open sockets by where and whose they are.
     pub fn usage(&self) -> SocketUsage {
-        let mut levels = SocketUsage { queued_bytes: self.queued.get(), ..SocketUsage::default() };
+        let queued_bytes = self.queued_bytes.get();
+        let mut usage = SocketUsage { queued_bytes, ..SocketUsage::default() };
         for entry in self.entries.borrow().values() {
-            let SlotOwner { tenant, cluster, .. } = &entry.sitter;
-            *levels.clusters.entry(cluster.to_string()).or_default() += 1;
-            *levels.tenants.entry(tenant.to_string()).or_default() += 1;
-            let at = (cluster.to_string(), entry.server.get());
-            *levels.endpoints.entry(at).or_default() += 1;
+            let SlotOwner { tenant, cluster, .. } = &entry.owner;
+            *usage.clusters.entry(cluster.to_string()).or_default() += 1;
+            *usage.tenants.entry(tenant.to_string()).or_default() += 1;
+            let endpoint = (cluster.to_string(), entry.location().server);
+            *usage.endpoints.entry(endpoint).or_default() += 1;
         }
-        levels
+        usage
     }
 }
--- /dev/null
+++ b/crates/proxy/src/websocket/rejections.rs
@@ -0,0 +1,44 @@
+//! The responses to handshakes that are rejected before a server is asked.
+
+use crate::refusal::Refusal;
+use hyper::StatusCode;
+use mintshelf_admission::slots::SlotUnavailable;
+use mintshelf_balancer::api::Nanos;
+use mintshelf_websocket::handshake::HandshakeError;
+
+/// Retry-After of handshakes that may succeed a little later.
+const RETRY_AFTER_NS: Nanos = 1_000_000_000;
+
+/// The response to a malformed handshake, or one that its route does not allow.
+pub(super) fn handshake_rejected(error: HandshakeError) -> Refusal {
+    let (status, code) = match error {
+        HandshakeError::Method | HandshakeError::Key | HandshakeError::List => {
+            (StatusCode::BAD_REQUEST, "websocket")
+        }
+        HandshakeError::Version => (StatusCode::UPGRADE_REQUIRED, "websocket-version"),
+        HandshakeError::Origin => (StatusCode::FORBIDDEN, "websocket-origin"),
+    };
+    let rejection = Refusal::new(status, code, error.reason());
+    if error == HandshakeError::Version {
+        rejection.with_version()
+    } else {
+        rejection
+    }
+}
+
+/// The response to a handshake during the graceful shutdown.
+pub(super) fn draining() -> Refusal {
+    let reason = "the planned end has begun; no server was asked";
+    Refusal::new(StatusCode::SERVICE_UNAVAILABLE, "draining", reason).after(RETRY_AFTER_NS)
+}
+
+/// The response to a handshake for which there is no slot.
+pub(super) fn slot_unavailable(limit: SlotUnavailable) -> Refusal {
+    let (code, reason) = match limit {
+        SlotUnavailable::Full => ("sockets-full", "all sockets are taken; no server was asked"),
+        SlotUnavailable::Tenant => ("tenant-sockets", "its tenant has as many sockets as it may"),
+        SlotUnavailable::Route => ("route-sockets", "the route has as many sockets as it may"),
+        SlotUnavailable::Cluster => ("cluster-sockets", "the cluster has as many as it may"),
+    };
+    Refusal::new(StatusCode::SERVICE_UNAVAILABLE, code, reason).after(RETRY_AFTER_NS)
+}
--- a/crates/proxy/src/websocket/relay.rs
+++ b/crates/proxy/src/websocket/relay.rs
@@ -1,12 +1,15 @@
-//! One socket's two connections: bytes into its session, bytes and closes out of it.
+//! Relays one socket between its two connections: bytes into the session, bytes out of it, and
+//! what the session asks for beside them.
 
-use super::registry::{Listed, Order, Seated, SocketRegistry};
+use super::entry::{ScheduledEviction, ServerLocation, SocketCommand};
+use super::reconnect::ServerConnection;
+use super::registry::{RegisteredSocket, SlotReservation, SocketRegistry};
 use crate::socket::{close_gently, Stream};
 use crate::upstream::ServerSocket;
 use bytes::Bytes;
 use mintshelf_balancer::api::Nanos;
 use mintshelf_websocket::frame::Peer;
-use mintshelf_websocket::session::{ClosedBy, LeaveRequest, Session, SessionAction, SessionEnd};
+use mintshelf_websocket::session::{ClosedBy, Session, SessionAction, SessionEnd};
 use std::future::{poll_fn, Future};
 use std::pin::Pin;
 use std::rc::Rc;
@@ -15,221 +18,265 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep_until, Sleep};
 
-/// Opens a socket again at another server; none if there is none.
-pub type Reopen = dyn Fn() -> Pin<Box<dyn Future<Output = Option<(u32, ServerSocket)>>>>;
-/// When a client is told to come back, in seconds.
-pub type Advice = dyn Fn() -> u64;
+/// Connects the socket to another server; none if no server accepts it.
+pub type Reconnect = dyn Fn() -> Pin<Box<dyn Future<Output = Option<ServerConnection>>>>;
+/// Seconds after which a client whose socket is closed may come back.
+pub type RetryAfter = dyn Fn() -> u64;
 
-/// A socket at work.
+/// A timer is set no further ahead than this, one day.
+const MAX_TIMER_NS: Nanos = 86_400_000_000_000;
+
+/// An open socket with all that it owns.
 pub struct Relay {
-    /// What it has come to.
+    /// The state of the protocol.
     pub session: Session,
-    /// The client's connection.
+    /// The connection to the client.
     pub client: Stream,
-    /// The server's.
+    /// The connection to the server.
     pub server: Box<ServerSocket>,
     /// All sockets.
-    pub sockets: Rc<SocketRegistry>,
+    pub registry: Rc<SocketRegistry>,
     /// This one among them.
-    pub listed: Listed,
-    /// Its seat.
-    pub seated: Seated,
+    pub socket: RegisteredSocket,
+    /// Its slot.
+    pub slot: SlotReservation,
+    /// When and how it leaves its server, once that is known.
+    pub eviction: Option<ScheduledEviction>,
+}
+
+/// Why the connections are not read and written for now.
+enum RelayEvent {
+    Action(SessionAction),
+    Ended(SessionEnd),
 }
 
-/// Why the two are no longer read and written for now.
-enum Pause {
-    SessionAction(SessionAction),
-    LeaveRequest(Nanos, LeaveRequest),
-    SessionEnd(SessionEnd),
+/// What became of the commands to a socket.
+enum Commands {
+    NonePending,
+    Applied,
+    EvictionScheduled,
 }
 
 impl Relay {
-    /// Carries the socket to its end. `rest` was read from the client behind its handshake.
-    pub async fn run(mut self, rest: Bytes, reopen: Box<Reopen>, advice: Box<Advice>) {
-        let clock = self.sockets.clock();
-        self.session.received(Peer::Client, &rest, clock.now());
-        drop(rest);
-        let ahead = std::mem::take(&mut self.server.rest);
-        self.session.received(Peer::Server, &ahead, clock.now());
-        drop(ahead);
-        let mut timer = Box::pin(sleep_until(clock.instant(self.session.next())));
-        let mut leave = None;
+    /// Relays until the socket has ended. `prefix` was read from the client behind its handshake.
+    pub async fn run(
+        mut self,
+        prefix: Bytes,
+        reconnect: Box<Reconnect>,
+        retry_after: Box<RetryAfter>,
+    ) {
+        let clock = self.registry.clock();
+        self.session.receive(Peer::Client, &prefix, clock.now());
+        drop(prefix);
+        self.receive_server_prefix();
+        let mut timer = Box::pin(sleep_until(clock.instant(self.session.next_deadline())));
         loop {
-            let pause = poll_fn(|cx| self.poll(cx, &mut timer, &mut leave)).await;
-            match pause {
-                Pause::SessionEnd(over) => return Box::pin(self.end(over)).await,
-                Pause::LeaveRequest(at, order) => leave = Some((at, order)),
-                Pause::SessionAction(SessionAction::Lost) => {
-                    // Its connection is of no use; its place at the server is free.
-                    let slot = self.sockets.lost(&self.listed.entry);
+            match poll_fn(|cx| self.poll(cx, &mut timer)).await {
+                RelayEvent::Ended(end) => return Box::pin(self.close(end)).await,
+                RelayEvent::Action(SessionAction::ServerLost) => {
+                    // The connection is of no use; the server's socket slot is free.
+                    let slot = self.registry.schedule_after_loss(&self.socket.entry);
                     sleep_until(clock.instant(slot)).await;
-                    self.session.go(advice(), clock.now());
+                    self.session.migrate_or_close(retry_after(), clock.now());
                 }
-                Pause::SessionAction(SessionAction::Move) => match reopen().await {
-                    Some((pool, server)) => {
-                        let farewell = self.session.moved(clock.now());
-                        let old = std::mem::replace(&mut self.server, Box::new(server));
-                        self.listed.entry.at(pool, self.server.to.server);
-                        self.listed.moved();
-                        // An order to leave the one that it has left is carried out.
-                        leave = leave.filter(|(_, order): &(_, LeaveRequest)| !order.moves);
-                        let ahead = std::mem::take(&mut self.server.rest);
-                        self.session.received(Peer::Server, &ahead, clock.now());
-                        spawn_local(part(old, farewell));
-                    }
-                    None => self.session.stays(advice(), clock.now()),
+                RelayEvent::Action(SessionAction::Migrate) => match reconnect().await {
+                    Some(connection) => self.migrate(connection),
+                    None => self.session.fail_migration(retry_after(), clock.now()),
                 },
             }
         }
     }
 
-    fn poll(
-        &mut self,
-        cx: &mut Context<'_>,
-        timer: &mut Pin<Box<Sleep>>,
-        leave: &mut Option<(Nanos, LeaveRequest)>,
-    ) -> Poll<Pause> {
-        let clock = self.sockets.clock();
+    /// Passes on what the server sent behind its handshake.
+    fn receive_server_prefix(&mut self) {
+        let prefix = std::mem::take(&mut self.server.rest);
+        self.session.receive(Peer::Server, &prefix, self.registry.clock().now());
+    }
+
+    /// Goes on at another server.
+    fn migrate(&mut self, connection: ServerConnection) {
+        let farewell = self.session.complete_migration(self.registry.clock().now());
+        let old_server = std::mem::replace(&mut self.server, Box::new(connection.socket));
+        let location =
+            ServerLocation { cluster: connection.cluster, server: self.server.to.server };
+        self.socket.entry.set_location(location);
+        self.socket.record_migration();
+        // An eviction from the old server has been carried out.
+        self.eviction = self.eviction.take().filter(|eviction| !eviction.request.may_migrate);
+        self.receive_server_prefix();
+        spawn_local(close_old_server(old_server, farewell));
+    }
+
+    fn poll(&mut self, cx: &mut Context<'_>, timer: &mut Pin<Box<Sleep>>) -> Poll<RelayEvent> {
         loop {
-            let mut progress = self.pass(cx);
-            let now = clock.now();
-            while let Some(order) = self.listed.entry.take_order(cx.waker()) {
-                match order {
-                    Order::LeaveRequest(at, order) => {
-                        return Poll::Ready(Pause::LeaveRequest(at, order))
-                    }
-                    Order::Doubt => self.session.doubt(now),
-                }
-                progress = true;
+            let mut has_progressed = self.transfer(cx);
+            let now = self.registry.clock().now();
+            match self.apply_commands(cx, now) {
+                Commands::NonePending => {}
+                Commands::Applied => has_progressed = true,
+                Commands::EvictionScheduled => continue,
             }
-            let may_leave = self.session.is_open();
-            if may_leave && leave.as_ref().is_some_and(|(at, _)| *at <= now) {
-                if let Some((_, order)) = leave.take() {
-                    self.session.leave(order, now);
-                    progress = true;
-                }
+            has_progressed |= self.evict_if_due(now);
+            has_progressed |= self.handle_timers_if_due(now);
+            if let Some(event) = self.take_event() {
+                self.socket.record_progress(&self.session, now);
+                return Poll::Ready(event);
             }
-            if self.session.next() <= now {
-                self.session.tick(now);
-                progress = true;
-            }
-            if let Some(act) = self.session.act() {
-                self.listed.note(&self.session, now);
-                return Poll::Ready(Pause::SessionAction(act));
-            }
-            if let Some(over) = self.session.over() {
-                self.listed.note(&self.session, now);
-                return Poll::Ready(Pause::SessionEnd(over));
-            }
-            if progress {
+            if has_progressed {
                 continue;
             }
-            self.listed.note(&self.session, now);
-            let leave_at = leave.as_ref().filter(|_| self.session.is_open());
-            let leave_at = leave_at.map_or(Nanos::MAX, |(at, _)| *at);
-            let next = clock.instant(self.session.next().min(leave_at).min(now + FAR));
-            if timer.deadline() != next {
-                timer.as_mut().reset(next);
-            }
+            self.socket.record_progress(&self.session, now);
+            self.set_timer(timer, now);
             if timer.as_mut().poll(cx).is_pending() {
                 return Poll::Pending;
             }
         }
     }
 
-    /// Passes what can pass now; whether something did.
-    fn pass(&mut self, cx: &mut Context<'_>) -> bool {
-        let mut progress = false;
-        for end in [Peer::Server, Peer::Client] {
-            progress |= self.read(end, cx);
-            progress |= self.write(end.other(), cx);
-            progress |= self.write(end, cx);
+    fn apply_commands(&mut self, cx: &Context<'_>, now: Nanos) -> Commands {
+        let mut commands = Commands::NonePending;
+        while let Some(command) = self.socket.entry.take_command(cx.waker()) {
+            match command {
+                SocketCommand::Evict(eviction) => {
+                    self.eviction = Some(eviction);
+                    return Commands::EvictionScheduled;
+                }
+                SocketCommand::ProbeServer => self.session.probe_server(now),
+            }
+            commands = Commands::Applied;
+        }
+        commands
+    }
+
+    /// Begins an eviction whose time has come; whether there was one.
+    fn evict_if_due(&mut self, now: Nanos) -> bool {
+        if !self.session.is_open() {
+            return false;
+        }
+        let due = self.eviction.take_if(|eviction| eviction.at_ns <= now);
+        let Some(eviction) = due else { return false };
+        self.session.evict(eviction.request, now);
+        true
+    }
+
+    fn handle_timers_if_due(&mut self, now: Nanos) -> bool {
+        let is_due = self.session.next_deadline() <= now;
+        if is_due {
+            self.session.handle_timers(now);
+        }
+        is_due
+    }
+
+    fn take_event(&mut self) -> Option<RelayEvent> {
+        match self.session.take_action() {
+            Some(action) => Some(RelayEvent::Action(action)),
+            None => self.session.end().map(RelayEvent::Ended),
         }
-        progress
     }
 
-    fn stream(&self, end: Peer) -> &Stream {
-        match end {
+    /// Sets the timer to the session's next deadline or the eviction.
+    fn set_timer(&self, timer: &mut Pin<Box<Sleep>>, now: Nanos) {
+        let eviction = self.eviction.as_ref().filter(|_| self.session.is_open());
+        let eviction_at_ns = eviction.map_or(Nanos::MAX, |eviction| eviction.at_ns);
+        let next_ns = self.session.next_deadline().min(eviction_at_ns).min(now + MAX_TIMER_NS);
+        let next = self.registry.clock().instant(next_ns);
+        if timer.deadline() != next {
+            timer.as_mut().reset(next);
+        }
+    }
+
+    /// Reads and writes what is ready now; whether something was.
+    fn transfer(&mut self, cx: &mut Context<'_>) -> bool {
+        let mut has_progressed = false;
+        for peer in [Peer::Server, Peer::Client] {
+            has_progressed |= self.read(peer, cx);
+            has_progressed |= self.write(peer.other(), cx);
+            has_progressed |= self.write(peer, cx);
+        }
+        has_progressed
+    }
+
+    fn stream(&self, peer: Peer) -> &Stream {
+        match peer {
             Peer::Client => &self.client,
             Peer::Server => &self.server.stream,
         }
     }
 
-    fn read(&mut self, end: Peer, cx: &mut Context<'_>) -> bool {
-        if !self.session.wants_read(end) {
+    fn read(&mut self, peer: Peer, cx: &mut Context<'_>) -> bool {
+        if !self.session.wants_read(peer) {
             return false;
         }
-        let sockets = self.sockets.clone();
-        let mut scratch = sockets.scratch.borrow_mut();
-        let most = sockets.read_size();
-        let mut buffer = ReadBuf::new(&mut scratch[..most]);
+        let registry = self.registry.clone();
+        let mut scratch = registry.scratch.borrow_mut();
+        let mut buffer = ReadBuf::new(&mut scratch[..registry.read_size()]);
         let polled = {
-            let mut stream = self.stream(end).borrow_mut();
+            let mut stream = self.stream(peer).borrow_mut();
             Pin::new(&mut *stream).poll_read(cx, &mut buffer)
         };
-        let now = sockets.clock().now();
+        let now = registry.clock().now();
         match polled {
             Poll::Pending => return false,
             Poll::Ready(Ok(())) if !buffer.filled().is_empty() => {
-                self.session.received(end, buffer.filled(), now);
+                self.session.receive(peer, buffer.filled(), now);
             }
-            Poll::Ready(_) => self.session.ended(end, now),
+            Poll::Ready(_) => self.session.peer_disconnected(peer, now),
         }
         true
     }
 
-    fn write(&mut self, end: Peer, cx: &mut Context<'_>) -> bool {
-        let mut progress = false;
-        while !self.session.to_write(end).is_empty() {
+    fn write(&mut self, peer: Peer, cx: &mut Context<'_>) -> bool {
+        let mut has_progressed = false;
+        while !self.session.pending_output(peer).is_empty() {
             let polled = {
-                let mut stream = self.stream(end).borrow_mut();
-                Pin::new(&mut *stream).poll_write(cx, self.session.to_write(end))
+                let mut stream = self.stream(peer).borrow_mut();
+                Pin::new(&mut *stream).poll_write(cx, self.session.pending_output(peer))
             };
-            let now = self.sockets.clock().now();
+            let now = self.registry.clock().now();
             match polled {
                 Poll::Pending => break,
-                Poll::Ready(Ok(count)) if count > 0 => self.session.wrote(end, count, now),
+                Poll::Ready(Ok(count)) if count > 0 => {
+                    self.session.record_written(peer, count, now);
+                }
                 Poll::Ready(_) => {
-                    self.session.ended(end, now);
+                    self.session.peer_disconnected(peer, now);
                     return true;
                 }
             }
-            progress = true;
+            has_progressed = true;
         }
-        progress
+        has_progressed
     }
 
-    /// Both connections end: quietly where the closing handshake was gone through.
-    async fn end(self, over: SessionEnd) {
-        let Relay { session, client, server, listed, seated, .. } = self;
-        listed.over(over);
-        drop(listed);
-        let well = [Peer::Client, Peer::Server].map(|end| session.ended_well(end));
+    /// Closes both connections, gently where the closing handshake was completed.
+    async fn close(self, end: SessionEnd) {
+        let Relay { session, client, server, socket, slot, .. } = self;
+        socket.record_end(end);
+        drop(socket);
+        let client_closed_cleanly = session.closed_cleanly(Peer::Client);
+        let server_closed_cleanly = session.closed_cleanly(Peer::Server);
         drop(session);
-        // A client that was told something is given the time to read it.
-        let told = well[0] || over.by != ClosedBy::Client;
+        // A client that was sent something is given the time to read it.
+        let linger_for_client = client_closed_cleanly || end.by != ClosedBy::Client;
         tokio::join!(
             async {
-                if told {
+                if linger_for_client {
                     close_gently(&client).await;
                 }
             },
             async {
-                if well[1] {
+                if server_closed_cleanly {
                     close_gently(&server.stream).await;
                 }
                 drop(server);
             }
         );
-        drop(seated);
+        drop(slot);
     }
 }
 
-/// A timer is set no further ahead than this.
-const FAR: Nanos = 86_400_000_000_000;
-
-/// Parts with a server that another has taken the place of.
-async fn part(server: Box<ServerSocket>, farewell: Vec<u8>) {
+/// Closes the connection to a server that another has taken over from.
+async fn close_old_server(server: Box<ServerSocket>, farewell: Vec<u8>) {
     if !farewell.is_empty() && server.stream.borrow().try_write(&farewell).is_ok() {
         close_gently(&server.stream).await;
     }
--- /dev/null
+++ b/crates/proxy/src/websocket/stats.rs
@@ -0,0 +1,69 @@
+//! Figures about open and closed sockets for the metrics.
+
+use mintshelf_balancer::api::ServerId;
+use mintshelf_websocket::frame::Peer;
+use mintshelf_websocket::session::{ClosedBy, Session, Traffic};
+use std::collections::BTreeMap;
+use std::rc::Rc;
+
+/// Totals since the process started.
+#[derive(Debug, Default)]
+pub struct SocketStats {
+    /// Sockets opened, by cluster.
+    pub opened: BTreeMap<Rc<str>, u64>,
+    /// Migrations to another server, by cluster.
+    pub migrated: BTreeMap<Rc<str>, u64>,
+    /// Sockets closed, by who closed them and with which close code.
+    pub closed: BTreeMap<(ClosedBy, u16), u64>,
+    /// What clients have sent.
+    pub from_client: Traffic,
+    /// What servers have sent.
+    pub from_server: Traffic,
+}
+
+/// What both ends of one socket have sent.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub(super) struct SocketTraffic {
+    client: Traffic,
+    server: Traffic,
+}
+
+impl SocketTraffic {
+    pub(super) fn of(session: &Session) -> Self {
+        SocketTraffic {
+            client: session.traffic(Peer::Client),
+            server: session.traffic(Peer::Server),
+        }
+    }
+}
+
+impl SocketStats {
+    /// Adds what a socket has sent since `before`; whether it sent a message.
+    pub(super) fn add_traffic(&mut self, before: SocketTraffic, now: SocketTraffic) -> bool {
+        let client_messages = add_growth(&mut self.from_client, before.client, now.client);
+        let server_messages = add_growth(&mut self.from_server, before.server, now.server);
+        client_messages + server_messages > 0
+    }
+}
+
+/// Adds the difference between two counts to a total, and returns how many messages that was.
+fn add_growth(total: &mut Traffic, before: Traffic, now: Traffic) -> u64 {
+    // The messages of a server that took over are counted from 0.
+    let messages = now.messages.saturating_sub(before.messages);
+    total.messages += messages;
+    total.bytes += now.bytes.saturating_sub(before.bytes);
+    messages
+}
+
+/// The open sockets, by where and whose they are.
+#[derive(Debug, Default)]
+pub struct SocketUsage {
+    /// Sockets by cluster.
+    pub clusters: BTreeMap<String, u64>,
+    /// Sockets by tenant.
+    pub tenants: BTreeMap<String, u64>,
+    /// Sockets by cluster and server.
+    pub endpoints: BTreeMap<(String, ServerId), u64>,
+    /// Bytes queued for clients and servers.
+    pub queued_bytes: usize,
+}
--- a/crates/proxy/src/websocket/upgrade.rs
+++ b/crates/proxy/src/websocket/upgrade.rs
@@ -1,185 +1,120 @@
-//! From a handshake to an open socket, and from one server to the next.
+//! From a client's handshake to an open socket.
 
-use super::registry::{Seated, SocketRegistry};
-use super::relay::Relay;
-use crate::body::Outbound;
+use super::entry::ServerLocation;
+use super::reconnect::{write_handshake, ReconnectRequest, ReconnectTarget, SocketConnector};
+use super::registry::{SlotReservation, SocketRegistry};
+use super::rejections::{draining, handshake_rejected, slot_unavailable};
+use super::relay::{Reconnect, Relay, RetryAfter};
 use crate::clients::Upgrade;
-use crate::driver::{Message, Reply};
-use crate::plain::{send, Asks, Plain, Pool};
+use crate::driver::Driver;
 use crate::refusal::Refusal;
-use crate::upstream::{Answer, AnswerBody, ServerSocket};
+use crate::upstream::ServerSocket;
 use hyper::body::Incoming;
 use hyper::header::HeaderMap;
 use hyper::http::request::Parts;
-use hyper::{Request, StatusCode};
-use mintshelf_admission::slots::{SlotOwner, SlotUnavailable};
-use mintshelf_balancer::api::{Effect, Nanos};
+use hyper::Request;
+use mintshelf_admission::slots::SlotOwner;
+use mintshelf_balancer::api::Nanos;
 use mintshelf_config::model::WebSocket;
-use mintshelf_config::module::severity;
-use mintshelf_websocket::handshake::{HandshakeError, NegotiatedTerms, Offer};
+use mintshelf_websocket::handshake::ClientHandshake;
 use mintshelf_websocket::session::Session;
 use std::rc::Rc;
-use std::sync::Arc;
 
-const SECOND: Nanos = 1_000_000_000;
+const NANOS_PER_SECOND: Nanos = 1_000_000_000;
 
-/// A handshake that has a seat and waits for a server.
+/// A handshake that has a slot and waits for a server.
 pub(crate) struct PendingUpgrade {
-    offer: Offer,
-    seated: Seated,
-    sitter: SlotOwner,
-    sockets: Rc<SocketRegistry>,
-    set: Rc<WebSocket>,
-}
-
-/// What it takes to open a socket again elsewhere.
-pub(crate) struct ReconnectTarget {
-    pub(crate) cluster: String,
-    /// Name of its class with its route's own settings.
-    pub(crate) policy: String,
-    pub(crate) effect: Effect,
-    /// The handshake as it goes to servers.
-    pub(crate) head: Parts,
-    /// What its ends agreed on: another server has to agree to the same.
-    pub(crate) negotiated: NegotiatedTerms,
+    handshake: ClientHandshake,
+    slot: SlotReservation,
+    owner: SlotOwner,
+    registry: Rc<SocketRegistry>,
+    config: Rc<WebSocket>,
 }
 
 impl PendingUpgrade {
-    /// Checks a client's handshake and takes a seat.
+    /// Checks a client's handshake and reserves a slot.
+    ///
+    /// # Errors
+    ///
+    /// The response to a handshake that is malformed, not allowed by its route, over a limit, or
+    /// sent during the graceful shutdown.
     pub(crate) fn accept(
-        sockets: &Rc<SocketRegistry>,
-        set: &Rc<WebSocket>,
+        registry: &Rc<SocketRegistry>,
+        config: &Rc<WebSocket>,
         request: &Request<Incoming>,
-        sitter: SlotOwner,
-        draining: bool,
+        owner: SlotOwner,
+        is_draining: bool,
     ) -> Result<Self, Refusal> {
-        let read = Offer::read(request.method(), request.version(), request.headers(), &set.terms);
-        let offer = read.map_err(|bad| {
-            let (status, code) = match bad {
-                HandshakeError::Method | HandshakeError::Key | HandshakeError::List => {
-                    (StatusCode::BAD_REQUEST, "websocket")
-                }
-                HandshakeError::Version => (StatusCode::UPGRADE_REQUIRED, "websocket-version"),
-                HandshakeError::Origin => (StatusCode::FORBIDDEN, "websocket-origin"),
-            };
-            let refusal = Refusal::new(status, code, bad.reason());
-            if bad == HandshakeError::Version {
-                refusal.with_version()
-            } else {
-                refusal
-            }
-        })?;
-        if draining {
-            let what = "the planned end has begun; no server was asked";
-            let refusal = Refusal::new(StatusCode::SERVICE_UNAVAILABLE, "draining", what);
-            return Err(refusal.after(SECOND));
+        let (method, version, headers) = (request.method(), request.version(), request.headers());
+        let handshake = ClientHandshake::parse(method, version, headers, &config.terms)
+            .map_err(handshake_rejected)?;
+        if is_draining {
+            return Err(draining());
         }
-        let seated = sockets.seat(&sitter).map_err(|why| {
-            let (code, what) = match why {
-                SlotUnavailable::Full => {
-                    ("sockets-full", "all sockets are taken; no server was asked")
-                }
-                SlotUnavailable::Tenant => {
-                    ("tenant-sockets", "its tenant has as many sockets as it may")
-                }
-                SlotUnavailable::Route => {
-                    ("route-sockets", "the route has as many sockets as it may")
-                }
-                SlotUnavailable::Cluster => {
-                    ("cluster-sockets", "the cluster has as many as it may")
-                }
-            };
-            Refusal::new(StatusCode::SERVICE_UNAVAILABLE, code, what).after(SECOND)
-        })?;
-        let (sockets, set) = (sockets.clone(), set.clone());
-        Ok(PendingUpgrade { offer, seated, sitter, sockets, set })
+        let slot = registry.reserve(&owner).map_err(slot_unavailable)?;
+        Ok(PendingUpgrade {
+            handshake,
+            slot,
+            owner,
+            registry: registry.clone(),
+            config: config.clone(),
+        })
     }
 
-    /// Makes a request the handshake towards a server.
+    /// Makes a request head the handshake towards a server.
     pub(crate) fn prepare_request(&self, head: &mut Parts) {
-        ask(&self.offer, &self.sockets, head);
+        write_handshake(&self.handshake, &self.registry, head);
     }
 
-    /// Makes a server's good 101 the client's.
+    /// Makes the headers of a server's valid 101 those of the client's.
     pub(crate) fn finish_response(&self, headers: &mut HeaderMap) {
-        self.offer.answer(headers);
+        self.handshake.write_response(headers);
     }
 
-    /// What becomes of the client's connection once its 101 is out.
-    pub(crate) fn into_upgrade(
+    /// Takes over the client's connection once the 101 has been sent to it. `handler` accepted
+    /// the handshake, and connects the socket to other servers; `class` is that of its requests.
+    pub(crate) fn into_upgrade<C: SocketConnector + 'static>(
         self,
-        front: &Rc<Plain>,
-        pool: &Pool,
+        handler: &Rc<C>,
+        driver: &Rc<Driver>,
         class: u32,
         target: ReconnectTarget,
         server: Box<ServerSocket>,
     ) -> Upgrade {
-        let PendingUpgrade { offer, seated, sitter, sockets, set } = self;
-        let front = front.clone();
-        let driver = Rc::downgrade(&pool.driver);
-        let number = pool.driver.number();
-        Upgrade(Box::new(move |client, rest| {
-            let now = sockets.clock().now();
-            let deflate = server.agreed.uses_compression();
-            let session = Session::new(set.session.clone(), deflate, sockets.next_seed(), now);
-            let by = Rc::as_ptr(&front) as usize;
-            let listed = sockets.list(sitter.clone(), by, number, server.to.server);
-            let again = Rc::new(Again { front, target, offer, sockets: sockets.clone(), sitter });
-            let reopen = move || {
-                let again = again.clone();
-                Box::pin(async move { again.open().await }) as std::pin::Pin<Box<_>>
-            };
-            let advice = move || driver.upgrade().map_or(1, |d| d.advice(class) / SECOND).max(1);
-            let relay = Relay { session, client, server, sockets, listed, seated };
-            Box::pin(relay.run(rest, Box::new(reopen), Box::new(advice)))
+        let PendingUpgrade { handshake, slot, owner, registry, config } = self;
+        let handler = handler.clone();
+        let cluster = driver.number();
+        let driver = Rc::downgrade(driver);
+        Upgrade(Box::new(move |client, prefix| {
+            let now = registry.clock().now();
+            let is_compressed = server.agreed.uses_compression();
+            let seed = registry.next_seed();
+            let session = Session::new(config.session.clone(), is_compressed, seed, now);
+            let handler_id = Rc::as_ptr(&handler) as usize;
+            let location = ServerLocation { cluster, server: server.to.server };
+            let tenant = owner.tenant.clone();
+            let socket = registry.register(owner, handler_id, location);
+            let request =
+                ReconnectRequest { target, tenant, handshake, registry: registry.clone() };
+            let retry_after: Box<RetryAfter> = Box::new(move || {
+                let driver = driver.upgrade();
+                driver.map_or(1, |driver| driver.advice(class) / NANOS_PER_SECOND).max(1)
+            });
+            let relay = Relay { session, client, server, registry, socket, slot, eviction: None };
+            Box::pin(relay.run(prefix, reconnect(handler, request), retry_after))
         }))
     }
 }
 
-fn ask(offer: &Offer, sockets: &SocketRegistry, head: &mut Parts) {
-    let mut nonce = [0; 16];
-    nonce[..8].copy_from_slice(&sockets.next_seed().to_le_bytes());
-    nonce[8..].copy_from_slice(&sockets.next_seed().to_le_bytes());
-    let asked = offer.ask(nonce, &mut head.headers);
-    head.extensions.insert(Arc::new(asked));
-}
-
-/// Opens a socket again.
-struct Again {
-    front: Rc<Plain>,
-    target: ReconnectTarget,
-    offer: Offer,
-    sockets: Rc<SocketRegistry>,
-    sitter: SlotOwner,
-}
-
-impl Again {
-    /// At another server of what is in force now, through the same limits and decisions.
-    async fn open(&self) -> Option<(u32, ServerSocket)> {
-        let serving = self.front.serving();
-        let ReconnectTarget { cluster, policy, effect, head, negotiated } = &self.target;
-        let pool = serving.clusters.get(cluster)?;
-        let class = pool.classes.get(policy)?;
-        let mut head = head.clone();
-        ask(&self.offer, &self.sockets, &mut head);
-        let asks = Asks {
-            class: class.numbers[severity(*effect)]?,
-            priority_weight: class.priority_weight,
-            repeat: true,
-            patience: class.deadline,
-            tenant: Some(self.sitter.tenant.clone()),
-        };
-        let request = Request::from_parts(head, Outbound::default());
-        let message = Message { request, txn: None, _room: None, client: None };
-        let (reply, _through) = send(&serving, cluster, pool, asks, message).await.ok()?;
-        match reply? {
-            Reply::Served(answer) => match *answer {
-                Answer { body: AnswerBody::Socket(socket), .. } if socket.agreed == *negotiated => {
-                    Some((pool.driver.number(), *socket))
-                }
-                _ => None,
-            },
-            _ => None,
-        }
-    }
+/// Connects a socket to another server, any number of times.
+fn reconnect<C: SocketConnector + 'static>(
+    connector: Rc<C>,
+    request: ReconnectRequest,
+) -> Box<Reconnect> {
+    let request = Rc::new(request);
+    Box::new(move || {
+        let connector = connector.clone();
+        let request = request.clone();
+        Box::pin(async move { request.connect(&*connector).await })
+    })
 }
--- a/crates/websocket/src/close.rs
+++ b/crates/websocket/src/close.rs
@@ -76,7 +76,7 @@
 }
 
 /// What a client that is sent away is told: the seconds after which it may come back.
-pub fn come_back(why: &str, seconds: u64) -> String {
+pub fn reason_with_retry(why: &str, seconds: u64) -> String {
     match seconds {
         0 => why.to_string(),
         n => format!("{why}; come back in {n} s"),
@@ -98,6 +98,6 @@
         let mut out = Vec::new();
         Close { code: NO_STATUS, reason: "" }.write(Peer::Server, [0; 4], &mut out);
         assert_eq!(out, [0x88, 0]);
-        assert_eq!(come_back("it has gone", 3), "it has gone; come back in 3 s");
+        assert_eq!(reason_with_retry("it has gone", 3), "it has gone; come back in 3 s");
     }
 }
--- a/crates/websocket/src/handshake.rs
+++ b/crates/websocket/src/handshake.rs
@@ -68,7 +68,7 @@
 
 /// A client's handshake.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Offer {
+pub struct ClientHandshake {
     /// The accept that the client waits for.
     accept: HeaderValue,
     /// Subprotocols that are passed on.
@@ -117,10 +117,10 @@
     element.split(';').next().is_some_and(|name| name.trim().eq_ignore_ascii_case(DEFLATE))
 }
 
-impl Offer {
+impl ClientHandshake {
     /// Reads a client's handshake, for which [`is_upgrade_request`] holds, against what its route lets
     /// through.
-    pub fn read(
+    pub fn parse(
         method: &Method,
         version: Version,
         headers: &HeaderMap,
@@ -162,12 +162,12 @@
         let extensions =
             extensions.filter(|element| terms.allow_compression && is_deflate(element));
         let extensions = extensions.map(str::to_string).collect();
-        Ok(Offer { accept: value(&accept_of(key)), subprotocols, extensions })
+        Ok(ClientHandshake { accept: value(&accept_of(key)), subprotocols, extensions })
     }
 
     /// Puts the handshake towards a server into headers that were cleaned for the next hop.
     /// `nonce` is a new one; what is to be looked at when the answer comes.
-    pub fn ask(&self, nonce: [u8; 16], headers: &mut HeaderMap) -> HandshakeRequest {
+    pub fn write_request(&self, nonce: [u8; 16], headers: &mut HeaderMap) -> HandshakeRequest {
         let key = STANDARD.encode(nonce);
         headers.insert(header::CONNECTION, HeaderValue::from_static("Upgrade"));
         headers.insert(header::UPGRADE, HeaderValue::from_static("websocket"));
@@ -187,7 +187,7 @@
     }
 
     /// Makes a server's good 101 the client's.
-    pub fn answer(&self, headers: &mut HeaderMap) {
+    pub fn write_response(&self, headers: &mut HeaderMap) {
         headers.insert(header::CONNECTION, HeaderValue::from_static("Upgrade"));
         headers.insert(header::UPGRADE, HeaderValue::from_static("websocket"));
         headers.insert(header::SEC_WEBSOCKET_ACCEPT, self.accept.clone());
@@ -278,8 +278,11 @@
         all
     }
 
-    fn read(headers: &HeaderMap, terms: &HandshakePolicy) -> Result<Offer, HandshakeError> {
-        Offer::read(&Method::GET, Version::HTTP_11, headers, terms)
+    fn read(
+        headers: &HeaderMap,
+        terms: &HandshakePolicy,
+    ) -> Result<ClientHandshake, HandshakeError> {
+        ClientHandshake::parse(&Method::GET, Version::HTTP_11, headers, terms)
     }
 
     #[test]
@@ -290,11 +293,11 @@
         assert!(!is_upgrade_request(&headers(&[("upgrade", "h2c"), ("connection", "upgrade")])));
         let offer = read(&good(&[]), &terms).unwrap();
         let mut answer = HeaderMap::new();
-        offer.answer(&mut answer);
+        offer.write_response(&mut answer);
         assert_eq!(answer["sec-websocket-accept"], ACCEPT);
-        let bad = Offer::read(&Method::POST, Version::HTTP_11, &good(&[]), &terms);
+        let bad = ClientHandshake::parse(&Method::POST, Version::HTTP_11, &good(&[]), &terms);
         assert_eq!(bad, Err(HandshakeError::Method));
-        let bad = Offer::read(&Method::GET, Version::HTTP_10, &good(&[]), &terms);
+        let bad = ClientHandshake::parse(&Method::GET, Version::HTTP_10, &good(&[]), &terms);
         assert_eq!(bad, Err(HandshakeError::Method));
         for (name, with, bad) in [
             ("sec-websocket-version", Some("8"), HandshakeError::Version),
@@ -331,7 +334,7 @@
         let asked = |terms: &HandshakePolicy| {
             let offer = read(&good(&more), terms).unwrap();
             let mut out = HeaderMap::new();
-            (offer.ask(*b"the sample nonce", &mut out), out)
+            (offer.write_request(*b"the sample nonce", &mut out), out)
         };
         let some = vec!["status.v1".to_string(), "status.v2".to_string()];
         let terms = HandshakePolicy {
--- a/crates/websocket/src/session.rs
+++ b/crates/websocket/src/session.rs
@@ -57,24 +57,33 @@
     pub code: u16,
 }
 
+/// What one end has sent.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub struct Traffic {
+    /// Complete messages.
+    pub messages: u64,
+    /// Bytes, frame heads included.
+    pub bytes: u64,
+}
+
 /// Why and how a socket is to leave a server that is still there.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct LeaveRequest {
+pub struct EvictionRequest {
     /// What its client is told if it is closed.
-    pub code: u16,
+    pub close_code: u16,
     /// The same in words.
     pub reason: String,
     /// Whether it may go on at another server instead.
-    pub moves: bool,
+    pub may_migrate: bool,
 }
 
 /// What is to be done beside reading and writing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SessionAction {
-    /// The server has gone: [`Session::go`] is owed when the socket's turn to leave has come.
-    Lost,
-    /// It is to be opened at another server: [`Session::moved`] or [`Session::stays`] is owed.
-    Move,
+    /// The server has gone: [`Session::migrate_or_close`] is owed when the socket's turn to leave has come.
+    ServerLost,
+    /// It is to be opened at another server: [`Session::complete_migration`] or [`Session::fail_migration`] is owed.
+    Migrate,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -83,7 +92,7 @@
     /// To leave its server as soon as no message is under way, at the latest then.
     Leaving {
         by: Nanos,
-        leave: LeaveRequest,
+        leave: EvictionRequest,
     },
     /// The server has gone, and its turn has not come.
     Lost {
@@ -205,24 +214,24 @@
     }
 
     /// What waits to be written to an end.
-    pub fn to_write(&self, end: Peer) -> &[u8] {
+    pub fn pending_output(&self, end: Peer) -> &[u8] {
         self.side(end).waiting()
     }
 
     /// Bytes that are held for both ends.
-    pub fn queued(&self) -> usize {
+    pub fn buffered_bytes(&self) -> usize {
         self.sides.iter().map(|side| side.waiting().len() + side.rest.len()).sum()
     }
 
-    /// Whole messages and bytes that an end has sent.
-    pub fn passed(&self, end: Peer) -> [u64; 2] {
-        [self.side(end).sends.messages(), self.side(end).bytes]
+    /// Messages and bytes that an end has sent.
+    pub fn traffic(&self, end: Peer) -> Traffic {
+        Traffic { messages: self.side(end).sends.messages(), bytes: self.side(end).bytes }
     }
 
     /// Whether an end is to be read now: not while the other takes nothing.
     pub fn wants_read(&self, end: Peer) -> bool {
         let (side, other) = (self.side(end), self.side(end.other()));
-        if side.gone || self.over().is_some() {
+        if side.gone || self.end().is_some() {
             return false;
         }
         match &self.state {
@@ -238,8 +247,8 @@
         }
     }
 
-    /// When [`Session::tick`] is due.
-    pub fn next(&self) -> Nanos {
+    /// When [`Session::handle_timers`] is due.
+    pub fn next_deadline(&self) -> Nanos {
         match &self.state {
             State::Open => self.life.next(),
             State::Leaving { by, .. } => self.life.next().min(*by),
@@ -254,18 +263,18 @@
     }
 
     /// What is to be done, once.
-    pub fn act(&mut self) -> Option<SessionAction> {
+    pub fn take_action(&mut self) -> Option<SessionAction> {
         self.act.take()
     }
 
     /// How it ended, once nothing more is to pass.
-    pub fn over(&self) -> Option<SessionEnd> {
+    pub fn end(&self) -> Option<SessionEnd> {
         let done = self.sides.iter().all(Side::done);
         self.over.filter(|_| done)
     }
 
     /// Whether an end has had and given its close frame: its connection can end quietly.
-    pub fn ended_well(&self, end: Peer) -> bool {
+    pub fn closed_cleanly(&self, end: Peer) -> bool {
         let side = self.side(end);
         side.said && side.told && !side.gone
     }
@@ -275,8 +284,8 @@
     }
 
     /// Bytes came from an end.
-    pub fn received(&mut self, end: Peer, bytes: &[u8], now: Nanos) {
-        if self.side(end).gone || self.over().is_some() {
+    pub fn receive(&mut self, end: Peer, bytes: &[u8], now: Nanos) {
+        if self.side(end).gone || self.end().is_some() {
             return;
         }
         self.side_mut(end).bytes += bytes.len() as u64;
@@ -415,7 +424,7 @@
     }
 
     /// An end has ended its sending, or its connection broke.
-    pub fn ended(&mut self, end: Peer, now: Nanos) {
+    pub fn peer_disconnected(&mut self, end: Peer, now: Nanos) {
         if self.side(end).gone {
             return;
         }
@@ -454,12 +463,12 @@
         // What waits for it can still go to another.
         self.sides[Peer::Server as usize].gone = true;
         self.state = State::Lost { reason: reason.to_string() };
-        self.act = Some(SessionAction::Lost);
+        self.act = Some(SessionAction::ServerLost);
     }
 
     /// The server is to be left, which is still there: drained, removed, or the sidecar ends.
     /// Happens between two messages where such a place comes in time.
-    pub fn leave(&mut self, leave: LeaveRequest, now: Nanos) {
+    pub fn evict(&mut self, leave: EvictionRequest, now: Nanos) {
         if self.state == State::Open {
             let by = now.saturating_add(self.set.timers.close_timeout_ns);
             self.state = State::Leaving { by, leave };
@@ -477,13 +486,13 @@
         let State::Leaving { by, leave } = &self.state else { return };
         let (due, leave) = (*by <= now, leave.clone());
         let between = self.is_between_messages();
-        let moves = leave.moves && self.written.is_some();
+        let moves = leave.may_migrate && self.written.is_some();
         let flushed = self.side(Peer::Server).waiting().is_empty();
         if moves && between && flushed && self.can_move() {
             self.state = State::Moving { reason: leave.reason };
-            self.act = Some(SessionAction::Move);
+            self.act = Some(SessionAction::Migrate);
         } else if due || between && !moves {
-            self.close(leave.code, &leave.reason, now);
+            self.close(leave.close_code, &leave.reason, now);
         }
     }
 
@@ -495,19 +504,19 @@
     }
 
     /// The turn of a socket that lost its server has come.
-    pub fn go(&mut self, advice: u64, now: Nanos) {
+    pub fn migrate_or_close(&mut self, advice: u64, now: Nanos) {
         let State::Lost { reason } = &self.state else { return };
         let reason = reason.clone();
         if self.can_move() {
             self.state = State::Moving { reason };
-            self.act = Some(SessionAction::Move);
+            self.act = Some(SessionAction::Migrate);
         } else {
-            self.close(close::RESTART, &close::come_back(&reason, advice), now);
+            self.close(close::RESTART, &close::reason_with_retry(&reason, advice), now);
         }
     }
 
     /// Another server has taken it. Back comes what the old one is to be sent, if it is there.
-    pub fn moved(&mut self, now: Nanos) -> Vec<u8> {
+    pub fn complete_migration(&mut self, now: Nanos) -> Vec<u8> {
         let mut farewell = Vec::new();
         let State::Moving { .. } = self.state else { return farewell };
         let key = self.key();
@@ -531,7 +540,7 @@
         self.state = State::Open;
         self.life.renewed(Peer::Server, now);
         self.life.paused(Peer::Client, false, now);
-        if !self.to_write(Peer::Server).is_empty() {
+        if !self.pending_output(Peer::Server).is_empty() {
             self.life.waits(Peer::Server, now);
         }
         for end in [Peer::Client, Peer::Server] {
@@ -544,15 +553,15 @@
     }
 
     /// No other server has taken it: its client is told when to come back.
-    pub fn stays(&mut self, advice: u64, now: Nanos) {
+    pub fn fail_migration(&mut self, advice: u64, now: Nanos) {
         if let State::Moving { reason } = &self.state {
-            let reason = close::come_back(reason, advice);
+            let reason = close::reason_with_retry(reason, advice);
             self.close(close::RESTART, &reason, now);
         }
     }
 
     /// An end took so many bytes.
-    pub fn wrote(&mut self, end: Peer, count: usize, now: Nanos) {
+    pub fn record_written(&mut self, end: Peer, count: usize, now: Nanos) {
         let [_, server] = &self.sides;
         if let (Peer::Server, Some(written)) = (end, &mut self.written) {
             let mut nowhere = Vec::new();
@@ -577,7 +586,7 @@
     }
 
     /// Looks what is due.
-    pub fn tick(&mut self, now: Nanos) {
+    pub fn handle_timers(&mut self, now: Nanos) {
         if let State::Closing { by } = self.state {
             if by <= now {
                 self.sides.iter_mut().filter(|side| !side.done()).for_each(Side::leave);
@@ -599,7 +608,7 @@
             TimerEvent::Old => {
                 self.life.ending();
                 let (code, reason) = (close::GOING_AWAY, "it has lived long enough".into());
-                self.leave(LeaveRequest { code, reason, moves: false }, now);
+                self.evict(EvictionRequest { close_code: code, reason, may_migrate: false }, now);
             }
             TimerEvent::Ping(end) => self.ping(end, now),
             TimerEvent::Silent(Peer::Client) | TimerEvent::Stalled(Peer::Client) => {
@@ -639,7 +648,7 @@
     }
 
     /// Something makes its server doubtful: it is asked at once, not when its time comes.
-    pub fn doubt(&mut self, now: Nanos) {
+    pub fn probe_server(&mut self, now: Nanos) {
         if self.state == State::Open && !self.life.is_pinged(Peer::Server) {
             self.ping(Peer::Server, now);
         }
--- a/crates/websocket/tests/session.rs
+++ b/crates/websocket/tests/session.rs
@@ -3,7 +3,7 @@
 
 use mintshelf_websocket::frame::{FrameDecoder, Peer};
 use mintshelf_websocket::session::{
-    ClosedBy, LeaveRequest, Resume, Session, SessionAction, SessionConfig,
+    ClosedBy, EvictionRequest, Resume, Session, SessionAction, SessionConfig,
 };
 use mintshelf_websocket::timers::TimerConfig;
 use proptest::prelude::*;
@@ -105,10 +105,10 @@
 }
 
 fn flush(session: &mut Session, end: Peer, most: usize, now: u64) -> Vec<u8> {
-    let count = session.to_write(end).len().min(most);
-    let bytes = session.to_write(end)[..count].to_vec();
+    let count = session.pending_output(end).len().min(most);
+    let bytes = session.pending_output(end)[..count].to_vec();
     if count > 0 {
-        session.wrote(end, count, now);
+        session.record_written(end, count, now);
     }
     bytes
 }
@@ -126,7 +126,7 @@
             let mut session = Session::new(set(None), false, 1, 0);
             let mut out = Vec::new();
             for part in [&bytes[..cut], &bytes[cut..]] {
-                session.received(from, part, 0);
+                session.receive(from, part, 0);
                 out.extend(flush(&mut session, from.other(), usize::MAX, 0));
             }
             assert_eq!(out, bytes, "cut at {cut}");
@@ -139,16 +139,16 @@
 fn a_whole_closing_handshake_passes_and_ends_it() {
     let mut session = Session::new(set(None), false, 1, 0);
     let said = frame(&[3, 0xe8, b'b', b'y', b'e'], OpCode::Control(Control::Close), true, None);
-    session.received(Peer::Server, &said, S);
+    session.receive(Peer::Server, &said, S);
     assert_eq!(flush(&mut session, Peer::Client, usize::MAX, S), said);
-    assert_eq!(session.over(), None);
+    assert_eq!(session.end(), None);
     let mask = Some([1, 2, 3, 4]);
     let answer = frame(&[3, 0xe8], OpCode::Control(Control::Close), true, mask);
-    session.received(Peer::Client, &answer, S);
+    session.receive(Peer::Client, &answer, S);
     assert_eq!(flush(&mut session, Peer::Server, usize::MAX, S), answer);
-    let over = session.over().unwrap();
+    let over = session.end().unwrap();
     assert_eq!((over.by, over.code), (ClosedBy::Server, 1000));
-    assert!(session.ended_well(Peer::Client) && session.ended_well(Peer::Server));
+    assert!(session.closed_cleanly(Peer::Client) && session.closed_cleanly(Peer::Server));
 }
 
 #[test]
@@ -157,26 +157,26 @@
         |text: &str| frame(text.as_bytes(), OpCode::Data(Data::Text), true, Some([1, 2, 3, 4]));
     let mut session = Session::new(set(Some(Resume::FirstMessage)), false, 1, 0);
     let (first, second, third) = (message("devices 7"), message("faster"), message("slower"));
-    session.received(Peer::Client, &[&first[..], &second[..]].concat(), 0);
+    session.receive(Peer::Client, &[&first[..], &second[..]].concat(), 0);
     flush(&mut session, Peer::Server, usize::MAX, 0);
     // The third waits whole when the server dies.
-    session.received(Peer::Client, &third, 0);
-    session.ended(Peer::Server, S);
-    assert_eq!(session.act(), Some(SessionAction::Lost));
+    session.receive(Peer::Client, &third, 0);
+    session.peer_disconnected(Peer::Server, S);
+    assert_eq!(session.take_action(), Some(SessionAction::ServerLost));
     assert!(!session.wants_read(Peer::Client));
-    session.go(7, 2 * S);
-    assert_eq!(session.act(), Some(SessionAction::Move));
-    assert_eq!(session.moved(2 * S), Vec::<u8>::new());
+    session.migrate_or_close(7, 2 * S);
+    assert_eq!(session.take_action(), Some(SessionAction::Migrate));
+    assert_eq!(session.complete_migration(2 * S), Vec::<u8>::new());
     let out = flush(&mut session, Peer::Server, usize::MAX, 2 * S);
     assert_eq!(out, [first.clone(), third.clone()].concat());
-    assert!(session.to_write(Peer::Client).is_empty(), "the client has seen nothing of it");
+    assert!(session.pending_output(Peer::Client).is_empty(), "the client has seen nothing of it");
     // Again, and the server has got half of a message: that can't be restored.
-    session.received(Peer::Client, &second, 3 * S);
+    session.receive(Peer::Client, &second, 3 * S);
     flush(&mut session, Peer::Server, 3, 3 * S);
-    session.ended(Peer::Server, 3 * S);
-    session.act();
-    session.go(7, 3 * S);
-    assert_eq!(session.act(), None);
+    session.peer_disconnected(Peer::Server, 3 * S);
+    session.take_action();
+    session.migrate_or_close(7, 3 * S);
+    assert_eq!(session.take_action(), None);
     let told = flush(&mut session, Peer::Client, usize::MAX, 3 * S);
     let (seen, _) = read(&told, Peer::Client).unwrap();
     let Message::Close(Some(close)) = &seen[0] else { panic!("{seen:?}") };
@@ -188,25 +188,29 @@
 fn a_server_to_be_left_is_left_between_messages_and_told() {
     let part = |payload: &[u8], code, last| frame(payload, OpCode::Data(code), last, None);
     let mut session = Session::new(set(Some(Resume::Handshake)), false, 1, 0);
-    session.received(Peer::Server, &part(b"half", Data::Text, false), 0);
-    let leave = LeaveRequest { code: 1012, reason: "drained".into(), moves: true };
-    session.leave(leave, S);
-    assert_eq!(session.act(), None, "not within a message");
+    session.receive(Peer::Server, &part(b"half", Data::Text, false), 0);
+    let leave = EvictionRequest { close_code: 1012, reason: "drained".into(), may_migrate: true };
+    session.evict(leave, S);
+    assert_eq!(session.take_action(), None, "not within a message");
     let rest = [part(b"whole", Data::Continue, true), part(b"next", Data::Text, true)].concat();
-    session.received(Peer::Server, &rest, 2 * S);
-    assert_eq!(session.act(), Some(SessionAction::Move));
-    let farewell = session.moved(2 * S);
+    session.receive(Peer::Server, &rest, 2 * S);
+    assert_eq!(session.take_action(), Some(SessionAction::Migrate));
+    let farewell = session.complete_migration(2 * S);
     let (seen, _) = read(&farewell, Peer::Server).unwrap();
     assert!(matches!(&seen[..], [Message::Close(Some(close))] if u16::from(close.code) == 1001));
     let out = flush(&mut session, Peer::Client, usize::MAX, 2 * S);
     let (seen, _) = read(&out, Peer::Client).unwrap();
     assert_eq!(seen, [Message::text("halfwhole")]);
     // Another does not come to the end of its message: closed when that has taken too long.
-    session.received(Peer::Server, &part(b"half", Data::Text, false), 3 * S);
-    let leave = LeaveRequest { code: 1012, reason: "drained".into(), moves: true };
-    session.leave(leave, 3 * S);
-    session.tick(session.next());
-    assert_eq!(session.next(), 13 * S, "within its time to close, then that of the answer");
+    session.receive(Peer::Server, &part(b"half", Data::Text, false), 3 * S);
+    let leave = EvictionRequest { close_code: 1012, reason: "drained".into(), may_migrate: true };
+    session.evict(leave, 3 * S);
+    session.handle_timers(session.next_deadline());
+    assert_eq!(
+        session.next_deadline(),
+        13 * S,
+        "within its time to close, then that of the answer"
+    );
     let out = flush(&mut session, Peer::Client, usize::MAX, 8 * S);
     assert!(out.ends_with(b"drained"));
 }
@@ -219,7 +223,7 @@
     /// An end takes so many bytes.
     Takes(bool, usize),
     Eof(bool),
-    LeaveRequest(bool),
+    Evict(bool),
     Wait(u64),
     Doubt,
 }
@@ -229,7 +233,7 @@
         12 => (any::<bool>(), prop_oneof![1usize..20, 1usize..9_000]).prop_map(|(e, n)| Step::Bytes(e, n)),
         12 => (any::<bool>(), prop_oneof![1usize..20, 1usize..99_000]).prop_map(|(e, n)| Step::Takes(e, n)),
         1 => any::<bool>().prop_map(Step::Eof),
-        1 => any::<bool>().prop_map(Step::LeaveRequest),
+        1 => any::<bool>().prop_map(Step::Evict),
         2 => (0u64..40).prop_map(Step::Wait),
         1 => Just(Step::Doubt),
     ]
@@ -285,61 +289,61 @@
                     if session.wants_read(who) && !eof[c as usize] {
                         let from = at[c as usize];
                         let to = (from + count).min(of.len());
-                        session.received(who, &of[from..to], now);
+                        session.receive(who, &of[from..to], now);
                         at[c as usize] = to;
                     }
                 }
                 Step::Takes(c, count) => take(&mut session, end(c), count, now, &mut client_read, &mut servers_read),
                 Step::Eof(c) => if session.wants_read(end(c)) && !eof[c as usize] {
                     eof[c as usize] = true;
-                    session.ended(end(c), now);
+                    session.peer_disconnected(end(c), now);
                 },
-                Step::LeaveRequest(moves) => {
-                    session.leave(LeaveRequest { code: 1012, reason: "x".into(), moves }, now);
+                Step::Evict(may_migrate) => {
+                    session.evict(EvictionRequest { close_code: 1012, reason: "x".into(), may_migrate }, now);
                 }
                 Step::Wait(seconds) => {
                     let until = now + seconds * S;
                     // Each time is kept, and none comes again without end.
                     for _ in 0..200 {
-                        now = now.max(session.next().min(until));
-                        if session.over().is_some() {
+                        now = now.max(session.next_deadline().min(until));
+                        if session.end().is_some() {
                             now = until;
                         }
-                        if now < until { session.tick(now) } else { break }
+                        if now < until { session.handle_timers(now) } else { break }
                     }
                     prop_assert!(now == until, "it has no rest");
                 }
-                Step::Doubt => session.doubt(now),
+                Step::Doubt => session.probe_server(now),
             }
-            if session.act() == Some(SessionAction::Lost) {
-                session.go(3, now);
+            if session.take_action() == Some(SessionAction::ServerLost) {
+                session.migrate_or_close(3, now);
             }
-            if session.act() == Some(SessionAction::Move) {
+            if session.take_action() == Some(SessionAction::Migrate) {
                 if takes_over {
-                    session.moved(now);
+                    session.complete_migration(now);
                     servers_read.push(Vec::new());
                     eof[0] = false;
                     // A new server begins anew.
                     at[0] = 0;
                 } else {
-                    session.stays(3, now);
+                    session.fail_migration(3, now);
                 }
             }
-            prop_assert!(session.queued() < 4 * (set.buffer_bytes + 9_000) + 66_000);
-            if session.over().is_some() { stopped = true; break; }
+            prop_assert!(session.buffered_bytes() < 4 * (set.buffer_bytes + 9_000) + 66_000);
+            if session.end().is_some() { stopped = true; break; }
         }
         if !stopped {
-            session.ended(Peer::Client, now);
+            session.peer_disconnected(Peer::Client, now);
             for _ in 0..50 {
-                if session.over().is_some() { break; }
-                session.act();
-                session.go(1, now);
-                now = now.max(session.next().min(now + S));
-                session.tick(now);
-                session.stays(1, now);
+                if session.end().is_some() { break; }
+                session.take_action();
+                session.migrate_or_close(1, now);
+                now = now.max(session.next_deadline().min(now + S));
+                session.handle_timers(now);
+                session.fail_migration(1, now);
                 take(&mut session, Peer::Server, usize::MAX, now, &mut client_read, &mut servers_read);
             }
-            prop_assert!(session.over().is_some(), "it does not end");
+            prop_assert!(session.end().is_some(), "it does not end");
         }
         let (seen, _) = read(&client_read, Peer::Client).map_err(|e| TestCaseError::fail(e.to_string()))?;
         let closes = seen.iter().filter(|m| m.is_close()).count();
@@ -377,12 +381,12 @@
 fn a_close_that_says_nothing_passes_both_ways() {
     let mut session = Session::new(set(None), false, 1, 0);
     let said = frame(&[], OpCode::Control(Control::Close), true, Some([1, 2, 3, 4]));
-    session.received(Peer::Client, &said, S);
+    session.receive(Peer::Client, &said, S);
     assert_eq!(flush(&mut session, Peer::Server, usize::MAX, S), said);
     assert!(session.wants_read(Peer::Server));
     let answer = frame(&[], OpCode::Control(Control::Close), true, None);
-    session.received(Peer::Server, &answer, S);
+    session.receive(Peer::Server, &answer, S);
     assert_eq!(flush(&mut session, Peer::Client, usize::MAX, S), answer);
-    let over = session.over().unwrap();
+    let over = session.end().unwrap();
     assert_eq!((over.by, over.code), (ClosedBy::Client, 1005));
 }
