--- a/crates/mintshelf/tests/compatibility/bindings.rs
+++ b/crates/mintshelf/tests/compatibility/bindings.rs
@@ -12,7 +12,8 @@
 use mintshelf_consensus_node::store::{Identity, Opened, Store};
 use mintshelf_lease::lease::{Answer, Command, Held, Lease, Owner, Refusal, Waiter};
 use mintshelf_lease::timing::{ClockError, Timing};
-use mintshelf_proxy::discovery::list::{read_list, Fleet};
+use mintshelf_proxy::discovery::list::EndpointList;
+use mintshelf_proxy::discovery::reader::EndpointListReader;
 use mintshelf_proxy::endpoints::Endpoints;
 use mintshelf_quota::config::Budget;
 use mintshelf_quota::ledger::{self, Ask, Beat, Ended, Promise};
@@ -201,10 +202,10 @@
     let zones = vec!["east".to_string(), "west".to_string()];
     let names = Names { zones, kinds: vec!["small".to_string()], ..Names::default() };
     let addresses = Endpoints::default();
-    let mut lists = Fleet::new(names, addresses.clone());
-    let list = read_list(text.as_bytes());
-    let well_formed = list.well_formed;
-    let (_, endpoints) = lists.take(list, came_whole);
+    let mut lists = EndpointListReader::new(names, addresses.clone());
+    let list = EndpointList::parse(text.as_bytes());
+    let well_formed = list.is_well_formed;
+    let endpoints = lists.apply(list, came_whole).servers;
     let mut lines = format!("well-formed {well_formed}, revision {}\n", lists.revision());
     for endpoint in endpoints {
         let state = match endpoint.state {
--- a/crates/proxy/src/sockets/mod.rs
+++ /dev/null
@@ -1,5 +0,0 @@
-//! WebSocket: upgraded connections through the same routes, limits and decisions as requests.
-
-pub mod front;
-pub mod registry;
-pub mod relay;
--- a/crates/websocket/src/handshake.rs
+++ b/crates/websocket/src/handshake.rs
@@ -15,14 +15,14 @@
 
 /// What a route lets through.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Terms {
+pub struct HandshakePolicy {
     /// Origins that may open sockets, in lower case; all if absent. A client that is no
     /// browser sends none, and may.
-    pub origins: Option<Vec<String>>,
+    pub allowed_origins: Option<Vec<String>>,
     /// Subprotocols that are passed on; all if absent.
-    pub subprotocols: Option<Vec<String>>,
+    pub allowed_subprotocols: Option<Vec<String>>,
     /// Whether compression is passed on.
-    pub extensions: bool,
+    pub allow_compression: bool,
 }
 
 /// Why a handshake is none that could be passed on.
@@ -68,7 +68,7 @@
 
 /// A client's handshake.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Offer {
+pub struct ClientHandshake {
     /// The accept that the client waits for.
     accept: HeaderValue,
     /// Subprotocols that are passed on.
@@ -78,7 +78,7 @@
 }
 
 /// Whether a request asks for a WebSocket, well or not.
-pub fn asks(headers: &HeaderMap) -> bool {
+pub fn is_upgrade_request(headers: &HeaderMap) -> bool {
     list(headers, &header::CONNECTION).any(|token| token.eq_ignore_ascii_case("upgrade"))
         && list(headers, &header::UPGRADE).any(|token| token.eq_ignore_ascii_case("websocket"))
 }
@@ -117,14 +117,14 @@
     element.split(';').next().is_some_and(|name| name.trim().eq_ignore_ascii_case(DEFLATE))
 }
 
-impl Offer {
-    /// Reads a client's handshake, for which [`asks`] holds, against what its route lets
+impl ClientHandshake {
+    /// Reads a client's handshake, for which [`is_upgrade_request`] holds, against what its route lets
     /// through.
-    pub fn read(
+    pub fn parse(
         method: &Method,
         version: Version,
         headers: &HeaderMap,
-        terms: &Terms,
+        terms: &HandshakePolicy,
     ) -> Result<Self, HandshakeError> {
         if method != Method::GET || version != Version::HTTP_11 {
             return Err(HandshakeError::Method);
@@ -139,7 +139,9 @@
         if STANDARD.decode(key).map_err(|_| HandshakeError::Key)?.len() != 16 {
             return Err(HandshakeError::Key);
         }
-        if let (Some(origins), true) = (&terms.origins, headers.contains_key(header::ORIGIN)) {
+        if let (Some(origins), true) =
+            (&terms.allowed_origins, headers.contains_key(header::ORIGIN))
+        {
             let origin = only(headers, &header::ORIGIN).and_then(|o| o.to_str().ok());
             let origin = origin.unwrap_or_default().to_ascii_lowercase();
             if !origins.contains(&origin) {
@@ -153,18 +155,19 @@
             }
             subprotocols.push(name.to_string());
         }
-        if let Some(passed) = &terms.subprotocols {
+        if let Some(passed) = &terms.allowed_subprotocols {
             subprotocols.retain(|name| passed.contains(name));
         }
         let extensions = list(headers, &header::SEC_WEBSOCKET_EXTENSIONS);
-        let extensions = extensions.filter(|element| terms.extensions && is_deflate(element));
+        let extensions =
+            extensions.filter(|element| terms.allow_compression && is_deflate(element));
         let extensions = extensions.map(str::to_string).collect();
-        Ok(Offer { accept: value(&accept_of(key)), subprotocols, extensions })
+        Ok(ClientHandshake { accept: value(&accept_of(key)), subprotocols, extensions })
     }
 
     /// Puts the handshake towards a server into headers that were cleaned for the next hop.
     /// `nonce` is a new one; what is to be looked at when the answer comes.
-    pub fn ask(&self, nonce: [u8; 16], headers: &mut HeaderMap) -> HandshakeRequest {
+    pub fn write_request(&self, nonce: [u8; 16], headers: &mut HeaderMap) -> HandshakeRequest {
         let key = STANDARD.encode(nonce);
         headers.insert(header::CONNECTION, HeaderValue::from_static("Upgrade"));
         headers.insert(header::UPGRADE, HeaderValue::from_static("websocket"));
@@ -184,7 +187,7 @@
     }
 
     /// Makes a server's good 101 the client's.
-    pub fn answer(&self, headers: &mut HeaderMap) {
+    pub fn write_response(&self, headers: &mut HeaderMap) {
         headers.insert(header::CONNECTION, HeaderValue::from_static("Upgrade"));
         headers.insert(header::UPGRADE, HeaderValue::from_static("websocket"));
         headers.insert(header::SEC_WEBSOCKET_ACCEPT, self.accept.clone());
@@ -211,8 +214,11 @@
 impl HandshakeRequest {
     /// Checks a server's 101 (RFC 6455 4.1): it proves that it has read the handshake, and
     /// agrees to nothing that it was not offered.
-    pub fn check(&self, headers: &HeaderMap) -> Result<NegotiatedTerms, HandshakeResponseError> {
-        if !asks(headers) {
+    pub fn verify_response(
+        &self,
+        headers: &HeaderMap,
+    ) -> Result<NegotiatedTerms, HandshakeResponseError> {
+        if !is_upgrade_request(headers) {
             return Err(HandshakeResponseError::Upgrade);
         }
         let accept =
@@ -238,7 +244,7 @@
 
 impl NegotiatedTerms {
     /// Whether messages may be compressed.
-    pub fn deflate(&self) -> bool {
+    pub fn uses_compression(&self) -> bool {
         self.extension.is_some()
     }
 }
@@ -272,23 +278,26 @@
         all
     }
 
-    fn read(headers: &HeaderMap, terms: &Terms) -> Result<Offer, HandshakeError> {
-        Offer::read(&Method::GET, Version::HTTP_11, headers, terms)
+    fn read(
+        headers: &HeaderMap,
+        terms: &HandshakePolicy,
+    ) -> Result<ClientHandshake, HandshakeError> {
+        ClientHandshake::parse(&Method::GET, Version::HTTP_11, headers, terms)
     }
 
     #[test]
     fn clients_handshakes_are_checked() {
-        let terms = Terms::default();
-        assert!(asks(&good(&[])));
-        assert!(!asks(&headers(&[("upgrade", "websocket")])));
-        assert!(!asks(&headers(&[("upgrade", "h2c"), ("connection", "upgrade")])));
+        let terms = HandshakePolicy::default();
+        assert!(is_upgrade_request(&good(&[])));
+        assert!(!is_upgrade_request(&headers(&[("upgrade", "websocket")])));
+        assert!(!is_upgrade_request(&headers(&[("upgrade", "h2c"), ("connection", "upgrade")])));
         let offer = read(&good(&[]), &terms).unwrap();
         let mut answer = HeaderMap::new();
-        offer.answer(&mut answer);
+        offer.write_response(&mut answer);
         assert_eq!(answer["sec-websocket-accept"], ACCEPT);
-        let bad = Offer::read(&Method::POST, Version::HTTP_11, &good(&[]), &terms);
+        let bad = ClientHandshake::parse(&Method::POST, Version::HTTP_11, &good(&[]), &terms);
         assert_eq!(bad, Err(HandshakeError::Method));
-        let bad = Offer::read(&Method::GET, Version::HTTP_10, &good(&[]), &terms);
+        let bad = ClientHandshake::parse(&Method::GET, Version::HTTP_10, &good(&[]), &terms);
         assert_eq!(bad, Err(HandshakeError::Method));
         for (name, with, bad) in [
             ("sec-websocket-version", Some("8"), HandshakeError::Version),
@@ -308,8 +317,8 @@
         }
         let twice = good(&[("sec-websocket-key", KEY)]);
         assert_eq!(read(&twice, &terms), Err(HandshakeError::Key));
-        let origins = Some(vec!["https://lab.example".to_string()]);
-        let terms = Terms { origins, ..Terms::default() };
+        let allowed_origins = Some(vec!["https://lab.example".to_string()]);
+        let terms = HandshakePolicy { allowed_origins, ..HandshakePolicy::default() };
         assert!(read(&good(&[("origin", "HTTPS://lab.example")]), &terms).is_ok());
         assert!(read(&good(&[]), &terms).is_ok());
         let foreign = good(&[("origin", "https://lab.example.evil")]);
@@ -322,13 +331,17 @@
             ("sec-websocket-protocol", "status.v2, status.v1, chat"),
             ("sec-websocket-extensions", "permessage-deflate; client_max_window_bits, x-mux"),
         ];
-        let asked = |terms: &Terms| {
+        let asked = |terms: &HandshakePolicy| {
             let offer = read(&good(&more), terms).unwrap();
             let mut out = HeaderMap::new();
-            (offer.ask(*b"the sample nonce", &mut out), out)
+            (offer.write_request(*b"the sample nonce", &mut out), out)
         };
         let some = vec!["status.v1".to_string(), "status.v2".to_string()];
-        let terms = Terms { subprotocols: Some(some), extensions: true, ..Terms::default() };
+        let terms = HandshakePolicy {
+            allowed_subprotocols: Some(some),
+            allow_compression: true,
+            ..HandshakePolicy::default()
+        };
         let (ask, out) = asked(&terms);
         assert_eq!(out["sec-websocket-key"], KEY);
         assert_eq!(out["sec-websocket-protocol"], "status.v2, status.v1");
@@ -345,14 +358,14 @@
             }
             all
         };
-        let agreed = ask.check(&answer(&[
+        let agreed = ask.verify_response(&answer(&[
             ("sec-websocket-protocol", "status.v1"),
             ("sec-websocket-extensions", "permessage-deflate; server_no_context_takeover"),
         ]));
         let agreed = agreed.unwrap();
         assert_eq!(agreed.subprotocol.as_deref(), Some("status.v1"));
-        assert!(agreed.deflate());
-        assert_eq!(ask.check(&answer(&[])), Ok(NegotiatedTerms::default()));
+        assert!(agreed.uses_compression());
+        assert_eq!(ask.verify_response(&answer(&[])), Ok(NegotiatedTerms::default()));
         for (name, value, bad) in [
             ("upgrade", "h2c", HandshakeResponseError::Upgrade),
             (
@@ -364,12 +377,12 @@
             ("sec-websocket-protocol", "status.v1, status.v2", HandshakeResponseError::Subprotocol),
             ("sec-websocket-extensions", "x-mux", HandshakeResponseError::Extension),
         ] {
-            assert_eq!(ask.check(&answer(&[(name, value)])), Err(bad), "{name} {value}");
+            assert_eq!(ask.verify_response(&answer(&[(name, value)])), Err(bad), "{name} {value}");
         }
-        let withheld = Terms { extensions: false, ..terms };
+        let withheld = HandshakePolicy { allow_compression: false, ..terms };
         let (ask, out) = asked(&withheld);
         assert!(!out.contains_key("sec-websocket-extensions"));
         let deflate = answer(&[("sec-websocket-extensions", "permessage-deflate")]);
-        assert_eq!(ask.check(&deflate), Err(HandshakeResponseError::Extension));
+        assert_eq!(ask.verify_response(&deflate), Err(HandshakeResponseError::Extension));
     }
 }
