--- a/crates/config/src/file/fleet.rs
+++ b/crates/config/src/file/fleet.rs
@@ -3,7 +3,7 @@
 use super::reader::{At, Table};
 use super::{address, ms, EVER};
 use crate::model::{Fleet, FleetVoter};
-use mintshelf_lease::lease::{is_valid_name, NAME_MAX};
+use mintshelf_lease::command::{is_valid_name, NAME_MAX};
 use mintshelf_lease::timing::{ClockError, Nanos, Timing, TimingError};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -152,25 +152,25 @@
     let standard = Timing::default();
     let read =
         |key, default: Nanos| table.duration(key, Duration::from_nanos(default), ms(1)..=EVER);
-    let election = read("election", standard.election);
-    let heartbeat = read("heartbeat", standard.heartbeat);
-    let session = read("session", standard.session);
-    let lease = read("lease", standard.lease);
-    let ppm = table.whole("clock-error-ppm", standard.error.ppm, 0..=100_000);
+    let election = read("election", standard.election_timeout);
+    let heartbeat = read("heartbeat", standard.heartbeat_interval);
+    let session = read("session", standard.session_timeout);
+    let lease = read("lease", standard.lease_duration);
+    let ppm = table.whole("clock-error-ppm", standard.clock_error.ppm, 0..=100_000);
     let nanos = |at: &At<Duration>| at.value.as_nanos() as Nanos;
     let spans = Timing {
-        election: nanos(&election),
-        heartbeat: nanos(&heartbeat),
-        session: nanos(&session),
-        lease: nanos(&lease),
-        error: ClockError { ppm: ppm.value },
+        election_timeout: nanos(&election),
+        heartbeat_interval: nanos(&heartbeat),
+        session_timeout: nanos(&session),
+        lease_duration: nanos(&lease),
+        clock_error: ClockError { ppm: ppm.value },
     };
     let Err(problem) = spans.check() else { return Some(spans) };
     let at = match problem {
         TimingError::Election { .. } | TimingError::Bounds => &election,
         TimingError::Lease { .. } => &lease,
         TimingError::Session { .. } => &session,
-        TimingError::Error { .. } => {
+        TimingError::ClockError { .. } => {
             table.reader.wrong(&ppm.span, &ppm.field, problem, "write a smaller one");
             return None;
         }
--- a/crates/consensus-node/src/client.rs
+++ b/crates/consensus-node/src/client.rs
@@ -4,9 +4,9 @@
 use crate::frame::{pack, unpack, Frame, Hello, Report, Speaker, VERSION};
 use crate::node::{greet, Wire};
 use futures_util::{SinkExt, StreamExt};
-use mintshelf_lease::client::{Holder, Step};
+use mintshelf_lease::client::{ActiveGrant, HolderAction, LeaseClient, LeaseConfig};
+use mintshelf_lease::command::{Command, Owner, Rejection, Response};
 use mintshelf_lease::fence::Token;
-use mintshelf_lease::lease::{Answer, Command, Owner, Refusal};
 use mintshelf_lease::timing::{ClockError, Nanos, MS};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -47,7 +47,7 @@
     /// The grant, and until when it is held.
     pub held: Option<(Token, Nanos)>,
     /// Why the voters will not have it.
-    pub refused: Option<Refusal>,
+    pub refused: Option<Rejection>,
 }
 
 /// Asks for a lease, holds it and tells how it stands, until `stop` is done; then gives it back.
@@ -57,18 +57,19 @@
     stop: impl std::future::Future<Output = ()>,
 ) {
     let Want { owner, lease, span, error, wait, .. } = want.clone();
-    let mut holder = Holder::new(&lease, owner, span, error, wait);
+    let mut holder =
+        LeaseClient::new(LeaseConfig { lease, owner, duration: span, clock_error: error, wait });
     let (mut at, mut left) = (0usize, None);
     tokio::pin!(stop);
     loop {
-        if want.voters.is_empty() || holder.is_over() {
+        if want.voters.is_empty() || holder.is_released() {
             return;
         }
         let talk = talk(&want, want.voters[at % want.voters.len()], &mut holder, &standing);
         tokio::select! {
             () = talk => at += 1,
             () = &mut stop, if left.is_none() => {
-                holder.give_back();
+                holder.release();
                 // Given back if a voter hears of it in time; else it ends with its span.
                 left = Some(clock::now() + span);
                 standing.send_replace(Standing::default());
@@ -125,7 +126,7 @@
     owner: Owner,
     voters: &[SocketAddr],
     command: Command,
-) -> Option<Answer> {
+) -> Option<Response> {
     // Each is put on a link of its own, where no other is.
     let question = Frame::Ask { number: 0, command };
     for _ in 0..ROUNDS {
@@ -141,8 +142,9 @@
     None
 }
 
-fn show(holder: &Holder, standing: &watch::Sender<Standing>, refused: Option<Refusal>) {
-    let held = holder.held(clock::now());
+fn show(holder: &LeaseClient, standing: &watch::Sender<Standing>, refused: Option<Rejection>) {
+    let held = holder.active_grant(clock::now());
+    let held = held.map(|ActiveGrant { token, expires_at }| (token, expires_at));
     standing.send_if_modified(|said| {
         let now = Standing { held, refused: refused.or(said.refused.filter(|_| held.is_none())) };
         let differs = *said != now;
@@ -155,25 +157,25 @@
 async fn talk(
     want: &Want,
     voter: SocketAddr,
-    holder: &mut Holder,
+    holder: &mut LeaseClient,
     standing: &watch::Sender<Standing>,
 ) {
     let Some(mut wire) = reach(&want.fleet, want.owner.clone(), voter).await else { return };
     let mut asked_at = None;
-    holder.unanswered(clock::now());
+    holder.handle_no_response(clock::now());
     loop {
         let mut steps = Vec::new();
         holder.tick(clock::now(), &mut steps);
         show(holder, standing, None);
         for step in steps {
-            let Step::Send { number, command } = step else { continue };
+            let HolderAction::Send { request_id: number, command } = step else { continue };
             let frame = pack(&Frame::Ask { number, command });
             if !matches!(timeout(ANSWER_WITHIN, wire.send(frame)).await, Ok(Ok(()))) {
                 return;
             }
             asked_at.get_or_insert_with(clock::now);
         }
-        if holder.is_over() {
+        if holder.is_released() {
             return;
         }
         let now = clock::now();
@@ -181,7 +183,7 @@
         if patience.is_some_and(|until| until <= now) {
             return;
         }
-        let until = patience.unwrap_or(Nanos::MAX).min(holder.next());
+        let until = patience.unwrap_or(Nanos::MAX).min(holder.next_tick_at());
         let pause = Duration::from_nanos(until.saturating_sub(now).clamp(MS, 1_000 * MS));
         let frame = match timeout(pause, wire.next()).await {
             Err(_) => continue,
@@ -192,9 +194,9 @@
             Ok(Frame::Answer { number, answer }) => {
                 asked_at = None;
                 let mut steps = Vec::new();
-                holder.answered(clock::now(), number, &answer, &mut steps);
+                holder.handle_response(clock::now(), number, &answer, &mut steps);
                 let refused = steps.iter().find_map(|step| match step {
-                    Step::Refused(refusal) => Some(*refusal),
+                    HolderAction::Rejected(refusal) => Some(*refusal),
                     _ => None,
                 });
                 show(holder, standing, refused);
--- a/crates/consensus-node/src/frame.rs
+++ b/crates/consensus-node/src/frame.rs
@@ -2,7 +2,8 @@
 //! which says who speaks, in which version, for which fleet.
 
 use mintshelf_consensus::replica::{Status, FRAME_MAX};
-use mintshelf_lease::lease::{Answer, Command, Lease, Owner};
+use mintshelf_lease::command::{Command, Owner, Response};
+use mintshelf_lease::lease::Lease;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 use tokio_util::bytes::Bytes;
@@ -50,7 +51,7 @@
         /// The question's number.
         number: u64,
         /// What came of it.
-        answer: Answer,
+        answer: Response,
     },
     /// A member asks a voter how it is.
     Tell,
--- a/crates/consensus-node/tests/nodes.rs
+++ b/crates/consensus-node/tests/nodes.rs
@@ -6,7 +6,7 @@
 use mintshelf_consensus_node::clock;
 use mintshelf_consensus_node::node::{run, NodeError, Plan};
 use mintshelf_consensus_node::store::{Identity, Opened, Store};
-use mintshelf_lease::lease::Owner;
+use mintshelf_lease::command::Owner;
 use mintshelf_lease::timing::{ClockError, Timing, MS, SECOND};
 use mintshelf_test_support::relay::Relay;
 use mintshelf_test_support::{free_address, wait_until};
@@ -22,13 +22,12 @@
 const LEASE: u64 = 8 * SECOND;
 
 fn spans() -> Timing {
-    let error = ClockError::default();
     Timing {
-        election: 500 * MS,
-        heartbeat: 100 * MS,
-        session: 2 * SECOND,
-        lease: 3 * SECOND,
-        error,
+        election_timeout: 500 * MS,
+        heartbeat_interval: 100 * MS,
+        session_timeout: 2 * SECOND,
+        lease_duration: 3 * SECOND,
+        clock_error: ClockError::default(),
     }
 }
 
--- a/crates/consensus-node/tests/store.rs
+++ b/crates/consensus-node/tests/store.rs
@@ -3,7 +3,7 @@
 
 use mintshelf_consensus::replica::{Stored, Voter, SNAPSHOT_EVERY};
 use mintshelf_consensus_node::store::{Identity, Opened, Store, StoreError, FILE};
-use mintshelf_lease::lease::{Command, Owner};
+use mintshelf_lease::command::{Command, Owner};
 use mintshelf_lease::timing::{Nanos, Timing, MS, SECOND};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
@@ -76,7 +76,7 @@
 
 fn ask(n: u64) -> Command {
     let owner = Owner { member: "m".into(), incarnation: 1 };
-    Command::Acquire { lease: format!("l{}", n % 40), owner, span: SECOND, wait: false }
+    Command::Acquire { lease: format!("l{}", n % 40), owner, duration: SECOND, wait: false }
 }
 
 #[test]
--- a/crates/consensus/benches/leases.rs
+++ b/crates/consensus/benches/leases.rs
@@ -6,7 +6,7 @@
 
 use common::world::{Plan, World};
 use mintshelf_consensus::replica::{encode, Stored, Voter};
-use mintshelf_lease::lease::{Command, Owner};
+use mintshelf_lease::command::{Command, Owner};
 use mintshelf_lease::timing::{ClockError, Nanos, Timing, MS, SECOND};
 use std::time::Instant;
 
@@ -126,8 +126,8 @@
                 // Those whose turn it is, spread over a third of the span.
                 for n in (0..leases).filter(|n| *n as u64 % 333 == step % 333) {
                     let owner = Owner { member: format!("m{n}"), incarnation: 1 };
-                    let (lease, span) = (format!("lease-{n}"), 10 * SECOND);
-                    let ask = Command::Acquire { lease, owner, span, wait: false };
+                    let (lease, duration) = (format!("lease-{n}"), 10 * SECOND);
+                    let ask = Command::Acquire { lease, owner, duration, wait: false };
                     voters[leader].propose(&ask).unwrap();
                     renewals += u64::from(step >= 1_000);
                 }
--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -7,7 +7,8 @@
 
 use crate::log::Log;
 use crate::state_machine::Machine;
-use mintshelf_lease::lease::{Answer, Leases};
+use mintshelf_lease::command::Response;
+use mintshelf_lease::lease::Leases;
 use mintshelf_lease::timing::{Nanos, Timing};
 use protobuf::Message as _;
 use raft::eraftpb::{ConfState, Entry, EntryType, HardState, Message, MessageType, Snapshot};
@@ -130,7 +131,7 @@
 
 /// What is to be written and synced, in this order, and what may be sent meanwhile.
 #[derive(Debug)]
-pub struct Batch<A = Answer> {
+pub struct Batch<A = Response> {
     /// A leader's state in place of the log.
     pub snapshot: Option<Snapshot>,
     /// Entries that replace those from their first index on.
@@ -218,8 +219,8 @@
     /// # Errors
     /// The stored state can't be read.
     pub fn new(id: u64, stored: &Stored, spans: &Timing, life: u64) -> Result<Self, VoterError> {
-        let tick_span = spans.heartbeat;
-        let election = (spans.election / tick_span) as usize;
+        let tick_span = spans.heartbeat_interval;
+        let election = (spans.election_timeout / tick_span) as usize;
         let log = stored.log.clone();
         let applied = log.snapshot.get_metadata().index;
         let config = Config {
@@ -242,7 +243,7 @@
         let mut voter = Voter {
             raw,
             machine,
-            counts: M::counts(spans.error),
+            counts: M::counts(spans.clock_error),
             pending: None,
             rng: Pcg32::seed_from_u64(life),
             drawn: (0, StateRole::Follower, 0),
--- a/crates/consensus/src/state_machine.rs
+++ b/crates/consensus/src/state_machine.rs
@@ -1,8 +1,9 @@
 //! What the voters agree on, as one of them sees it: a state without a clock, and the counts that
 //! go with it while this voter leads.
 
-use mintshelf_lease::expiry::Grantor;
-use mintshelf_lease::lease::{Answer, Command, Leases};
+use mintshelf_lease::command::{Command, Response};
+use mintshelf_lease::expiry::LeaseExpiry;
+use mintshelf_lease::lease::Leases;
 use mintshelf_lease::timing::{ClockError, Nanos};
 use serde::{de::DeserializeOwned, Serialize};
 
@@ -40,34 +41,34 @@
 
 impl Machine for Leases {
     type Command = Command;
-    type Answer = Answer;
-    type Counts = Grantor;
+    type Answer = Response;
+    type Counts = LeaseExpiry;
 
-    fn counts(error: ClockError) -> Grantor {
-        Grantor::new(error)
+    fn counts(error: ClockError) -> LeaseExpiry {
+        LeaseExpiry::new(error)
     }
 
-    fn apply(&mut self, command: &Command) -> Answer {
+    fn apply(&mut self, command: &Command) -> Response {
         Leases::apply(self, command)
     }
 
-    fn applied(&self, now: Nanos, command: &Command, counts: &mut Grantor) {
-        counts.applied(now, self, command.lease());
+    fn applied(&self, now: Nanos, command: &Command, counts: &mut LeaseExpiry) {
+        counts.command_applied(now, self, command.lease());
     }
 
-    fn lead(&self, now: Nanos, counts: &mut Grantor) {
-        counts.lead(now, self);
+    fn lead(&self, now: Nanos, counts: &mut LeaseExpiry) {
+        counts.become_leader(now, self);
     }
 
-    fn follow(counts: &mut Grantor) {
-        counts.follow();
+    fn follow(counts: &mut LeaseExpiry) {
+        counts.step_down();
     }
 
-    fn leads(counts: &Grantor) -> bool {
-        counts.leads()
+    fn leads(counts: &LeaseExpiry) -> bool {
+        counts.is_leader()
     }
 
-    fn due(now: Nanos, counts: &mut Grantor) -> Vec<Command> {
-        counts.due(now)
+    fn due(now: Nanos, counts: &mut LeaseExpiry) -> Vec<Command> {
+        counts.due_commands(now)
     }
 }
--- a/crates/consensus/tests/common/world.rs
+++ b/crates/consensus/tests/common/world.rs
@@ -3,9 +3,9 @@
 
 use super::checker::{Act, Shown};
 use mintshelf_consensus::replica::{encode, Batch, Stored, Ticket, Voter};
-use mintshelf_lease::client::{Holder, Step};
+use mintshelf_lease::client::{HolderAction, LeaseClient, LeaseConfig};
+use mintshelf_lease::command::{Command, Owner, Response};
 use mintshelf_lease::fence::Fence;
-use mintshelf_lease::lease::{Answer, Command, Owner};
 use mintshelf_lease::timing::{ClockError, Nanos, Timing, MS, SECOND};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
@@ -63,7 +63,7 @@
 enum Wire {
     Raft(Vec<u8>),
     Ask { number: u64, command: Command },
-    Answer { number: u64, answer: Answer },
+    Answer { number: u64, answer: Response },
 }
 
 enum Happens {
@@ -102,7 +102,7 @@
 }
 
 struct Contender {
-    holder: Holder,
+    holder: LeaseClient,
     to: Pid,
     unanswered: u32,
     acting: Option<Acting>,
@@ -210,11 +210,11 @@
 
     fn spans(&self) -> Timing {
         Timing {
-            election: 500 * MS,
-            heartbeat: 100 * MS,
-            session: 2 * SECOND,
-            lease: self.plan.lease,
-            error: self.believed(),
+            election_timeout: 500 * MS,
+            heartbeat_interval: 100 * MS,
+            session_timeout: 2 * SECOND,
+            lease_duration: self.plan.lease,
+            clock_error: self.believed(),
         }
     }
 
@@ -246,7 +246,13 @@
         let wait = self.below(2) == 0;
         let to = self.below(self.plan.voters as u64) as Pid;
         Contender {
-            holder: Holder::new("task", owner, self.plan.lease, error, wait),
+            holder: LeaseClient::new(LeaseConfig {
+                lease: "task".into(),
+                owner,
+                duration: self.plan.lease,
+                clock_error: error,
+                wait,
+            }),
             to,
             unanswered: 0,
             acting: None,
@@ -357,7 +363,7 @@
             },
             Role::Contender(Some(contender)) => {
                 let Wire::Answer { number, answer } = wire else { return };
-                if let (Some((renewal, at)), Answer::Granted { .. }) =
+                if let (Some((renewal, at)), Response::Granted { .. }) =
                     (self.asked.remove(&(to, number)), &answer)
                 {
                     self.waits.push((renewal, self.now - at));
@@ -367,14 +373,14 @@
                     // It notes that it has asked when the answer is there.
                     contender.holder.tick(own, &mut steps);
                     let asked = steps.drain(..).find_map(|step| match step {
-                        Step::Send { number, .. } => Some(number),
+                        HolderAction::Send { request_id: number, .. } => Some(number),
                         _ => None,
                     });
                     if let Some(number) = asked {
-                        contender.holder.answered(own, number, &answer, &mut steps);
+                        contender.holder.handle_response(own, number, &answer, &mut steps);
                     }
                 } else {
-                    contender.holder.answered(own, number, &answer, &mut steps);
+                    contender.holder.handle_response(own, number, &answer, &mut steps);
                 }
                 contender.unanswered = 0;
                 self.steps(to, steps);
@@ -453,9 +459,9 @@
 
     // ----------------------------------------------------------- contenders
 
-    fn steps(&mut self, pid: Pid, steps: Vec<Step>) {
+    fn steps(&mut self, pid: Pid, steps: Vec<HolderAction>) {
         for step in steps {
-            let Step::Send { number, command } = step else { continue };
+            let HolderAction::Send { request_id: number, command } = step else { continue };
             let voters = self.plan.voters as u64;
             let other = self.below(voters) as Pid;
             let Role::Contender(Some(contender)) = &mut self.processes[pid].role else { return };
@@ -481,17 +487,17 @@
         if contender.acting.is_some() {
             return;
         }
-        if contender.holder.is_over() && now >= contender.rest_until {
-            contender.holder.want();
+        if contender.holder.is_released() && now >= contender.rest_until {
+            contender.holder.request();
             contender.acts_left = 1 + (now / MS) as u32 % 12;
         }
         if contender.acts_left == 0 {
-            contender.holder.give_back();
+            contender.holder.release();
             return;
         }
         // What the act takes by its own clock, rounded up.
         let within = (long as i128 * (1_000_000 + clock as i128) / 1_000_000) as Nanos + 1;
-        let Ok(token) = contender.holder.act(own, within) else { return };
+        let Ok(token) = contender.holder.begin_operation(own, within) else { return };
         contender.acts_left -= 1;
         if contender.acts_left == 0 {
             contender.rest_until = now + lease;
@@ -518,7 +524,7 @@
     fn act_ends(&mut self, pid: Pid) {
         let Role::Contender(Some(contender)) = &mut self.processes[pid].role else { return };
         let Some(Acting { token, start, disturbed }) = contender.acting.take() else { return };
-        contender.holder.rest();
+        contender.holder.finish_operations();
         let passed = self.show(token);
         if disturbed && !passed {
             return;
@@ -571,7 +577,7 @@
         let is = |pid: &Pid| match &self.processes[*pid].role {
             Role::Voter(Some(process)) => leader && process.voter.status().leads,
             Role::Contender(Some(contender)) => {
-                holder && contender.holder.held(self.own(*pid)).is_some()
+                holder && contender.holder.active_grant(self.own(*pid)).is_some()
             }
             _ => false,
         };
--- a/crates/consensus/tests/frames.rs
+++ b/crates/consensus/tests/frames.rs
@@ -1,7 +1,7 @@
 //! Frames that are cut, changed or made up reach a voter: an error or nothing, never a panic.
 
 use mintshelf_consensus::replica::{encode, Stored, Voter, VoterError, FRAME_MAX, SNAPSHOT_EVERY};
-use mintshelf_lease::lease::{Command, Owner};
+use mintshelf_lease::command::{Command, Owner};
 use mintshelf_lease::timing::{Nanos, Timing, MS, SECOND};
 use protobuf::Message as _;
 use rand_core::{RngCore, SeedableRng};
@@ -65,7 +65,7 @@
         for n in 0..commands {
             let owner = Owner { member: format!("m{}", n % 7), incarnation: 1 };
             let lease = format!("l{}", n % 5);
-            let command = Command::Acquire { lease, owner, span: SECOND, wait: n % 2 == 0 };
+            let command = Command::Acquire { lease, owner, duration: SECOND, wait: n % 2 == 0 };
             let at = n as usize % 3;
             if self.away != Some(at) {
                 self.voters[at].propose(&command).unwrap();
--- a/crates/lease/src/client.rs
+++ b/crates/lease/src/client.rs
@@ -1,250 +1,286 @@
-//! A member that wants a lease, holds it and gives it back.
+//! The client's side of one lease: requests it, renews it, and releases it.
 
+use crate::command::{Command, Owner, Rejection, Response};
 use crate::fence::Token;
-use crate::lease::{Answer, Command, Owner, Refusal};
 use crate::timing::{ClockError, Nanos};
 use thiserror::Error;
 
-/// What there is to do for a holder.
+/// Requests are repeated this many times within one lease duration.
+const REQUESTS_PER_DURATION: Nanos = 3;
+
+/// What the driver of a [`LeaseClient`] is to do or to note.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub enum Step {
-    /// Take this to the voters; the answer comes back with the number.
+pub enum HolderAction {
+    /// Send this command to a replica; the response comes back with the same number.
     Send {
-        /// The number of the question.
-        number: u64,
-        /// The question.
+        /// Number of the request, unique over all incarnations of the owner.
+        request_id: u64,
+        /// The command to propose.
         command: Command,
     },
-    /// The lease is held: acts may begin.
-    Got {
-        /// By this grant.
+    /// The lease is held: operations may begin.
+    Acquired {
+        /// Token of the grant.
         token: Token,
     },
-    /// It is held no more: what it does is to be over, and nothing may begin.
+    /// The lease is not held any more: all operations under it must be over.
     Lost,
-    /// The voters will not have it.
-    Refused(Refusal),
+    /// The request was rejected.
+    Rejected(Rejection),
 }
 
-/// Why an act may not begin.
+/// Why an operation may not begin.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-pub enum NotNow {
+pub enum LeaseUnavailable {
     /// The lease is not held.
     #[error("the lease is not held")]
-    NotHeld,
-    /// The act could outlast the lease.
-    #[error("the act may take {within}ns, and {left}ns of the lease are left")]
-    TooShort {
-        /// What it may take.
-        within: Nanos,
-        /// What is left.
-        left: Nanos,
+    NotHolder,
+    /// The operation could outlast the lease.
+    #[error("the operation may take {required}ns, and {remaining}ns of the lease are left")]
+    ExpiresTooSoon {
+        /// Longest time that the operation takes.
+        required: Nanos,
+        /// Time until the lease expires.
+        remaining: Nanos,
     },
 }
 
-/// The lease as it is held: until when on the own clock.
+/// What a client wants of which lease.
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+pub struct LeaseConfig {
+    /// Name of the lease.
+    pub lease: String,
+    /// Who requests it.
+    pub owner: Owner,
+    /// Lease duration that each renewal starts anew.
+    pub duration: Nanos,
+    /// Error of the clocks that the duration is counted on.
+    pub clock_error: ClockError,
+    /// Whether to join the queue while another owner holds the lease.
+    pub wait: bool,
+}
+
+/// A grant that is in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-struct Hold {
-    token: Token,
-    until: Nanos,
+pub struct ActiveGrant {
+    /// Fencing token to show to whatever is acted upon.
+    pub token: Token,
+    /// When the grant expires on the client's own clock.
+    pub expires_at: Nanos,
 }
 
-/// One question on its way.
+/// A request without a response so far.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-struct Asked {
-    number: u64,
-    at: Nanos,
+struct PendingRequest {
+    request_id: u64,
+    sent_at: Nanos,
 }
 
-/// Wants one lease.
+/// Client of one lease. It does no I/O: its driver calls [`LeaseClient::tick`] at
+/// [`LeaseClient::next_tick_at`] and carries out the actions that come of it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Holder {
-    lease: String,
-    owner: Owner,
-    span: Nanos,
-    error: ClockError,
-    wait: bool,
-    wanted: bool,
-    hold: Option<Hold>,
-    /// The last grant heard of.
-    token: Option<Token>,
-    asked: Option<Asked>,
-    ask_at: Nanos,
-    last_number: u64,
-    /// Until when acts that have begun may last.
-    busy_until: Nanos,
-    /// Asked for, and not known to be given back.
-    owed: bool,
+pub struct LeaseClient {
+    config: LeaseConfig,
+    is_wanted: bool,
+    grant: Option<ActiveGrant>,
+    /// Token of the last grant received, also after it has expired.
+    last_token: Option<Token>,
+    pending: Option<PendingRequest>,
+    next_request_at: Nanos,
+    last_request_id: u64,
+    /// When the last operation that has begun is over at the latest.
+    operations_end_at: Nanos,
+    /// Whether the lease was requested and is not known to be released.
+    needs_release: bool,
 }
 
-impl Holder {
-    /// Wants a lease from now on; `wait`: in the queue for it.
-    pub fn new(lease: &str, owner: Owner, span: Nanos, error: ClockError, wait: bool) -> Self {
-        // Danger: an answer to a question of a former life must not be taken for one to its own.
-        let last_number = owner.incarnation << 32;
-        Holder {
-            lease: lease.to_owned(),
-            owner,
-            span,
-            error,
-            wait,
-            wanted: true,
-            hold: None,
-            token: None,
-            asked: None,
-            ask_at: 0,
-            last_number,
-            busy_until: 0,
-            owed: false,
+impl LeaseClient {
+    /// Creates a client that requests the lease at its first tick.
+    pub fn new(config: LeaseConfig) -> Self {
+        // The incarnation is part of each number, so that a response to a request of a former
+        // incarnation is not taken for one to this one's.
+        let last_request_id = config.owner.incarnation << 32;
+        LeaseClient {
+            config,
+            is_wanted: true,
+            grant: None,
+            last_token: None,
+            pending: None,
+            next_request_at: 0,
+            last_request_id,
+            operations_end_at: 0,
+            needs_release: false,
         }
     }
 
-    /// Begins an act that ends within so long, whatever comes; the token to show to whoever is
-    /// acted upon.
+    /// Begins an operation that ends within `max_duration` in any case; returns the token to
+    /// show to whatever is acted upon.
     ///
     /// # Errors
     /// The lease is not held for that long. The check is no proof by itself: the process may be
-    /// stopped right after it, and then only the token's check at the other end holds.
-    pub fn act(&mut self, now: Nanos, within: Nanos) -> Result<Token, NotNow> {
-        let hold = self.hold.filter(|hold| now < hold.until && self.wanted);
-        let Hold { token, until } = hold.ok_or(NotNow::NotHeld)?;
-        let end = now.saturating_add(within);
-        if end > until {
-            return Err(NotNow::TooShort { within, left: until - now });
+    /// stopped right after it, and then only the token's check at the other end protects.
+    pub fn begin_operation(
+        &mut self,
+        now: Nanos,
+        max_duration: Nanos,
+    ) -> Result<Token, LeaseUnavailable> {
+        let grant = self.active_grant(now).filter(|_| self.is_wanted);
+        let ActiveGrant { token, expires_at } = grant.ok_or(LeaseUnavailable::NotHolder)?;
+        let ends_at = now.saturating_add(max_duration);
+        if ends_at > expires_at {
+            let remaining = expires_at - now;
+            return Err(LeaseUnavailable::ExpiresTooSoon { required: max_duration, remaining });
         }
-        self.busy_until = self.busy_until.max(end);
+        self.operations_end_at = self.operations_end_at.max(ends_at);
         Ok(token)
     }
 
-    /// All acts that have begun are over.
-    pub fn rest(&mut self) {
-        self.busy_until = 0;
+    /// Notes that all operations that have begun are over.
+    pub fn finish_operations(&mut self) {
+        self.operations_end_at = 0;
     }
 
-    /// Wants the lease again after it was given back.
-    pub fn want(&mut self) {
-        self.wanted = true;
+    /// Requests the lease again after it was released.
+    pub fn request(&mut self) {
+        self.is_wanted = true;
     }
 
-    /// Gives the lease back as soon as no act can be under way, or leaves the queue.
-    pub fn give_back(&mut self) {
-        if self.wanted {
-            (self.wanted, self.asked, self.ask_at) = (false, None, 0);
+    /// Releases the lease as soon as no operation can be in progress, or leaves the queue.
+    pub fn release(&mut self) {
+        if self.is_wanted {
+            self.is_wanted = false;
+            self.pending = None;
+            self.next_request_at = 0;
         }
     }
 
-    /// The token and until when it is held on the own clock.
-    pub fn held(&self, now: Nanos) -> Option<(Token, Nanos)> {
-        self.hold.filter(|hold| now < hold.until).map(|hold| (hold.token, hold.until))
+    /// The grant that is in force now.
+    pub fn active_grant(&self, now: Nanos) -> Option<ActiveGrant> {
+        self.grant.filter(|grant| now < grant.expires_at)
     }
 
-    /// Whether there is nothing left to do for one that gave its lease back.
-    pub fn is_over(&self) -> bool {
-        !self.wanted && !self.owed
+    /// Whether the client has released its lease and has nothing left to do.
+    pub fn is_released(&self) -> bool {
+        !self.is_wanted && !self.needs_release
     }
 
-    /// How long an answer is waited for, and a third of which span is left for it: asked again
-    /// three times before the span is over.
-    fn pause(&self) -> Nanos {
-        self.span / 3
+    /// When [`LeaseClient::tick`] has something to do.
+    pub fn next_tick_at(&self) -> Nanos {
+        let operations_end_at = if self.is_wanted { 0 } else { self.operations_end_at };
+        let request_at = self.next_request_at.max(operations_end_at);
+        self.grant.map_or(request_at, |grant| request_at.min(grant.expires_at))
     }
 
-    /// Time has passed.
-    pub fn tick(&mut self, now: Nanos, steps: &mut Vec<Step>) {
-        if self.hold.is_some_and(|hold| hold.until <= now) {
-            self.hold = None;
-            steps.push(Step::Lost);
-            self.ask_at = self.ask_at.min(now);
+    /// Time has passed: expires the grant and sends the next request, if they are due.
+    pub fn tick(&mut self, now: Nanos, actions: &mut Vec<HolderAction>) {
+        if self.grant.is_some_and(|grant| grant.expires_at <= now) {
+            self.lose_grant(actions);
+            self.next_request_at = self.next_request_at.min(now);
         }
-        if now < self.ask_at {
+        if now < self.next_request_at {
             return;
         }
-        let (lease, owner) = (self.lease.clone(), self.owner.clone());
-        let command = match self.hold {
-            _ if !self.wanted && !self.owed => return,
-            // Danger: given back with an act under way, the next holder would act beside it.
-            _ if !self.wanted && now < self.busy_until => return,
-            _ if !self.wanted => {
-                self.hold = None;
-                // A grant that this one never heard of ends with its span.
-                match self.token {
-                    Some(token) => Command::Release { lease, owner, token },
-                    None => Command::Leave { lease, owner },
-                }
-            }
-            Some(hold) => Command::Renew { lease, owner, token: hold.token },
-            None => {
-                let (span, wait) = (self.span, self.wait);
-                Command::Acquire { lease, owner, span, wait }
-            }
-        };
-        self.last_number += 1;
-        self.owed = true;
-        let number = self.last_number;
-        // Danger: the span counts from here, before the question leaves. Counted from the
-        // answer, a slow one would stretch it past what the leader waits for.
-        self.asked = Some(Asked { number, at: now });
-        self.ask_at = now.saturating_add(self.pause());
-        steps.push(Step::Send { number, command });
+        let Some(command) = self.next_command(now) else { return };
+        self.last_request_id += 1;
+        self.needs_release = true;
+        let request_id = self.last_request_id;
+        // The lease duration counts from here, before the request leaves. Counted from the
+        // response, a slow one would stretch it past what the leader waits for.
+        self.pending = Some(PendingRequest { request_id, sent_at: now });
+        self.next_request_at = now.saturating_add(self.config.duration / REQUESTS_PER_DURATION);
+        actions.push(HolderAction::Send { request_id, command });
     }
 
-    /// An answer to a question has come; one to any but the last asked is passed over.
-    pub fn answered(&mut self, now: Nanos, number: u64, answer: &Answer, steps: &mut Vec<Step>) {
-        let Some(asked) = self.asked.filter(|asked| asked.number == number) else { return };
-        self.asked = None;
-        if !self.wanted {
-            (self.owed, self.token) = (false, None);
+    fn next_command(&mut self, now: Nanos) -> Option<Command> {
+        if self.is_released() {
+            return None;
+        }
+        // Released with an operation in progress, the next holder would act beside it.
+        if !self.is_wanted && now < self.operations_end_at {
+            return None;
+        }
+        let LeaseConfig { lease, owner, duration, wait, .. } = self.config.clone();
+        if !self.is_wanted {
+            self.grant = None;
+            // A grant whose response was lost has no known token: it expires.
+            return Some(match self.last_token {
+                Some(token) => Command::Release { lease, owner, token },
+                None => Command::CancelWait { lease, owner },
+            });
+        }
+        Some(match self.grant {
+            Some(ActiveGrant { token, .. }) => Command::Renew { lease, owner, token },
+            None => Command::Acquire { lease, owner, duration, wait },
+        })
+    }
+
+    /// Takes the response to a request; one to any but the last request is ignored.
+    pub fn handle_response(
+        &mut self,
+        now: Nanos,
+        request_id: u64,
+        response: &Response,
+        actions: &mut Vec<HolderAction>,
+    ) {
+        let pending = self.pending.filter(|pending| pending.request_id == request_id);
+        let Some(PendingRequest { sent_at, .. }) = pending else { return };
+        self.pending = None;
+        if !self.is_wanted {
+            self.needs_release = false;
+            self.last_token = None;
             return;
         }
-        match answer {
-            Answer::Granted { token } => {
-                let until = asked.at.saturating_add(self.error.holders(self.span));
-                let before = self.hold.map(|hold| hold.token);
-                if until <= now {
-                    // Too late to be of use; it is asked again at once.
-                    self.ask_at = now;
-                    return;
-                }
-                if before.is_some_and(|before| before != *token) {
-                    steps.push(Step::Lost);
-                }
-                self.hold = Some(Hold { token: *token, until });
-                self.token = Some(*token);
-                if before != Some(*token) {
-                    steps.push(Step::Got { token: *token });
-                }
+        match response {
+            Response::Granted { token } => self.accept_grant(now, sent_at, *token, actions),
+            Response::Unavailable { .. } | Response::Done => self.lose_grant(actions),
+            // A revoked grant stays in force until it expires, and is not renewed.
+            Response::Rejected(Rejection::Revoked) => {}
+            Response::Rejected(Rejection::NotHolder) => {
+                self.lose_grant(actions);
+                self.next_request_at = now;
             }
-            Answer::Held { .. } | Answer::Done => self.lose(steps),
-            // Revoked: what is held stays held until its span is over, and is not renewed.
-            Answer::Refused(Refusal::Revoked) => {}
-            Answer::Refused(Refusal::NotHeld) => {
-                self.lose(steps);
-                self.ask_at = now;
-            }
-            Answer::Refused(refusal) => {
-                self.lose(steps);
-                steps.push(Step::Refused(*refusal));
+            Response::Rejected(rejection) => {
+                self.lose_grant(actions);
+                actions.push(HolderAction::Rejected(*rejection));
             }
         }
     }
 
-    fn lose(&mut self, steps: &mut Vec<Step>) {
-        if self.hold.take().is_some() {
-            steps.push(Step::Lost);
+    fn accept_grant(
+        &mut self,
+        now: Nanos,
+        sent_at: Nanos,
+        token: Token,
+        actions: &mut Vec<HolderAction>,
+    ) {
+        let duration = self.config.clock_error.holder_duration(self.config.duration);
+        let expires_at = sent_at.saturating_add(duration);
+        if expires_at <= now {
+            // The response came too late to be of use: the request is repeated at once.
+            self.next_request_at = now;
+            return;
+        }
+        let is_renewal = self.grant.is_some_and(|grant| grant.token == token);
+        if !is_renewal {
+            self.lose_grant(actions);
+        }
+        self.grant = Some(ActiveGrant { token, expires_at });
+        self.last_token = Some(token);
+        if !is_renewal {
+            actions.push(HolderAction::Acquired { token });
         }
     }
 
-    /// Who was asked does not answer: another may be asked now.
-    pub fn unanswered(&mut self, now: Nanos) {
-        if self.asked.is_some() {
-            self.ask_at = self.ask_at.min(now);
+    fn lose_grant(&mut self, actions: &mut Vec<HolderAction>) {
+        if self.grant.take().is_some() {
+            actions.push(HolderAction::Lost);
         }
     }
 
-    /// When [`Holder::tick`] has something to do.
-    pub fn next(&self) -> Nanos {
-        let busy = if self.wanted { 0 } else { self.busy_until };
-        let ask = self.ask_at.max(busy);
-        self.hold.map_or(ask, |hold| ask.min(hold.until))
+    /// The replica that the last request went to does not respond: allows the next request now.
+    pub fn handle_no_response(&mut self, now: Nanos) {
+        if self.pending.is_some() {
+            self.next_request_at = self.next_request_at.min(now);
+        }
     }
 }
--- a/crates/lease/src/expiry.rs
+++ b/crates/lease/src/expiry.rs
@@ -1,110 +1,139 @@
-//! When the leader proposes that a lease's span is over.
+//! When the leader proposes that a lease has expired.
 //!
-//! Its clock counts from after the renewal was agreed and applied here, plus the clocks' error.
-//! The holder counted from before it asked, less that error: whatever the messages took, its
-//! count ends first (Gray and Cheriton, "Leases", SOSP 1989; Raft's thesis, 6.4.1, on clocks).
+//! The leader's clock counts from after the renewal was committed and applied here, plus the
+//! clock error. The holder counted from before it sent its request, less that error: however long
+//! the messages took, its count ends first (Gray and Cheriton, "Leases", SOSP 1989; Ongaro's
+//! thesis on Raft, 6.4.1, on clocks).
 
+use crate::command::{Command, Owner};
 use crate::fence::Token;
-use crate::lease::{Command, Leases, Owner};
-use crate::timing::{ClockError, Nanos};
-use std::collections::BTreeMap;
+use crate::lease::{LeaseHolder, Leases, Waiter};
+use crate::timing::{ClockError, Nanos, SECOND};
+use std::collections::{BTreeMap, VecDeque};
 
-/// A proposal that has not been applied by then is made again: it may have been lost with a
-/// message.
-pub const PROPOSE_AGAIN: Nanos = crate::timing::SECOND;
+/// A proposal that has not been applied within this time is repeated: it may have been lost with
+/// a message.
+pub const PROPOSAL_RETRY_INTERVAL: Nanos = SECOND;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-struct Count {
-    /// Grant and renewal, or the asks of a waiter.
-    which: (Token, u64),
-    /// When it is to be proposed, first or again.
-    due: Nanos,
+struct HolderDeadline {
+    token: Token,
+    renewals: u64,
+    /// When the expiry is to be proposed, first or again.
+    due_at: Nanos,
 }
 
-/// Counts the spans of all leases while this voter leads.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
+struct WaiterDeadline {
+    requests: u64,
+    /// When the expiry is to be proposed, first or again.
+    due_at: Nanos,
+}
+
+#[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
+struct WaiterKey {
+    lease: String,
+    owner: Owner,
+}
+
+/// Counts the durations of all leases while this replica is the leader.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
-pub struct Grantor {
-    error: ClockError,
-    leads: bool,
-    held: BTreeMap<String, Count>,
-    waiters: BTreeMap<(String, Owner), Count>,
+pub struct LeaseExpiry {
+    clock_error: ClockError,
+    is_leader: bool,
+    holders: BTreeMap<String, HolderDeadline>,
+    waiters: BTreeMap<WaiterKey, WaiterDeadline>,
 }
 
-impl Grantor {
-    /// Leads nothing yet.
-    pub fn new(error: ClockError) -> Self {
-        Grantor { error, ..Grantor::default() }
+impl LeaseExpiry {
+    /// Creates the counts of a replica that is not the leader.
+    pub fn new(clock_error: ClockError) -> Self {
+        LeaseExpiry { clock_error, ..LeaseExpiry::default() }
     }
 
-    /// This voter leads from now on. Each span runs anew: when the last renewal was agreed, only
-    /// the former leader's clock knew.
-    pub fn lead(&mut self, now: Nanos, leases: &Leases) {
-        (self.leads, self.held, self.waiters) = (true, BTreeMap::new(), BTreeMap::new());
-        let names: Vec<String> = leases.iter().map(|(name, _)| name.to_owned()).collect();
-        names.iter().for_each(|name| self.applied(now, leases, name));
+    /// This replica is the leader from now on. Every duration counts anew: when the last renewal
+    /// was committed, only the former leader's clock knew.
+    pub fn become_leader(&mut self, now: Nanos, leases: &Leases) {
+        self.is_leader = true;
+        self.holders.clear();
+        self.waiters.clear();
+        for (name, _) in leases.iter() {
+            self.command_applied(now, leases, name);
+        }
     }
 
-    /// This voter does not lead any more.
-    pub fn follow(&mut self) {
-        *self = Grantor::new(self.error);
+    /// This replica is not the leader any more.
+    pub fn step_down(&mut self) {
+        *self = LeaseExpiry::new(self.clock_error);
     }
 
-    /// Whether it counts.
-    pub fn leads(&self) -> bool {
-        self.leads
+    /// Whether this replica counts as the leader.
+    pub fn is_leader(&self) -> bool {
+        self.is_leader
     }
 
-    /// A command about a lease has been applied.
-    pub fn applied(&mut self, now: Nanos, leases: &Leases, name: &str) {
-        if !self.leads {
+    /// A command about the named lease has been applied.
+    pub fn command_applied(&mut self, now: Nanos, leases: &Leases, name: &str) {
+        if !self.is_leader {
             return;
         }
         let lease = leases.get(name);
-        match lease.and_then(|lease| lease.held.as_ref()) {
-            None => {
-                self.held.remove(name);
-            }
-            Some(held) => {
-                let which = (held.token, held.renewal);
-                if self.held.get(name).is_none_or(|count| count.which != which) {
-                    let due = now.saturating_add(self.error.grantors(held.span));
-                    self.held.insert(name.to_owned(), Count { which, due });
-                }
-            }
+        self.update_holder(now, name, lease.and_then(|lease| lease.holder.as_ref()));
+        self.update_waiters(now, name, lease.map(|lease| &lease.queue));
+    }
+
+    fn update_holder(&mut self, now: Nanos, name: &str, holder: Option<&LeaseHolder>) {
+        let Some(holder) = holder else {
+            self.holders.remove(name);
+            return;
+        };
+        let LeaseHolder { token, renewals, duration, .. } = *holder;
+        let is_same =
+            |deadline: &HolderDeadline| deadline.token == token && deadline.renewals == renewals;
+        if !self.holders.get(name).is_some_and(is_same) {
+            let due_at = now.saturating_add(self.clock_error.expiry_duration(duration));
+            self.holders.insert(name.to_owned(), HolderDeadline { token, renewals, due_at });
         }
-        let queue = lease.map(|lease| &lease.queue);
-        self.waiters.retain(|(of, owner), _| {
-            of != name || queue.is_some_and(|queue| queue.iter().any(|w| w.owner == *owner))
+    }
+
+    fn update_waiters(&mut self, now: Nanos, name: &str, queue: Option<&VecDeque<Waiter>>) {
+        self.waiters.retain(|key, _| {
+            let is_waiter = |waiter: &Waiter| waiter.owner == key.owner;
+            key.lease != name || queue.is_some_and(|queue| queue.iter().any(is_waiter))
         });
         for waiter in queue.into_iter().flatten() {
-            let (key, which) = ((name.to_owned(), waiter.owner.clone()), (0, waiter.asks));
-            if self.waiters.get(&key).is_none_or(|count| count.which != which) {
-                // Who has not asked for a span has gone.
-                let due = now.saturating_add(self.error.grantors(waiter.span));
-                self.waiters.insert(key, Count { which, due });
+            let key = WaiterKey { lease: name.to_owned(), owner: waiter.owner.clone() };
+            let requests = waiter.requests;
+            if self.waiters.get(&key).is_none_or(|deadline| deadline.requests != requests) {
+                // A waiter that has not repeated its request for a lease duration has gone.
+                let due_at = now.saturating_add(self.clock_error.expiry_duration(waiter.duration));
+                self.waiters.insert(key, WaiterDeadline { requests, due_at });
             }
         }
     }
 
-    /// What is to be proposed now.
-    pub fn due(&mut self, now: Nanos) -> Vec<Command> {
-        let mut due = Vec::new();
-        for (lease, count) in self.held.iter_mut().filter(|(_, count)| count.due <= now) {
-            count.due = now.saturating_add(PROPOSE_AGAIN);
-            let (token, renewal) = count.which;
-            due.push(Command::Expire { lease: lease.clone(), token, renewal });
+    /// The commands that are to be proposed now. Each is repeated after
+    /// [`PROPOSAL_RETRY_INTERVAL`] unless it has been applied by then.
+    pub fn due_commands(&mut self, now: Nanos) -> Vec<Command> {
+        let retry_at = now.saturating_add(PROPOSAL_RETRY_INTERVAL);
+        let mut commands = Vec::new();
+        for (lease, deadline) in self.holders.iter_mut().filter(|(_, entry)| entry.due_at <= now) {
+            deadline.due_at = retry_at;
+            let HolderDeadline { token, renewals, .. } = *deadline;
+            commands.push(Command::Expire { lease: lease.clone(), token, renewals });
         }
-        for ((lease, owner), count) in self.waiters.iter_mut().filter(|(_, count)| count.due <= now)
-        {
-            count.due = now.saturating_add(PROPOSE_AGAIN);
-            let (lease, owner, asks) = (lease.clone(), owner.clone(), count.which.1);
-            due.push(Command::Forget { lease, owner, asks });
+        for (key, deadline) in self.waiters.iter_mut().filter(|(_, entry)| entry.due_at <= now) {
+            deadline.due_at = retry_at;
+            let WaiterKey { lease, owner } = key.clone();
+            commands.push(Command::ExpireWaiter { lease, owner, requests: deadline.requests });
         }
-        due
+        commands
     }
 
-    /// When [`Grantor::due`] has something next.
-    pub fn next(&self) -> Option<Nanos> {
-        self.held.values().chain(self.waiters.values()).map(|count| count.due).min()
+    /// When [`LeaseExpiry::due_commands`] has something next.
+    pub fn next_due_at(&self) -> Option<Nanos> {
+        let holders = self.holders.values().map(|deadline| deadline.due_at);
+        let waiters = self.waiters.values().map(|deadline| deadline.due_at);
+        holders.chain(waiters).min()
     }
 }
--- a/crates/lease/src/lease.rs
+++ b/crates/lease/src/lease.rs
@@ -1,344 +1,226 @@
-//! The leases, as all voters agree on them: a state machine without a clock.
+//! The replicated state machine of all leases.
 //!
-//! Nothing here ends by time. That a span is over is itself an entry of the log
-//! ([`Command::Expire`]), which the leader proposes when its clock says so ([`crate::expiry`]).
+//! It has no clock. That a lease has expired is itself an entry of the log
+//! ([`Command::Expire`]), which the leader proposes by its own clock ([`crate::expiry`]).
 
+use crate::command::{
+    is_valid_name, Command, Owner, Rejection, Response, DURATION_MAX, DURATION_MIN, LEASES_MAX,
+    WAITERS_MAX,
+};
 use crate::fence::Token;
-use crate::timing::{Nanos, MS, SECOND};
+use crate::timing::Nanos;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
-use thiserror::Error;
 
-/// Leases held or waited for at one time.
-pub const LEASES_MAX: usize = 1_024;
-/// Who may wait for one lease.
-pub const WAITERS_MAX: usize = 64;
-/// Longest name of a lease or a member, in bytes.
-pub const NAME_MAX: usize = 128;
-/// Shortest and longest span of a lease.
-pub const SPAN_MIN: Nanos = 100 * MS;
-/// See [`SPAN_MIN`].
-pub const SPAN_MAX: Nanos = 86_400 * SECOND;
-
-/// One life of one member: a process that starts again has a higher incarnation, and what its
-/// former life held is not its own.
-#[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Owner {
-    /// The member's name.
-    pub member: String,
-    /// Its life.
-    pub incarnation: u64,
-}
-
-/// What can be agreed on. Sent again, late or twice, none does harm.
-#[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Command {
-    /// Asks for a lease, or again where the last answer was lost; by a waiter, from time to time,
-    /// to keep its place.
-    Acquire {
-        /// The lease.
-        lease: String,
-        /// Who asks.
-        owner: Owner,
-        /// For how long each renewal is to count.
-        span: Nanos,
-        /// Whether to queue for it where it is held.
-        wait: bool,
-    },
-    /// Holds on.
-    Renew {
-        /// The lease.
-        lease: String,
-        /// Its holder.
-        owner: Owner,
-        /// The grant.
-        token: Token,
-    },
-    /// Gives it back, with nothing under way any more. It names the grant: one that came late
-    /// must not end what its sender has got since.
-    Release {
-        /// The lease.
-        lease: String,
-        /// Its holder.
-        owner: Owner,
-        /// The grant.
-        token: Token,
-    },
-    /// Leaves the queue.
-    Leave {
-        /// The lease.
-        lease: String,
-        /// Who waits.
-        owner: Owner,
-    },
-    /// The span of one renewal is over by the leader's clock.
-    Expire {
-        /// The lease.
-        lease: String,
-        /// The grant.
-        token: Token,
-        /// Which renewal: void if there has been another.
-        renewal: u64,
-    },
-    /// Somebody in the queue has not asked for long.
-    Forget {
-        /// The lease.
-        lease: String,
-        /// Who waited.
-        owner: Owner,
-        /// After how many times it asked: void if it has again.
-        asks: u64,
-    },
-    /// An operator wants the holder out: it is not renewed any more, and ends with its span. A
-    /// lease that was taken from a holder who can't be told would have two.
-    Revoke {
-        /// The lease.
-        lease: String,
-    },
+/// The current grant of a lease.
+#[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct LeaseHolder {
+    /// Who holds the lease.
+    pub owner: Owner,
+    /// Fencing token of the grant.
+    pub token: Token,
+    /// Lease duration that each renewal starts anew.
+    pub duration: Nanos,
+    /// Number of renewals.
+    pub renewals: u64,
+    /// Whether an operator has revoked it: it may not be renewed.
+    pub is_revoked: bool,
 }
 
-impl Command {
-    /// The lease it is about.
-    pub fn lease(&self) -> &str {
-        match self {
-            Command::Acquire { lease, .. }
-            | Command::Renew { lease, .. }
-            | Command::Release { lease, .. }
-            | Command::Leave { lease, .. }
-            | Command::Expire { lease, .. }
-            | Command::Forget { lease, .. }
-            | Command::Revoke { lease } => lease,
+impl LeaseHolder {
+    fn renew(&mut self) -> Response {
+        if self.is_revoked {
+            return Response::Rejected(Rejection::Revoked);
         }
+        self.renewals += 1;
+        Response::Granted { token: self.token }
     }
 }
 
-/// What came of a command.
-#[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Answer {
-    /// The asker holds the lease, by this grant and until its span has passed since it asked.
-    Granted {
-        /// The grant.
-        token: Token,
-    },
-    /// Another holds it; the asker's place in the queue, from 0, if it is in it.
-    Held {
-        /// Who holds it; nobody where the first of the queue has not come for it yet.
-        by: Option<Owner>,
-        /// Place in the queue.
-        place: Option<u32>,
-    },
-    /// It has been given back, expired, forgotten or marked.
-    Done,
-    /// Nothing changed.
-    Refused(Refusal),
-}
-
-/// Why nothing changed.
-#[derive(
-    Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize, Error,
-)]
-pub enum Refusal {
-    /// Not its holder, not by this grant, or not by this renewal.
-    #[error("not held by this grant")]
-    NotHeld,
-    /// An operator has revoked it.
-    #[error("revoked: it ends with its span")]
-    Revoked,
-    /// Too many leases.
-    #[error("{LEASES_MAX} leases are held or waited for")]
-    TooMany,
-    /// Too many in the queue.
-    #[error("{WAITERS_MAX} wait for it")]
-    QueueFull,
-    /// A name that is empty, too long or has control characters.
-    #[error("a name has 1 to {NAME_MAX} bytes and no control characters")]
-    Name,
-    /// A span out of bounds.
-    #[error("a span is 100ms to 24h")]
-    Span,
-}
-
-/// A lease's holder.
-#[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Held {
-    /// Who.
-    pub owner: Owner,
-    /// By which grant.
-    pub token: Token,
-    /// What each renewal counts for.
-    pub span: Nanos,
-    /// How often it was renewed.
-    pub renewal: u64,
-    /// Whether it may not be renewed.
-    pub revoked: bool,
-}
-
-/// One place in a queue.
+/// An owner in the queue of a lease.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Waiter {
-    /// Who.
+    /// Who waits.
     pub owner: Owner,
-    /// How often it has asked.
-    pub asks: u64,
-    /// The span it asks for.
-    pub span: Nanos,
+    /// Number of its requests so far.
+    pub requests: u64,
+    /// Lease duration of its last request.
+    pub duration: Nanos,
 }
 
-/// One lease.
+/// One lease: its holder and its queue.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Lease {
-    /// Its holder.
-    pub held: Option<Held>,
-    /// Who waits, in turn.
+    /// The current holder.
+    pub holder: Option<LeaseHolder>,
+    /// The owners that wait, in order of arrival.
     pub queue: VecDeque<Waiter>,
 }
 
-/// All leases.
+impl Lease {
+    fn is_unused(&self) -> bool {
+        self.holder.is_none() && self.queue.is_empty()
+    }
+
+    /// Whether the lease is free and nobody else is first in the queue.
+    fn is_available_to(&self, owner: &Owner) -> bool {
+        self.holder.is_none() && self.queue.front().is_none_or(|first| first.owner == *owner)
+    }
+
+    /// Repeats a waiter's request, or appends a new waiter if it wants to wait.
+    fn request_place(&mut self, owner: &Owner, duration: Nanos, wait: bool) -> Response {
+        let position = self.queue.iter().position(|waiter| waiter.owner == *owner);
+        let queue_position = match position {
+            Some(position) => {
+                let waiter = &mut self.queue[position];
+                waiter.requests += 1;
+                waiter.duration = duration;
+                Some(position as u32)
+            }
+            None if !wait => None,
+            None if self.queue.len() >= WAITERS_MAX => {
+                return Response::Rejected(Rejection::QueueFull);
+            }
+            None => {
+                self.queue.push_back(Waiter { owner: owner.clone(), requests: 1, duration });
+                Some(self.queue.len() as u32 - 1)
+            }
+        };
+        let holder = self.holder.as_ref().map(|holder| holder.owner.clone());
+        Response::Unavailable { holder, queue_position }
+    }
+}
+
+/// All leases. Equal sequences of commands give equal states.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Leases {
     leases: BTreeMap<String, Lease>,
-    /// The last token given. It outlives the leases, so that none is given twice.
+    /// Token of the last grant. It outlives the leases, so that no token is given twice.
     last_token: Token,
 }
 
-/// Whether a lease or a member may have this name.
-pub fn is_valid_name(name: &str) -> bool {
-    (1..=NAME_MAX).contains(&name.len()) && !name.chars().any(char::is_control)
-}
-
 impl Leases {
-    /// Applies one agreed command.
-    pub fn apply(&mut self, command: &Command) -> Answer {
-        let answer = match command {
-            Command::Acquire { lease, owner, span, wait } => {
-                self.acquire(lease, owner, *span, *wait)
+    /// Applies one committed command.
+    pub fn apply(&mut self, command: &Command) -> Response {
+        let response = match command {
+            Command::Acquire { lease, owner, duration, wait } => {
+                self.acquire(lease, owner, *duration, *wait)
             }
             Command::Renew { lease, owner, token } => self.renew(lease, owner, *token),
             Command::Release { lease, owner, token } => {
-                self.end(lease, |held| held.owner == *owner && held.token == *token)
-            }
-            Command::Leave { lease, owner } => self.leave(lease, |waiter| waiter.owner == *owner),
-            Command::Expire { lease, token, renewal } => {
-                self.end(lease, |held| held.token == *token && held.renewal == *renewal)
+                self.end_grant(lease, |holder| holder.owner == *owner && holder.token == *token)
             }
-            Command::Forget { lease, owner, asks } => {
-                self.leave(lease, |waiter| waiter.owner == *owner && waiter.asks == *asks)
+            Command::CancelWait { lease, owner } => {
+                self.remove_waiter(lease, |waiter| waiter.owner == *owner)
             }
-            Command::Revoke { lease } => match self.held_mut(lease) {
-                Some(held) => {
-                    held.revoked = true;
-                    Answer::Done
-                }
-                None => Answer::Refused(Refusal::NotHeld),
-            },
+            Command::Expire { lease, token, renewals } => self
+                .end_grant(lease, |holder| holder.token == *token && holder.renewals == *renewals),
+            Command::ExpireWaiter { lease, owner, requests } => self
+                .remove_waiter(lease, |waiter| {
+                    waiter.owner == *owner && waiter.requests == *requests
+                }),
+            Command::Revoke { lease } => self.revoke(lease),
         };
-        let empty = |lease: &Lease| lease.held.is_none() && lease.queue.is_empty();
-        if self.leases.get(command.lease()).is_some_and(empty) {
-            self.leases.remove(command.lease());
-        }
-        answer
+        self.remove_if_unused(command.lease());
+        response
     }
 
-    fn held_mut(&mut self, lease: &str) -> Option<&mut Held> {
-        self.leases.get_mut(lease)?.held.as_mut()
+    fn acquire(&mut self, name: &str, owner: &Owner, duration: Nanos, wait: bool) -> Response {
+        if let Err(rejection) = self.check_request(name, owner, duration) {
+            return Response::Rejected(rejection);
+        }
+        let lease = self.leases.entry(name.to_owned()).or_default();
+        // A repeated request is as good as a renewal, by the duration that was granted.
+        if let Some(holder) = lease.holder.as_mut().filter(|holder| holder.owner == *owner) {
+            return holder.renew();
+        }
+        if !lease.is_available_to(owner) {
+            return lease.request_place(owner, duration, wait);
+        }
+        lease.queue.pop_front();
+        self.last_token += 1;
+        lease.holder = Some(LeaseHolder {
+            owner: owner.clone(),
+            token: self.last_token,
+            duration,
+            renewals: 0,
+            is_revoked: false,
+        });
+        Response::Granted { token: self.last_token }
     }
 
-    fn acquire(&mut self, name: &str, owner: &Owner, span: Nanos, wait: bool) -> Answer {
+    fn check_request(&self, name: &str, owner: &Owner, duration: Nanos) -> Result<(), Rejection> {
         if !is_valid_name(name) || !is_valid_name(&owner.member) {
-            return Answer::Refused(Refusal::Name);
+            return Err(Rejection::InvalidName);
         }
-        if !(SPAN_MIN..=SPAN_MAX).contains(&span) {
-            return Answer::Refused(Refusal::Span);
+        if !(DURATION_MIN..=DURATION_MAX).contains(&duration) {
+            return Err(Rejection::InvalidDuration);
         }
         if !self.leases.contains_key(name) && self.leases.len() >= LEASES_MAX {
-            return Answer::Refused(Refusal::TooMany);
+            return Err(Rejection::TooManyLeases);
         }
-        let lease = self.leases.entry(name.to_owned()).or_default();
-        match &mut lease.held {
-            // Asked again: as good as a renewal, by the span that was granted.
-            Some(held) if held.owner == *owner => {
-                if held.revoked {
-                    return Answer::Refused(Refusal::Revoked);
-                }
-                held.renewal += 1;
-                return Answer::Granted { token: held.token };
-            }
-            Some(_) => {}
-            None if lease.queue.front().is_none_or(|first| first.owner == *owner) => {
-                lease.queue.pop_front();
-                self.last_token += 1;
-                let (owner, token) = (owner.clone(), self.last_token);
-                lease.held = Some(Held { owner, token, span, renewal: 0, revoked: false });
-                return Answer::Granted { token };
-            }
-            None => {}
+        Ok(())
+    }
+
+    fn renew(&mut self, name: &str, owner: &Owner, token: Token) -> Response {
+        match self.holder_mut(name) {
+            Some(holder) if holder.owner == *owner && holder.token == token => holder.renew(),
+            _ => Response::Rejected(Rejection::NotHolder),
         }
-        let by = lease.held.as_ref().map(|held| held.owner.clone());
-        let place = match lease.queue.iter().position(|waiter| waiter.owner == *owner) {
-            Some(at) => {
-                let waiter = &mut lease.queue[at];
-                (waiter.asks, waiter.span) = (waiter.asks + 1, span);
-                Some(at as u32)
-            }
-            None if !wait => None,
-            None if lease.queue.len() >= WAITERS_MAX => {
-                return Answer::Refused(Refusal::QueueFull);
-            }
-            None => {
-                lease.queue.push_back(Waiter { owner: owner.clone(), asks: 1, span });
-                Some(lease.queue.len() as u32 - 1)
-            }
+    }
+
+    fn revoke(&mut self, name: &str) -> Response {
+        let Some(holder) = self.holder_mut(name) else {
+            return Response::Rejected(Rejection::NotHolder);
         };
-        Answer::Held { by, place }
+        holder.is_revoked = true;
+        Response::Done
     }
 
-    fn renew(&mut self, lease: &str, owner: &Owner, token: Token) -> Answer {
-        match self.held_mut(lease) {
-            Some(held) if held.owner == *owner && held.token == token => {
-                if held.revoked {
-                    return Answer::Refused(Refusal::Revoked);
-                }
-                held.renewal += 1;
-                Answer::Granted { token }
+    fn end_grant(&mut self, name: &str, matches: impl Fn(&LeaseHolder) -> bool) -> Response {
+        match self.leases.get_mut(name) {
+            Some(lease) if lease.holder.as_ref().is_some_and(matches) => {
+                lease.holder = None;
+                Response::Done
             }
-            _ => Answer::Refused(Refusal::NotHeld),
+            _ => Response::Rejected(Rejection::NotHolder),
         }
     }
 
-    fn end(&mut self, lease: &str, which: impl Fn(&Held) -> bool) -> Answer {
-        match self.leases.get_mut(lease) {
-            Some(lease) if lease.held.as_ref().is_some_and(which) => {
-                lease.held = None;
-                Answer::Done
+    fn remove_waiter(&mut self, name: &str, matches: impl Fn(&Waiter) -> bool) -> Response {
+        let Some(lease) = self.leases.get_mut(name) else {
+            return Response::Rejected(Rejection::NotHolder);
+        };
+        match lease.queue.iter().position(matches) {
+            Some(position) => {
+                lease.queue.remove(position);
+                Response::Done
             }
-            _ => Answer::Refused(Refusal::NotHeld),
+            None => Response::Rejected(Rejection::NotHolder),
         }
     }
 
-    fn leave(&mut self, lease: &str, which: impl Fn(&Waiter) -> bool) -> Answer {
-        let Some(lease) = self.leases.get_mut(lease) else {
-            return Answer::Refused(Refusal::NotHeld);
-        };
-        match lease.queue.iter().position(which) {
-            Some(at) => {
-                lease.queue.remove(at);
-                Answer::Done
-            }
-            None => Answer::Refused(Refusal::NotHeld),
+    fn remove_if_unused(&mut self, name: &str) {
+        if self.leases.get(name).is_some_and(Lease::is_unused) {
+            self.leases.remove(name);
         }
     }
 
+    fn holder_mut(&mut self, name: &str) -> Option<&mut LeaseHolder> {
+        self.leases.get_mut(name)?.holder.as_mut()
+    }
+
     /// One lease, if it is held or waited for.
-    pub fn get(&self, lease: &str) -> Option<&Lease> {
-        self.leases.get(lease)
+    pub fn get(&self, name: &str) -> Option<&Lease> {
+        self.leases.get(name)
     }
 
-    /// All that are held or waited for, by name.
+    /// All leases that are held or waited for, in order of their names.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &Lease)> {
         self.leases.iter().map(|(name, lease)| (name.as_str(), lease))
     }
 
-    /// The last token given; 0 for none.
+    /// Token of the last grant; 0 before the first.
     pub fn last_token(&self) -> Token {
         self.last_token
     }
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -14,10 +14,27 @@
 //!   ([`fence::Fence`]).
 //!
 //! `docs/fleet-design.md` has the reasons and the alternatives.
+//!
+//! ```
+//! use mintshelf_lease::command::{Command, Owner, Response};
+//! use mintshelf_lease::lease::Leases;
+//! use mintshelf_lease::timing::SECOND;
+//!
+//! let acquire = |member: &str| Command::Acquire {
+//!     lease: "nightly-report".into(),
+//!     owner: Owner { member: member.into(), incarnation: 1 },
+//!     duration: 10 * SECOND,
+//!     wait: false,
+//! };
+//! let mut leases = Leases::default();
+//! assert_eq!(leases.apply(&acquire("a")), Response::Granted { token: 1 });
+//! assert!(matches!(leases.apply(&acquire("b")), Response::Unavailable { holder: Some(_), .. }));
+//! ```
 
 #![forbid(unsafe_code)]
 
 pub mod client;
+pub mod command;
 pub mod expiry;
 pub mod fence;
 pub mod lease;
--- a/crates/lease/src/timing.rs
+++ b/crates/lease/src/timing.rs
@@ -1,10 +1,10 @@
-//! Spans on clocks that do not run alike, and whether the spans of a file can work together.
+//! Durations on clocks with a bounded error, and the check that a fleet's timeouts fit together.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// A time or a span on one process's steady clock, in nanoseconds. Times of two processes can't
-/// be compared, and nothing here compares them.
+/// A time or a duration on one process's monotonic clock, in nanoseconds. Times of two processes
+/// can't be compared, and nothing here compares them.
 pub type Nanos = u64;
 
 /// A millisecond.
@@ -12,8 +12,23 @@
 /// A second.
 pub const SECOND: Nanos = 1_000 * MS;
 
-/// By how much the rate of any process's steady clock may be off the true one, in parts per
-/// million. Quartz without discipline stays within some 100, and the kernel slews by 500 at most.
+/// Shortest duration that [`Timing`] accepts.
+const DURATION_MIN: Nanos = MS;
+/// Longest duration that [`Timing`] accepts.
+const DURATION_MAX: Nanos = 86_400 * SECOND;
+/// Largest clock error that [`Timing`] accepts, in parts per million.
+const CLOCK_ERROR_MAX_PPM: u32 = 100_000;
+/// Heartbeats that an election timeout must cover.
+const HEARTBEATS_PER_ELECTION: Nanos = 5;
+/// Election timeouts that a session must outlast.
+const ELECTIONS_PER_SESSION: Nanos = 2;
+/// Election timeouts that a lease must outlast: three requests, each of which may take an
+/// election of up to twice its timeout.
+const ELECTIONS_PER_LEASE: Nanos = 6;
+
+/// Bound on how far the rate of any process's monotonic clock may be off the true one. Quartz
+/// without discipline stays within some 100 parts per million, and the kernel slews by 500 at
+/// most.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ClockError {
     /// Parts per million.
@@ -27,122 +42,128 @@
 }
 
 impl ClockError {
-    /// What a clock may be off by over a span, rounded up.
-    pub fn of(self, span: Nanos) -> Nanos {
-        let error = u128::from(span) * u128::from(self.ppm);
-        u64::try_from(error.div_ceil(1_000_000)).unwrap_or(u64::MAX)
+    /// How far a clock may be off after a duration, rounded up.
+    pub fn drift_over(self, duration: Nanos) -> Nanos {
+        let drift = u128::from(duration) * u128::from(self.ppm);
+        u64::try_from(drift.div_ceil(1_000_000)).unwrap_or(u64::MAX)
     }
 
-    /// How long a holder may count on a span: at most `span` of true time, on the fastest or the
-    /// slowest clock allowed.
-    pub fn holders(self, span: Nanos) -> Nanos {
-        span.saturating_sub(self.of(span))
+    /// How long a holder may rely on a lease: at most `duration` of true time, on the fastest or
+    /// the slowest clock allowed.
+    pub fn holder_duration(self, duration: Nanos) -> Nanos {
+        duration.saturating_sub(self.drift_over(duration))
     }
 
-    /// How long a grantor waits for a span to be over: at least `span` of true time.
-    pub fn grantors(self, span: Nanos) -> Nanos {
-        span.saturating_add(self.of(span))
+    /// How long the leader waits before a lease expires: at least `duration` of true time.
+    pub fn expiry_duration(self, duration: Nanos) -> Nanos {
+        duration.saturating_add(self.drift_over(duration))
     }
 }
 
-/// The spans of a fleet.
+/// Timeouts and intervals of a fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Timing {
-    /// A follower that hears no leader for so long asks for an election; up to twice as long,
-    /// drawn anew each time.
-    pub election: Nanos,
-    /// A leader's heartbeat.
-    pub heartbeat: Nanos,
-    /// A member that is not heard for so long has lost its session.
-    pub session: Nanos,
-    /// A lease's span, where it names none.
-    pub lease: Nanos,
-    /// The clocks' error.
-    pub error: ClockError,
+    /// A follower without a leader's heartbeat for so long calls an election; up to twice as
+    /// long, drawn anew each time.
+    pub election_timeout: Nanos,
+    /// Interval of a leader's heartbeats.
+    pub heartbeat_interval: Nanos,
+    /// A member without a message for so long has lost its session.
+    pub session_timeout: Nanos,
+    /// Duration of a lease that names none.
+    pub lease_duration: Nanos,
+    /// Error of the clocks.
+    pub clock_error: ClockError,
 }
 
 impl Default for Timing {
     fn default() -> Self {
         Timing {
-            election: SECOND,
-            heartbeat: 100 * MS,
-            session: 5 * SECOND,
-            lease: 10 * SECOND,
-            error: ClockError::default(),
+            election_timeout: SECOND,
+            heartbeat_interval: 100 * MS,
+            session_timeout: 5 * SECOND,
+            lease_duration: 10 * SECOND,
+            clock_error: ClockError::default(),
         }
     }
 }
 
-/// Why spans can't work together, with the sum.
+/// Why timeouts don't fit together, with the sum.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum TimingError {
     /// Followers would take a live leader for a dead one.
     #[error(
         "election {}ms is under 5 times the heartbeat of {}ms ({}ms): one late message would \
          depose a leader; raise election or lower heartbeat",
-        election / MS, heartbeat / MS, heartbeat * 5 / MS
+        election / MS, heartbeat / MS, heartbeat * HEARTBEATS_PER_ELECTION / MS
     )]
     Election {
-        /// As given.
+        /// Election timeout as given.
         election: Nanos,
-        /// As given.
+        /// Heartbeat interval as given.
         heartbeat: Nanos,
     },
-    /// A lease would end at each change of leader.
+    /// A lease would expire at each change of leader.
     #[error(
         "lease {}ms is under {}ms = 3 x (2 x election {}ms): a third of it is what a renewal may \
-         take, and an election takes up to twice its span; raise lease or lower election",
-        lease / MS, election * 6 / MS, election / MS
+         take, and an election takes up to twice its timeout; raise lease or lower election",
+        lease / MS, election * ELECTIONS_PER_LEASE / MS, election / MS
     )]
     Lease {
-        /// As given.
+        /// Lease duration as given.
         lease: Nanos,
-        /// As given.
+        /// Election timeout as given.
         election: Nanos,
     },
     /// Sessions would be lost at each change of leader.
     #[error(
         "session {}ms is under {}ms = 2 x election {}ms: each change of leader would end all \
          sessions; raise session or lower election",
-        session / MS, election * 2 / MS, election / MS
+        session / MS, election * ELECTIONS_PER_SESSION / MS, election / MS
     )]
     Session {
-        /// As given.
+        /// Session timeout as given.
         session: Nanos,
-        /// As given.
+        /// Election timeout as given.
         election: Nanos,
     },
-    /// Holders would be left with too little of their spans.
+    /// Holders would be left with too little of their leases.
     #[error(
-        "a clock error of {ppm} parts per million is over 100000: a tenth of each span is lost"
+        "a clock error of {ppm} parts per million is over 100000: a tenth of each duration is lost"
     )]
-    Error {
-        /// As given.
+    ClockError {
+        /// Clock error as given, in parts per million.
         ppm: u32,
     },
-    /// A span of nothing, or of more than a day.
-    #[error("each span is 1ms to 24h")]
+    /// A duration under 1 ms or over 24 h.
+    #[error("each duration is 1ms to 24h")]
     Bounds,
 }
 
 impl Timing {
-    /// Whether the spans work together; the first that does not.
+    /// Checks that the timeouts fit together.
+    ///
+    /// # Errors
+    /// The first rule that does not hold.
     pub fn check(&self) -> Result<(), TimingError> {
-        let Timing { election, heartbeat, session, lease, error } = *self;
-        let bounds = MS..=86_400 * SECOND;
-        if ![election, heartbeat, session, lease].iter().all(|span| bounds.contains(span)) {
+        let election = self.election_timeout;
+        let heartbeat = self.heartbeat_interval;
+        let session = self.session_timeout;
+        let lease = self.lease_duration;
+        let bounds = DURATION_MIN..=DURATION_MAX;
+        if ![election, heartbeat, session, lease].iter().all(|value| bounds.contains(value)) {
             return Err(TimingError::Bounds);
         }
-        if error.ppm > 100_000 {
-            return Err(TimingError::Error { ppm: error.ppm });
+        if self.clock_error.ppm > CLOCK_ERROR_MAX_PPM {
+            return Err(TimingError::ClockError { ppm: self.clock_error.ppm });
         }
-        if election < heartbeat * 5 {
+        if election < heartbeat * HEARTBEATS_PER_ELECTION {
             return Err(TimingError::Election { election, heartbeat });
         }
-        if session < election * 2 {
+        if session < election * ELECTIONS_PER_SESSION {
             return Err(TimingError::Session { session, election });
         }
-        if lease < election * 6 {
+        if lease < election * ELECTIONS_PER_LEASE {
             return Err(TimingError::Lease { lease, election });
         }
         Ok(())
--- /dev/null
+++ b/crates/lease/tests/leases/main.rs
@@ -0,0 +1,9 @@
+//! The lease state machine, expiry by the leader, the client, the fence and the timing check, each
+//! by itself.
+
+mod client;
+mod common;
+mod expiry;
+mod fence;
+mod state_machine;
+mod timing;
--- /dev/null
+++ b/crates/lease/tests/model/case.rs
@@ -0,0 +1,227 @@
+//! The model: its parameters, states and actions, and the properties that are checked.
+
+use mintshelf_lease::client::{LeaseClient, LeaseConfig};
+use mintshelf_lease::command::{Command, Owner, Response};
+use mintshelf_lease::expiry::LeaseExpiry;
+use mintshelf_lease::lease::Leases;
+use mintshelf_lease::timing::{ClockError, Nanos, MS};
+use stateright::{Model, Property};
+
+pub const ONE_HOLDER: &str = "one holder at a time";
+pub const TOKENS_GROW: &str = "tokens only grow";
+pub const PASSES_ON: &str = "it goes from one to the other";
+
+/// A step of true time.
+const STEP: Nanos = 100 * MS;
+const DURATION: Nanos = 400 * MS;
+const CLOCK_ERROR: ClockError = ClockError { ppm: 250_000 };
+/// The only lease of the model.
+pub const LEASE: &str = "a";
+
+/// A fault that is put into the algorithm on purpose.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Mutant {
+    None,
+    /// Lease durations count from the response.
+    CountsFromResponse,
+    /// Clocks are taken for exact.
+    IgnoresClockError,
+    /// A new leader goes on with the former one's counts, on a clock of its own.
+    KeepsFormerLeadersCounts,
+    /// The last token is not part of the replicated state.
+    TokenNotReplicated,
+    /// The expiry does not say which renewal it is about.
+    ExpiresAnyRenewal,
+}
+
+/// Parameters of the model.
+pub struct Case {
+    pub mutant: Mutant,
+    /// Steps of true time.
+    steps: u64,
+    /// Changes of leader.
+    leader_changes_max: u8,
+    /// Requests that arrive twice.
+    duplicates_max: u8,
+    /// Messages of one client that may be in flight at once, each way.
+    pub in_flight_max: usize,
+}
+
+/// A request in flight.
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+pub struct InFlightRequest {
+    pub request_id: u64,
+    pub command: Command,
+}
+
+/// A response in flight.
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+pub struct InFlightResponse {
+    pub request_id: u64,
+    pub response: Response,
+}
+
+/// The highest token granted, and to which client.
+#[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
+pub struct HighestGrant {
+    pub token: u64,
+    pub client: usize,
+}
+
+/// One client and its messages in flight.
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+pub struct Member {
+    pub client: LeaseClient,
+    pub requests: Vec<InFlightRequest>,
+    pub responses: Vec<InFlightResponse>,
+    /// Step of the last request of [`Mutant::CountsFromResponse`].
+    pub requested_at_step: u64,
+    pub has_held: bool,
+}
+
+/// A state of the model.
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+pub struct World {
+    pub step: u64,
+    pub leases: Leases,
+    pub expiry: LeaseExpiry,
+    pub leader_changes: u8,
+    pub members: [Member; 2],
+    pub proposals: Vec<Command>,
+    pub duplicates: u8,
+    pub highest: HighestGrant,
+    pub token_fell: bool,
+}
+
+/// What may happen next; members and messages are given by their indexes.
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+pub enum Action {
+    AdvanceTime,
+    /// A request reaches the replicas; if duplicated, a copy of it stays in flight.
+    DeliverRequest {
+        member: usize,
+        message: usize,
+        duplicate: bool,
+    },
+    DeliverResponse {
+        member: usize,
+        message: usize,
+    },
+    ApplyProposal {
+        proposal: usize,
+    },
+    ChangeLeader,
+}
+
+impl World {
+    /// The clock of all clients, the slowest that is allowed.
+    pub fn client_now(&self) -> Nanos {
+        self.step * STEP * 3 / 4
+    }
+
+    /// The clock of the current leader, the fastest that is allowed.
+    pub fn leader_now(&self) -> Nanos {
+        self.step * STEP * 5 / 4 + u64::from(self.leader_changes) * 300 * MS
+    }
+}
+
+impl Case {
+    pub fn new(mutant: Mutant) -> Self {
+        Case { mutant, steps: 11, leader_changes_max: 2, duplicates_max: 1, in_flight_max: 1 }
+    }
+
+    pub fn clock_error(&self) -> ClockError {
+        match self.mutant {
+            Mutant::IgnoresClockError => ClockError { ppm: 0 },
+            _ => CLOCK_ERROR,
+        }
+    }
+
+    fn member(&self, index: usize) -> Member {
+        let client = LeaseClient::new(LeaseConfig {
+            lease: LEASE.into(),
+            owner: Owner { member: format!("m{index}"), incarnation: 1 },
+            duration: DURATION,
+            clock_error: self.clock_error(),
+            wait: false,
+        });
+        Member {
+            client,
+            requests: Vec::new(),
+            responses: Vec::new(),
+            requested_at_step: 0,
+            has_held: false,
+        }
+    }
+}
+
+impl Model for Case {
+    type State = World;
+    type Action = Action;
+
+    fn init_states(&self) -> Vec<World> {
+        let mut expiry = LeaseExpiry::new(self.clock_error());
+        expiry.become_leader(0, &Leases::default());
+        vec![World {
+            step: 0,
+            leases: Leases::default(),
+            expiry,
+            leader_changes: 0,
+            members: [self.member(0), self.member(1)],
+            proposals: Vec::new(),
+            duplicates: 0,
+            highest: HighestGrant::default(),
+            token_fell: false,
+        }]
+    }
+
+    fn actions(&self, world: &World, actions: &mut Vec<Action>) {
+        if world.step < self.steps {
+            actions.push(Action::AdvanceTime);
+        }
+        for (member, state) in world.members.iter().enumerate() {
+            for message in 0..state.requests.len() {
+                actions.push(Action::DeliverRequest { member, message, duplicate: false });
+                if world.duplicates < self.duplicates_max {
+                    actions.push(Action::DeliverRequest { member, message, duplicate: true });
+                }
+            }
+            let responses = 0..state.responses.len();
+            actions.extend(responses.map(|message| Action::DeliverResponse { member, message }));
+        }
+        let proposals = 0..world.proposals.len();
+        actions.extend(proposals.map(|proposal| Action::ApplyProposal { proposal }));
+        if world.leader_changes < self.leader_changes_max && world.step > 0 {
+            actions.push(Action::ChangeLeader);
+        }
+    }
+
+    fn next_state(&self, before: &World, action: Action) -> Option<World> {
+        let mut world = before.clone();
+        match action {
+            Action::AdvanceTime => self.advance_time(&mut world),
+            Action::DeliverRequest { member, message, duplicate } => {
+                self.deliver_request(&mut world, member, message, duplicate);
+            }
+            Action::DeliverResponse { member, message } => {
+                self.deliver_response(&mut world, member, message)?;
+            }
+            Action::ApplyProposal { proposal } => self.apply_proposal(&mut world, proposal),
+            Action::ChangeLeader => self.change_leader(&mut world),
+        }
+        Some(world)
+    }
+
+    fn properties(&self) -> Vec<Property<Self>> {
+        vec![
+            Property::always(ONE_HOLDER, |_, world: &World| {
+                let now = world.client_now();
+                !world.members.iter().all(|member| member.client.active_grant(now).is_some())
+            }),
+            Property::always(TOKENS_GROW, |_, world: &World| !world.token_fell),
+            Property::sometimes(PASSES_ON, |_, world: &World| {
+                world.members.iter().all(|member| member.has_held)
+            }),
+        ]
+    }
+}
--- a/crates/mintshelf/src/fleet.rs
+++ b/crates/mintshelf/src/fleet.rs
@@ -7,7 +7,7 @@
 use mintshelf_consensus_node::frame::Report;
 use mintshelf_consensus_node::node::{run, Plan};
 use mintshelf_consensus_node::store::{Identity, Opened, Store};
-use mintshelf_lease::lease::{self, Answer, Command, Owner};
+use mintshelf_lease::command::{self, Command, Owner, Response};
 use serde_json::json;
 use std::ffi::OsString;
 use std::net::{SocketAddr, TcpListener};
@@ -242,10 +242,10 @@
     }
     if as_json {
         let of = |(name, lease): &&(String, mintshelf_lease::lease::Lease)| {
-            let held = lease.held.as_ref().map(|held| {
+            let held = lease.holder.as_ref().map(|held| {
                 json!({"member": held.owner.member, "incarnation": held.owner.incarnation,
-                       "token": held.token, "span_ms": held.span / 1_000_000,
-                       "renewals": held.renewal, "revoked": held.revoked})
+                       "token": held.token, "span_ms": held.duration / 1_000_000,
+                       "renewals": held.renewals, "revoked": held.is_revoked})
             });
             let queue = lease.queue.iter().map(|waiter| &waiter.owner.member);
             json!({"lease": name, "held": held, "waiting": queue.collect::<Vec<_>>()})
@@ -260,15 +260,15 @@
     for (name, lease) in chosen {
         let waiting: Vec<_> = lease.queue.iter().map(|w| w.owner.member.as_str()).collect();
         let waiting = waiting.join(", ");
-        match &lease.held {
+        match &lease.holder {
             None => println!("{name:<24} {:<16} {:>8} {:>9} {:>9}  {waiting}", "-", "-", "-", "-"),
             Some(held) => println!(
                 "{name:<24} {:<16} {:>8} {:>9} {:>9}  {waiting}{}",
                 held.owner.member,
                 held.token,
-                held.span / 1_000_000,
-                held.renewal,
-                if held.revoked { " (revoked)" } else { "" },
+                held.duration / 1_000_000,
+                held.renewals,
+                if held.is_revoked { " (revoked)" } else { "" },
             ),
         }
     }
@@ -282,11 +282,11 @@
     let voters: Vec<SocketAddr> = fleet.voters.iter().map(|voter| voter.address).collect();
     let command = Command::Revoke { lease: lease.to_owned() };
     match runtime.block_on(ask(&fleet.fleet, owner(&fleet), &voters, command)) {
-        Some(Answer::Done) => {
+        Some(Response::Done) => {
             println!("'{lease}' is not renewed any more, and ends with its span");
             Ok(())
         }
-        Some(Answer::Refused(refusal)) => Err(failed(format!("'{lease}': {refusal}"))),
+        Some(Response::Rejected(refusal)) => Err(failed(format!("'{lease}': {refusal}"))),
         _ => {
             eprintln!("mintshelf: no voter answers: try again when a majority is back");
             Err(ExitCode::from(NOBODY))
@@ -303,8 +303,8 @@
     command: Vec<OsString>,
 ) -> Result<ExitCode, ExitCode> {
     let fleet = of(config)?;
-    let span = span.map_or(fleet.spans.lease, |span| span.as_nanos() as u64);
-    if !(lease_run::SPAN_MIN..=lease::SPAN_MAX).contains(&span) {
+    let span = span.map_or(fleet.spans.lease_duration, |span| span.as_nanos() as u64);
+    if !(lease_run::SPAN_MIN..=command::DURATION_MAX).contains(&span) {
         eprintln!("mintshelf: --span is 1s to 24h");
         return Err(ExitCode::from(UNUSABLE));
     }
--- a/crates/mintshelf/src/lease_run.rs
+++ b/crates/mintshelf/src/lease_run.rs
@@ -8,7 +8,7 @@
 use mintshelf_config::model::Fleet;
 use mintshelf_consensus_node::client::{hold, Standing, Want};
 use mintshelf_consensus_node::clock;
-use mintshelf_lease::lease::Owner;
+use mintshelf_lease::command::Owner;
 use mintshelf_lease::timing::{Nanos, MS};
 use rustix::process::{getppid, kill_process_group, set_parent_process_death_signal, Pid, Signal};
 use std::ffi::OsString;
@@ -53,7 +53,7 @@
         owner,
         lease: task.lease.clone(),
         span: task.span,
-        error: fleet.spans.error,
+        error: fleet.spans.clock_error,
         wait: !task.wait.is_zero(),
     };
     let (said, mut standing) = watch::channel(Standing::default());
--- a/crates/mintshelf/tests/fleet.rs
+++ b/crates/mintshelf/tests/fleet.rs
@@ -3,8 +3,8 @@
 
 use mintshelf_consensus_node::client::{hold, Standing, Want};
 use mintshelf_consensus_node::clock;
+use mintshelf_lease::command::Owner;
 use mintshelf_lease::fence::Fence;
-use mintshelf_lease::lease::Owner;
 use mintshelf_lease::timing::{ClockError, MS, SECOND};
 use mintshelf_test_support::relay::{Relay, Way};
 use mintshelf_test_support::{answer, free_address, get, wait_until, Daemon, Process, Server};
--- a/crates/quota/benches/quota.rs
+++ b/crates/quota/benches/quota.rs
@@ -2,7 +2,7 @@
 //! agreed in 15 ms, spans of 2 s. The need is at one member, then moves to another.
 //! CPU is that of this process.
 
-use mintshelf_lease::lease::Owner;
+use mintshelf_lease::command::Owner;
 use mintshelf_lease::timing::{ClockError, Nanos, MS, SECOND};
 use mintshelf_quota::client::ShareHolder;
 use mintshelf_quota::collector::Clerk;
--- a/crates/quota/src/client.rs
+++ b/crates/quota/src/client.rs
@@ -2,7 +2,7 @@
 
 use crate::config::Budget;
 use crate::ledger::{Answer, Ask, Promise};
-use mintshelf_lease::lease::Owner;
+use mintshelf_lease::command::Owner;
 use mintshelf_lease::timing::Nanos;
 use std::collections::VecDeque;
 
@@ -61,7 +61,7 @@
     /// Begins a life. It holds nothing yet but its floor, and that from a hold after its `born`
     /// only: servers may still work on what its former life sent under the same floor.
     pub fn new(owner: Owner, budget: Budget, weight: u32, born: Nanos) -> Self {
-        let floor_from = born.saturating_add(budget.error.grantors(budget.hold));
+        let floor_from = born.saturating_add(budget.error.expiry_duration(budget.hold));
         ShareHolder {
             floor_from,
             owner,
@@ -162,7 +162,7 @@
         let Some((number, at)) = asked.copied().filter(|_| answer.owner == self.owner) else {
             return;
         };
-        let until = at.saturating_add(self.budget.error.holders(self.budget.span));
+        let until = at.saturating_add(self.budget.error.holder_duration(self.budget.span));
         if self.leaves || now >= until {
             return;
         }
--- a/crates/quota/src/collector.rs
+++ b/crates/quota/src/collector.rs
@@ -3,8 +3,8 @@
 
 use crate::config::MEMBERS_MAX;
 use crate::ledger::{Ask, Beat, Ended, Ledger};
-use mintshelf_lease::expiry::PROPOSE_AGAIN;
-use mintshelf_lease::lease::Owner;
+use mintshelf_lease::command::Owner;
+use mintshelf_lease::expiry::PROPOSAL_RETRY_INTERVAL;
 use mintshelf_lease::timing::Nanos;
 use std::collections::BTreeMap;
 
@@ -76,7 +76,7 @@
     fn count(&mut self, now: Nanos, ledger: &Ledger) {
         let budget = ledger.budget();
         // What was taken in the span's last moment may be in use for the hold.
-        let wait = budget.error.grantors(budget.span.saturating_add(budget.hold));
+        let wait = budget.error.expiry_duration(budget.span.saturating_add(budget.hold));
         let over = now.saturating_add(wait);
         self.counts.retain(|owner, _| ledger.account(owner).is_some());
         for (owner, account) in ledger.accounts() {
@@ -100,7 +100,7 @@
                 ended.push(Ended { owner: owner.clone(), grant });
                 // The last of them stays, to be proposed again if need be.
                 counts.running.drain(..over - 1);
-                counts.again = now.saturating_add(PROPOSE_AGAIN);
+                counts.again = now.saturating_add(PROPOSAL_RETRY_INTERVAL);
             }
         }
         let asks = std::mem::take(&mut self.asks).into_values().collect();
--- a/crates/quota/src/ledger.rs
+++ b/crates/quota/src/ledger.rs
@@ -2,7 +2,7 @@
 
 use crate::config::Budget;
 use crate::divide::{divide, settle, Claim};
-use mintshelf_lease::lease::Owner;
+use mintshelf_lease::command::Owner;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/crates/quota/src/session.rs
+++ b/crates/quota/src/session.rs
@@ -1,7 +1,7 @@
 //! Which voter a member asks, and how many members a voter takes: up to 2,000 members spread over
 //! three or five voters, moved when one goes, without a rush on those that are left.
 
-use mintshelf_lease::lease::Owner;
+use mintshelf_lease::command::Owner;
 use mintshelf_lease::timing::{Nanos, MS, SECOND};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/crates/quota/src/state_machine.rs
+++ b/crates/quota/src/state_machine.rs
@@ -4,8 +4,9 @@
 use crate::config::{Budget, BudgetProblem};
 use crate::ledger::{self, Ask, Beat, Ledger};
 use mintshelf_consensus::state_machine::Machine;
-use mintshelf_lease::expiry::Grantor;
-use mintshelf_lease::lease::{self, is_valid_name, Leases};
+use mintshelf_lease::command::{self as lease, is_valid_name};
+use mintshelf_lease::expiry::LeaseExpiry;
+use mintshelf_lease::lease::Leases;
 use mintshelf_lease::timing::{ClockError, Nanos};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -33,7 +34,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Answer {
     /// Of a lease.
-    Lease(lease::Answer),
+    Lease(lease::Response),
     /// The budget is in force, or why not.
     Budget(Result<(), Unfit>),
     /// By budget, what its members are promised.
@@ -96,7 +97,7 @@
 /// What one voter gathers of its members, and counts while it leads.
 #[derive(Debug, Clone)]
 pub struct Counts {
-    grantor: Grantor,
+    grantor: LeaseExpiry,
     clerks: BTreeMap<String, Clerk>,
 }
 
@@ -116,7 +117,7 @@
     type Counts = Counts;
 
     fn counts(error: ClockError) -> Counts {
-        Counts { grantor: Grantor::new(error), clerks: BTreeMap::new() }
+        Counts { grantor: LeaseExpiry::new(error), clerks: BTreeMap::new() }
     }
 
     fn apply(&mut self, command: &Command) -> Answer {
@@ -137,14 +138,16 @@
 
     fn applied(&self, now: Nanos, command: &Command, counts: &mut Counts) {
         match command {
-            Command::Lease(command) => counts.grantor.applied(now, &self.leases, command.lease()),
+            Command::Lease(command) => {
+                counts.grantor.command_applied(now, &self.leases, command.lease())
+            }
             Command::Budget { .. } => {}
             Command::Beat(beats) => {
                 for (name, _) in beats {
                     let Some(ledger) = self.budgets.get(name) else { continue };
                     let clerk = counts.clerks.entry(name.clone()).or_default();
                     // One of a budget that was stated since this voter leads.
-                    if counts.grantor.leads() && !clerk.leads() {
+                    if counts.grantor.is_leader() && !clerk.leads() {
                         clerk.lead(now, ledger);
                     }
                     clerk.applied(now, ledger);
@@ -154,19 +157,19 @@
     }
 
     fn lead(&self, now: Nanos, counts: &mut Counts) {
-        counts.grantor.lead(now, &self.leases);
+        counts.grantor.become_leader(now, &self.leases);
         for (name, ledger) in &self.budgets {
             counts.clerks.entry(name.clone()).or_default().lead(now, ledger);
         }
     }
 
     fn follow(counts: &mut Counts) {
-        counts.grantor.follow();
+        counts.grantor.step_down();
         counts.clerks.values_mut().for_each(Clerk::follow);
     }
 
     fn leads(counts: &Counts) -> bool {
-        counts.grantor.leads()
+        counts.grantor.is_leader()
     }
 
     fn due(now: Nanos, counts: &mut Counts) -> Vec<Command> {
--- a/crates/quota/tests/common/world.rs
+++ b/crates/quota/tests/common/world.rs
@@ -3,7 +3,7 @@
 //! is taken for granted here (`crates/fleet` proves it): what is applied, is applied once and in
 //! one order.
 use super::{free_earlier, free_former_lives};
-use mintshelf_lease::lease::Owner;
+use mintshelf_lease::command::Owner;
 use mintshelf_lease::timing::{ClockError, Nanos, MS, SECOND};
 use mintshelf_quota::client::ShareHolder;
 use mintshelf_quota::collector::Clerk;
--- a/crates/quota/tests/exhaustive.rs
+++ b/crates/quota/tests/exhaustive.rs
@@ -5,7 +5,7 @@
 mod common;
 
 use common::{free_earlier, free_former_lives};
-use mintshelf_lease::lease::Owner;
+use mintshelf_lease::command::Owner;
 use mintshelf_lease::timing::{ClockError, Nanos, MS};
 use mintshelf_quota::client::ShareHolder;
 use mintshelf_quota::collector::Clerk;
--- a/crates/quota/tests/ledger.rs
+++ b/crates/quota/tests/ledger.rs
@@ -1,6 +1,6 @@
 //! The ledger's rules one by one, without clocks: what is said is all that counts.
 
-use mintshelf_lease::lease::Owner;
+use mintshelf_lease::command::Owner;
 use mintshelf_lease::timing::{ClockError, SECOND};
 use mintshelf_quota::collector::Clerk;
 use mintshelf_quota::config::Budget;
--- a/crates/quota/tests/sessions.rs
+++ b/crates/quota/tests/sessions.rs
@@ -1,6 +1,6 @@
 //! Two thousand members and three voters, of which one goes and comes back.
 
-use mintshelf_lease::lease::Owner;
+use mintshelf_lease::command::Owner;
 use mintshelf_lease::timing::{Nanos, MS, SECOND};
 use mintshelf_quota::session::{Seats, Session, PATIENCE};
 use proptest::prelude::*;
--- a/crates/quota/tests/voters.rs
+++ b/crates/quota/tests/voters.rs
@@ -6,7 +6,7 @@
 
 use common::seeds;
 use mintshelf_consensus::replica::{encode, Stored, Voter};
-use mintshelf_lease::lease::Owner;
+use mintshelf_lease::command::Owner;
 use mintshelf_lease::timing::{ClockError, Nanos, Timing, MS, SECOND};
 use mintshelf_quota::client::ShareHolder;
 use mintshelf_quota::config::Budget;
@@ -68,8 +68,13 @@
 }
 
 fn spans() -> Timing {
-    let (election, heartbeat) = (500 * MS, 100 * MS);
-    Timing { election, heartbeat, session: 3 * SECOND, lease: 3 * SECOND, error: ERROR }
+    Timing {
+        election_timeout: 500 * MS,
+        heartbeat_interval: 100 * MS,
+        session_timeout: 3 * SECOND,
+        lease_duration: 3 * SECOND,
+        clock_error: ERROR,
+    }
 }
 
 fn member(n: usize, incarnation: u64, now: Nanos) -> Member {
