--- a/crates/consensus-node/src/frame.rs
+++ b/crates/consensus-node/src/frame.rs
@@ -1,7 +1,8 @@
 //! What goes over a link between two processes of a fleet: frames behind a length, the first of
 //! which says who speaks, in which version, for which fleet.
 
-use mintshelf_consensus::replica::{Status, FRAME_MAX};
+use mintshelf_consensus::message::MESSAGE_BYTES_MAX;
+use mintshelf_consensus::replica::ReplicaStatus;
 use mintshelf_lease::command::{Command, Owner, Response};
 use mintshelf_lease::lease::Lease;
 use serde::{Deserialize, Serialize};
@@ -68,7 +69,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
     /// Its place among the others.
-    pub status: Status,
+    pub status: ReplicaStatus,
     /// How often its store was opened.
     pub life: u64,
     /// Members that have a link to it.
@@ -144,5 +145,5 @@
 
 /// What may come once the other end is known.
 pub fn open_up(codec: &mut LengthDelimitedCodec) {
-    codec.set_max_frame_length(FRAME_MAX + HELLO_MAX);
+    codec.set_max_frame_length(MESSAGE_BYTES_MAX + HELLO_MAX);
 }
--- a/crates/consensus-node/src/node.rs
+++ b/crates/consensus-node/src/node.rs
@@ -8,7 +8,11 @@
 };
 use crate::store::{Store, StoreError};
 use futures_util::{SinkExt, StreamExt};
-use mintshelf_consensus::replica::{encode, Status, Stored, Ticket, Voter, VoterError};
+use mintshelf_consensus::error::ReplicaError;
+use mintshelf_consensus::message::encode;
+use mintshelf_consensus::persistent_state::PersistentState;
+use mintshelf_consensus::replica::{Replica, ReplicaStatus};
+use mintshelf_consensus::write_batch::{ProposalId, ProposalResponse};
 use mintshelf_lease::timing::{Nanos, Timing, MS, SECOND};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
@@ -60,7 +64,7 @@
     Store(#[from] StoreError),
     /// What it holds or was told.
     #[error(transparent)]
-    Voter(#[from] VoterError),
+    Voter(#[from] ReplicaError),
 }
 
 /// One link, as the voter knows it.
@@ -82,13 +86,13 @@
 pub async fn run(
     plan: Plan,
     store: Store,
-    stored: Stored,
+    stored: PersistentState,
     listener: TcpListener,
-    status: watch::Sender<Option<Status>>,
+    status: watch::Sender<Option<ReplicaStatus>>,
     stop: impl Future<Output = ()>,
 ) -> Result<(), NodeError> {
     let life = store.opened();
-    let voter: Voter = Voter::new(plan.id, &stored, &plan.spans, life)?;
+    let voter: Replica = Replica::new(plan.id, &stored, &plan.spans, life)?;
     let (inbox, mut frames) = mpsc::channel(INBOX);
     let mut tasks = JoinSet::new();
     tasks.spawn(accept(plan.clone(), listener, inbox.clone()));
@@ -96,7 +100,7 @@
         tasks.spawn(dial(plan.clone(), *id, *at, inbox.clone()));
     }
     drop(inbox);
-    let mut ticks = interval(Duration::from_nanos(voter.tick_span()));
+    let mut ticks = interval(Duration::from_nanos(voter.tick_interval()));
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let (links, peers, asked) = (HashMap::new(), BTreeMap::new(), BTreeMap::new());
     let mut node = Node { voter, store, links, peers, asked };
@@ -124,12 +128,12 @@
 }
 
 struct Node {
-    voter: Voter,
+    voter: Replica,
     store: Store,
     links: HashMap<u64, Link>,
     /// The last link of each other voter; it may be down.
     peers: BTreeMap<u64, u64>,
-    asked: BTreeMap<Ticket, (u64, u64)>,
+    asked: BTreeMap<ProposalId, (u64, u64)>,
 }
 
 impl Node {
@@ -155,9 +159,9 @@
         let Some(Link { speaker, .. }) = self.links.get(&link) else { return Ok(()) };
         match (speaker, frame) {
             (Speaker::Voter(_), Frame::Raft(bytes)) => {
-                match self.voter.receive(clock::now(), &bytes) {
+                match self.voter.handle_message(clock::now(), &bytes) {
                     Ok(()) => {}
-                    Err(error @ VoterError::StoreBehind { .. }) => return Err(error.into()),
+                    Err(error @ ReplicaError::StoreBehind { .. }) => return Err(error.into()),
                     Err(error) => self.shut(link, &error.to_string()),
                 }
             }
@@ -216,17 +220,19 @@
 
     /// Writes, syncs and sends until there is nothing more to do.
     fn drive(&mut self) -> Result<(), NodeError> {
-        while let Some(mut batch) = self.voter.batch(clock::now())? {
-            self.post(std::mem::take(&mut batch.at_once))?;
-            for (ticket, answer) in std::mem::take(&mut batch.answers) {
-                if let Some((link, number)) = self.asked.remove(&ticket) {
+        while let Some(mut batch) = self.voter.next_batch(clock::now())? {
+            self.post(std::mem::take(&mut batch.immediate_messages))?;
+            for ProposalResponse { proposal, response: answer } in
+                std::mem::take(&mut batch.responses)
+            {
+                if let Some((link, number)) = self.asked.remove(&proposal) {
                     self.say(link, &Frame::Answer { number, answer });
                 }
             }
             if !batch.is_empty() {
                 self.store.write(&batch)?;
             }
-            let messages = self.voter.synced(clock::now());
+            let messages = self.voter.batch_synced(clock::now());
             self.post(messages)?;
         }
         Ok(())
--- a/crates/consensus-node/src/store.rs
+++ b/crates/consensus-node/src/store.rs
@@ -3,7 +3,9 @@
 //! A batch is synced before [`Store::write`] returns; what it promises may leave after that. The
 //! file says whose it is: fleet, voter and how often it was opened.
 
-use mintshelf_consensus::replica::{Batch, Stored, VoterError};
+use mintshelf_consensus::error::StoredStateError;
+use mintshelf_consensus::persistent_state::PersistentState;
+use mintshelf_consensus::write_batch::WriteBatch;
 use protobuf::Message as _;
 use raft::eraftpb::{Entry, HardState, Snapshot};
 use redb::{
@@ -89,7 +91,7 @@
     /// know; see the design note.
     Empty,
     /// What the voter goes on from.
-    Stored(Box<Stored>),
+    Stored(Box<PersistentState>),
 }
 
 /// An open store. One process at a time has it.
@@ -225,12 +227,12 @@
     /// # Errors
     /// The disk fails: nothing of the batch may be promised, and the voter must stop. What is
     /// stored is the batch before it, or this one.
-    pub fn write(&self, batch: &Batch) -> Result<(), StoreError> {
+    pub fn write(&self, batch: &WriteBatch) -> Result<(), StoreError> {
         let bytes = |message: &dyn protobuf::Message| {
             message.write_to_bytes().map_err(|error| self.damaged(error))
         };
         let snapshot = batch.snapshot.as_ref().map(|s| bytes(s)).transpose()?;
-        let hard = batch.hard.as_ref().map(|hard| bytes(hard)).transpose()?;
+        let hard = batch.hard_state.as_ref().map(|hard| bytes(hard)).transpose()?;
         let entries: Vec<(u64, Vec<u8>)> = batch
             .entries
             .iter()
@@ -265,12 +267,11 @@
     ///
     /// # Errors
     /// The disk fails.
-    pub fn begin_fleet(&self, stored: &Stored) -> Result<(), StoreError> {
-        let (hard, snapshot, _) = stored.parts();
-        self.write(&Batch {
-            snapshot: Some(snapshot.clone()),
-            hard: Some(hard.clone()),
-            ..Batch::default()
+    pub fn begin_fleet(&self, stored: &PersistentState) -> Result<(), StoreError> {
+        self.write(&WriteBatch {
+            snapshot: Some(stored.snapshot().clone()),
+            hard_state: Some(stored.hard_state().clone()),
+            ..WriteBatch::default()
         })
     }
 
@@ -299,8 +300,8 @@
         let snapshot = Snapshot::parse_from_bytes(&snapshot).map_err(wrong)?;
         let entries: Result<Vec<Entry>, _> =
             entries.iter().map(|entry| Entry::parse_from_bytes(entry)).collect();
-        let stored = Stored::from_parts(hard, snapshot, entries.map_err(wrong)?);
-        let stored = stored.map_err(|error: VoterError| self.damaged(error))?;
+        let stored = PersistentState::from_parts(hard, snapshot, entries.map_err(wrong)?);
+        let stored = stored.map_err(|error: StoredStateError| self.damaged(error))?;
         Ok(Opened::Stored(Box::new(stored)))
     }
 }
--- a/crates/consensus-node/tests/nodes.rs
+++ b/crates/consensus-node/tests/nodes.rs
@@ -1,7 +1,8 @@
 //! Voters with stores and links on loopback, every link through a relay, and members that hold
 //! leases.
 
-use mintshelf_consensus::replica::{Status, Stored};
+use mintshelf_consensus::persistent_state::PersistentState;
+use mintshelf_consensus::replica::ReplicaStatus;
 use mintshelf_consensus_node::client::{hold, Standing, Want};
 use mintshelf_consensus_node::clock;
 use mintshelf_consensus_node::node::{run, NodeError, Plan};
@@ -60,7 +61,7 @@
     /// Links by who dials and who listens.
     links: BTreeMap<(u64, u64), Relay>,
     nodes: Vec<Option<Running<Result<(), NodeError>>>>,
-    status: Vec<watch::Receiver<Option<Status>>>,
+    status: Vec<watch::Receiver<Option<ReplicaStatus>>>,
 }
 
 impl Fleet {
@@ -93,7 +94,7 @@
             let stored = match opened {
                 Opened::Stored(stored) => *stored,
                 Opened::Empty => {
-                    let stored = Stored::new_fleet(&[1, 2, 3]);
+                    let stored = PersistentState::new_fleet(&[1, 2, 3]);
                     store.begin_fleet(&stored)?;
                     stored
                 }
@@ -115,7 +116,7 @@
 
     fn leader(&self) -> Option<u64> {
         let up = |id: &u64| self.nodes[*id as usize - 1].is_some();
-        let leads = |id: &u64| self.status[*id as usize - 1].borrow().is_some_and(|s| s.leads);
+        let leads = |id: &u64| self.status[*id as usize - 1].borrow().is_some_and(|s| s.is_leader);
         (1..=3).filter(up).find(leads)
     }
 
@@ -186,7 +187,7 @@
     wait_until("the second has it", || second.token().is_some());
     assert!(second.token().expect("held") > token);
     wait_until("who was away has caught up", || {
-        let of = |id: u64| fleet.status[id as usize - 1].borrow().map_or(0, |s| s.applied);
+        let of = |id: u64| fleet.status[id as usize - 1].borrow().map_or(0, |s| s.applied_index);
         let leader = fleet.leader().map_or(u64::MAX, of);
         of(gone) >= leader
     });
--- a/crates/consensus-node/tests/store.rs
+++ b/crates/consensus-node/tests/store.rs
@@ -1,7 +1,8 @@
 //! A voter's store: whole batches over restarts, one process at a time, and a clear word where it
 //! is another's, damaged, or the disk fails.
 
-use mintshelf_consensus::replica::{Stored, Voter, SNAPSHOT_EVERY};
+use mintshelf_consensus::persistent_state::PersistentState;
+use mintshelf_consensus::replica::{Replica, SNAPSHOT_ENTRIES};
 use mintshelf_consensus_node::store::{Identity, Opened, Store, StoreError, FILE};
 use mintshelf_lease::command::{Command, Owner};
 use mintshelf_lease::timing::{Nanos, Timing, MS, SECOND};
@@ -36,7 +37,7 @@
     Identity { fleet: "f".into(), voter: 1 }
 }
 
-fn stored(opened: Opened) -> Stored {
+fn stored(opened: Opened) -> PersistentState {
     match opened {
         Opened::Stored(stored) => *stored,
         Opened::Empty => panic!("nothing is stored"),
@@ -44,18 +45,18 @@
 }
 
 /// A fleet of one voter: what it has agreed on is what its store holds.
-fn alone(store: &Store, opened: Opened) -> (Voter, Nanos) {
+fn alone(store: &Store, opened: Opened) -> (Replica, Nanos) {
     let state = match opened {
         Opened::Empty => {
-            let state = Stored::new_fleet(&[1]);
+            let state = PersistentState::new_fleet(&[1]);
             store.begin_fleet(&state).unwrap();
             state
         }
         opened => stored(opened),
     };
-    let mut voter: Voter = Voter::new(1, &state, &Timing::default(), store.opened()).unwrap();
+    let mut voter: Replica = Replica::new(1, &state, &Timing::default(), store.opened()).unwrap();
     let mut now = SECOND;
-    while !voter.status().leads {
+    while !voter.status().is_leader {
         now += 100 * MS;
         voter.tick(now);
         settle(&mut voter, store, now).unwrap();
@@ -64,12 +65,12 @@
 }
 
 /// Writes what is to be written; how many answers were given.
-fn settle(voter: &mut Voter, store: &Store, now: Nanos) -> Result<usize, StoreError> {
+fn settle(voter: &mut Replica, store: &Store, now: Nanos) -> Result<usize, StoreError> {
     let mut answers = 0;
-    while let Some(batch) = voter.batch(now).unwrap() {
-        answers += batch.answers.len();
+    while let Some(batch) = voter.next_batch(now).unwrap() {
+        answers += batch.responses.len();
         store.write(&batch)?;
-        voter.synced(now);
+        let _unsent = voter.batch_synced(now);
     }
     Ok(answers)
 }
@@ -85,7 +86,7 @@
     let (store, opened) = Store::open(&directory.0, &identity()).unwrap();
     assert!(matches!(opened, Opened::Empty));
     let (mut voter, now) = alone(&store, opened);
-    for n in 0..SNAPSHOT_EVERY as u64 + 300 {
+    for n in 0..SNAPSHOT_ENTRIES as u64 + 300 {
         voter.propose(&ask(n)).unwrap();
         assert_eq!(settle(&mut voter, &store, now).unwrap(), 1);
     }
@@ -94,9 +95,9 @@
     let (store, opened) = Store::open(&directory.0, &identity()).unwrap();
     assert_eq!(store.opened(), 2);
     let state = stored(opened);
-    let (hard, snapshot, entries) = state.parts();
-    assert!(snapshot.get_metadata().index > SNAPSHOT_EVERY as u64 - 5, "no snapshot was kept");
-    assert!(entries.len() < SNAPSHOT_EVERY && hard.term >= status.term);
+    let (hard, snapshot, entries) = (state.hard_state(), state.snapshot(), state.entries());
+    assert!(snapshot.get_metadata().index > SNAPSHOT_ENTRIES as u64 - 5, "no snapshot was kept");
+    assert!(entries.len() < SNAPSHOT_ENTRIES && hard.term >= status.term);
     let (voter, _) = alone(&store, Opened::Stored(Box::new(state)));
     assert_eq!(voter.leases(), &leases);
 }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,12 +1,41 @@
 //! Consensus: replicas that agree on a log of commands, and the state machine on top of it.
 //!
 //! The `raft` crate is driven from outside. No I/O and no clock: time is an argument, messages
-//! and writes are handed out, and whoever drives a [`replica::Replica`] sends and stores them.
+//! and writes are handed out, and the driver of a [`replica::Replica`] sends and stores them.
 //!
 //! `docs/fleet-design.md` has the reasons and the alternatives.
+//!
+//! A fleet of one replica elects itself:
+//!
+//! ```
+//! use mintshelf_consensus::persistent_state::PersistentState;
+//! use mintshelf_consensus::replica::Replica;
+//! use mintshelf_lease::timing::Timing;
+//!
+//! # fn main() -> Result<(), mintshelf_consensus::error::ReplicaError> {
+//! let mut state = PersistentState::new_fleet(&[1]);
+//! let mut replica: Replica = Replica::new(1, &state, &Timing::default(), 1)?;
+//! let mut now = 0;
+//! while !replica.status().is_leader {
+//!     now += replica.tick_interval();
+//!     replica.tick(now);
+//!     while let Some(batch) = replica.next_batch(now)? {
+//!         state.write(&batch);
+//!         let messages = replica.batch_synced(now);
+//!         assert!(messages.is_empty(), "there is no other replica to send to");
+//!     }
+//! }
+//! # Ok(())
+//! # }
+//! ```
 
 #![forbid(unsafe_code)]
 
+pub mod error;
 mod log;
+pub mod message;
+mod message_check;
+pub mod persistent_state;
 pub mod replica;
 pub mod state_machine;
+pub mod write_batch;
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -1,104 +1,118 @@
-//! A voter's log as raft reads it: what is stored, mirrored in memory, behind the last snapshot.
+//! The log as raft reads it: the persistent state, mirrored in memory, after the last snapshot.
 
-use crate::replica::Batch;
+use crate::write_batch::WriteBatch;
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
 use raft::{Error, GetEntriesContext, RaftState, Result, Storage, StorageError};
 
-/// Entries since a snapshot, and the state that goes with them.
+/// A snapshot, the entries after it and the hard state.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Log {
-    pub(crate) hard: HardState,
-    pub(crate) conf: ConfState,
+    pub(crate) hard_state: HardState,
+    pub(crate) conf_state: ConfState,
     pub(crate) snapshot: Snapshot,
     entries: Vec<Entry>,
 }
 
 impl Log {
-    /// An empty log of a fleet with these voters.
-    pub(crate) fn new(voters: &[u64]) -> Self {
+    /// The empty log of a new fleet.
+    pub(crate) fn new_fleet(replica_ids: &[u64]) -> Self {
         let mut log = Log::default();
-        log.conf.voters = voters.to_vec();
-        // A first snapshot, so that all begin from the same place.
-        log.snapshot.mut_metadata().set_conf_state(log.conf.clone());
-        log.snapshot.mut_metadata().index = 1;
-        log.snapshot.mut_metadata().term = 1;
-        (log.hard.term, log.hard.commit) = (1, 1);
+        log.conf_state.voters = replica_ids.to_vec();
+        // A first snapshot, so that all replicas begin from the same place.
+        let metadata = log.snapshot.mut_metadata();
+        metadata.set_conf_state(log.conf_state.clone());
+        metadata.index = 1;
+        metadata.term = 1;
+        log.hard_state.term = 1;
+        log.hard_state.commit = 1;
         log
     }
 
-    fn base(&self) -> u64 {
+    /// A log of parts that fit together.
+    pub(crate) fn from_parts(
+        hard_state: HardState,
+        snapshot: Snapshot,
+        entries: Vec<Entry>,
+    ) -> Self {
+        let conf_state = snapshot.get_metadata().get_conf_state().clone();
+        Log { hard_state, conf_state, snapshot, entries }
+    }
+
+    fn snapshot_index(&self) -> u64 {
         self.snapshot.get_metadata().index
     }
 
-    fn last(&self) -> u64 {
-        self.base() + self.entries.len() as u64
+    fn end_index(&self) -> u64 {
+        self.snapshot_index() + self.entries.len() as u64
+    }
+
+    /// Position in `entries` of an index after the snapshot.
+    fn position(&self, index: u64) -> usize {
+        index.saturating_sub(self.snapshot_index() + 1) as usize
     }
 
-    /// What the last snapshot leaves of the log.
-    pub(crate) fn kept(&self) -> usize {
-        self.entries.len()
+    /// The entries after the snapshot.
+    pub(crate) fn entries(&self) -> &[Entry] {
+        &self.entries
     }
 
-    /// Adds entries; those they contradict go.
-    pub(crate) fn append(&mut self, entries: &[Entry]) {
+    /// Appends entries; those that they contradict are removed.
+    fn append(&mut self, entries: &[Entry]) {
         let Some(first) = entries.first() else { return };
-        let at = first.index.saturating_sub(self.base() + 1) as usize;
-        self.entries.truncate(at);
-        let known = (self.base() + 1).saturating_sub(first.index) as usize;
-        self.entries.extend(entries.iter().skip(known).cloned());
+        self.entries.truncate(self.position(first.index));
+        let compacted = (self.snapshot_index() + 1).saturating_sub(first.index) as usize;
+        self.entries.extend(entries.iter().skip(compacted).cloned());
     }
 
-    /// Writes a batch, but for a snapshot of the own state.
-    pub(crate) fn write<A>(&mut self, batch: &Batch<A>) {
-        batch.snapshot.iter().for_each(|snapshot| self.restore(snapshot));
+    /// Writes a batch, except for its compaction.
+    pub(crate) fn write<R>(&mut self, batch: &WriteBatch<R>) {
+        if let Some(snapshot) = &batch.snapshot {
+            self.restore(snapshot);
+        }
         self.append(&batch.entries);
-        if let Some(hard) = &batch.hard {
-            self.hard = hard.clone();
+        if let Some(hard_state) = &batch.hard_state {
+            self.hard_state = hard_state.clone();
         }
     }
 
-    /// Takes a leader's snapshot in place of all before it.
+    /// Puts a leader's snapshot in place of all before it.
     fn restore(&mut self, snapshot: &Snapshot) {
-        let index = snapshot.get_metadata().index;
-        if index <= self.base() {
+        let metadata = snapshot.get_metadata();
+        if metadata.index <= self.snapshot_index() {
             return;
         }
         self.entries.clear();
-        self.conf = snapshot.get_metadata().get_conf_state().clone();
-        self.hard.commit = self.hard.commit.max(index);
-        self.hard.term = self.hard.term.max(snapshot.get_metadata().term);
+        self.conf_state = metadata.get_conf_state().clone();
+        self.hard_state.commit = self.hard_state.commit.max(metadata.index);
+        self.hard_state.term = self.hard_state.term.max(metadata.term);
         self.snapshot = snapshot.clone();
     }
 
-    /// A snapshot of the state at an index.
-    pub(crate) fn snapshot_of(&self, index: u64, data: Vec<u8>) -> Option<Snapshot> {
-        let term = self.term(index).ok().filter(|_| index > self.base())?;
+    /// A snapshot with this data at an index of the log; `None` if the index is not in it.
+    pub(crate) fn snapshot_at(&self, index: u64, data: Vec<u8>) -> Option<Snapshot> {
+        let term = self.term(index).ok().filter(|_| index > self.snapshot_index())?;
         let mut snapshot = Snapshot::default();
         snapshot.set_data(data.into());
-        let meta = snapshot.mut_metadata();
-        (meta.index, meta.term) = (index, term);
-        meta.set_conf_state(self.conf.clone());
+        let metadata = snapshot.mut_metadata();
+        metadata.index = index;
+        metadata.term = term;
+        metadata.set_conf_state(self.conf_state.clone());
         Some(snapshot)
     }
 
-    /// Puts a snapshot of the own state in place of the entries up to its index.
+    /// Puts a snapshot of this replica's state in place of the entries up to its index.
     pub(crate) fn compact(&mut self, snapshot: &Snapshot) {
         let index = snapshot.get_metadata().index;
-        if index > self.base() && index <= self.last() {
-            self.entries.drain(..(index - self.base()) as usize);
+        if index > self.snapshot_index() && index <= self.end_index() {
+            self.entries.drain(..(index - self.snapshot_index()) as usize);
             self.snapshot = snapshot.clone();
         }
     }
-
-    /// The entries after the snapshot.
-    pub(crate) fn entries(&self) -> &[Entry] {
-        &self.entries
-    }
 }
 
 impl Storage for Log {
     fn initial_state(&self) -> Result<RaftState> {
-        Ok(RaftState::new(self.hard.clone(), self.conf.clone()))
+        Ok(RaftState::new(self.hard_state.clone(), self.conf_state.clone()))
     }
 
     fn entries(
@@ -108,40 +122,39 @@
         max_size: impl Into<Option<u64>>,
         _: GetEntriesContext,
     ) -> Result<Vec<Entry>> {
-        if low <= self.base() {
+        if low <= self.snapshot_index() {
             return Err(Error::Store(StorageError::Compacted));
         }
-        if high > self.last() + 1 {
+        if high > self.end_index() + 1 {
             return Err(Error::Store(StorageError::Unavailable));
         }
-        let from = (low - self.base() - 1) as usize;
-        let mut entries = self.entries[from..(high - self.base() - 1) as usize].to_vec();
+        let mut entries = self.entries[self.position(low)..self.position(high)].to_vec();
         raft::util::limit_size(&mut entries, max_size.into());
         Ok(entries)
     }
 
     fn term(&self, index: u64) -> Result<u64> {
-        if index == self.base() {
+        if index == self.snapshot_index() {
             return Ok(self.snapshot.get_metadata().term);
         }
-        if index < self.base() {
+        if index < self.snapshot_index() {
             return Err(Error::Store(StorageError::Compacted));
         }
-        let at = (index - self.base() - 1) as usize;
-        let entry = self.entries.get(at).ok_or(Error::Store(StorageError::Unavailable))?;
+        let entry = self.entries.get(self.position(index));
+        let entry = entry.ok_or(Error::Store(StorageError::Unavailable))?;
         Ok(entry.term)
     }
 
     fn first_index(&self) -> Result<u64> {
-        Ok(self.base() + 1)
+        Ok(self.snapshot_index() + 1)
     }
 
     fn last_index(&self) -> Result<u64> {
-        Ok(self.last())
+        Ok(self.end_index())
     }
 
     fn snapshot(&self, request_index: u64, _to: u64) -> Result<Snapshot> {
-        if request_index > self.base() {
+        if request_index > self.snapshot_index() {
             return Err(Error::Store(StorageError::SnapshotTemporarilyUnavailable));
         }
         Ok(self.snapshot.clone())
--- /dev/null
+++ b/crates/consensus/src/persistent_state.rs
@@ -0,0 +1,75 @@
+//! What a replica's store holds between two starts.
+
+use crate::error::StoredStateError;
+use crate::log::Log;
+use crate::write_batch::WriteBatch;
+use raft::eraftpb::{Entry, HardState, Snapshot};
+
+/// The persistent state of a replica: read at its start, changed by [`WriteBatch`] only.
+#[derive(Debug, Clone, Default)]
+pub struct PersistentState {
+    log: Log,
+}
+
+impl PersistentState {
+    /// The state that all replicas of a new fleet begin with. Replicas are numbered from 1.
+    pub fn new_fleet(replica_ids: &[u64]) -> Self {
+        PersistentState { log: Log::new_fleet(replica_ids) }
+    }
+
+    /// Builds the state from what a store has read back.
+    ///
+    /// # Errors
+    /// The parts don't fit together.
+    pub fn from_parts(
+        hard_state: HardState,
+        snapshot: Snapshot,
+        entries: Vec<Entry>,
+    ) -> Result<Self, StoredStateError> {
+        let metadata = snapshot.get_metadata();
+        let mut last_index = metadata.index;
+        let mut last_term = metadata.term;
+        for entry in &entries {
+            if entry.index != last_index + 1 || entry.term < last_term {
+                return Err(StoredStateError::EntriesOutOfOrder);
+            }
+            last_index = entry.index;
+            last_term = entry.term;
+        }
+        let commit_range = metadata.index..=last_index;
+        if !commit_range.contains(&hard_state.commit) || hard_state.term < last_term {
+            return Err(StoredStateError::HardStateMismatch);
+        }
+        if metadata.get_conf_state().voters.is_empty() {
+            return Err(StoredStateError::NoVoters);
+        }
+        Ok(PersistentState { log: Log::from_parts(hard_state, snapshot, entries) })
+    }
+
+    /// Writes a batch, all of it.
+    pub fn write<R>(&mut self, batch: &WriteBatch<R>) {
+        self.log.write(batch);
+        if let Some(snapshot) = &batch.compacted {
+            self.log.compact(snapshot);
+        }
+    }
+
+    /// Term, vote and commit index.
+    pub fn hard_state(&self) -> &HardState {
+        &self.log.hard_state
+    }
+
+    /// The last snapshot.
+    pub fn snapshot(&self) -> &Snapshot {
+        &self.log.snapshot
+    }
+
+    /// The entries after the snapshot.
+    pub fn entries(&self) -> &[Entry] {
+        self.log.entries()
+    }
+
+    pub(crate) fn log(&self) -> &Log {
+        &self.log
+    }
+}
--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -1,562 +1,359 @@
-//! One voter: raft (the `raft` crate), the state it agrees on, and the leader's counts.
+//! One replica: raft, the state machine on top of it, and the state machine's local state.
 //!
-//! Whoever drives it calls [`Voter::tick`] about every [`Voter::tick_span`], hands in what comes
-//! ([`Voter::receive`], [`Voter::propose`]) and then, until there is none, takes a [`Batch`],
-//! sends what may go at once, writes and syncs the rest, and sends what [`Voter::synced`] gives.
-//! What is promised to others leaves with that call and not before.
+//! The driver calls [`Replica::tick`] about every [`Replica::tick_interval`], passes in what
+//! arrives ([`Replica::handle_message`], [`Replica::propose`]) and then, until there is none,
+//! takes a [`WriteBatch`], sends its immediate messages, writes and syncs the rest, and sends the
+//! messages that [`Replica::batch_synced`] returns. What depends on the write leaves with that
+//! call and not before.
 
+use crate::error::{MessageError, ReplicaError, StoredStateError};
 use crate::log::Log;
-use crate::state_machine::Machine;
-use mintshelf_lease::command::Response;
+use crate::message;
+use crate::message_check::{check_address, check_content};
+use crate::persistent_state::PersistentState;
+use crate::state_machine::{decode_snapshot, StateMachine};
+use crate::write_batch::{ProposalId, ProposalResponse, WriteBatch};
 use mintshelf_lease::lease::Leases;
 use mintshelf_lease::timing::{Nanos, Timing};
-use protobuf::Message as _;
-use raft::eraftpb::{ConfState, Entry, EntryType, HardState, Message, MessageType, Snapshot};
+use raft::eraftpb::{Entry, Message, MessageType, Snapshot};
 use raft::{Config, RawNode, StateRole};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use serde::{Deserialize, Serialize};
-use thiserror::Error;
 
-/// Entries behind the last snapshot from which a new one is made.
-pub const SNAPSHOT_EVERY: usize = 1_024;
-/// Most bytes of entries that are proposed and not agreed.
-const UNAGREED_MAX: u64 = 1 << 20;
+/// Number of entries after the last snapshot from which a new one is made.
+pub const SNAPSHOT_ENTRIES: usize = 1_024;
+/// Most bytes of entries that are proposed and not committed.
+const UNCOMMITTED_BYTES_MAX: u64 = 1 << 20;
 /// Most bytes of entries in one message.
-const MESSAGE_MAX: u64 = 256 << 10;
-/// Messages on the way to one follower.
+const APPEND_BYTES_MAX: u64 = 256 << 10;
+/// Most messages in flight to one follower.
 const IN_FLIGHT_MAX: usize = 64;
-/// Longest message that is taken in, in bytes: a snapshot of all leases with all queues full
-/// stays below.
-pub const FRAME_MAX: usize = 32 << 20;
 
-/// No log grows to this.
-const MAX_INDEX: u64 = 1 << 62;
-
-/// Whose proposal an entry is: a voter's life, and a number in it.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Ticket {
-    /// The voter.
-    pub voter: u64,
-    /// Drawn at its start, so that a former life's entries are not taken for its own.
-    pub life: u64,
-    /// Counts in that life.
-    pub number: u64,
-}
-
-/// What went wrong. A voter goes on after [`VoterError::Frame`] and [`VoterError::NotNow`] only.
-#[derive(Debug, Error)]
-pub enum VoterError {
-    /// Raft's own.
-    #[error("agreement: {0}")]
-    Raft(#[from] raft::Error),
-    /// What is stored can't be read.
-    #[error("what is stored can't be read: {0}")]
-    Stored(String),
-    /// No message of a voter.
-    #[error("not a voter's message: {0}")]
-    Frame(String),
-    /// The store is empty, or older than what this voter has promised from it: a leader counts
-    /// on entries that it has acknowledged. It must not go on under this number: what it voted
-    /// may be forgotten too.
-    #[error(
-        "the store ends at entry {holds}, and a leader knows that it held {knows}: it was emptied \
-         or put back to an older state; this voter must stop"
-    )]
-    StoreBehind {
-        /// What has been acknowledged.
-        knows: u64,
-        /// What there is.
-        holds: u64,
-    },
-    /// Nobody leads, or too much is on its way.
-    #[error("no leader takes it now")]
-    NotNow,
-}
-
-/// What a voter's store holds: read at start, written by [`Batch`].
-#[derive(Debug, Clone, Default)]
-pub struct Stored {
-    log: Log,
-}
-
-impl Stored {
-    /// The store of a new fleet with these voters, by number from 1.
-    pub fn new_fleet(voters: &[u64]) -> Self {
-        Stored { log: Log::new(voters) }
-    }
-
-    /// Writes a batch, all of it.
-    pub fn write<A>(&mut self, batch: &Batch<A>) {
-        self.log.write(batch);
-        batch.compacted.iter().for_each(|snapshot| self.log.compact(snapshot));
-    }
-
-    /// From what a store has read back.
-    ///
-    /// # Errors
-    /// The parts don't go together.
-    pub fn from_parts(
-        hard: HardState,
-        snapshot: Snapshot,
-        entries: Vec<Entry>,
-    ) -> Result<Self, VoterError> {
-        let wrong = |why: &str| Err(VoterError::Stored(why.to_owned()));
-        let mut last = (snapshot.get_metadata().index, snapshot.get_metadata().term);
-        for entry in &entries {
-            if entry.index != last.0 + 1 || entry.term < last.1 {
-                return wrong("entries out of their order");
-            }
-            last = (entry.index, entry.term);
-        }
-        let base = snapshot.get_metadata().index;
-        if hard.commit < base || hard.commit > last.0 || hard.term < last.1 {
-            return wrong("term and commit don't go with the entries");
-        }
-        if snapshot.get_metadata().get_conf_state().voters.is_empty() {
-            return wrong("no voters");
-        }
-        let mut log = Log::default();
-        log.conf = snapshot.get_metadata().get_conf_state().clone();
-        (log.hard, log.snapshot) = (hard, snapshot);
-        log.append(&entries);
-        Ok(Stored { log })
-    }
-
-    /// What a store keeps: term and vote, the snapshot, the entries after it.
-    pub fn parts(&self) -> (&HardState, &Snapshot, &[Entry]) {
-        (&self.log.hard, &self.log.snapshot, self.log.entries())
-    }
-}
-
-/// What is to be written and synced, in this order, and what may be sent meanwhile.
-#[derive(Debug)]
-pub struct Batch<A = Response> {
-    /// A leader's state in place of the log.
-    pub snapshot: Option<Snapshot>,
-    /// Entries that replace those from their first index on.
-    pub entries: Vec<Entry>,
-    /// Term, vote and what is known to be agreed.
-    pub hard: Option<HardState>,
-    /// The own state, in place of the entries up to its index.
-    pub compacted: Option<Snapshot>,
-    /// May leave before the writes are synced: they promise nothing.
-    pub at_once: Vec<Message>,
-    /// To who proposed here: a majority has it.
-    pub answers: Vec<(Ticket, A)>,
-    /// Whether anything has been promised that must outlive a crash.
-    pub must_sync: bool,
-}
-
-impl<A> Default for Batch<A> {
-    fn default() -> Self {
-        Batch {
-            snapshot: None,
-            entries: Vec::new(),
-            hard: None,
-            compacted: None,
-            at_once: Vec::new(),
-            answers: Vec::new(),
-            must_sync: false,
-        }
-    }
-}
-
-impl<A> Batch<A> {
-    /// Whether there is nothing to write.
-    pub fn is_empty(&self) -> bool {
-        self.snapshot.is_none()
-            && self.entries.is_empty()
-            && self.hard.is_none()
-            && self.compacted.is_none()
-    }
-}
-
-/// What a voter says of itself.
+/// What a replica reports of itself.
+///
+/// Frames between processes hold it in the postcard format: the order of the fields is part of
+/// that format.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Status {
+pub struct ReplicaStatus {
     /// Its number.
     pub id: u64,
-    /// The election that is valid.
+    /// Its current term.
     pub term: u64,
-    /// Who leads; 0 for nobody known.
+    /// Number of the leader; 0 if none is known.
     pub leader: u64,
-    /// Whether it is this one.
-    pub leads: bool,
-    /// What it has applied.
-    pub applied: u64,
-    /// What it knows to be agreed.
-    pub committed: u64,
+    /// Whether it is the leader itself.
+    pub is_leader: bool,
+    /// Index of the last entry that it has applied.
+    pub applied_index: u64,
+    /// Index of the last entry that it knows to be committed.
+    pub committed_index: u64,
 }
 
-/// A write under way, and what comes after it.
-struct Pending {
-    number: u64,
+/// A write in progress, and what follows it.
+struct PendingWrite {
+    ready_number: u64,
     messages: Vec<Message>,
-    /// The index of a leader's snapshot in it.
-    restored: Option<u64>,
+    /// Index of a leader's snapshot in it.
+    restored_index: Option<u64>,
 }
 
-/// One voter; of leases, where it is not said of what.
-pub struct Voter<M: Machine = Leases> {
-    raw: RawNode<Log>,
-    machine: M,
-    counts: M::Counts,
-    pending: Option<Pending>,
+/// The election timeout that was drawn for one term and role.
+struct ElectionTimeout {
+    term: u64,
+    role: StateRole,
+    ticks: usize,
+}
+
+/// One replica of a state machine; of leases, if none is named.
+pub struct Replica<M: StateMachine = Leases> {
+    raft_node: RawNode<Log>,
+    state_machine: M,
+    local_state: M::LocalState,
+    pending_write: Option<PendingWrite>,
     rng: Pcg32,
-    /// The election and role that the drawn span of patience belongs to.
-    drawn: (u64, StateRole, usize),
-    life: u64,
-    last_number: u64,
-    applied: u64,
-    tick_span: Nanos,
-    ticked: Option<Nanos>,
+    election_timeout: ElectionTimeout,
+    incarnation: u64,
+    last_sequence: u64,
+    applied_index: u64,
+    tick_interval: Nanos,
+    last_tick_at: Option<Nanos>,
 }
 
-impl<M: Machine> Voter<M> {
-    /// Starts from what is stored. `life` differs from all former starts'.
+fn raft_config(id: u64, applied: u64, timing: &Timing) -> Config {
+    let election_ticks = (timing.election_timeout / timing.heartbeat_interval) as usize;
+    Config {
+        id,
+        applied,
+        election_tick: election_ticks,
+        heartbeat_tick: 1,
+        min_election_tick: election_ticks,
+        max_election_tick: 2 * election_ticks,
+        check_quorum: true,
+        pre_vote: true,
+        max_size_per_msg: APPEND_BYTES_MAX,
+        max_inflight_msgs: IN_FLIGHT_MAX,
+        max_uncommitted_size: UNCOMMITTED_BYTES_MAX,
+        ..Config::default()
+    }
+}
+
+impl<M: StateMachine> Replica<M> {
+    /// Starts a replica from its persistent state. `incarnation` differs from those of all its
+    /// former starts.
     ///
     /// # Errors
-    /// The stored state can't be read.
-    pub fn new(id: u64, stored: &Stored, spans: &Timing, life: u64) -> Result<Self, VoterError> {
-        let tick_span = spans.heartbeat_interval;
-        let election = (spans.election_timeout / tick_span) as usize;
-        let log = stored.log.clone();
-        let applied = log.snapshot.get_metadata().index;
-        let config = Config {
-            id,
-            applied,
-            election_tick: election,
-            heartbeat_tick: 1,
-            min_election_tick: election,
-            max_election_tick: 2 * election,
-            check_quorum: true,
-            pre_vote: true,
-            max_size_per_msg: MESSAGE_MAX,
-            max_inflight_msgs: IN_FLIGHT_MAX,
-            max_uncommitted_size: UNAGREED_MAX,
-            ..Config::default()
+    /// The persistent state is unusable.
+    pub fn new(
+        id: u64,
+        state: &PersistentState,
+        timing: &Timing,
+        incarnation: u64,
+    ) -> Result<Self, ReplicaError> {
+        let log = state.log().clone();
+        let applied_index = log.snapshot.get_metadata().index;
+        let state_machine =
+            decode_snapshot(log.snapshot.get_data()).map_err(StoredStateError::from)?;
+        let no_logger = slog::Logger::root(slog::Discard, slog::o!());
+        let raft_node = RawNode::new(&raft_config(id, applied_index, timing), log, &no_logger)?;
+        let mut replica = Replica {
+            raft_node,
+            state_machine,
+            local_state: M::new_local_state(timing.clock_error),
+            pending_write: None,
+            rng: Pcg32::seed_from_u64(incarnation),
+            election_timeout: ElectionTimeout { term: 0, role: StateRole::Follower, ticks: 0 },
+            incarnation,
+            last_sequence: 0,
+            applied_index,
+            tick_interval: timing.heartbeat_interval,
+            last_tick_at: None,
         };
-        let machine = Self::read(log.snapshot.get_data())?;
-        let quiet = slog::Logger::root(slog::Discard, slog::o!());
-        let raw = RawNode::new(&config, log, &quiet)?;
-        let mut voter = Voter {
-            raw,
-            machine,
-            counts: M::counts(spans.clock_error),
-            pending: None,
-            rng: Pcg32::seed_from_u64(life),
-            drawn: (0, StateRole::Follower, 0),
-            life,
-            last_number: 0,
-            applied,
-            tick_span,
-            ticked: None,
-        };
-        voter.draw_patience();
-        Ok(voter)
-    }
-
-    fn read(data: &[u8]) -> Result<M, VoterError> {
-        if data.is_empty() {
-            return Ok(M::default());
-        }
-        postcard::from_bytes(data).map_err(|error| VoterError::Stored(error.to_string()))
+        replica.draw_election_timeout();
+        Ok(replica)
     }
 
-    /// How often [`Voter::tick`] wants to be called.
-    pub fn tick_span(&self) -> Nanos {
-        self.tick_span
+    /// How often [`Replica::tick`] is to be called.
+    pub fn tick_interval(&self) -> Nanos {
+        self.tick_interval
     }
 
-    /// Time has passed. A voter that was stopped ticks once for all it missed: it has heard
-    /// nobody, and that is no sign that nobody spoke.
+    /// Time has passed. A replica that was stopped ticks once for all ticks it missed: that it
+    /// received nothing meanwhile does not mean that nothing was sent.
     pub fn tick(&mut self, now: Nanos) {
-        if self.ticked.is_none_or(|at| now >= at.saturating_add(self.tick_span)) {
-            self.ticked = Some(now);
-            self.draw_patience();
-            self.raw.tick();
+        let is_due = |at: Nanos| now >= at.saturating_add(self.tick_interval);
+        if self.last_tick_at.is_none_or(is_due) {
+            self.last_tick_at = Some(now);
+            self.draw_election_timeout();
+            self.raft_node.tick();
         }
-        self.note_role(now);
-        for command in M::due(now, &mut self.counts) {
-            // Lost, it is proposed again.
+        self.update_role(now);
+        for command in M::due_commands(now, &mut self.local_state) {
+            // A lost proposal is repeated by the state machine's own timers.
             let _ = self.propose(&command);
         }
     }
 
-    /// The library draws the patience of each election from the thread's generator; drawn here
-    /// instead, a seed decides it.
-    fn draw_patience(&mut self) {
-        let (term, role) = (self.raw.raft.term, self.raw.raft.state);
-        let election = self.raw.raft.election_timeout();
-        if (self.drawn.0, self.drawn.1) != (term, role) || self.drawn.2 == 0 {
-            let more = self.rng.next_u32() as usize % election.max(1);
-            self.drawn = (term, role, election + more);
+    /// The library draws each election timeout from the thread's generator; drawn here instead, a
+    /// seed determines it.
+    fn draw_election_timeout(&mut self) {
+        let raft = &mut self.raft_node.raft;
+        let drawn = &mut self.election_timeout;
+        if drawn.term != raft.term || drawn.role != raft.state || drawn.ticks == 0 {
+            let min_ticks = raft.election_timeout();
+            let extra_ticks = self.rng.next_u32() as usize % min_ticks.max(1);
+            drawn.term = raft.term;
+            drawn.role = raft.state;
+            drawn.ticks = min_ticks + extra_ticks;
         }
-        self.raw.raft.set_randomized_election_timeout(self.drawn.2);
+        raft.set_randomized_election_timeout(drawn.ticks);
     }
 
-    fn note_role(&mut self, now: Nanos) {
-        let leads = self.raw.raft.state == StateRole::Leader;
-        let counts = &mut self.counts;
-        if leads && !M::leads(counts) {
-            self.machine.lead(now, counts);
-        } else if !leads && M::leads(counts) {
-            M::follow(counts);
+    fn is_leader(&self) -> bool {
+        self.raft_node.raft.state == StateRole::Leader
+    }
+
+    /// Has the local state follow the role that raft gives this replica.
+    fn update_role(&mut self, now: Nanos) {
+        let is_leader = self.is_leader();
+        let was_leader = M::is_leader(&self.local_state);
+        if is_leader && !was_leader {
+            self.state_machine.become_leader(now, &mut self.local_state);
+        } else if !is_leader && was_leader {
+            M::step_down(&mut self.local_state);
         }
     }
 
-    /// Proposes a command, by way of the leader; the answer comes with the ticket, or never.
+    /// Proposes a command, by way of the leader. The response comes in a batch with the number
+    /// that is returned here, or never.
     ///
     /// # Errors
-    /// [`VoterError::NotNow`]: nobody leads as far as this voter knows, or too much is on its way.
-    pub fn propose(&mut self, command: &M::Command) -> Result<Ticket, VoterError> {
-        self.last_number += 1;
-        let ticket = Ticket { voter: self.raw.raft.id, life: self.life, number: self.last_number };
-        let bytes = |value: Result<Vec<u8>, postcard::Error>| {
-            value.map_err(|error| VoterError::Frame(error.to_string()))
+    /// [`ReplicaError::Unavailable`]: no leader is known, or too many proposals are in flight.
+    pub fn propose(&mut self, command: &M::Command) -> Result<ProposalId, ReplicaError> {
+        self.last_sequence += 1;
+        let proposal = ProposalId {
+            replica: self.raft_node.raft.id,
+            incarnation: self.incarnation,
+            sequence: self.last_sequence,
         };
-        let (context, data) =
-            (bytes(postcard::to_allocvec(&ticket))?, bytes(postcard::to_allocvec(command))?);
-        self.raw.propose(context, data).map_err(|error| match error {
-            raft::Error::ProposalDropped => VoterError::NotNow,
-            error => VoterError::Raft(error),
+        let context = postcard::to_allocvec(&proposal).map_err(MessageError::Command)?;
+        let data = postcard::to_allocvec(command).map_err(MessageError::Command)?;
+        self.raft_node.propose(context, data).map_err(|error| match error {
+            raft::Error::ProposalDropped => ReplicaError::Unavailable,
+            error => ReplicaError::Raft(error),
         })?;
-        Ok(ticket)
+        Ok(proposal)
     }
 
-    /// A message of another voter has come.
+    /// Takes a message of another replica.
     ///
     /// # Errors
-    /// It is none, or not for this voter; nothing has changed.
-    pub fn receive(&mut self, now: Nanos, bytes: &[u8]) -> Result<(), VoterError> {
-        let frame = |why: String| Err(VoterError::Frame(why));
-        if bytes.len() > FRAME_MAX {
-            return frame(format!("{} bytes, at most {FRAME_MAX}", bytes.len()));
-        }
-        let message = match Message::parse_from_bytes(bytes) {
-            Ok(message) => message,
-            Err(error) => return frame(error.to_string()),
-        };
-        let id = self.raw.raft.id;
-        if message.to != id || message.from == id {
-            return frame(format!("from {} to {} at {id}", message.from, message.to));
-        }
-        if !self.raw.store().conf.voters.contains(&message.from) {
-            return frame(format!("{} is no voter", message.from));
-        }
-        self.check(&message)?;
-        let proposal = message.get_msg_type() == MessageType::MsgPropose;
-        if proposal && self.raw.raft.state != StateRole::Leader {
-            // Sent on, two voters who take each other for the leader would pass it to and fro.
+    /// [`ReplicaError::Message`]: it is malformed or not for this replica, and nothing has
+    /// changed. [`ReplicaError::StoreBehind`]: this replica must stop.
+    pub fn handle_message(&mut self, now: Nanos, bytes: &[u8]) -> Result<(), ReplicaError> {
+        let message = message::decode(bytes)?;
+        check_address(&self.raft_node.raft, &message)?;
+        check_content::<M>(&self.raft_node.raft, &message)?;
+        let is_proposal = message.get_msg_type() == MessageType::MsgPropose;
+        if is_proposal && !self.is_leader() {
+            // Forwarded, two replicas that take each other for the leader would pass it to and fro.
             return Ok(());
         }
-        match self.raw.step(message) {
-            // An answer to a question of a former life.
+        match self.raft_node.step(message) {
+            // A response to a request of a former incarnation.
             Err(raft::Error::StepPeerNotFound | raft::Error::ProposalDropped) => {}
             Err(error) => return Err(error.into()),
             Ok(()) => {}
         }
-        self.note_role(now);
+        self.update_role(now);
         Ok(())
     }
 
-    /// What the library takes for granted, and panics without: kinds of messages that voters
-    /// send each other, entries in a row, nothing agreed that the log does not reach.
-    fn check(&self, message: &Message) -> Result<(), VoterError> {
-        let frame = |why: &str| Err(VoterError::Frame(why.to_owned()));
-        let proposal = message.get_msg_type() == MessageType::MsgPropose;
-        if proposal != (message.term == 0) {
-            return frame("a message of no election, or a proposal of one");
-        }
-        if !proposal && message.term < self.raw.raft.term {
-            // Late: the library passes over it, or tells its sender of the newer election.
-            return Ok(());
-        }
-        let log = &self.raw.raft.raft_log;
-        let entries = message.get_entries();
-        match message.get_msg_type() {
-            MessageType::MsgRequestVote
-            | MessageType::MsgRequestVoteResponse
-            | MessageType::MsgRequestPreVote
-            | MessageType::MsgRequestPreVoteResponse
-            | MessageType::MsgHeartbeatResponse => Ok(()),
-            MessageType::MsgHeartbeat if message.commit > log.last_index() => {
-                let (knows, holds) = (message.commit, log.last_index());
-                Err(VoterError::StoreBehind { knows, holds })
-            }
-            MessageType::MsgHeartbeat => Ok(()),
-            // Who does not lead passes over it.
-            MessageType::MsgAppendResponse if self.raw.raft.state != StateRole::Leader => Ok(()),
-            MessageType::MsgAppendResponse
-                if message.index > log.last_index() || message.reject_hint > MAX_INDEX =>
-            {
-                frame("an answer about more than the log holds")
-            }
-            MessageType::MsgAppendResponse => Ok(()),
-            MessageType::MsgAppend => {
-                let mut last = (message.index, message.log_term);
-                if last.0 > MAX_INDEX || last.1 == 0 || last.1 > message.term {
-                    return frame("an index or a term out of bounds");
-                }
-                for entry in entries {
-                    if entry.index != last.0 + 1 || entry.term < last.1 || entry.term > message.term
-                    {
-                        return frame("entries out of their order");
-                    }
-                    // Behind the snapshot no terms are known.
-                    let known = log.first_index()..=log.committed;
-                    if known.contains(&entry.index)
-                        && log.term(entry.index).is_ok_and(|term| term != entry.term)
-                    {
-                        return frame("entries that contradict what has been agreed");
-                    }
-                    if entry.get_entry_type() != EntryType::EntryNormal {
-                        return frame("a change of voters");
-                    }
-                    last = (entry.index, entry.term);
-                }
-                Ok(())
-            }
-            MessageType::MsgSnapshot => {
-                let meta = message.get_snapshot().get_metadata();
-                let sorted = |conf: &ConfState| {
-                    let mut voters = conf.voters.clone();
-                    voters.sort_unstable();
-                    voters
-                };
-                if sorted(meta.get_conf_state()) != sorted(&self.raw.store().conf)
-                    || meta.index > MAX_INDEX
-                    || meta.term > message.term
-                {
-                    return frame("a snapshot of other voters");
-                }
-                Self::read(message.get_snapshot().get_data()).map(drop)
-            }
-            MessageType::MsgPropose => {
-                let normal = |entry: &Entry| entry.get_entry_type() == EntryType::EntryNormal;
-                if entries.is_empty() || !entries.iter().all(normal) {
-                    return frame("a proposal of nothing, or of other voters");
-                }
-                Ok(())
-            }
-            _ => frame("a kind of message that voters don't send each other"),
-        }
-    }
-
-    /// What is to be written next; nothing while one is under way. What others have promised
-    /// already is applied.
+    /// What is to be written next; `None` while a write is in progress. Entries that are
+    /// committed are applied.
     ///
     /// # Errors
-    /// A leader's snapshot can't be read: this voter can't go on.
-    pub fn batch(&mut self, now: Nanos) -> Result<Option<Batch<M::Answer>>, VoterError> {
-        if self.pending.is_some() || !self.raw.has_ready() {
+    /// A leader's snapshot can't be read: this replica can't go on.
+    pub fn next_batch(
+        &mut self,
+        now: Nanos,
+    ) -> Result<Option<WriteBatch<M::Response>>, ReplicaError> {
+        if self.pending_write.is_some() || !self.raft_node.has_ready() {
             return Ok(None);
         }
-        let mut ready = self.raw.ready();
-        let mut batch = Batch {
+        let mut ready = self.raft_node.ready();
+        let mut batch = WriteBatch {
             snapshot: Some(ready.snapshot()).filter(|snapshot| !snapshot.is_empty()).cloned(),
             entries: ready.entries().clone(),
-            hard: ready.hs().cloned(),
-            at_once: ready.take_messages(),
+            hard_state: ready.hs().cloned(),
+            immediate_messages: ready.take_messages(),
             must_sync: ready.must_sync() || !ready.snapshot().is_empty(),
-            ..Batch::default()
+            ..WriteBatch::default()
         };
         let committed = ready.take_committed_entries();
-        let messages = ready.take_persisted_messages();
-        self.pending = Some(Pending {
-            number: ready.number(),
-            messages,
-            restored: batch.snapshot.as_ref().map(|snapshot| snapshot.get_metadata().index),
+        self.pending_write = Some(PendingWrite {
+            ready_number: ready.number(),
+            messages: ready.take_persisted_messages(),
+            restored_index: batch.snapshot.as_ref().map(|snapshot| snapshot.get_metadata().index),
         });
         if let Some(snapshot) = &batch.snapshot {
-            self.machine = Self::read(snapshot.get_data())?;
-            self.applied = snapshot.get_metadata().index;
-            // Spans that it brings count from now, should this voter lead.
-            M::follow(&mut self.counts);
+            self.restore(snapshot)?;
         }
-        self.raw.mut_store().write(&batch);
-        self.raw.advance_append_async(ready);
-        batch.answers = self.apply(now, &committed);
+        self.raft_node.mut_store().write(&batch);
+        self.raft_node.advance_append_async(ready);
+        batch.responses = self.apply(now, &committed);
         if batch.snapshot.is_none() && !committed.is_empty() {
-            self.raw.advance_apply_to(self.applied);
+            self.raft_node.advance_apply_to(self.applied_index);
         }
-        batch.compacted = self.compaction();
-        let log = self.raw.mut_store();
-        batch.compacted.iter().for_each(|snapshot| log.compact(snapshot));
-        self.note_role(now);
+        batch.compacted = self.compact();
+        self.update_role(now);
         Ok(Some(batch))
     }
 
-    /// A snapshot, where the log has become long. Only what is applied may go into it.
-    fn compaction(&self) -> Option<Snapshot> {
-        let log = self.raw.store();
-        if log.kept() < SNAPSHOT_EVERY {
+    fn restore(&mut self, snapshot: &Snapshot) -> Result<(), StoredStateError> {
+        self.state_machine = decode_snapshot(snapshot.get_data())?;
+        self.applied_index = snapshot.get_metadata().index;
+        // Its durations count from now, should this replica become the leader.
+        M::step_down(&mut self.local_state);
+        Ok(())
+    }
+
+    fn apply(&mut self, now: Nanos, entries: &[Entry]) -> Vec<ProposalResponse<M::Response>> {
+        let mut responses = Vec::new();
+        for entry in entries {
+            self.applied_index = entry.index;
+            // A new leader's first entry is empty.
+            let Ok(command) = postcard::from_bytes::<M::Command>(&entry.data) else { continue };
+            let response = self.state_machine.apply(&command);
+            self.state_machine.command_applied(now, &command, &mut self.local_state);
+            if let Some(proposal) = self.own_proposal(entry) {
+                responses.push(ProposalResponse { proposal, response });
+            }
+        }
+        responses
+    }
+
+    /// The proposal of an entry, if it was made here.
+    fn own_proposal(&self, entry: &Entry) -> Option<ProposalId> {
+        let proposal: ProposalId = postcard::from_bytes(&entry.context).ok()?;
+        let is_own =
+            proposal.replica == self.raft_node.raft.id && proposal.incarnation == self.incarnation;
+        is_own.then_some(proposal)
+    }
+
+    /// Makes a snapshot where the log has become long. Only what is applied may go into it.
+    fn compact(&mut self) -> Option<Snapshot> {
+        let log = self.raft_node.mut_store();
+        if log.entries().len() < SNAPSHOT_ENTRIES {
             return None;
         }
-        let data = postcard::to_allocvec(&self.machine).ok()?;
-        log.snapshot_of(self.applied, data)
+        let data = postcard::to_allocvec(&self.state_machine).ok()?;
+        let snapshot = log.snapshot_at(self.applied_index, data)?;
+        log.compact(&snapshot);
+        Some(snapshot)
     }
 
-    /// The batch is written and synced: what it promises may leave.
-    pub fn synced(&mut self, now: Nanos) -> Vec<Message> {
-        let Some(Pending { number, messages, restored }) = self.pending.take() else {
+    /// The last batch is written and synced; returns the messages that depend on it.
+    #[must_use = "the messages are to be sent"]
+    pub fn batch_synced(&mut self, now: Nanos) -> Vec<Message> {
+        let Some(write) = self.pending_write.take() else {
             return Vec::new();
         };
-        self.raw.on_persist_ready(number);
-        restored.into_iter().for_each(|index| self.raw.advance_apply_to(index));
-        self.note_role(now);
-        messages
-    }
-
-    fn apply(&mut self, now: Nanos, entries: &[Entry]) -> Vec<(Ticket, M::Answer)> {
-        let mut answers = Vec::new();
-        for entry in entries {
-            self.applied = entry.index;
-            // A new leader's first entry is empty.
-            let Ok(command) = postcard::from_bytes::<M::Command>(&entry.data) else { continue };
-            let answer = self.machine.apply(&command);
-            self.machine.applied(now, &command, &mut self.counts);
-            let ticket = postcard::from_bytes::<Ticket>(&entry.context).ok();
-            let own =
-                |ticket: &Ticket| ticket.voter == self.raw.raft.id && ticket.life == self.life;
-            answers.extend(ticket.filter(own).map(|ticket| (ticket, answer)));
+        self.raft_node.on_persist_ready(write.ready_number);
+        if let Some(index) = write.restored_index {
+            self.raft_node.advance_apply_to(index);
         }
-        answers
+        self.update_role(now);
+        write.messages
     }
 
-    /// What is agreed, as far as this voter has applied it.
-    pub fn machine(&self) -> &M {
-        &self.machine
+    /// The state machine, as far as this replica has applied the log.
+    pub fn state_machine(&self) -> &M {
+        &self.state_machine
     }
 
-    /// What goes with it at this voter, led or not.
-    pub fn counts(&mut self) -> &mut M::Counts {
-        &mut self.counts
+    /// The state machine's local state at this replica, leader or not.
+    pub fn local_state_mut(&mut self) -> &mut M::LocalState {
+        &mut self.local_state
     }
 
-    /// What it says of itself.
-    pub fn status(&self) -> Status {
-        let raft = &self.raw.raft;
-        Status {
+    /// What this replica reports of itself.
+    pub fn status(&self) -> ReplicaStatus {
+        let raft = &self.raft_node.raft;
+        ReplicaStatus {
             id: raft.id,
             term: raft.term,
             leader: raft.leader_id,
-            leads: raft.state == StateRole::Leader,
-            applied: self.applied,
-            committed: raft.raft_log.committed,
+            is_leader: self.is_leader(),
+            applied_index: self.applied_index,
+            committed_index: raft.raft_log.committed,
         }
     }
 }
 
-impl Voter {
-    /// The leases as far as this voter has applied them.
+impl Replica {
+    /// The leases, as far as this replica has applied the log.
     pub fn leases(&self) -> &Leases {
-        &self.machine
+        &self.state_machine
     }
 }
-
-/// A message as it goes between voters.
-pub fn encode(message: &Message) -> Result<Vec<u8>, VoterError> {
-    message.write_to_bytes().map_err(|error| VoterError::Frame(error.to_string()))
-}
--- a/crates/consensus/src/state_machine.rs
+++ b/crates/consensus/src/state_machine.rs
@@ -1,5 +1,4 @@
-//! What the voters agree on, as one of them sees it: a state without a clock, and the counts that
-//! go with it while this voter leads.
+//! The state machine that replicas agree on, and the local state that goes with it at one replica.
 
 use mintshelf_lease::command::{Command, Response};
 use mintshelf_lease::expiry::LeaseExpiry;
@@ -7,68 +6,78 @@
 use mintshelf_lease::timing::{ClockError, Nanos};
 use serde::{de::DeserializeOwned, Serialize};
 
-/// A replicated state machine. Each voter applies the same commands in the same order; time
-/// enters by commands only, which the leader proposes when its own clock says so.
-pub trait Machine: Default + Serialize + DeserializeOwned {
-    /// What can be agreed on. Sent again, late or twice none may do harm.
+/// A replicated state machine. Each replica applies the same commands in the same order; time
+/// enters by commands only, which the leader proposes by its own clock.
+///
+/// Snapshots hold it in the postcard format, and log entries its commands.
+pub trait StateMachine: Default + Serialize + DeserializeOwned {
+    /// An entry of the log. Each must be safe to send again, late or twice.
     type Command: Serialize + DeserializeOwned;
-    /// What came of one.
-    type Answer;
-    /// What the leader counts.
-    type Counts;
+    /// The result of a command.
+    type Response;
+    /// State of one replica that is not replicated, such as the leader's timers.
+    type LocalState;
 
-    /// The counts of one that does not lead.
-    fn counts(error: ClockError) -> Self::Counts;
+    /// The local state of a replica that is not the leader.
+    fn new_local_state(clock_error: ClockError) -> Self::LocalState;
 
-    /// Applies what is agreed.
-    fn apply(&mut self, command: &Self::Command) -> Self::Answer;
+    /// Applies a committed command.
+    fn apply(&mut self, command: &Self::Command) -> Self::Response;
 
-    /// A command has been applied, by which the state is what it is.
-    fn applied(&self, now: Nanos, command: &Self::Command, counts: &mut Self::Counts);
+    /// Updates the local state after a command has been applied.
+    fn command_applied(&self, now: Nanos, command: &Self::Command, local: &mut Self::LocalState);
 
-    /// This voter leads from now on: all spans run anew.
-    fn lead(&self, now: Nanos, counts: &mut Self::Counts);
+    /// This replica is the leader from now on: all durations count anew.
+    fn become_leader(&self, now: Nanos, local: &mut Self::LocalState);
 
-    /// This voter does not lead any more.
-    fn follow(counts: &mut Self::Counts);
+    /// This replica is not the leader any more.
+    fn step_down(local: &mut Self::LocalState);
 
-    /// Whether it counts as one that leads.
-    fn leads(counts: &Self::Counts) -> bool;
+    /// Whether the local state is that of a leader.
+    fn is_leader(local: &Self::LocalState) -> bool;
 
-    /// What is to be proposed now.
-    fn due(now: Nanos, counts: &mut Self::Counts) -> Vec<Self::Command>;
+    /// The commands that are to be proposed now.
+    fn due_commands(now: Nanos, local: &mut Self::LocalState) -> Vec<Self::Command>;
 }
 
-impl Machine for Leases {
+/// Decodes a snapshot; empty data is the state before the first command.
+pub(crate) fn decode_snapshot<M: StateMachine>(data: &[u8]) -> Result<M, postcard::Error> {
+    if data.is_empty() {
+        return Ok(M::default());
+    }
+    postcard::from_bytes(data)
+}
+
+impl StateMachine for Leases {
     type Command = Command;
-    type Answer = Response;
-    type Counts = LeaseExpiry;
+    type Response = Response;
+    type LocalState = LeaseExpiry;
 
-    fn counts(error: ClockError) -> LeaseExpiry {
-        LeaseExpiry::new(error)
+    fn new_local_state(clock_error: ClockError) -> LeaseExpiry {
+        LeaseExpiry::new(clock_error)
     }
 
     fn apply(&mut self, command: &Command) -> Response {
         Leases::apply(self, command)
     }
 
-    fn applied(&self, now: Nanos, command: &Command, counts: &mut LeaseExpiry) {
-        counts.command_applied(now, self, command.lease());
+    fn command_applied(&self, now: Nanos, command: &Command, local: &mut LeaseExpiry) {
+        local.command_applied(now, self, command.lease());
     }
 
-    fn lead(&self, now: Nanos, counts: &mut LeaseExpiry) {
-        counts.become_leader(now, self);
+    fn become_leader(&self, now: Nanos, local: &mut LeaseExpiry) {
+        local.become_leader(now, self);
     }
 
-    fn follow(counts: &mut LeaseExpiry) {
-        counts.step_down();
+    fn step_down(local: &mut LeaseExpiry) {
+        local.step_down();
     }
 
-    fn leads(counts: &LeaseExpiry) -> bool {
-        counts.is_leader()
+    fn is_leader(local: &LeaseExpiry) -> bool {
+        local.is_leader()
     }
 
-    fn due(now: Nanos, counts: &mut LeaseExpiry) -> Vec<Command> {
-        counts.due_commands(now)
+    fn due_commands(now: Nanos, local: &mut LeaseExpiry) -> Vec<Command> {
+        local.due_commands(now)
     }
 }
--- a/crates/consensus/tests/common/mod.rs
+++ b/crates/consensus/tests/common/mod.rs
@@ -1,5 +1,3 @@
-//! Voters and contenders in virtual time, with clocks that run apart and faults between them.
-#![allow(dead_code)]
+//! Replicas and lease clients in virtual time.
 
-pub mod checker;
-pub mod world;
+pub mod simulation;
--- /dev/null
+++ b/crates/consensus/tests/common/simulation/clients.rs
@@ -0,0 +1,170 @@
+//! Simulated clients: they request the lease, act under it, release it and are idle for a while.
+
+use super::config::Mutant;
+use super::network::Message;
+use super::process::{ClientProcess, CurrentOperation, Role};
+use super::record::{Operation, TokenCheck};
+use super::{Event, ProcessId, RequestKey, RequestLatency, SentRequest, Simulation};
+use mintshelf_lease::client::{HolderAction, LeaseClient, LeaseConfig};
+use mintshelf_lease::command::{Command, Owner, Response};
+use mintshelf_lease::timing::{Nanos, MS};
+
+/// The resource that all operations act upon.
+const RESOURCE: &str = "resource";
+
+impl Simulation {
+    pub(super) fn new_client(&mut self, id: ProcessId) -> ClientProcess {
+        let member = format!("m{id}");
+        let incarnation = self.processes[id].incarnation;
+        let wait = self.draw_below(2) == 0;
+        let replica = self.draw_below(self.config.replicas as u64) as ProcessId;
+        let config = LeaseConfig {
+            lease: "task".into(),
+            owner: Owner { member, incarnation },
+            duration: self.config.lease_duration,
+            clock_error: self.config.assumed_clock_error(),
+            wait,
+        };
+        ClientProcess {
+            client: LeaseClient::new(config),
+            replica,
+            unanswered: 0,
+            operation: None,
+            operations_left: 1 + self.draw_below(12) as u32,
+            idle_until: 0,
+            requested_at: 0,
+        }
+    }
+
+    fn client_mut(&mut self, id: ProcessId) -> Option<&mut ClientProcess> {
+        match &mut self.processes[id].role {
+            Role::Client(Some(process)) => Some(process),
+            _ => None,
+        }
+    }
+
+    pub(super) fn tick_client(&mut self, id: ProcessId, now: Nanos) {
+        let mutant = self.config.mutant;
+        let retry_interval = self.config.lease_duration / 3;
+        let Some(process) = self.client_mut(id) else { return };
+        let mut actions = Vec::new();
+        if mutant != Mutant::CountsFromResponse {
+            process.client.tick(now, &mut actions);
+        } else if now >= process.requested_at + retry_interval {
+            process.client.clone().tick(now, &mut actions);
+            process.requested_at = now;
+        }
+        self.carry_out(id, actions);
+    }
+
+    pub(super) fn deliver_response(&mut self, id: ProcessId, request_id: u64, response: &Response) {
+        let now = self.clock_of(id);
+        let sent = self.sent_requests.remove(&RequestKey { client: id, request_id });
+        if let (Some(SentRequest { is_renewal, sent_at }), Response::Granted { .. }) =
+            (sent, response)
+        {
+            self.latencies.push(RequestLatency { is_renewal, latency: self.now - sent_at });
+        }
+        let mutant = self.config.mutant;
+        let Some(process) = self.client_mut(id) else { return };
+        let mut actions = Vec::new();
+        let request_id = if mutant == Mutant::CountsFromResponse {
+            // It counts as if the request had been sent when the response is there.
+            process.client.tick(now, &mut actions);
+            actions.drain(..).find_map(|action| match action {
+                HolderAction::Send { request_id, .. } => Some(request_id),
+                _ => None,
+            })
+        } else {
+            Some(request_id)
+        };
+        if let Some(request_id) = request_id {
+            process.client.handle_response(now, request_id, response, &mut actions);
+        }
+        process.unanswered = 0;
+        self.carry_out(id, actions);
+    }
+
+    fn carry_out(&mut self, id: ProcessId, actions: Vec<HolderAction>) {
+        for action in actions {
+            let HolderAction::Send { request_id, command } = action else { continue };
+            let other = self.draw_below(self.config.replicas as u64) as ProcessId;
+            let Some(process) = self.client_mut(id) else { return };
+            process.unanswered += 1;
+            if process.unanswered > 2 {
+                process.replica = other;
+                process.unanswered = 0;
+            }
+            let replica = process.replica;
+            let is_renewal = matches!(command, Command::Renew { .. });
+            let sent = SentRequest { is_renewal, sent_at: self.now };
+            self.sent_requests.insert(RequestKey { client: id, request_id }, sent);
+            self.send(id, replica, Message::Request { request_id, command });
+        }
+    }
+
+    /// Begins an operation, releases the lease or requests it again, if it is time.
+    pub(super) fn advance_operations(&mut self, id: ProcessId) {
+        let own_now = self.clock_of(id);
+        let now = self.now;
+        let lease_duration = self.config.lease_duration;
+        let duration = 50 * MS + self.draw_below((lease_duration / MS) / 3) * MS;
+        let incarnation = self.processes[id].incarnation;
+        let clock_ppm = self.processes[id].clock.ppm;
+        let Some(process) = self.client_mut(id) else { return };
+        if process.operation.is_some() {
+            return;
+        }
+        if process.client.is_released() && now >= process.idle_until {
+            process.client.request();
+            process.operations_left = 1 + (now / MS) as u32 % 12;
+        }
+        if process.operations_left == 0 {
+            process.client.release();
+            return;
+        }
+        // What the operation takes by the process's own clock, rounded up.
+        let own_duration =
+            (i128::from(duration) * i128::from(1_000_000 + clock_ppm) / 1_000_000) as Nanos + 1;
+        let Ok(token) = process.client.begin_operation(own_now, own_duration) else { return };
+        process.operations_left -= 1;
+        if process.operations_left == 0 {
+            process.idle_until = now + lease_duration;
+        }
+        process.operation = Some(CurrentOperation { token, start: now, is_disturbed: false });
+        self.schedule(now + duration, Event::OperationEnds { process: id, incarnation });
+        // Sometimes a process is stopped right after its check, or later in the operation.
+        if now < self.config.fault_period && self.draw_below(12) == 0 {
+            self.stop(id);
+            return;
+        }
+        self.show_token(token);
+    }
+
+    /// Shows a token to the resource, which admits it or not.
+    fn show_token(&mut self, token: u64) -> bool {
+        let is_admitted = match self.config.mutant {
+            Mutant::NoFence => true,
+            _ => self.fence.admit(RESOURCE, token).is_ok(),
+        };
+        self.token_checks.push(TokenCheck { token, is_admitted });
+        is_admitted
+    }
+
+    pub(super) fn end_operation(&mut self, id: ProcessId) {
+        let Some(process) = self.client_mut(id) else { return };
+        let Some(operation) = process.operation.take() else { return };
+        process.client.finish_operations();
+        let is_admitted = self.show_token(operation.token);
+        if operation.is_disturbed && !is_admitted {
+            return;
+        }
+        self.record(id, operation);
+    }
+
+    /// Records an operation that ends now.
+    pub(super) fn record(&mut self, id: ProcessId, operation: CurrentOperation) {
+        let CurrentOperation { token, start, is_disturbed } = operation;
+        self.operations.push(Operation { process: id, token, start, end: self.now, is_disturbed });
+    }
+}
--- /dev/null
+++ b/crates/consensus/tests/common/simulation/mod.rs
@@ -0,0 +1,265 @@
+//! A simulation in true time, which only it knows: processes with clocks of their own, links that
+//! are cut, delay, lose and duplicate, disks that lose what was not synced.
+//!
+//! One seed determines everything: the order of the draws from its generator is part of each test.
+
+pub mod config;
+pub mod faults;
+pub mod record;
+
+mod clients;
+mod network;
+mod process;
+mod replicas;
+
+use config::SimulationConfig;
+use mintshelf_consensus::persistent_state::PersistentState;
+use mintshelf_consensus::write_batch::WriteBatch;
+use mintshelf_lease::fence::Fence;
+use mintshelf_lease::timing::{Nanos, MS, SECOND};
+use network::Message;
+use process::{Clock, Process, Role};
+use rand_core::{RngCore, SeedableRng};
+use rand_pcg::Pcg32;
+use record::{Operation, TokenCheck};
+use std::cmp::Reverse;
+use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
+
+/// Index of a process: replicas first, then clients.
+pub type ProcessId = usize;
+
+pub enum Event {
+    Tick { process: ProcessId, incarnation: u64 },
+    Synced { process: ProcessId, incarnation: u64, batch: Box<WriteBatch> },
+    Delivered { to: ProcessId, from: ProcessId, message: Message },
+    OperationEnds { process: ProcessId, incarnation: u64 },
+    Fault,
+    Heal,
+    Continue { process: ProcessId },
+    Restart { process: ProcessId },
+}
+
+impl Event {
+    /// The process that takes the event, and that may be stopped.
+    fn process(&self) -> Option<ProcessId> {
+        match self {
+            Event::Tick { process, .. }
+            | Event::Synced { process, .. }
+            | Event::OperationEnds { process, .. } => Some(*process),
+            Event::Delivered { to, .. } => Some(*to),
+            Event::Fault | Event::Heal | Event::Continue { .. } | Event::Restart { .. } => None,
+        }
+    }
+
+    /// The incarnation that the event is about, if it is about one only.
+    fn incarnation(&self) -> Option<u64> {
+        match self {
+            Event::Tick { incarnation, .. }
+            | Event::Synced { incarnation, .. }
+            | Event::OperationEnds { incarnation, .. } => Some(*incarnation),
+            _ => None,
+        }
+    }
+}
+
+/// When an event is due; events due at one time come in the order in which they were scheduled.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Scheduled {
+    at: Nanos,
+    sequence: u64,
+}
+
+/// A link in one direction.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Link {
+    from: ProcessId,
+    to: ProcessId,
+}
+
+/// A request of a client, for the time that its response takes.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct RequestKey {
+    client: ProcessId,
+    request_id: u64,
+}
+
+struct SentRequest {
+    is_renewal: bool,
+    sent_at: Nanos,
+}
+
+/// How long a request waited for its grant.
+#[allow(dead_code, reason = "read by the bench only")]
+pub struct RequestLatency {
+    pub is_renewal: bool,
+    pub latency: Nanos,
+}
+
+/// A leader, as a replica reported itself.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Leadership {
+    pub term: u64,
+    pub replica: u64,
+}
+
+pub struct Simulation {
+    config: SimulationConfig,
+    now: Nanos,
+    last_sequence: u64,
+    queue: BinaryHeap<Reverse<Scheduled>>,
+    events: BTreeMap<u64, Event>,
+    processes: Vec<Process>,
+    stores: Vec<PersistentState>,
+    cut_links: BTreeSet<Link>,
+    is_network_slow: bool,
+    fence: Fence,
+    rng: Pcg32,
+    sent_requests: BTreeMap<RequestKey, SentRequest>,
+    pub operations: Vec<Operation>,
+    pub token_checks: Vec<TokenCheck>,
+    pub latencies: Vec<RequestLatency>,
+    pub crashes: u32,
+    pub leaderships: BTreeSet<Leadership>,
+}
+
+impl Simulation {
+    pub fn new(config: SimulationConfig, seed: u64) -> Simulation {
+        let replica_ids: Vec<u64> = (1..=config.replicas as u64).collect();
+        let store = PersistentState::new_fleet(&replica_ids);
+        let mut simulation = Simulation {
+            stores: vec![store; config.replicas],
+            now: 0,
+            last_sequence: 0,
+            queue: BinaryHeap::new(),
+            events: BTreeMap::new(),
+            processes: Vec::new(),
+            cut_links: BTreeSet::new(),
+            is_network_slow: false,
+            fence: Fence::default(),
+            rng: Pcg32::seed_from_u64(seed),
+            sent_requests: BTreeMap::new(),
+            operations: Vec::new(),
+            token_checks: Vec::new(),
+            latencies: Vec::new(),
+            crashes: 0,
+            leaderships: BTreeSet::new(),
+            config,
+        };
+        for process in 0..simulation.config.replicas + simulation.config.clients {
+            simulation.add_process(process);
+        }
+        let first_fault_at = simulation.draw_next_fault();
+        simulation.schedule(first_fault_at, Event::Fault);
+        simulation
+    }
+
+    fn add_process(&mut self, id: ProcessId) {
+        let error_ppm = i64::from(self.config.clock_error.ppm);
+        // The extremes of what is allowed, and the middle.
+        let ppm = [-error_ppm, 0, error_ppm][self.draw_below(3) as usize];
+        let offset = SECOND + self.draw_below(1_000_000) * MS;
+        let role = if id < self.config.replicas { Role::Replica(None) } else { Role::Client(None) };
+        self.processes.push(Process {
+            clock: Clock { offset, ppm },
+            incarnation: 0,
+            is_stopped: false,
+            deferred: Vec::new(),
+            role,
+        });
+        self.start(id);
+    }
+
+    fn start(&mut self, id: ProcessId) {
+        self.processes[id].incarnation += 1;
+        self.processes[id].is_stopped = false;
+        let incarnation = self.processes[id].incarnation;
+        self.processes[id].role = if id < self.config.replicas {
+            Role::Replica(Some(Box::new(self.new_replica(id))))
+        } else {
+            Role::Client(Some(Box::new(self.new_client(id))))
+        };
+        let first_tick_at = self.now + self.draw_below(100) * MS;
+        self.schedule(first_tick_at, Event::Tick { process: id, incarnation });
+    }
+
+    /// A number below a bound, 0 if the bound is 0.
+    fn draw_below(&mut self, bound: u64) -> u64 {
+        self.rng.next_u64() % bound.max(1)
+    }
+
+    fn schedule(&mut self, at: Nanos, event: Event) {
+        self.last_sequence += 1;
+        let sequence = self.last_sequence;
+        self.events.insert(sequence, event);
+        self.queue.push(Reverse(Scheduled { at: at.max(self.now), sequence }));
+    }
+
+    /// A process's own clock.
+    fn clock_of(&self, id: ProcessId) -> Nanos {
+        self.processes[id].clock.read(self.now)
+    }
+
+    /// Runs to the end.
+    #[allow(dead_code, reason = "each of the bench's tables uses one of the two")]
+    pub fn run(&mut self) {
+        self.run_until(self.config.fault_period + self.config.calm_period);
+    }
+
+    /// Runs to a time.
+    pub fn run_until(&mut self, end: Nanos) {
+        while let Some(Reverse(next)) = self.queue.pop() {
+            if next.at > end {
+                self.queue.push(Reverse(next));
+                break;
+            }
+            self.now = next.at;
+            let Some(event) = self.events.remove(&next.sequence) else { continue };
+            self.handle(event);
+        }
+    }
+
+    fn handle(&mut self, event: Event) {
+        if let Some(process) = event.process() {
+            let process = &mut self.processes[process];
+            if process.is_stopped {
+                process.deferred.push(event);
+                return;
+            }
+            if event.incarnation().is_some_and(|incarnation| incarnation != process.incarnation) {
+                return;
+            }
+        }
+        match event {
+            Event::Tick { process, incarnation } => self.tick(process, incarnation),
+            Event::Synced { process, batch, .. } => self.batch_synced(process, *batch),
+            Event::OperationEnds { process, .. } => self.end_operation(process),
+            Event::Delivered { to, from, message } => self.deliver(to, from, message),
+            Event::Fault => self.cause_fault(),
+            Event::Heal => self.heal(),
+            Event::Continue { process } => self.continue_process(process),
+            Event::Restart { process } if !self.processes[process].is_up() => self.start(process),
+            Event::Restart { .. } => {}
+        }
+    }
+
+    fn tick(&mut self, id: ProcessId, incarnation: u64) {
+        let now = self.clock_of(id);
+        match &mut self.processes[id].role {
+            Role::Replica(Some(process)) => process.replica.tick(now),
+            Role::Client(Some(_)) => self.tick_client(id, now),
+            _ => return,
+        }
+        self.advance(id);
+        let interval = if id < self.config.replicas { 100 * MS } else { 20 * MS };
+        self.schedule(self.now + interval, Event::Tick { process: id, incarnation });
+    }
+
+    /// Does what a process has to do after an event.
+    fn advance(&mut self, id: ProcessId) {
+        if id < self.config.replicas {
+            self.write_next_batch(id);
+        } else {
+            self.advance_operations(id);
+        }
+    }
+}
--- /dev/null
+++ b/crates/consensus/tests/common/simulation/network.rs
@@ -0,0 +1,57 @@
+//! Messages between simulated processes, and the links that carry them.
+
+use super::process::{Requester, Role};
+use super::{Event, Link, ProcessId, Simulation};
+use mintshelf_lease::command::{Command, Response};
+use mintshelf_lease::timing::MS;
+
+#[derive(Clone)]
+pub enum Message {
+    Raft(Vec<u8>),
+    Request { request_id: u64, command: Command },
+    Response { request_id: u64, response: Response },
+}
+
+impl Simulation {
+    pub(super) fn send(&mut self, from: ProcessId, to: ProcessId, message: Message) {
+        let is_lost = self.draw_below(100) == 0;
+        let delay = match (self.is_network_slow, self.draw_below(20)) {
+            (true, _) => self.draw_below(2_500) * MS,
+            (_, 0) => self.draw_below(400) * MS,
+            _ => MS + self.draw_below(8) * MS,
+        };
+        if is_lost || self.cut_links.contains(&Link { from, to }) {
+            return;
+        }
+        // Links between replicas deliver complete messages; a new link may bring one twice.
+        if let (Message::Raft(_), 0) = (&message, self.draw_below(50)) {
+            let late = self.now + delay + self.draw_below(1_000) * MS;
+            self.schedule(late, Event::Delivered { to, from, message: message.clone() });
+        }
+        if let (Message::Request { .. }, 0) = (&message, self.draw_below(20)) {
+            let late = self.now + delay + self.draw_below(4_000) * MS;
+            self.schedule(late, Event::Delivered { to, from, message: message.clone() });
+        }
+        self.schedule(self.now + delay, Event::Delivered { to, from, message });
+    }
+
+    pub(super) fn deliver(&mut self, to: ProcessId, from: ProcessId, message: Message) {
+        let now = self.clock_of(to);
+        match (&mut self.processes[to].role, message) {
+            (Role::Replica(Some(process)), Message::Raft(bytes)) => {
+                process.replica.handle_message(now, &bytes).expect("a replica's message");
+            }
+            (Role::Replica(Some(process)), Message::Request { request_id, command }) => {
+                if let Ok(proposal) = process.replica.propose(&command) {
+                    process.requesters.insert(proposal, Requester { client: from, request_id });
+                }
+            }
+            (Role::Replica(Some(_)), Message::Response { .. }) => {}
+            (Role::Client(Some(_)), Message::Response { request_id, response }) => {
+                self.deliver_response(to, request_id, &response);
+            }
+            _ => return,
+        }
+        self.advance(to);
+    }
+}
--- /dev/null
+++ b/crates/consensus/tests/messages.rs
@@ -0,0 +1,226 @@
+//! Messages that are cut, changed or made up reach a replica: an error or nothing, never a panic.
+
+use mintshelf_consensus::error::ReplicaError;
+use mintshelf_consensus::message::{encode, MESSAGE_BYTES_MAX};
+use mintshelf_consensus::persistent_state::PersistentState;
+use mintshelf_consensus::replica::{Replica, SNAPSHOT_ENTRIES};
+use mintshelf_lease::command::{Command, Owner};
+use mintshelf_lease::timing::{Nanos, Timing, MS, SECOND};
+use protobuf::Message as _;
+use raft::eraftpb::{Message, MessageType};
+use rand_core::{RngCore, SeedableRng};
+use rand_pcg::Pcg32;
+
+/// A message on its way to a replica, given by its index.
+#[derive(Clone)]
+struct SentMessage {
+    to: usize,
+    bytes: Vec<u8>,
+}
+
+/// Three replicas whose messages arrive at once, and all messages they sent.
+struct Cluster {
+    now: Nanos,
+    stores: Vec<PersistentState>,
+    replicas: Vec<Replica>,
+    sent: Vec<SentMessage>,
+    /// Index of a replica whose messages are lost, both ways.
+    isolated: Option<usize>,
+}
+
+impl Cluster {
+    fn new() -> Cluster {
+        let stores = vec![PersistentState::new_fleet(&[1, 2, 3]); 3];
+        let start = |(index, state): (usize, &PersistentState)| {
+            Replica::new(index as u64 + 1, state, &Timing::default(), index as u64).unwrap()
+        };
+        let replicas = stores.iter().enumerate().map(start).collect();
+        Cluster { now: SECOND, stores, replicas, sent: Vec::new(), isolated: None }
+    }
+
+    /// A cluster that has elected, granted, had requests at a follower and made snapshots.
+    fn in_use() -> Cluster {
+        let mut cluster = Cluster::new();
+        cluster.run(60);
+        cluster.propose(1_200);
+        cluster.run(20);
+        cluster
+    }
+
+    /// Writes what is to be written, and delivers messages until there are none.
+    fn settle(&mut self) {
+        loop {
+            let messages = self.write();
+            if messages.is_empty() {
+                return;
+            }
+            messages.iter().for_each(|message| self.deliver(message));
+        }
+    }
+
+    fn write(&mut self) -> Vec<Message> {
+        let mut messages = Vec::new();
+        for (replica, store) in self.replicas.iter_mut().zip(&mut self.stores) {
+            while let Some(batch) = replica.next_batch(self.now).unwrap() {
+                store.write(&batch);
+                messages.extend(batch.immediate_messages);
+                messages.extend(replica.batch_synced(self.now));
+            }
+        }
+        messages
+    }
+
+    fn deliver(&mut self, message: &Message) {
+        let to = message.to as usize - 1;
+        let from = message.from as usize - 1;
+        let bytes = encode(message).unwrap();
+        self.sent.push(SentMessage { to, bytes: bytes.clone() });
+        if self.isolated != Some(to) && self.isolated != Some(from) {
+            self.replicas[to].handle_message(self.now, &bytes).unwrap();
+        }
+    }
+
+    fn run(&mut self, ticks: u32) {
+        for _ in 0..ticks {
+            self.now += 100 * MS;
+            self.replicas.iter_mut().for_each(|replica| replica.tick(self.now));
+            self.settle();
+        }
+    }
+
+    /// Proposes a number of commands at all replicas in turn, but not at the isolated one.
+    fn propose(&mut self, commands: u32) {
+        for number in 0..commands {
+            let command = Command::Acquire {
+                lease: format!("l{}", number % 5),
+                owner: Owner { member: format!("m{}", number % 7), incarnation: 1 },
+                duration: SECOND,
+                wait: number % 2 == 0,
+            };
+            let index = number as usize % 3;
+            if self.isolated != Some(index) {
+                self.replicas[index].propose(&command).unwrap();
+                self.settle();
+            }
+        }
+    }
+
+    fn leader(&self) -> usize {
+        let is_leader = |replica: &Replica| replica.status().is_leader;
+        self.replicas.iter().position(is_leader).expect("a leader")
+    }
+
+    fn assert_rejected(&mut self, index: usize, bytes: &[u8]) {
+        let error = self.replicas[index].handle_message(self.now, bytes).unwrap_err();
+        assert!(matches!(error, ReplicaError::Message(_)), "{error}");
+    }
+}
+
+#[test]
+fn a_follower_far_behind_restores_a_snapshot_and_agrees() {
+    let mut cluster = Cluster::in_use();
+    let behind = (cluster.leader() + 1) % 3;
+    cluster.isolated = Some(behind);
+    cluster.propose(3 * SNAPSHOT_ENTRIES as u32);
+    let leader = cluster.leader();
+    assert_ne!(cluster.replicas[behind].leases(), cluster.replicas[leader].leases());
+    cluster.isolated = None;
+    cluster.run(40);
+    let leader = cluster.leader();
+    assert_eq!(cluster.replicas[behind].leases(), cluster.replicas[leader].leases());
+    assert!(cluster.sent.iter().any(|sent| {
+        let message = Message::parse_from_bytes(&sent.bytes).unwrap();
+        sent.to == behind && message.get_msg_type() == MessageType::MsgSnapshot
+    }));
+    // Started again from what it has stored, it is where it was.
+    let restarted: Replica =
+        Replica::new(behind as u64 + 1, &cluster.stores[behind], &Timing::default(), 7).unwrap();
+    assert!(
+        restarted.status().committed_index + SNAPSHOT_ENTRIES as u64
+            >= cluster.replicas[leader].status().applied_index
+    );
+}
+
+#[test]
+fn a_replica_whose_store_was_emptied_reports_it_and_stops() {
+    let mut cluster = Cluster::in_use();
+    let emptied = (cluster.leader() + 1) % 3;
+    let state = PersistentState::new_fleet(&[1, 2, 3]);
+    let mut replica: Replica =
+        Replica::new(emptied as u64 + 1, &state, &Timing::default(), 99).unwrap();
+    let leader = cluster.leader();
+    cluster.now += 100 * MS;
+    cluster.replicas[leader].tick(cluster.now);
+    let batch = cluster.replicas[leader].next_batch(cluster.now).unwrap().unwrap();
+    let is_to_emptied = |message: &&Message| message.to as usize == emptied + 1;
+    let heartbeat = batch.immediate_messages.iter().find(is_to_emptied).unwrap();
+    let error = replica.handle_message(cluster.now, &encode(heartbeat).unwrap()).unwrap_err();
+    assert!(matches!(error, ReplicaError::StoreBehind { stored: 1, .. }), "{error}");
+}
+
+#[test]
+fn messages_of_unknown_senders_to_others_or_too_long_are_rejected() {
+    let mut cluster = Cluster::in_use();
+    let leader = cluster.leader();
+    let last = cluster.sent.last().cloned().unwrap();
+    let other = (0..3).find(|index| *index != last.to).unwrap();
+    cluster.assert_rejected(other, &last.bytes);
+    cluster.assert_rejected(leader, &vec![0; MESSAGE_BYTES_MAX + 1]);
+    cluster.assert_rejected(leader, b"GET / HTTP/1.1\r\n\r\n");
+    let mut message =
+        Message { from: 9, to: leader as u64 + 1, term: 1 << 40, ..Message::default() };
+    message.set_msg_type(MessageType::MsgRequestVote);
+    cluster.assert_rejected(leader, &encode(&message).unwrap());
+}
+
+/// Truncates a message, replaces it, changes some of its bytes, or leaves it as it is.
+fn corrupt(bytes: &mut Vec<u8>, mut draw_below: impl FnMut(usize) -> usize) {
+    match draw_below(8) {
+        0 => bytes.truncate(draw_below(bytes.len() + 1)),
+        1 => {}
+        2 => *bytes = (0..draw_below(64)).map(|_| draw_below(256) as u8).collect(),
+        _ => {
+            for _ in 0..1 + draw_below(3) {
+                let length = bytes.len();
+                if let Some(byte) = bytes.get_mut(draw_below(length)) {
+                    *byte = draw_below(256) as u8;
+                }
+            }
+        }
+    }
+}
+
+#[test]
+fn changed_and_made_up_messages_do_no_harm() {
+    let Cluster { stores, sent, .. } = Cluster::in_use();
+    let mut rejected = 0;
+    let mut accepted = 0;
+    for seed in 0..1_000u64 {
+        let mut rng = Pcg32::seed_from_u64(seed);
+        let mut draw_below = |bound: usize| rng.next_u32() as usize % bound.max(1);
+        let index = draw_below(3);
+        let mut store = stores[index].clone();
+        let mut replica: Replica =
+            Replica::new(index as u64 + 1, &store, &Timing::default(), seed).unwrap();
+        let mut now = SECOND;
+        for _ in 0..60 {
+            // Most are for this replica, and some of them are left as they are.
+            let mut message = sent[draw_below(sent.len())].clone();
+            while message.to != index && draw_below(20) > 0 {
+                message = sent[draw_below(sent.len())].clone();
+            }
+            corrupt(&mut message.bytes, &mut draw_below);
+            match replica.handle_message(now, &message.bytes) {
+                Ok(()) => accepted += 1,
+                Err(_) => rejected += 1,
+            }
+            now += 50 * MS;
+            replica.tick(now);
+            while let Ok(Some(batch)) = replica.next_batch(now) {
+                store.write(&batch);
+                let _lost = replica.batch_synced(now);
+            }
+        }
+    }
+    assert!(rejected > 1_000 && accepted > 1_000, "{rejected} rejected, {accepted} accepted");
+}
--- a/crates/mintshelf/src/fleet.rs
+++ b/crates/mintshelf/src/fleet.rs
@@ -2,7 +2,7 @@
 
 use crate::{check, lease_run, runtime, UNUSABLE};
 use mintshelf_config::model::{Fleet, FleetVoter};
-use mintshelf_consensus::replica::Stored;
+use mintshelf_consensus::persistent_state::PersistentState;
 use mintshelf_consensus_node::client::{ask, tell};
 use mintshelf_consensus_node::frame::Report;
 use mintshelf_consensus_node::node::{run, Plan};
@@ -131,7 +131,7 @@
         ));
     };
     let voters: Vec<u64> = (1..=fleet.voters.len() as u64).collect();
-    store.begin_fleet(&Stored::new_fleet(&voters)).map_err(|error| error.to_string())?;
+    store.begin_fleet(&PersistentState::new_fleet(&voters)).map_err(|error| error.to_string())?;
     Ok(format!(
         "voter '{}' of fleet '{}' begins in {}",
         fleet.name,
@@ -167,7 +167,7 @@
 
 /// Who leads by the newest election that any of them knows.
 fn leader(reports: &[Option<Report>]) -> Option<&Report> {
-    reports.iter().flatten().filter(|report| report.status.leads).max_by_key(|r| r.status.term)
+    reports.iter().flatten().filter(|report| report.status.is_leader).max_by_key(|r| r.status.term)
 }
 
 /// `mintshelf fleet status`.
@@ -175,8 +175,8 @@
     let fleet = of(config)?;
     let reports = reports(&fleet)?;
     let leads = leader(&reports);
-    let newest = reports.iter().flatten().map(|r| r.status.committed).max().unwrap_or(0);
-    let lag = |report: &Report| newest.saturating_sub(report.status.applied);
+    let newest = reports.iter().flatten().map(|r| r.status.committed_index).max().unwrap_or(0);
+    let lag = |report: &Report| newest.saturating_sub(report.status.applied_index);
     if as_json {
         let voters: Vec<_> = fleet
             .voters
@@ -187,7 +187,7 @@
                                "answers": false}),
                 Some(r) => json!({
                     "name": voter.name, "address": voter.address.to_string(), "answers": true,
-                    "leads": r.status.leads, "term": r.status.term, "applied": r.status.applied,
+                    "leads": r.status.is_leader, "term": r.status.term, "applied": r.status.applied_index,
                     "lag": lag(r), "lives": r.life, "members": r.members,
                 }),
             })
@@ -209,9 +209,9 @@
                 Some(r) => println!(
                     "{:<16} {at:<22} {:<9} {:>6} {:>9} {:>5} {:>6} {:>8}",
                     voter.name,
-                    if r.status.leads { "leader" } else { "follower" },
+                    if r.status.is_leader { "leader" } else { "follower" },
                     r.status.term,
-                    r.status.applied,
+                    r.status.applied_index,
                     lag(r),
                     r.life,
                     r.members,
--- a/crates/quota/src/state_machine.rs
+++ b/crates/quota/src/state_machine.rs
@@ -3,7 +3,7 @@
 use crate::collector::Clerk;
 use crate::config::{Budget, BudgetProblem};
 use crate::ledger::{self, Ask, Beat, Ledger};
-use mintshelf_consensus::state_machine::Machine;
+use mintshelf_consensus::state_machine::StateMachine;
 use mintshelf_lease::command::{self as lease, is_valid_name};
 use mintshelf_lease::expiry::LeaseExpiry;
 use mintshelf_lease::lease::Leases;
@@ -111,12 +111,12 @@
     }
 }
 
-impl Machine for Agreed {
+impl StateMachine for Agreed {
     type Command = Command;
-    type Answer = Answer;
-    type Counts = Counts;
+    type Response = Answer;
+    type LocalState = Counts;
 
-    fn counts(error: ClockError) -> Counts {
+    fn new_local_state(error: ClockError) -> Counts {
         Counts { grantor: LeaseExpiry::new(error), clerks: BTreeMap::new() }
     }
 
@@ -136,7 +136,7 @@
         }
     }
 
-    fn applied(&self, now: Nanos, command: &Command, counts: &mut Counts) {
+    fn command_applied(&self, now: Nanos, command: &Command, counts: &mut Counts) {
         match command {
             Command::Lease(command) => {
                 counts.grantor.command_applied(now, &self.leases, command.lease())
@@ -156,24 +156,24 @@
         }
     }
 
-    fn lead(&self, now: Nanos, counts: &mut Counts) {
+    fn become_leader(&self, now: Nanos, counts: &mut Counts) {
         counts.grantor.become_leader(now, &self.leases);
         for (name, ledger) in &self.budgets {
             counts.clerks.entry(name.clone()).or_default().lead(now, ledger);
         }
     }
 
-    fn follow(counts: &mut Counts) {
+    fn step_down(counts: &mut Counts) {
         counts.grantor.step_down();
         counts.clerks.values_mut().for_each(Clerk::follow);
     }
 
-    fn leads(counts: &Counts) -> bool {
+    fn is_leader(counts: &Counts) -> bool {
         counts.grantor.is_leader()
     }
 
-    fn due(now: Nanos, counts: &mut Counts) -> Vec<Command> {
-        let leases = Leases::due(now, &mut counts.grantor).into_iter().map(Command::Lease);
+    fn due_commands(now: Nanos, counts: &mut Counts) -> Vec<Command> {
+        let leases = Leases::due_commands(now, &mut counts.grantor).into_iter().map(Command::Lease);
         let beat = |(name, clerk): (&String, &mut Clerk)| Some((name.clone(), clerk.beat(now)?));
         let beats: Vec<_> = counts.clerks.iter_mut().filter_map(beat).collect();
         let beats = (!beats.is_empty()).then_some(Command::Beat(beats));
--- a/crates/quota/tests/voters.rs
+++ b/crates/quota/tests/voters.rs
@@ -5,7 +5,10 @@
 mod common;
 
 use common::seeds;
-use mintshelf_consensus::replica::{encode, Stored, Voter};
+use mintshelf_consensus::message::encode;
+use mintshelf_consensus::persistent_state::PersistentState;
+use mintshelf_consensus::replica::Replica;
+use mintshelf_consensus::write_batch::ProposalResponse;
 use mintshelf_lease::command::Owner;
 use mintshelf_lease::timing::{ClockError, Nanos, Timing, MS, SECOND};
 use mintshelf_quota::client::ShareHolder;
@@ -52,8 +55,8 @@
 struct World {
     rng: Pcg64Mcg,
     now: Nanos,
-    stores: Vec<Stored>,
-    voters: Vec<Option<Voter<Agreed>>>,
+    stores: Vec<PersistentState>,
+    voters: Vec<Option<Replica<Agreed>>>,
     back_at: [Nanos; 3],
     cut_until: [Nanos; 3],
     seats: Vec<Seats>,
@@ -87,7 +90,7 @@
 
 impl World {
     fn new(seed: u64) -> Self {
-        let stores: Vec<_> = (0..3).map(|_| Stored::new_fleet(&[1, 2, 3])).collect();
+        let stores: Vec<_> = (0..3).map(|_| PersistentState::new_fleet(&[1, 2, 3])).collect();
         let mut world = World {
             rng: Pcg64Mcg::seed_from_u64(seed),
             now: 0,
@@ -115,7 +118,7 @@
 
     fn start(&mut self, n: usize) {
         let life = self.rng.next_u64();
-        self.voters[n] = Some(Voter::new(n as u64 + 1, &self.stores[n], &spans(), life).unwrap());
+        self.voters[n] = Some(Replica::new(n as u64 + 1, &self.stores[n], &spans(), life).unwrap());
         self.seats[n] = Seats::new(MEMBERS, 3, 3 * SECOND);
     }
 
@@ -141,17 +144,17 @@
     fn settle(&mut self, n: usize) {
         let now = self.voters_clock();
         while let Some(voter) = &mut self.voters[n] {
-            let Some(mut batch) = voter.batch(now).unwrap() else { return };
+            let Some(mut batch) = voter.next_batch(now).unwrap() else { return };
             self.entries += u64::from(!batch.entries.is_empty());
-            let mut messages = std::mem::take(&mut batch.at_once);
+            let mut messages = std::mem::take(&mut batch.immediate_messages);
             self.stores[n].write(&batch);
-            messages.extend(voter.synced(now));
+            messages.extend(voter.batch_synced(now));
             for message in messages {
                 let (to, bytes) = (message.to as usize - 1, encode(&message).unwrap());
                 let cut = self.now < self.cut_until[n].max(self.cut_until[to]);
                 self.post(cut, Wire::Raft(to, bytes));
             }
-            for (_, answer) in batch.answers {
+            for ProposalResponse { response: answer, .. } in batch.responses {
                 let Answer::Shares(shares) = answer else { continue };
                 for (name, answer) in shares {
                     assert_eq!(name, NAME);
@@ -173,7 +176,7 @@
             match wire {
                 Wire::Raft(to, bytes) => {
                     if let Some(voter) = &mut self.voters[to] {
-                        voter.receive(voters, &bytes).unwrap();
+                        voter.handle_message(voters, &bytes).unwrap();
                         self.settle(to);
                     }
                 }
@@ -181,7 +184,7 @@
                     let from: usize = ask.owner.member[1..].parse().unwrap();
                     let Some(voter) = &mut self.voters[to] else { continue };
                     if self.seats[to].knock(voters, &ask.owner) {
-                        voter.counts().ask(NAME, ask);
+                        voter.local_state_mut().ask(NAME, ask);
                     } else {
                         self.post(false, Wire::Full(to, from));
                     }
@@ -264,9 +267,9 @@
                 if let Some(voter) = &mut self.voters[n] {
                     voter.tick(voters);
                     let status = voter.status();
-                    if status.leads {
+                    if status.is_leader {
                         // Said again and again, as each voter does that reads its file.
-                        if voter.machine().budget(NAME).is_none() {
+                        if voter.state_machine().budget(NAME).is_none() {
                             let (name, budget) = (NAME.to_owned(), BUDGET);
                             let _ = voter.propose(&Command::Budget { name, budget });
                         }
@@ -316,7 +319,7 @@
 
 #[test]
 fn budgets_are_stated_once_and_changed_with_care() {
-    use mintshelf_consensus::state_machine::Machine;
+    use mintshelf_consensus::state_machine::StateMachine;
     let mut agreed = Agreed::default();
     let mut state = |name: &str, budget: Budget| match agreed
         .apply(&Command::Budget { name: name.into(), budget })
