--- a/crates/consensus-node/src/frame.rs
+++ b/crates/consensus-node/src/frame.rs
@@ -1,8 +1,10 @@
 //! What goes over a link between two processes of a fleet: frames behind a length, the first of
 //! which says who speaks, in which version, for which fleet.
 
-use mintshelf_consensus::replica::{Status, FRAME_MAX};
-use mintshelf_lease::lease::{Answer, Command, Lease, Owner};
+use mintshelf_consensus::message::MESSAGE_BYTES_MAX;
+use mintshelf_consensus::replica::ReplicaStatus;
+use mintshelf_lease::command::{Command, Owner, Response};
+use mintshelf_lease::lease::Lease;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 use tokio_util::bytes::Bytes;
@@ -50,7 +52,7 @@
         /// The question's number.
         number: u64,
         /// What came of it.
-        answer: Answer,
+        answer: Response,
     },
     /// A member asks a voter how it is.
     Tell,
@@ -67,7 +69,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
     /// Its place among the others.
-    pub status: Status,
+    pub status: ReplicaStatus,
     /// How often its store was opened.
     pub life: u64,
     /// Members that have a link to it.
@@ -143,5 +145,5 @@
 
 /// What may come once the other end is known.
 pub fn open_up(codec: &mut LengthDelimitedCodec) {
-    codec.set_max_frame_length(FRAME_MAX + HELLO_MAX);
+    codec.set_max_frame_length(MESSAGE_BYTES_MAX + HELLO_MAX);
 }
