--- a/crates/retry/src/attempts.rs
+++ b/crates/retry/src/attempts.rs
@@ -1,222 +1,154 @@
-//! How long one attempt may take, and when a second copy goes beside it.
+//! How long an attempt of a class may take, and when a hedge starts beside it.
 
 use crate::latency_window::LatencyWindow;
-use crate::schedule::AttemptTimeout;
+use crate::policy::{HedgeDelay, RetryPolicy};
+use crate::schedule::{AttemptTimeout, TimeoutBounds};
 use mintshelf_balancer::api::{Effect, Nanos};
 use mintshelf_balancer::budget::RetryBudget;
 
-/// An adaptive time-out is this multiple of what 99 of a hundred answers take.
-const BEYOND: u64 = 3;
-/// An attempt that could not be followed by another is looked at again after this part of its
-/// time.
-const AGAIN: u64 = 4;
-/// Second copies saved up while none are sent.
-const COPIES_SAVED: f64 = 4.0;
-
-/// When a second copy goes.
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub enum HedgeDelay {
-    /// After a fixed time.
-    Span(Nanos),
-    /// When 95 of a hundred answers would have come.
-    P95,
-}
+/// An adaptive time-out is this multiple of the 99th percentile of the latencies seen.
+const ADAPTIVE_TIMEOUT_FACTOR: u64 = 3;
+/// An attempt that no other could follow is looked at again after this part of its time-out.
+const RECHECK_DIVISOR: u64 = 4;
+/// Shortest time until such an attempt is looked at again.
+const MIN_RECHECK_DELAY: Nanos = 1_000_000;
+/// Hedges that may be saved up while none are sent.
+const MAX_SAVED_HEDGES: f64 = 4.0;
 
-/// Second copies of safe requests.
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Hedge {
-    /// When one goes.
-    pub after: HedgeDelay,
-    /// The most of them, as a part of the requests.
-    pub share: f64,
+/// What to do with an attempt whose time-out has passed.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum TimeoutAction {
+    /// Cancel it; a retry may follow.
+    Cancel,
+    /// No retry could follow: go on waiting, and ask again after this time.
+    RecheckAfter(Nanos),
 }
 
-/// What one class of the decision module may do with its attempts.
-#[derive(Debug, Clone, PartialEq)]
-pub struct RetryPolicy {
-    /// Its effect.
-    pub effect: Effect,
-    /// Time for one attempt.
-    pub per_try: AttemptTimeout,
-    /// Bounds of an adaptive time.
-    pub bounds: [Nanos; 2],
-    /// Most attempts.
-    pub attempts: u32,
-    /// Second copies, if any.
-    pub hedge: Option<Hedge>,
-    /// Longest wait for a connection.
-    pub connect: Nanos,
-    /// A connection that has rested for longer is not used.
-    pub idle: Nanos,
+/// Whether a retry could follow an attempt that has timed out.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct RetryConditions {
+    /// The retry budget covers another attempt.
+    pub has_budget: bool,
+    /// There is another endpoint to send it to.
+    pub has_other_endpoint: bool,
 }
 
-/// What is to be done with an attempt whose time is up.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum TimeoutAction {
-    /// It is ended; another may follow.
-    Now,
-    /// Nothing could follow: it is waited for, and looked at again after this span.
-    Wait(Nanos),
+/// How many attempts were cut short and hedged.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub struct AttemptCounts {
+    /// Attempts cancelled by their own time-out.
+    pub timed_out: u64,
+    /// Hedges started.
+    pub hedged: u64,
 }
 
-/// The state of one class.
+/// The time-outs and hedges of one class: its policy, with the latencies seen and the budget for
+/// hedges. Owned by the cluster's event loop; one for each class.
 #[derive(Debug)]
 pub struct AttemptTracker {
-    plan: RetryPolicy,
-    answers: LatencyWindow,
-    copies: RetryBudget,
-    cut: u64,
-    copied: u64,
+    policy: RetryPolicy,
+    latencies: LatencyWindow,
+    hedge_budget: RetryBudget,
+    counts: AttemptCounts,
 }
 
 impl AttemptTracker {
-    /// With nothing seen yet.
-    pub fn new(plan: RetryPolicy, now: Nanos) -> Self {
-        let share = plan.hedge.map_or(0.0, |hedge| hedge.share);
-        let copies = RetryBudget::new(share, COPIES_SAVED);
-        AttemptTracker { plan, answers: LatencyWindow::new(now), copies, cut: 0, copied: 0 }
+    /// Starts with no latency seen.
+    pub fn new(policy: RetryPolicy, now: Nanos) -> Self {
+        let max_share = policy.hedge.map_or(0.0, |hedge| hedge.max_share);
+        AttemptTracker {
+            policy,
+            latencies: LatencyWindow::new(now),
+            hedge_budget: RetryBudget::new(max_share, MAX_SAVED_HEDGES),
+            counts: AttemptCounts::default(),
+        }
     }
 
-    /// What it was made of.
-    pub fn plan(&self) -> &RetryPolicy {
-        &self.plan
+    /// The policy that it applies.
+    pub fn policy(&self) -> &RetryPolicy {
+        &self.policy
     }
 
-    /// A request has come.
-    pub fn begin(&mut self) {
-        self.copies.earn();
+    /// Notes a new request, which earns its part of the budget for hedges.
+    pub fn record_request(&mut self) {
+        self.hedge_budget.earn();
     }
 
-    /// How long attempt `number`, from 0, may take once it is connected; none for as long as
-    /// the request. The last one has all the time that is left.
-    pub fn limit(&mut self, now: Nanos, number: u32) -> Option<Nanos> {
-        if self.plan.effect == Effect::Unsafe || number + 1 >= self.plan.attempts {
+    /// How long the attempt with this index, from 0, may take once it is connected; none where
+    /// only the request's deadline bounds it. The last attempt has all the time that is left.
+    pub fn attempt_timeout(&mut self, now: Nanos, index: u32) -> Option<Nanos> {
+        if self.policy.effect == Effect::Unsafe || index + 1 >= self.policy.max_attempts {
             return None;
         }
-        match self.plan.per_try {
-            AttemptTimeout::Whole => None,
-            AttemptTimeout::Fixed(span) => Some(span),
-            AttemptTimeout::Adaptive => {
-                let [least, most] = self.plan.bounds;
-                let seen = self.answers.quantiles(now).map(|seen| seen.p99.saturating_mul(BEYOND));
-                // Before anything is known, twice the least: the aim.
-                Some(seen.unwrap_or(least.saturating_mul(2)).clamp(least, most))
-            }
+        match self.policy.attempt_timeout {
+            AttemptTimeout::Deadline => None,
+            AttemptTimeout::Fixed(timeout) => Some(timeout),
+            AttemptTimeout::Adaptive => Some(self.adaptive_timeout(now)),
         }
     }
 
-    /// What becomes of an attempt that has taken `limit`. `paid`: the retry budget covers
-    /// another; `elsewhere`: there is another endpoint.
-    pub fn expired(
+    fn adaptive_timeout(&mut self, now: Nanos) -> Nanos {
+        let TimeoutBounds { min, max } = self.policy.timeout_bounds;
+        let timeout = match self.latencies.quantiles(now) {
+            Some(quantiles) => quantiles.p99.saturating_mul(ADAPTIVE_TIMEOUT_FACTOR),
+            // Before any latency is known, twice the lower bound, which is the objective.
+            None => min.saturating_mul(2),
+        };
+        timeout.clamp(min, max)
+    }
+
+    /// Decides on an attempt that has taken all of its `timeout`.
+    pub fn on_timeout(
         &mut self,
         now: Nanos,
-        limit: Nanos,
-        paid: bool,
-        elsewhere: bool,
+        timeout: Nanos,
+        conditions: RetryConditions,
     ) -> TimeoutAction {
-        // A keyed request's attempts end when the schedule says: its window is reckoned so.
-        let keyed = self.plan.effect == Effect::Idempotent;
-        let elsewhere = elsewhere || self.plan.per_try != AttemptTimeout::Adaptive;
-        if keyed || paid && elsewhere {
-            self.cut += 1;
-            // It would have taken at least that.
-            self.answers.note(now, limit);
-            TimeoutAction::Now
-        } else {
-            TimeoutAction::Wait((limit / AGAIN).max(1_000_000))
+        // Attempts of an idempotent request end when the schedule says, since the check against
+        // its deduplication window relies on that.
+        let is_idempotent = self.policy.effect == Effect::Idempotent;
+        let has_target = conditions.has_other_endpoint
+            || self.policy.attempt_timeout != AttemptTimeout::Adaptive;
+        if !is_idempotent && !(conditions.has_budget && has_target) {
+            return TimeoutAction::RecheckAfter((timeout / RECHECK_DIVISOR).max(MIN_RECHECK_DELAY));
         }
+        self.counts.timed_out += 1;
+        // The response would have taken at least that long.
+        self.latencies.record(now, timeout);
+        TimeoutAction::Cancel
     }
 
-    /// When a second copy of a request may go, counted from its first attempt.
-    pub fn copy_after(&mut self, now: Nanos) -> Option<Nanos> {
-        let hedge = self.plan.hedge.filter(|_| self.plan.effect == Effect::Safe)?;
-        match hedge.after {
-            HedgeDelay::Span(span) => Some(span),
-            HedgeDelay::P95 => self.answers.quantiles(now).map(|seen| seen.p95),
+    /// When a hedge of a request may start, counted from its first attempt; none where the class
+    /// is not hedged, or the delay is not known yet.
+    pub fn hedge_delay(&mut self, now: Nanos) -> Option<Nanos> {
+        let hedge = self.policy.hedge.filter(|_| self.policy.effect == Effect::Safe)?;
+        match hedge.delay {
+            HedgeDelay::Fixed(delay) => Some(delay),
+            HedgeDelay::P95 => self.latencies.quantiles(now).map(|quantiles| quantiles.p95),
         }
     }
 
-    /// Whether a second copy may go now: their share is bounded.
-    pub fn may_copy(&mut self) -> bool {
-        let paid = self.plan.hedge.is_some() && self.copies.pay(1.0);
-        self.copied += u64::from(paid);
-        paid
-    }
-
-    /// A server answered after so long.
-    pub fn answered(&mut self, now: Nanos, took: Nanos) {
-        self.answers.note(now, took);
-    }
-
-    /// What half of the answers take; 0 while that is not known.
-    pub fn usual(&mut self, now: Nanos) -> Nanos {
-        self.answers.quantiles(now).map_or(0, |seen| seen.p50)
-    }
-
-    /// Attempts that were ended for their own time, and second copies, so far.
-    pub fn counts(&self) -> [u64; 2] {
-        [self.cut, self.copied]
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    const MS: Nanos = 1_000_000;
-
-    fn tries(per_try: AttemptTimeout, effect: Effect, hedge: Option<Hedge>) -> AttemptTracker {
-        let bounds = [50 * MS, 600 * MS];
-        let plan =
-            RetryPolicy { effect, per_try, bounds, attempts: 3, hedge, connect: MS, idle: MS };
-        AttemptTracker::new(plan, 0)
+    /// Takes the budget for one hedge; whether there was enough. The caller starts the hedge if
+    /// so.
+    #[must_use]
+    pub fn try_hedge(&mut self) -> bool {
+        let is_allowed = self.policy.hedge.is_some() && self.hedge_budget.pay(1.0);
+        self.counts.hedged += u64::from(is_allowed);
+        is_allowed
     }
 
-    #[test]
-    fn a_time_out_follows_the_answers_between_its_bounds() {
-        let mut tries = tries(AttemptTimeout::Adaptive, Effect::Safe, None);
-        assert_eq!(tries.limit(0, 0), Some(100 * MS));
-        assert_eq!(tries.limit(0, 2), None, "the last attempt has all that is left");
-        for n in 0..1000 {
-            tries.answered(n, 3 * MS);
-        }
-        assert_eq!(tries.limit(MS, 0), Some(50 * MS));
-        for n in 0..1000 {
-            tries.answered(MS + n, 100 * MS);
-        }
-        let limit = tries.limit(2 * MS, 1).unwrap();
-        assert!((295 * MS..310 * MS).contains(&limit), "{limit}");
-        for n in 0..10_000 {
-            tries.answered(3 * MS + n, 9_000 * MS);
-        }
-        assert_eq!(tries.limit(4 * MS, 1), Some(600 * MS));
+    /// Notes the latency of a server's response.
+    pub fn record_response(&mut self, now: Nanos, latency: Nanos) {
+        self.latencies.record(now, latency);
     }
 
-    #[test]
-    fn an_attempt_is_cut_only_where_another_can_follow() {
-        let mut safe = tries(AttemptTimeout::Adaptive, Effect::Safe, None);
-        assert!(matches!(safe.expired(0, 40 * MS, false, true), TimeoutAction::Wait(_)));
-        assert!(matches!(safe.expired(0, 40 * MS, true, false), TimeoutAction::Wait(_)));
-        assert_eq!(safe.expired(0, 40 * MS, true, true), TimeoutAction::Now);
-        let mut keyed = tries(AttemptTimeout::Fixed(MS), Effect::Idempotent, None);
-        assert_eq!(keyed.expired(0, MS, false, false), TimeoutAction::Now);
-        let mut never = tries(AttemptTimeout::Fixed(MS), Effect::Unsafe, None);
-        assert_eq!(never.limit(0, 0), None);
-        assert_eq!(keyed.counts(), [1, 0]);
+    /// The median latency; 0 while too few were seen.
+    pub fn median_latency(&mut self, now: Nanos) -> Nanos {
+        self.latencies.quantiles(now).map_or(0, |quantiles| quantiles.p50)
     }
 
-    #[test]
-    fn second_copies_keep_within_their_share() {
-        let hedge = Some(Hedge { after: HedgeDelay::P95, share: 0.1 });
-        let mut tries = tries(AttemptTimeout::Whole, Effect::Safe, hedge);
-        assert_eq!(tries.copy_after(0), None, "nothing is known yet");
-        let mut sent = 0;
-        for n in 0..1000 {
-            tries.begin();
-            tries.answered(n, 2 * MS);
-            sent += u32::from(tries.may_copy());
-        }
-        assert!((100..=104).contains(&sent), "{sent}");
-        assert!(tries.copy_after(MS).is_some());
+    /// Attempts cut short and hedged since the start.
+    pub fn counts(&self) -> AttemptCounts {
+        self.counts
     }
 }
--- /dev/null
+++ b/crates/retry/src/checker.rs
@@ -0,0 +1,160 @@
+//! Checks a schedule against the safety rules.
+
+use crate::duration::format_nanos;
+use crate::schedule::{AttemptSchedule, AttemptTimeout, RetryOn, ScheduledAttempt};
+use crate::violation::SafetyViolation;
+use mintshelf_balancer::api::{Effect, Nanos};
+
+/// When an attempt reaches a server at the latest, counted from the start of the first attempt.
+#[derive(Debug, Clone, Copy)]
+struct Arrival {
+    /// The attempt's number, from 1.
+    attempt: u32,
+    at: Nanos,
+}
+
+impl AttemptSchedule {
+    /// Everything that the settings break, in the order of the rules; empty for a sound schedule.
+    #[must_use]
+    pub fn violations(&self) -> Vec<SafetyViolation> {
+        let mut violations = Vec::new();
+        if self.effect == Effect::Unsafe && self.retry_on == RetryOn::MayHaveRun {
+            violations.push(SafetyViolation::UnsafeRetry);
+        }
+        if self.is_hedged {
+            violations.extend(self.hedge_violation());
+            if !self.allows_parallel_attempts {
+                violations.push(SafetyViolation::HedgeNotAllowed);
+            }
+        }
+        if let AttemptTimeout::Fixed(timeout) = self.attempt_timeout {
+            violations.extend(self.timeout_violation(timeout));
+            if self.max_effective_attempts() < 2 {
+                violations.push(SafetyViolation::UselessAttemptTimeout);
+            }
+        }
+        if self.effect == Effect::Idempotent {
+            violations.extend(self.window_violations());
+        }
+        violations
+    }
+
+    fn hedge_violation(&self) -> Option<SafetyViolation> {
+        match self.effect {
+            Effect::Idempotent if !self.has_single_dedup_group => {
+                Some(SafetyViolation::HedgeCrossesDedupGroup)
+            }
+            Effect::Safe if self.retry_on == RetryOn::NeverRan => {
+                Some(SafetyViolation::HedgeForbiddenByRetryOn)
+            }
+            Effect::Safe => None,
+            effect => Some(SafetyViolation::HedgeNotSafe(effect)),
+        }
+    }
+
+    fn timeout_violation(&self, timeout: Nanos) -> Option<SafetyViolation> {
+        if timeout > self.deadline {
+            return Some(SafetyViolation::AttemptTimeoutOverDeadline);
+        }
+        (2..=self.max_attempts)
+            .map(|attempt| (attempt, timeout.saturating_mul(u64::from(attempt - 1))))
+            .find(|(_, start)| *start >= self.deadline)
+            .map(|(attempt, start)| SafetyViolation::AttemptCannotStart { attempt, start })
+    }
+
+    /// Arrivals after the deduplication window: of our own retries, and of the client's.
+    fn window_violations(&self) -> Vec<SafetyViolation> {
+        let window_end = self.dedup_window.saturating_sub(self.tick);
+        if window_end == 0 {
+            // Without a window the request is not idempotent, which the file's reader reports.
+            return Vec::new();
+        }
+        let own = self.retry_arrivals().into_iter().find(|arrival| arrival.at >= window_end);
+        let own = own.map(|Arrival { attempt, at }| SafetyViolation::RetryAfterWindow {
+            attempt,
+            at,
+            sum: self.latest_start_sum(attempt),
+        });
+        own.into_iter().chain(self.client_retry_violation(window_end)).collect()
+    }
+
+    /// Each attempt of a client may last to the deadline, then the client waits as long as it is
+    /// given, and its last attempt reaches a server as late as a retry of ours.
+    fn client_retry_violation(&self, window_end: Nanos) -> Option<SafetyViolation> {
+        if self.client_retries == 0 {
+            return None;
+        }
+        let retries = u64::from(self.client_retries);
+        let waits = self.deadline.saturating_add(self.max_retry_after).saturating_mul(retries);
+        let last_arrival = self.last_arrival();
+        let at = waits.saturating_add(last_arrival);
+        (at >= window_end).then(|| SafetyViolation::ClientRetryAfterWindow {
+            at,
+            sum: format!(
+                "{retries} x ({} deadline + {} retry advice) + {} for the attempts of its last try",
+                format_nanos(self.deadline),
+                format_nanos(self.max_retry_after),
+                format_nanos(last_arrival)
+            ),
+        })
+    }
+
+    /// The latest arrival of each retry that may follow an attempt that may have run.
+    fn retry_arrivals(&self) -> Vec<Arrival> {
+        if self.max_effective_attempts() < 2 {
+            return Vec::new();
+        }
+        let retries = self.worst_case().into_iter().filter(|attempt| attempt.number > 1);
+        let arrival = |attempt: ScheduledAttempt| Arrival {
+            attempt: attempt.number,
+            // A request reaches its server once it is connected.
+            at: attempt.latest_start.saturating_add(self.connect_timeout).min(self.deadline),
+        };
+        retries.map(arrival).collect()
+    }
+
+    /// The last of these arrivals; without any, that of the first attempt.
+    pub(crate) fn last_arrival(&self) -> Nanos {
+        match self.retry_arrivals().last() {
+            Some(arrival) => arrival.at,
+            None => self.connect_timeout.min(self.deadline),
+        }
+    }
+
+    /// What the latest arrival of an attempt adds up from, in words.
+    fn latest_start_sum(&self, number: u32) -> String {
+        let previous = number.saturating_sub(1);
+        if previous == 0 {
+            return String::new();
+        }
+        let timeouts = match self.attempt_timeout {
+            AttemptTimeout::Deadline => {
+                return format!(
+                    "attempt {previous} has no per-try time-out and may break off at any time \
+                     before the deadline, {}",
+                    format_nanos(self.deadline)
+                )
+            }
+            AttemptTimeout::Fixed(timeout) => format!("{} per try", multiple(previous, timeout)),
+            AttemptTimeout::Adaptive => {
+                format!("{} per try at most", multiple(previous, self.adaptive_bounds().max))
+            }
+        };
+        let mut terms = vec![timeouts];
+        terms.push(format!("{} connecting", multiple(previous, self.connect_timeout)));
+        let backoff = self.total_backoff(number);
+        if backoff > 0 {
+            terms.push(format!("{} backoff", format_nanos(backoff)));
+        }
+        terms.push(format!("{} to connect again", format_nanos(self.connect_timeout)));
+        terms.join(" + ")
+    }
+}
+
+/// A product in words, as in `2 x 5 s`.
+fn multiple(count: u32, duration: Nanos) -> String {
+    match count {
+        1 => format_nanos(duration),
+        count => format!("{count} x {}", format_nanos(duration)),
+    }
+}
--- a/crates/retry/src/latency_window.rs
+++ b/crates/retry/src/latency_window.rs
@@ -1,124 +1,109 @@
-//! How long answers take, as lately seen: quantiles over a sliding window.
+//! Quantiles of the latencies seen lately, over a sliding window.
 
 use hdrhistogram::Histogram;
 use mintshelf_balancer::api::Nanos;
 
 /// The window slides by half: what is older than twice this is forgotten.
-const HALF: Nanos = 10_000_000_000;
-/// Quantiles are reckoned anew after so long, or so many answers.
-const STALE: Nanos = 250_000_000;
-const STALE_ANSWERS: u32 = 256;
-/// Answers without which nothing is said.
-const LEAST: u64 = 20;
-/// Times are kept from a microsecond to an hour, to two digits.
-const MICRO: Nanos = 1_000;
-const LONGEST: u64 = 3_600_000_000;
+const HALF_WINDOW: Nanos = 10_000_000_000;
+/// Quantiles are computed anew after this time.
+const MAX_QUANTILE_AGE: Nanos = 250_000_000;
+/// Quantiles are computed anew after this many latencies, too.
+const MAX_PENDING_SAMPLES: u32 = 256;
+/// With fewer latencies in the window there are no quantiles.
+const MIN_SAMPLES: u64 = 20;
+/// Resolution of the histogram.
+const MICROSECOND: Nanos = 1_000;
+/// Longest latency of the histogram, in microseconds: an hour. What is longer counts as this.
+pub const MAX_LATENCY_MICROS: u64 = 3_600_000_000;
+/// Precision of the histogram, in decimal digits.
+const SIGNIFICANT_DIGITS: u8 = 2;
 
-/// What was seen: some 30 KiB however many the answers are.
+/// A sliding window of latencies: some 30 KiB, however many there are.
 #[derive(Debug, Clone)]
 pub struct LatencyWindow {
-    halves: [Histogram<u32>; 2],
-    turned_at: Nanos,
-    /// Half, 95 and 99 of a hundred took no longer than this; absent while too few were seen.
-    known: Option<Quantiles>,
-    known_at: Nanos,
-    since: u32,
+    current: Histogram<u32>,
+    previous: Histogram<u32>,
+    rotated_at: Nanos,
+    /// As last computed; none while too few latencies were seen.
+    quantiles: Option<Quantiles>,
+    computed_at: Nanos,
+    /// Latencies recorded since then.
+    pending_samples: u32,
 }
 
-/// Times that a part of the answers keeps within.
+/// Quantiles of the latencies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Quantiles {
-    /// Half of them.
+    /// The median.
     pub p50: Nanos,
-    /// 95 of a hundred.
+    /// The 95th percentile.
     pub p95: Nanos,
-    /// 99 of a hundred.
+    /// The 99th percentile.
     pub p99: Nanos,
 }
 
-fn histogram() -> Histogram<u32> {
-    // Constants, and within what the library allows.
-    Histogram::new_with_bounds(1, LONGEST, 2).expect("a range and two digits")
+#[allow(clippy::expect_used, reason = "the bounds are constants that the library accepts")]
+fn empty_histogram() -> Histogram<u32> {
+    Histogram::new_with_bounds(1, MAX_LATENCY_MICROS, SIGNIFICANT_DIGITS)
+        .expect("constant bounds are valid")
 }
 
 impl LatencyWindow {
-    /// None seen yet.
+    /// Starts empty.
     pub fn new(now: Nanos) -> Self {
         LatencyWindow {
-            halves: [histogram(), histogram()],
-            turned_at: now,
-            known: None,
-            known_at: now,
-            since: 0,
+            current: empty_histogram(),
+            previous: empty_histogram(),
+            rotated_at: now,
+            quantiles: None,
+            computed_at: now,
+            pending_samples: 0,
         }
     }
 
-    /// An answer took so long; or at least so long, where it was not waited for.
-    pub fn note(&mut self, now: Nanos, took: Nanos) {
-        self.turn(now);
-        self.halves[0].saturating_record((took / MICRO).max(1));
-        self.since = self.since.saturating_add(1);
+    /// Records a latency, or a lower bound of one where the response was not waited for.
+    pub fn record(&mut self, now: Nanos, latency: Nanos) {
+        self.rotate(now);
+        self.current.saturating_record((latency / MICROSECOND).max(1));
+        self.pending_samples = self.pending_samples.saturating_add(1);
     }
 
-    fn turn(&mut self, now: Nanos) {
-        let passed = now.saturating_sub(self.turned_at);
-        if passed < HALF {
+    /// Drops the half of the window that is too old.
+    fn rotate(&mut self, now: Nanos) {
+        let elapsed = now.saturating_sub(self.rotated_at);
+        if elapsed < HALF_WINDOW {
             return;
         }
-        self.halves.swap(0, 1);
-        self.halves[0].reset();
-        if passed >= 2 * HALF {
-            self.halves[1].reset();
+        std::mem::swap(&mut self.current, &mut self.previous);
+        self.current.reset();
+        if elapsed >= 2 * HALF_WINDOW {
+            self.previous.reset();
         }
-        self.turned_at = now;
+        self.rotated_at = now;
     }
 
-    /// What is known; nothing while there were too few.
+    /// The quantiles of the window, at most 250 ms or 256 latencies old; none while fewer than 20
+    /// latencies are in it.
     pub fn quantiles(&mut self, now: Nanos) -> Option<Quantiles> {
-        self.turn(now);
-        let stale = now.saturating_sub(self.known_at) >= STALE || self.since >= STALE_ANSWERS;
-        if stale || self.known.is_none() && self.since > 0 {
-            (self.known_at, self.since) = (now, 0);
-            self.known = self.reckon();
+        self.rotate(now);
+        let is_stale = now.saturating_sub(self.computed_at) >= MAX_QUANTILE_AGE
+            || self.pending_samples >= MAX_PENDING_SAMPLES;
+        if is_stale || self.quantiles.is_none() && self.pending_samples > 0 {
+            self.computed_at = now;
+            self.pending_samples = 0;
+            self.quantiles = self.compute_quantiles();
         }
-        self.known
+        self.quantiles
     }
 
-    fn reckon(&self) -> Option<Quantiles> {
-        let mut all = self.halves[0].clone();
-        all.add(&self.halves[1]).ok()?;
-        let of = |part| all.value_at_quantile(part).saturating_mul(MICRO);
-        (all.len() >= LEAST).then(|| Quantiles { p50: of(0.5), p95: of(0.95), p99: of(0.99) })
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    const MS: Nanos = 1_000_000;
-
-    #[test]
-    fn quantiles_follow_what_was_seen_and_forget() {
-        let mut answers = LatencyWindow::new(0);
-        assert_eq!(answers.quantiles(0), None);
-        for n in 1..=1000 {
-            answers.note(n * MS, n * MS / 10);
-        }
-        let known = answers.quantiles(2000 * MS).unwrap();
-        let near = |a: Nanos, b: Nanos| a.abs_diff(b) * 50 < b;
-        assert!(near(known.p50, 50 * MS) && near(known.p95, 95 * MS), "{known:?}");
-        assert!(near(known.p99, 99 * MS), "{known:?}");
-        // Long after, nothing of it counts.
-        assert_eq!(answers.quantiles(60_000 * MS), None);
-    }
-
-    #[test]
-    fn no_time_is_too_long_to_be_noted() {
-        let mut answers = LatencyWindow::new(0);
-        for _ in 0..100 {
-            answers.note(0, u64::MAX);
-        }
-        assert!(answers.quantiles(MS).unwrap().p50 >= LONGEST);
+    fn compute_quantiles(&self) -> Option<Quantiles> {
+        let mut window = self.current.clone();
+        window.add(&self.previous).ok()?;
+        let quantile = |fraction| window.value_at_quantile(fraction).saturating_mul(MICROSECOND);
+        (window.len() >= MIN_SAMPLES).then(|| Quantiles {
+            p50: quantile(0.5),
+            p95: quantile(0.95),
+            p99: quantile(0.99),
+        })
     }
 }
--- a/crates/retry/src/lib.rs
+++ b/crates/retry/src/lib.rs
@@ -1,11 +1,49 @@
-//! Attempts of one request over time: when each may start and end, checked against the rules
-//! ([`schedule`]), which time-out or hedge comes next ([`attempts`]), how long answers take
+//! Attempts of one request over time: what a request class may do ([`policy`]), when each
+//! attempt may start and end in the worst case ([`schedule`]) and which safety rules that breaks
+//! ([`violation`]), which time-out or hedge comes next ([`attempts`]), how long responses take
 //! ([`latency_window`]), and which deadlines hold during a graceful shutdown ([`shutdown`]).
 //!
-//! No I/O: time is an argument, in nanoseconds on the caller's clock.
+//! No I/O: time is an argument, in nanoseconds on the caller's monotonic clock.
+//!
+//! ```
+//! use mintshelf_balancer::api::Effect;
+//! use mintshelf_retry::schedule::{
+//!     AttemptSchedule, AttemptTimeout, Backoff, DedupGroup, RetryOn,
+//! };
+//!
+//! const SECOND: u64 = 1_000_000_000;
+//! let schedule = AttemptSchedule {
+//!     effect: Effect::Idempotent,
+//!     dedup_window: 20 * SECOND,
+//!     dedup_group: DedupGroup::Cluster,
+//!     has_single_dedup_group: true,
+//!     latency_objective: SECOND,
+//!     deadline: 30 * SECOND,
+//!     max_attempts: 3,
+//!     connect_timeout: SECOND / 5,
+//!     attempt_timeout: AttemptTimeout::Fixed(5 * SECOND),
+//!     backoff: Backoff::default(),
+//!     retry_on: RetryOn::MayHaveRun,
+//!     is_hedged: false,
+//!     allows_parallel_attempts: false,
+//!     tick: 5_000_000,
+//!     max_retry_after: 5 * SECOND,
+//!     client_retries: 0,
+//! };
+//! assert!(schedule.violations().is_empty());
+//! // Without a time-out of its own an attempt can break off right before the deadline, and the
+//! // next one would reach a server after the deduplication window.
+//! let unbounded = AttemptSchedule { attempt_timeout: AttemptTimeout::Deadline, ..schedule };
+//! assert!(unbounded.violations()[0].duplicates_effect());
+//! ```
 #![forbid(unsafe_code)]
 
 pub mod attempts;
+mod checker;
+pub mod duration;
 pub mod latency_window;
+pub mod policy;
 pub mod schedule;
 pub mod shutdown;
+mod timeline;
+pub mod violation;
--- a/crates/retry/src/shutdown.rs
+++ b/crates/retry/src/shutdown.rs
@@ -1,61 +1,62 @@
-//! The planned end of a process: how long what is still open may wait, and what it is told
-//! when that is over.
+//! Deadlines of a graceful shutdown: how long requests that are still open may wait, and which
+//! response they get when that time is over.
 //!
 //! Between the signal that announces the end and the one that cannot be caught lies a time
-//! that the platform guarantees (PROTOCOL, "Figures"). Whatever is not answered in it is
-//! lost, however patient its client is.
+//! that the platform guarantees (PROTOCOL, "Figures"). A request without a response by then is
+//! lost, however long its client would wait.
 
 use mintshelf_balancer::api::{Effect, Nanos};
 
-/// The longest deadline counts for so much at most.
-const LONGEST_COUNTED: Nanos = 3_000_000_000;
-/// The process has so long on top of the longest deadline.
-const GRACE: Nanos = 700_000_000;
-/// Answers are on their way so long before that time is over: for their writing, and for a
-/// machine that is busy because much ends at once.
-const MARGIN: Nanos = 250_000_000;
+/// The longest deadline of a class counts up to this.
+const MAX_COUNTED_DEADLINE: Nanos = 3_000_000_000;
+/// The process has this much time on top of the longest deadline.
+const GRACE_PERIOD: Nanos = 700_000_000;
+/// Final responses are written this long before the process is killed: for the writing itself,
+/// and for a machine that is busy because many processes end at once.
+const WRITE_MARGIN: Nanos = 250_000_000;
 
-/// An end that has been announced.
+/// The deadlines of a shutdown that has been announced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ShutdownDeadlines {
-    cut_at: Nanos,
+    final_response_at: Nanos,
 }
 
-/// What a request that is given up on is told.
+/// The final response to a request that is given up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
-    /// Trying again is harmless.
-    Refuse,
-    /// Nothing is promised: it may have run, and a repeat could be a second effect.
+pub enum FinalResponse {
+    /// Rejected: a retry by the client is harmless.
+    Reject,
+    /// Failed: it may have run, and a retry could repeat its effect.
     Fail,
 }
 
 impl ShutdownDeadlines {
-    /// Announced at `begun`; `longest` is the longest deadline of any class.
-    pub fn new(begun: Nanos, longest: Nanos) -> Self {
-        let given = longest.min(LONGEST_COUNTED) + GRACE - MARGIN;
-        ShutdownDeadlines { cut_at: begun.saturating_add(given) }
+    /// For a shutdown announced at `announced_at`, where `longest_deadline` is the longest of any
+    /// class.
+    pub fn new(announced_at: Nanos, longest_deadline: Nanos) -> Self {
+        let remaining = longest_deadline.min(MAX_COUNTED_DEADLINE) + GRACE_PERIOD - WRITE_MARGIN;
+        ShutdownDeadlines { final_response_at: announced_at.saturating_add(remaining) }
     }
 
-    /// When everything that is still open gets its final answer.
-    pub fn cut_at(&self) -> Nanos {
-        self.cut_at
+    /// When everything that is still open gets its final response.
+    pub fn final_response_at(&self) -> Nanos {
+        self.final_response_at
     }
 
-    /// How long a request that is taken now may wait, if its client waits for `asked`; none
-    /// once there is no time left to serve any.
-    pub fn patience(&self, now: Nanos, asked: Nanos) -> Option<Nanos> {
-        let left = self.cut_at.checked_sub(now).filter(|left| *left > 0)?;
-        Some(asked.min(left))
+    /// How long a request that arrives now may wait, where its client waits for
+    /// `client_timeout`; none once no time is left to serve any.
+    pub fn limit_timeout(&self, now: Nanos, client_timeout: Nanos) -> Option<Nanos> {
+        let remaining = self.final_response_at.checked_sub(now).filter(|left| *left > 0)?;
+        Some(client_timeout.min(remaining))
     }
 
-    /// What a request of a class is told that is given up on. A safe one may always be
-    /// repeated. Danger: a keyed one only within its window, and how long its client will
-    /// take is not known here.
-    pub fn verdict(effect: Effect, may_have_run: bool) -> Verdict {
+    /// The final response to a request with this effect. A safe one may always be repeated. An
+    /// idempotent one may be repeated only within its deduplication window, and how long its
+    /// client will take is not known here.
+    pub fn final_response(effect: Effect, may_have_run: bool) -> FinalResponse {
         match (effect, may_have_run) {
-            (Effect::Safe, _) | (_, false) => Verdict::Refuse,
-            (Effect::Idempotent | Effect::Unsafe, true) => Verdict::Fail,
+            (Effect::Safe, _) | (_, false) => FinalResponse::Reject,
+            (Effect::Idempotent | Effect::Unsafe, true) => FinalResponse::Fail,
         }
     }
 }
--- /dev/null
+++ b/crates/retry/src/timeline.rs
@@ -0,0 +1,57 @@
+//! A schedule as a time line for people.
+
+use crate::duration::format_nanos;
+use crate::schedule::{AttemptSchedule, ScheduledAttempt};
+use mintshelf_balancer::api::{Effect, Nanos};
+use std::fmt;
+
+/// Column of the deadline: a line has one column more.
+const WIDTH: usize = 48;
+/// Marks the latency objective, where no attempt is under way.
+const OBJECTIVE_MARK: char = 'a';
+
+/// The schedule as a time line, a line for each attempt.
+impl fmt::Display for AttemptSchedule {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let deadline = format_nanos(self.deadline);
+        writeln!(formatter, "  worst case, from the first attempt to the deadline, {deadline}:")?;
+        for attempt in self.worst_case() {
+            let line = self.attempt_line(&attempt);
+            let start = format_nanos(attempt.latest_start);
+            let end = format_nanos(attempt.latest_end);
+            let number = attempt.number;
+            writeln!(formatter, "  try {number} [{line}] starts by {start}, ends by {end}")?;
+        }
+        if self.effect == Effect::Idempotent {
+            let arrival = format_nanos(self.last_arrival());
+            let window = format_nanos(self.dedup_window);
+            writeln!(formatter, "  the last may reach a server at {arrival}; window {window}")?;
+        }
+        if self.max_effective_attempts() < 2 && self.max_attempts > 1 {
+            let note = "a further try only if the earlier ones are known not to have run";
+            writeln!(formatter, "  {note}")?;
+        }
+        Ok(())
+    }
+}
+
+impl AttemptSchedule {
+    fn attempt_line(&self, attempt: &ScheduledAttempt) -> String {
+        let start = self.column(attempt.latest_start);
+        let end = self.column(attempt.latest_end);
+        let mut line = ['.'; WIDTH + 1];
+        line[start..=end].fill('=');
+        line[start] = '|';
+        let objective = &mut line[self.column(self.latency_objective)];
+        if *objective == '.' {
+            *objective = OBJECTIVE_MARK;
+        }
+        line.into_iter().collect()
+    }
+
+    /// The column of a time, from 0 to [`WIDTH`].
+    fn column(&self, time: Nanos) -> usize {
+        let time = u128::from(time.min(self.deadline));
+        (time * WIDTH as u128 / u128::from(self.deadline.max(1))) as usize
+    }
+}
--- /dev/null
+++ b/crates/retry/src/violation.rs
@@ -0,0 +1,170 @@
+//! Safety rules that a schedule of attempts can break: which setting does it, and the remedy.
+
+use crate::duration::format_nanos;
+use crate::schedule::AttemptSchedule;
+use mintshelf_balancer::api::{Effect, Nanos};
+
+/// A safety rule that a schedule breaks.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum SafetyViolation {
+    /// An unsafe request would be retried after an attempt that may have run.
+    UnsafeRetry,
+    /// A request with this effect, unsafe or idempotent, would have two attempts in flight.
+    HedgeNotSafe(Effect),
+    /// The hedge of an idempotent request could go to a server outside of the first attempt's
+    /// deduplication group.
+    HedgeCrossesDedupGroup,
+    /// No retry may follow an attempt that may have run, and a hedge goes beside just that.
+    HedgeForbiddenByRetryOn,
+    /// The cluster does not allow two attempts of one request at a time.
+    HedgeNotAllowed,
+    /// A retry of an idempotent request could reach a server after its deduplication window.
+    RetryAfterWindow {
+        /// The number of the attempt, from 1.
+        attempt: u32,
+        /// When it could reach a server, counted from the start of the first attempt.
+        at: Nanos,
+        /// What that adds up from, in words.
+        sum: String,
+    },
+    /// A retry by the client of an idempotent request could reach a server after the window.
+    ClientRetryAfterWindow {
+        /// When its last retry could reach a server, counted from the start of the first attempt.
+        at: Nanos,
+        /// What that adds up from, in words.
+        sum: String,
+    },
+    /// The time-out of one attempt is longer than the deadline of the request.
+    AttemptTimeoutOverDeadline,
+    /// An attempt could never start before the deadline.
+    AttemptCannotStart {
+        /// The number of the attempt, from 1.
+        attempt: u32,
+        /// When it would start.
+        start: Nanos,
+    },
+    /// Attempts have a time-out of their own, and no retry may follow one that reached it.
+    UselessAttemptTimeout,
+}
+
+impl SafetyViolation {
+    /// Whether a request's effect could happen twice.
+    pub fn duplicates_effect(&self) -> bool {
+        !matches!(
+            self,
+            SafetyViolation::AttemptTimeoutOverDeadline
+                | SafetyViolation::AttemptCannotStart { .. }
+                | SafetyViolation::UselessAttemptTimeout
+                | SafetyViolation::HedgeForbiddenByRetryOn
+                | SafetyViolation::HedgeNotAllowed
+        )
+    }
+
+    /// The key of the setting at fault, as in the operator's file.
+    pub fn setting(&self) -> &'static str {
+        match self {
+            SafetyViolation::UnsafeRetry => "retry-on",
+            SafetyViolation::HedgeNotSafe(_)
+            | SafetyViolation::HedgeCrossesDedupGroup
+            | SafetyViolation::HedgeForbiddenByRetryOn
+            | SafetyViolation::HedgeNotAllowed => "hedge",
+            SafetyViolation::RetryAfterWindow { .. } => "window",
+            SafetyViolation::ClientRetryAfterWindow { .. } => "client-retries",
+            SafetyViolation::AttemptTimeoutOverDeadline
+            | SafetyViolation::UselessAttemptTimeout => "per-try-timeout",
+            SafetyViolation::AttemptCannotStart { .. } => "max-attempts",
+        }
+    }
+
+    /// What the operator can do about it.
+    pub fn remedy(&self) -> &'static str {
+        match self {
+            SafetyViolation::UnsafeRetry => "write retry-on = \"never-ran\", or leave it out",
+            SafetyViolation::HedgeNotSafe(_) => {
+                "remove hedge from this class and from what it inherits"
+            }
+            SafetyViolation::HedgeCrossesDedupGroup => {
+                "remove hedge: second copies are for safe classes"
+            }
+            SafetyViolation::HedgeForbiddenByRetryOn => {
+                "remove hedge, or write retry-on = \"may-have-run\""
+            }
+            SafetyViolation::HedgeNotAllowed => {
+                "write second-copies = true in the cluster, or remove hedge"
+            }
+            SafetyViolation::RetryAfterWindow { .. } => {
+                "shorten per-try-timeout, backoff or the cluster's connect-timeout, or lower \
+                 max-attempts or the deadline"
+            }
+            SafetyViolation::ClientRetryAfterWindow { .. } => {
+                "shorten the deadline or max-retry-after, or lower client-retries"
+            }
+            SafetyViolation::AttemptTimeoutOverDeadline => "make it shorter than the deadline",
+            SafetyViolation::AttemptCannotStart { .. } => {
+                "lower max-attempts, or shorten per-try-timeout"
+            }
+            SafetyViolation::UselessAttemptTimeout => {
+                "remove it: the deadline bounds the one attempt that there is"
+            }
+        }
+    }
+
+    /// What is wrong, as one sentence without a full stop. `schedule` is the one that it is a
+    /// violation of.
+    pub fn describe(&self, schedule: &AttemptSchedule) -> String {
+        match self {
+            SafetyViolation::RetryAfterWindow { attempt, at, sum } => format!(
+                "attempt {attempt} could reach a server at {} ({sum}); the window is {}",
+                format_nanos(*at),
+                format_nanos(schedule.dedup_window)
+            ),
+            SafetyViolation::ClientRetryAfterWindow { at, sum } => format!(
+                "a client's own retry could reach a server at {} ({sum}); the window is {}",
+                format_nanos(*at),
+                format_nanos(schedule.dedup_window)
+            ),
+            SafetyViolation::AttemptTimeoutOverDeadline => format!(
+                "one try may take longer than the whole request, {}",
+                format_nanos(schedule.deadline)
+            ),
+            SafetyViolation::AttemptCannotStart { attempt, start } => format!(
+                "attempt {attempt} cannot fit: {} x per-try-timeout is {}, and the deadline {}",
+                attempt - 1,
+                format_nanos(*start),
+                format_nanos(schedule.deadline)
+            ),
+            other => other.fixed_description().to_owned(),
+        }
+    }
+
+    /// The description of a violation that names no figures; empty for the others.
+    fn fixed_description(&self) -> &'static str {
+        match self {
+            SafetyViolation::UnsafeRetry => {
+                "an unsafe request would be sent again after an attempt that may have run"
+            }
+            SafetyViolation::HedgeNotSafe(Effect::Idempotent) => {
+                "a keyed request would have two attempts out at once"
+            }
+            SafetyViolation::HedgeNotSafe(_) => {
+                "an unsafe request would have a second copy beside one that may have run"
+            }
+            SafetyViolation::HedgeCrossesDedupGroup => {
+                "a second copy could go to an endpoint outside the first one's dedup group"
+            }
+            SafetyViolation::HedgeForbiddenByRetryOn => {
+                "a second copy goes beside an attempt that may run, which retry-on forbids"
+            }
+            SafetyViolation::HedgeNotAllowed => {
+                "the cluster does not allow two attempts of one request at a time"
+            }
+            SafetyViolation::UselessAttemptTimeout => {
+                "no attempt may follow one that ran out of its own time"
+            }
+            SafetyViolation::RetryAfterWindow { .. }
+            | SafetyViolation::ClientRetryAfterWindow { .. }
+            | SafetyViolation::AttemptTimeoutOverDeadline
+            | SafetyViolation::AttemptCannotStart { .. } => "",
+        }
+    }
+}
--- a/crates/retry/tests/schedule.rs
+++ b/crates/retry/tests/schedule.rs
@@ -2,29 +2,31 @@
 //! of a schedule, and all of the extremes one after the other.
 
 use mintshelf_balancer::api::{Effect, Nanos};
-use mintshelf_retry::schedule::{told, AttemptTimeout, DedupGroup, Plan, RetryOn, SafetyViolation};
+use mintshelf_retry::duration::format_nanos;
+use mintshelf_retry::schedule::{AttemptSchedule, AttemptTimeout, Backoff, DedupGroup, RetryOn};
+use mintshelf_retry::violation::SafetyViolation;
 use proptest::prelude::*;
 
 const MS: Nanos = 1_000_000;
 const S: Nanos = 1_000 * MS;
 
-fn keyed() -> Plan {
-    Plan {
+fn keyed() -> AttemptSchedule {
+    AttemptSchedule {
         effect: Effect::Idempotent,
-        window: 20 * S,
-        group: DedupGroup::Cluster,
-        one_group: true,
+        dedup_window: 20 * S,
+        dedup_group: DedupGroup::Cluster,
+        has_single_dedup_group: true,
         latency_objective: 750 * MS,
         deadline: 30 * S,
-        attempts: 3,
-        connect: 200 * MS,
-        per_try: AttemptTimeout::Fixed(5 * S),
-        backoff: [0, 0],
+        max_attempts: 3,
+        connect_timeout: 200 * MS,
+        attempt_timeout: AttemptTimeout::Fixed(5 * S),
+        backoff: Backoff::default(),
         retry_on: RetryOn::MayHaveRun,
-        hedged: false,
-        two_out: false,
+        is_hedged: false,
+        allows_parallel_attempts: false,
         tick: 5 * MS,
-        advice: 5 * S,
+        max_retry_after: 5 * S,
         client_retries: 0,
     }
 }
@@ -47,15 +49,18 @@
 }
 
 /// Carries a request out as the settings say, with what befalls it given from outside.
-fn carry(plan: &Plan, start: Nanos, fates: &[Fate], pauses: &[f64], hold: f64) -> Seen {
+fn carry(plan: &AttemptSchedule, start: Nanos, fates: &[Fate], pauses: &[f64], hold: f64) -> Seen {
     let part = |span: Nanos, part: f64| (span as f64 * part) as Nanos;
     let deadline = start + plan.deadline;
     let (mut now, mut seen) = (start, Seen { over: deadline, ..Seen::default() });
     let mut may_have_run = false;
-    for (number, fate) in fates.iter().take(plan.attempts as usize).enumerate() {
+    for (number, fate) in fates.iter().take(plan.max_attempts as usize).enumerate() {
         if number > 0 {
-            let bound =
-                plan.backoff[0].saturating_mul(1 << (number - 1).min(20)).min(plan.backoff[1]);
+            let bound = plan
+                .backoff
+                .initial
+                .saturating_mul(1 << (number - 1).min(20))
+                .min(plan.backoff.max);
             // A pause that could outlast the request is left out.
             now += if now + bound < deadline { part(bound, pauses[number]) } else { 0 };
             // Held for want of a server, which ends at a part of the aim from the arrival.
@@ -68,17 +73,17 @@
         if may_have_run && (plan.effect == Effect::Unsafe || plan.retry_on == RetryOn::NeverRan) {
             break;
         }
-        let last = number + 1 == plan.attempts as usize;
-        let own = match plan.per_try {
+        let last = number + 1 == plan.max_attempts as usize;
+        let own = match plan.attempt_timeout {
             _ if last => plan.deadline,
-            AttemptTimeout::Whole => plan.deadline,
+            AttemptTimeout::Deadline => plan.deadline,
             AttemptTimeout::Fixed(span) => span,
-            AttemptTimeout::Adaptive => plan.adaptive_bounds()[1],
+            AttemptTimeout::Adaptive => plan.adaptive_bounds().max,
         };
         match *fate {
-            Fate::NotConnected(wait) => now += part(plan.connect, wait),
+            Fate::NotConnected(wait) => now += part(plan.connect_timeout, wait),
             Fate::Broken(wait, took) => {
-                let connected = now + part(plan.connect, wait);
+                let connected = now + part(plan.connect_timeout, wait);
                 if connected >= deadline {
                     break;
                 }
@@ -93,29 +98,35 @@
 }
 
 /// Times at which one request's effect may begin, its client's own tries included.
-fn effects(plan: &Plan, fates: &[Fate], pauses: &[f64], hold: f64, waits: f64) -> Vec<Nanos> {
+fn effects(
+    plan: &AttemptSchedule,
+    fates: &[Fate],
+    pauses: &[f64],
+    hold: f64,
+    waits: f64,
+) -> Vec<Nanos> {
     let (mut start, mut ran) = (0, Vec::new());
     for _ in 0..=plan.client_retries {
         let seen = carry(plan, start, fates, pauses, hold);
         ran.extend(seen.ran);
-        start = seen.over + (plan.advice as f64 * waits) as Nanos;
+        start = seen.over + (plan.max_retry_after as f64 * waits) as Nanos;
     }
     ran
 }
 
-fn breaks_a_rule(plan: &Plan, ran: &[Nanos]) -> bool {
+fn breaks_a_rule(plan: &AttemptSchedule, ran: &[Nanos]) -> bool {
     let Some(first) = ran.first() else { return false };
     match plan.effect {
         Effect::Safe => false,
         Effect::Unsafe => ran.len() > 1,
         // The window begins when a server may first have run it.
-        Effect::Idempotent => ran.iter().any(|at| at - first >= plan.window),
+        Effect::Idempotent => ran.iter().any(|at| at - first >= plan.dedup_window),
     }
 }
 
 /// Whether any of the extremes, in any order, breaks a rule: a search that shares nothing with
 /// the checker's sums.
-fn some_extreme_breaks(plan: &Plan) -> bool {
+fn some_extreme_breaks(plan: &AttemptSchedule) -> bool {
     let kinds = [
         Fate::NotConnected(1.0),
         Fate::Broken(0.0, 0.0),
@@ -124,9 +135,9 @@
         Fate::Broken(1.0, 0.999),
         Fate::Broken(0.0, 0.999),
     ];
-    let count = kinds.len().pow(plan.attempts);
+    let count = kinds.len().pow(plan.max_attempts);
     (0..count).any(|mut code| {
-        let fates: Vec<Fate> = (0..plan.attempts)
+        let fates: Vec<Fate> = (0..plan.max_attempts)
             .map(|_| {
                 let kind = kinds[code % kinds.len()];
                 code /= kinds.len();
@@ -144,105 +155,130 @@
 
 #[test]
 fn only_the_sum_of_all_parts_breaks_the_window() {
-    let plan = Plan { per_try: AttemptTimeout::Fixed(8 * S), attempts: 3, ..keyed() };
-    assert_eq!(plan.breaches(), []);
-    let plan = Plan { backoff: [1800 * MS, 3600 * MS], ..plan };
-    let breaches = plan.breaches();
-    let [SafetyViolation::AfterWindow { attempt: 3, at, .. }] = &breaches[..] else {
-        panic!("{breaches:?}")
+    let plan = AttemptSchedule {
+        attempt_timeout: AttemptTimeout::Fixed(8 * S),
+        max_attempts: 3,
+        ..keyed()
+    };
+    assert_eq!(plan.violations(), []);
+    let plan = AttemptSchedule { backoff: Backoff { initial: 1800 * MS, max: 3600 * MS }, ..plan };
+    let violations = plan.violations();
+    let [SafetyViolation::RetryAfterWindow { attempt: 3, at, .. }] = &violations[..] else {
+        panic!("{violations:?}")
     };
     assert_eq!(*at, 22 * S);
     assert_eq!(
-        breaches[0].sentence(&plan),
+        violations[0].describe(&plan),
         "attempt 3 could reach a server at 22 s (2 x 8 s per try + 2 x 200 ms connecting + 5.4 s \
          backoff + 200 ms to connect again); the window is 20 s"
     );
     // Without any one of the three it holds.
     for less in [
-        Plan { backoff: [0, 0], ..plan.clone() },
-        Plan { per_try: AttemptTimeout::Fixed(4 * S), ..plan.clone() },
-        Plan { per_try: AttemptTimeout::Fixed(6900 * MS), connect: 0, ..plan.clone() },
-        Plan { attempts: 2, ..plan.clone() },
-        Plan { deadline: 19 * S, ..plan.clone() },
-        Plan { retry_on: RetryOn::NeverRan, per_try: AttemptTimeout::Whole, ..plan.clone() },
+        AttemptSchedule { backoff: Backoff::default(), ..plan.clone() },
+        AttemptSchedule { attempt_timeout: AttemptTimeout::Fixed(4 * S), ..plan.clone() },
+        AttemptSchedule {
+            attempt_timeout: AttemptTimeout::Fixed(6900 * MS),
+            connect_timeout: 0,
+            ..plan.clone()
+        },
+        AttemptSchedule { max_attempts: 2, ..plan.clone() },
+        AttemptSchedule { deadline: 19 * S, ..plan.clone() },
+        AttemptSchedule {
+            retry_on: RetryOn::NeverRan,
+            attempt_timeout: AttemptTimeout::Deadline,
+            ..plan.clone()
+        },
     ] {
-        assert_eq!(less.breaches(), [], "{less:?}");
+        assert_eq!(less.violations(), [], "{less:?}");
     }
-    let slow = Plan { per_try: AttemptTimeout::Fixed(6900 * MS), connect: 400 * MS, ..plan };
-    assert_eq!(slow.breaches().len(), 1, "the connection alone makes the difference");
+    let slow = AttemptSchedule {
+        attempt_timeout: AttemptTimeout::Fixed(6900 * MS),
+        connect_timeout: 400 * MS,
+        ..plan
+    };
+    assert_eq!(slow.violations().len(), 1, "the connection alone makes the difference");
 }
 
 #[test]
 fn the_measured_file_is_refused() {
-    let plan = Plan {
+    let plan = AttemptSchedule {
         deadline: 300 * S,
-        attempts: 6,
-        connect: 30 * S,
-        per_try: AttemptTimeout::Whole,
+        max_attempts: 6,
+        connect_timeout: 30 * S,
+        attempt_timeout: AttemptTimeout::Deadline,
         ..keyed()
     };
-    let sentence = plan.breaches()[0].sentence(&plan);
+    let sentence = plan.violations()[0].describe(&plan);
     assert!(sentence.contains("no per-try time-out") && sentence.contains("300 s"), "{sentence}");
 }
 
 #[test]
 fn a_client_of_its_own_counts() {
-    let plan = Plan { deadline: 4 * S, per_try: AttemptTimeout::Whole, ..keyed() };
-    assert_eq!(plan.breaches(), []);
-    assert_eq!(Plan { client_retries: 1, ..plan.clone() }.breaches(), []);
-    let plan = Plan { client_retries: 2, ..plan };
-    let breaches = plan.breaches();
+    let plan =
+        AttemptSchedule { deadline: 4 * S, attempt_timeout: AttemptTimeout::Deadline, ..keyed() };
+    assert_eq!(plan.violations(), []);
+    assert_eq!(AttemptSchedule { client_retries: 1, ..plan.clone() }.violations(), []);
+    let plan = AttemptSchedule { client_retries: 2, ..plan };
+    let violations = plan.violations();
     assert!(
-        matches!(&breaches[..], [SafetyViolation::ClientAfterWindow { at, .. }] if *at == 22 * S)
+        matches!(&violations[..], [SafetyViolation::ClientRetryAfterWindow { at, .. }] if *at == 22 * S)
     );
 }
 
 #[test]
 fn what_an_unsafe_class_may_not_have() {
-    let flash = Plan {
+    let flash = AttemptSchedule {
         effect: Effect::Unsafe,
-        per_try: AttemptTimeout::Whole,
+        attempt_timeout: AttemptTimeout::Deadline,
         retry_on: RetryOn::NeverRan,
         deadline: 6 * S,
         ..keyed()
     };
-    assert_eq!(flash.breaches(), []);
-    let with = |plan: Plan| plan.breaches();
+    assert_eq!(flash.violations(), []);
+    let with = |plan: AttemptSchedule| plan.violations();
     assert_eq!(
-        with(Plan { retry_on: RetryOn::MayHaveRun, ..flash.clone() }),
+        with(AttemptSchedule { retry_on: RetryOn::MayHaveRun, ..flash.clone() }),
         [SafetyViolation::UnsafeRetry]
     );
     assert_eq!(
-        with(Plan { hedged: true, two_out: true, ..flash.clone() }),
-        [SafetyViolation::CopyNotSafe(Effect::Unsafe)]
+        with(AttemptSchedule { is_hedged: true, allows_parallel_attempts: true, ..flash.clone() }),
+        [SafetyViolation::HedgeNotSafe(Effect::Unsafe)]
     );
     assert_eq!(
-        with(Plan { per_try: AttemptTimeout::Fixed(S), ..flash }),
-        [SafetyViolation::PointlessTry]
+        with(AttemptSchedule { attempt_timeout: AttemptTimeout::Fixed(S), ..flash }),
+        [SafetyViolation::UselessAttemptTimeout]
     );
-    let crossing = Plan { group: DedupGroup::Zone, one_group: false, hedged: true, ..keyed() };
+    let crossing = AttemptSchedule {
+        dedup_group: DedupGroup::Zone,
+        has_single_dedup_group: false,
+        is_hedged: true,
+        ..keyed()
+    };
     assert_eq!(
         with(crossing),
-        [SafetyViolation::CopyCrossesGroup, SafetyViolation::CopyNotAllowed]
+        [SafetyViolation::HedgeCrossesDedupGroup, SafetyViolation::HedgeNotAllowed]
+    );
+    let safe = AttemptSchedule { effect: Effect::Safe, ..keyed() };
+    assert_eq!(
+        with(AttemptSchedule { attempt_timeout: AttemptTimeout::Fixed(31 * S), ..safe.clone() }),
+        [SafetyViolation::AttemptTimeoutOverDeadline]
     );
-    let safe = Plan { effect: Effect::Safe, ..keyed() };
+    let fit = AttemptSchedule { attempt_timeout: AttemptTimeout::Fixed(15 * S), ..safe };
     assert_eq!(
-        with(Plan { per_try: AttemptTimeout::Fixed(31 * S), ..safe.clone() }),
-        [SafetyViolation::TryOverWhole]
+        with(fit.clone()),
+        [SafetyViolation::AttemptCannotStart { attempt: 3, start: 30 * S }]
     );
-    let fit = Plan { per_try: AttemptTimeout::Fixed(15 * S), ..safe };
-    assert_eq!(with(fit.clone()), [SafetyViolation::CannotFit { attempt: 3, at: 30 * S }]);
     assert_eq!(fit.fitting_attempts(), 2);
 }
 
 #[test]
 fn spans_are_told_as_people_write_them() {
     let spans = [0, 1, 400 * MS, S, 1200 * MS, 21_400 * MS, 300 * S];
-    let words = spans.map(told);
+    let words = spans.map(format_nanos);
     assert_eq!(words, ["0 s", "1 ms", "400 ms", "1 s", "1.2 s", "21.4 s", "300 s"]);
 }
 
-fn plans() -> impl Strategy<Value = Plan> {
+fn plans() -> impl Strategy<Value = AttemptSchedule> {
     let effect = prop::sample::select(vec![
         Effect::Safe,
         Effect::Idempotent,
@@ -250,7 +286,7 @@
         Effect::Unsafe,
     ]);
     let per_try = prop_oneof![
-        Just(AttemptTimeout::Whole),
+        Just(AttemptTimeout::Deadline),
         Just(AttemptTimeout::Adaptive),
         (50u64..12_000).prop_map(|ms| AttemptTimeout::Fixed(ms * MS)),
     ];
@@ -261,21 +297,21 @@
         (5_000u64..40_000, 0u32..3, 1u64..8_000, 10u64..2_000),
     )
         .prop_map(|((effect, per_try, retry_on, hedged), a, b)| {
-            let (attempts, deadline, connect, first, most) = a;
+            let (attempts, deadline, connect, first, max) = a;
             let (window, client_retries, advice, latency_objective) = b;
-            Plan {
+            AttemptSchedule {
                 effect,
-                window: window * MS,
-                attempts,
+                dedup_window: window * MS,
+                max_attempts: attempts,
                 deadline: deadline * MS,
                 latency_objective: (latency_objective * MS).min(deadline * MS),
-                connect: connect * MS,
-                per_try,
-                backoff: [first * MS, most.max(first) * MS],
+                connect_timeout: connect * MS,
+                attempt_timeout: per_try,
+                backoff: Backoff { initial: first * MS, max: max.max(first) * MS },
                 retry_on,
-                hedged: hedged && effect == Effect::Safe,
-                two_out: true,
-                advice: advice * MS,
+                is_hedged: hedged && effect == Effect::Safe,
+                allows_parallel_attempts: true,
+                max_retry_after: advice * MS,
                 client_retries: if effect == Effect::Idempotent { client_retries } else { 0 },
                 ..keyed()
             }
@@ -299,7 +335,7 @@
         hold in 0.0f64..=1.0,
         waits in 0.0f64..=1.0,
     ) {
-        let accepted = plan.breaches().iter().all(|breach| !breach.twice());
+        let accepted = plan.violations().iter().all(|violation| !violation.duplicates_effect());
         let fates: Vec<Fate> = fates.into_iter().map(|(connects, a, b)| match connects {
             true => Fate::Broken(a, b),
             false => Fate::NotConnected(a),
@@ -319,14 +355,14 @@
             true => Fate::Broken(a, b),
             false => Fate::NotConnected(a),
         }).collect();
-        let steps = plan.steps();
+        let steps = plan.worst_case();
         for (n, at) in carry(&plan, 0, &fates, &pauses, 0.0).ran.iter().enumerate() {
             // The n-th that may have run is the n-th attempt or a later one.
-            let latest = steps.last().map_or(0, |step| step.latest);
-            prop_assert!(*at <= latest + plan.connect, "{} at {}", n, at);
+            let latest = steps.last().map_or(0, |step| step.latest_start);
+            prop_assert!(*at <= latest + plan.connect_timeout, "{} at {}", n, at);
         }
         for pair in steps.windows(2) {
-            prop_assert!(pair[0].latest <= pair[1].latest && pair[0].end <= plan.deadline);
+            prop_assert!(pair[0].latest_start <= pair[1].latest_start && pair[0].latest_end <= plan.deadline);
         }
         prop_assert!(plan.to_string().lines().count() > steps.len());
     }
@@ -344,7 +380,7 @@
         if plan.effect != Effect::Idempotent {
             continue;
         }
-        let accepted = plan.breaches().iter().all(|breach| !breach.twice());
+        let accepted = plan.violations().iter().all(|violation| !violation.duplicates_effect());
         match some_extreme_breaks(&plan) {
             true => {
                 harmful += 1;
--- a/crates/retry/tests/shutdown.rs
+++ b/crates/retry/tests/shutdown.rs
@@ -1,7 +1,7 @@
 //! The planned end: what it leaves of a request's time, and what is told when it is over.
 
 use mintshelf_balancer::api::Effect;
-use mintshelf_retry::shutdown::{ShutdownDeadlines, Verdict};
+use mintshelf_retry::shutdown::{FinalResponse, ShutdownDeadlines};
 use proptest::prelude::*;
 
 const MS: u64 = 1_000_000;
@@ -12,7 +12,7 @@
     /// Whoever is taken is told before the process can be killed, and never has more time
     /// than its client gave it.
     #[test]
-    fn no_patience_outlives_the_process(
+    fn no_timeout_outlives_the_process(
         begun in 0..u64::MAX / 2,
         longest in 0..10_000 * MS,
         late in 0..6_000 * MS,
@@ -20,27 +20,28 @@
     ) {
         let ending = ShutdownDeadlines::new(begun, longest);
         let killed = begun + longest.min(3_000 * MS) + 700 * MS;
-        prop_assert!(ending.cut_at() < killed);
-        prop_assert!(ending.cut_at() + 300 * MS > killed, "time is given away");
+        prop_assert!(ending.final_response_at() < killed);
+        prop_assert!(ending.final_response_at() + 300 * MS > killed, "time is given away");
         let now = begun + late;
-        match ending.patience(now, asked) {
+        match ending.limit_timeout(now, asked) {
             Some(patience) => {
                 prop_assert!(patience <= asked);
-                prop_assert!(now + patience <= ending.cut_at());
+                prop_assert!(now + patience <= ending.final_response_at());
                 // Only as much is taken as must be.
-                prop_assert!(patience == asked || now + patience == ending.cut_at());
+                prop_assert!(patience == asked || now + patience == ending.final_response_at());
             }
-            None => prop_assert!(now >= ending.cut_at()),
+            None => prop_assert!(now >= ending.final_response_at()),
         }
     }
 }
 
 #[test]
-fn only_what_may_be_repeated_is_refused() {
-    use {Effect::*, Verdict::*};
-    let told =
-        |effect| [false, true].map(|may_have_run| ShutdownDeadlines::verdict(effect, may_have_run));
-    assert_eq!(told(Safe), [Refuse, Refuse]);
-    assert_eq!(told(Idempotent), [Refuse, Fail]);
-    assert_eq!(told(Unsafe), [Refuse, Fail]);
+fn only_what_may_be_repeated_is_rejected() {
+    use {Effect::*, FinalResponse::*};
+    let told = |effect| {
+        [false, true].map(|may_have_run| ShutdownDeadlines::final_response(effect, may_have_run))
+    };
+    assert_eq!(told(Safe), [Reject, Reject]);
+    assert_eq!(told(Idempotent), [Reject, Fail]);
+    assert_eq!(told(Unsafe), [Reject, Fail]);
 }
