--- a/crates/admission/benches/cost.rs
+++ b/crates/admission/benches/cost.rs
@@ -1,15 +1,17 @@
 //! What limits cost a request, and what they do for fairness, on virtual time:
-//! `cargo bench -p mintshelf-limits`. Prints its tables; the seed is fixed.
+//! `cargo bench -p mintshelf-admission`. Prints its tables; the seed is fixed.
 
-use mintshelf_admission::admission::{Admission, AdmissionConfig, LimitConfig};
+use mintshelf_admission::admission::{Admission, AdmissionConfig};
+use mintshelf_admission::limit::LimitConfig;
 use mintshelf_admission::queue::{
     FairQueue, FairQueueConfig, QueueDecision, QueueEntry, QueueTicket,
 };
 use mintshelf_admission::rate::RateConfig;
-use mintshelf_admission::tenants::Tenants;
+use mintshelf_admission::tenants::TenantResolver;
 use mintshelf_balancer::api::{Effect, Nanos};
-use mintshelf_retry::attempts::{AttemptTracker, Hedge, HedgeDelay, RetryPolicy};
-use mintshelf_retry::schedule::AttemptTimeout;
+use mintshelf_retry::attempts::AttemptTracker;
+use mintshelf_retry::policy::{HedgeDelay, HedgePolicy, RetryPolicy};
+use mintshelf_retry::schedule::{AttemptTimeout, TimeoutBounds};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::cmp::Reverse;
@@ -36,14 +38,20 @@
 fn admission(tenants: usize) -> (Admission, Vec<Rc<str>>) {
     let names: Vec<Rc<str>> = (0..tenants).map(|n| format!("t{n}").into()).collect();
     let burst = NonZeroU32::MAX;
-    let rate = RateConfig { count: NonZeroU32::MAX, per: Duration::from_secs(4), burst };
-    let limit = LimitConfig { rate: Some(rate), most: Some(1_000), bytes: None, sockets: None };
+    let rate = RateConfig { count: NonZeroU32::MAX, period: Duration::from_secs(4), burst };
+    let limit = LimitConfig {
+        rate: Some(rate),
+        max_concurrency: Some(1_000),
+        max_body_bytes: None,
+        max_sockets: None,
+    };
     let shares = names.iter().map(|name| (name.clone(), 1.0)).collect();
-    let gate = FairQueueConfig { most: 1_000, queue: 100, shares };
+    let queue = FairQueueConfig { max_concurrency: 1_000, max_queued: 100, shares };
     let mut admission = Admission::default();
     let tenants = names.iter().map(|name| (name.clone(), limit)).collect();
     let routes = [("r".into(), limit)].into();
-    admission.set(0, &AdmissionConfig { tenants, routes, clusters: [("c".into(), gate)].into() });
+    let _ = admission
+        .configure(0, &AdmissionConfig { tenants, routes, clusters: [("c".into(), queue)].into() });
     (admission, names)
 }
 
@@ -54,60 +62,60 @@
         // Every tenant is active, as on a busy day.
         let through = cost(|n| {
             let (now, tenant) = (n * 10_000, &names[n as usize % tenants]);
-            let _ = black_box(admission.enter(now, tenant, "r"));
-            let offer = QueueEntry {
+            let _ = black_box(admission.begin_request(now, tenant, "r"));
+            let entry = QueueEntry {
                 tenant: tenant.clone(),
-                repeat: false,
+                is_repeat: false,
                 priority_weight: 1.0,
                 deadline: now + SECOND,
-                needs: MS,
+                expected_latency: MS,
             };
-            black_box(admission.offer(now, "c", offer));
-            black_box(admission.done(now, "c", tenant));
-            admission.leave(tenant, "r");
+            black_box(admission.enqueue(now, "c", entry));
+            black_box(admission.complete(now, "c", tenant));
+            admission.end_request(tenant, "r");
         });
-        println!("{through:>9.0}  tenant and route with rates, cluster's gate; {tenants} tenants");
+        println!("{through:>9.0}  tenant and route with rates, cluster's queue; {tenants} tenants");
     }
-    let mut tenants = Tenants::new();
+    let mut resolver = TenantResolver::new();
     for n in 0..64u8 {
         let name: Rc<str> = format!("t{n}").into();
-        tenants.network(format!("10.{n}.0.0/16").parse().expect("a network"), &name);
+        resolver.add_network(format!("10.{n}.0.0/16").parse().expect("a network"), &name);
     }
     let client = [10, 33, 1, 2].into();
     println!(
-        "{:>9.0}  whose it is, of 64 networks",
+        "{:>9.0}  tenant of a client, of 64 networks",
         cost(|_| {
-            black_box(tenants.of(black_box(client), "l", None));
+            black_box(resolver.resolve(black_box(client), "l", None));
         })
     );
-    let hedge = Some(Hedge { after: HedgeDelay::P95, share: 0.05 });
-    let plan = RetryPolicy {
+    let hedge = Some(HedgePolicy { delay: HedgeDelay::P95, max_share: 0.05 });
+    let policy = RetryPolicy {
         effect: Effect::Safe,
-        per_try: AttemptTimeout::Adaptive,
-        bounds: [50 * MS, 600 * MS],
-        attempts: 3,
+        attempt_timeout: AttemptTimeout::Adaptive,
+        timeout_bounds: TimeoutBounds { min: 50 * MS, max: 600 * MS },
+        max_attempts: 3,
         hedge,
-        connect: 200 * MS,
-        idle: 15_000 * MS,
+        connect_timeout: 200 * MS,
+        idle_timeout: 15_000 * MS,
     };
-    let mut tries = AttemptTracker::new(plan, 0);
+    let mut tracker = AttemptTracker::new(policy, 0);
     println!(
-        "{:>9.0}  time for a try, second copy, answer noted",
+        "{:>9.0}  attempt time-out, hedge delay, response recorded",
         cost(|n| {
             let now = n * 10_000;
-            tries.begin();
-            black_box(tries.limit(now, 0));
-            black_box(tries.copy_after(now));
-            tries.answered(now, (n % 7 + 1) * MS);
+            tracker.record_request();
+            black_box(tracker.attempt_timeout(now, 0));
+            black_box(tracker.hedge_delay(now));
+            tracker.record_response(now, (n % 7 + 1) * MS);
         })
     );
 }
 
-/// Places of the gate, and how long an answer takes.
+/// Places of the queue, and how long an answer takes.
 const PLACES: u32 = 20;
 const SERVICE: Nanos = 10 * MS;
 const MEMBERS: usize = 4;
-const SPAN: Nanos = 60 * SECOND;
+const DURATION: Nanos = 60 * SECOND;
 
 struct Day {
     /// Served in a second, by member.
@@ -116,7 +124,7 @@
     p99: Nanos,
 }
 
-/// The first member asks `times` its share, the others 0.9 of theirs. `apart`: the gate
+/// The first member asks `times` its share, the others 0.9 of theirs. `apart`: the queue
 /// knows them apart.
 fn day(times: f64, apart: bool) -> Day {
     let mut rng = Pcg32::seed_from_u64(7);
@@ -126,7 +134,8 @@
     let names: Vec<Rc<str>> =
         (0..MEMBERS).map(|n| if apart { format!("m{n}").into() } else { "all".into() }).collect();
     let shares = names.iter().map(|name| (name.clone(), 1.0)).collect();
-    let mut gate = FairQueue::new(FairQueueConfig { most: PLACES, queue: 400, shares });
+    let mut queue =
+        FairQueue::new(FairQueueConfig { max_concurrency: PLACES, max_queued: 400, shares });
     // What happens when: a request of a member, or the end of one.
     let mut events = BinaryHeap::new();
     let mut number = 0u64;
@@ -136,37 +145,37 @@
     let mut waiting: HashMap<QueueTicket, (usize, Nanos)> = HashMap::new();
     let (mut served, mut waits) = ([0u64; MEMBERS], Vec::new());
     while let Some(Reverse((now, _, member, comes))) = events.pop() {
-        if now > SPAN {
+        if now > DURATION {
             break;
         }
         number += 1;
         let mut go = Vec::new();
-        let moves = if comes {
+        let transitions = if comes {
             let next = now + (draw() / rates[member] * SECOND as f64) as Nanos;
             events.push(Reverse((next, number, member, true)));
-            let offer = QueueEntry {
+            let entry = QueueEntry {
                 tenant: names[member].clone(),
-                repeat: false,
+                is_repeat: false,
                 priority_weight: 1.0,
                 deadline: now + SECOND,
-                needs: SERVICE,
+                expected_latency: SERVICE,
             };
-            let (verdict, moves) = gate.offer(now, offer);
-            match verdict {
-                QueueDecision::Go => go.push((member, now)),
+            let (decision, transitions) = queue.enqueue(now, entry);
+            match decision {
+                QueueDecision::Admit => go.push((member, now)),
                 QueueDecision::Wait(ticket) => {
                     waiting.insert(ticket, (member, now));
                 }
-                QueueDecision::Rejected(_) => {}
+                QueueDecision::Reject(_) => {}
             }
-            moves
+            transitions
         } else {
             served[member] += 1;
-            gate.done(now, &names[member])
+            queue.complete(now, &names[member])
         };
-        go.extend(moves.go.iter().filter_map(|ticket| waiting.remove(ticket)));
-        for (ticket, _) in &moves.refused {
-            waiting.remove(ticket);
+        go.extend(transitions.admitted.iter().filter_map(|ticket| waiting.remove(ticket)));
+        for rejected in &transitions.rejected {
+            waiting.remove(&rejected.ticket);
         }
         for (member, came) in go {
             number += 1;
@@ -178,7 +187,7 @@
         }
     }
     waits.sort_unstable();
-    let seconds = SPAN as f64 / SECOND as f64;
+    let seconds = DURATION as f64 / SECOND as f64;
     let p99 = waits.get(waits.len() * 99 / 100).copied().unwrap_or(0);
     Day { served: served.map(|n| n as f64 / seconds), p99 }
 }
@@ -192,8 +201,8 @@
 }
 
 fn fairness() {
-    println!("\nfour members at one gate of {PLACES} places; the first asks a multiple of its share, the others 0.9");
-    println!("{:>9} | {:>30} | {:>30}", "", "one queue by deadline", "the gate by tenant");
+    println!("\nfour members at one queue of {PLACES} places; the first asks a multiple of its share, the others 0.9");
+    println!("{:>9} | {:>30} | {:>30}", "", "one queue by deadline", "the queue by tenant");
     println!(
         "{:>9} | {:>6} {:>7} {:>7} {:>7} | {:>6} {:>7} {:>7} {:>7}",
         "multiple", "Jain", "first/s", "other/s", "p99 ms", "Jain", "first/s", "other/s", "p99 ms"
--- a/crates/admission/src/admission.rs
+++ b/crates/admission/src/admission.rs
@@ -1,35 +1,17 @@
-//! All limits of an installation: of tenants and routes, which refuse at once, and of
-//! clusters, which let wait. They outlive the files that set them: what is under way counts on.
+//! All limits of an installation: those of tenants and routes, which reject at once, and those of
+//! clusters, which queue. They outlive the configurations that set them: what is in flight goes
+//! on counting.
 
+use crate::limit::{Limit, LimitConfig};
 use crate::queue::{
     FairQueue, FairQueueConfig, QueueDecision, QueueEntry, QueueTicket, QueueTransitions,
+    QueueUsage,
 };
-use crate::rate::{RateConfig, RateLimit};
 use mintshelf_balancer::api::Nanos;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// What a tenant or a route is limited to.
-#[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct LimitConfig {
-    /// Requests in a time.
-    pub rate: Option<RateConfig>,
-    /// Requests at one time.
-    pub most: Option<u32>,
-    /// Bytes of requests' bodies that are held.
-    pub bytes: Option<u64>,
-    /// Open sockets.
-    pub sockets: Option<u32>,
-}
-
-impl LimitConfig {
-    /// Whether it limits nothing.
-    pub fn is_none(&self) -> bool {
-        *self == LimitConfig::default()
-    }
-}
-
-/// What a file sets.
+/// The limits that a configuration sets, by the names of what they limit.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct AdmissionConfig {
     /// By tenant.
@@ -47,55 +29,47 @@
     }
 }
 
-/// A limit that refused a request.
+/// The limit that rejected a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LimitExceeded {
-    /// More in a time than the tenant may.
+    /// The rate of its tenant; the time until one more is allowed.
     TenantRate(Nanos),
-    /// More at one time than the tenant may.
+    /// The concurrency of its tenant.
     TenantConcurrency,
-    /// More in a time than the route takes.
+    /// The rate of its route; the time until one more is allowed.
     RouteRate(Nanos),
-    /// More at one time than the route takes.
+    /// The concurrency of its route.
     RouteConcurrency,
 }
 
-#[derive(Debug, Default)]
-struct Limit {
-    set: LimitConfig,
-    rate: Option<RateLimit>,
-    held: u32,
-    bytes: u64,
+/// How much of the limits is in use, for metrics.
+#[derive(Debug, Clone, Default, PartialEq, Eq)]
+pub struct LimitUsage {
+    /// By tenant, in the order of their names.
+    pub tenants: Vec<TenantUsage>,
+    /// By cluster, in the order of their names.
+    pub clusters: Vec<ClusterUsage>,
 }
 
-impl Limit {
-    fn set(&mut self, now: Nanos, set: LimitConfig) {
-        // One that stays as it was keeps what it has used up.
-        if self.set.rate != set.rate {
-            self.rate = set.rate.map(|rate| RateLimit::new(rate, now));
-        }
-        self.set = set;
-    }
-
-    fn is_full(&self) -> bool {
-        self.set.most.is_some_and(|most| self.held >= most)
-    }
-
-    fn take(&self, now: Nanos) -> Result<(), Nanos> {
-        self.rate.as_ref().map_or(Ok(()), |rate| rate.take(now))
-    }
+/// The requests of one tenant.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct TenantUsage {
+    /// The tenant's name.
+    pub tenant: String,
+    /// Its requests in flight.
+    pub in_flight: u32,
 }
 
-/// How much is under way, for the figures.
-#[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct LimitUsage {
-    /// Requests by tenant.
-    pub tenants: Vec<(String, u32)>,
-    /// At each cluster, those that have a place, and those that wait for one.
-    pub clusters: Vec<(String, [usize; 2])>,
+/// The requests at one cluster.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct ClusterUsage {
+    /// The cluster's name.
+    pub cluster: String,
+    /// Its requests in flight, and in its queue.
+    pub queue: QueueUsage,
 }
 
-/// Every limit, with what counts against it.
+/// Every limit in force, with what counts against it.
 #[derive(Debug, Default)]
 pub struct Admission {
     tenants: BTreeMap<Rc<str>, Limit>,
@@ -103,118 +77,138 @@
     clusters: BTreeMap<Rc<str>, FairQueue>,
 }
 
-fn apply(limits: &mut BTreeMap<Rc<str>, Limit>, now: Nanos, sets: &BTreeMap<Rc<str>, LimitConfig>) {
-    limits.retain(|name, limit| sets.contains_key(name) || limit.held > 0);
-    for (_, limit) in limits.iter_mut().filter(|(name, _)| !sets.contains_key(*name)) {
-        limit.set(now, LimitConfig::default());
+fn configure_limits(
+    limits: &mut BTreeMap<Rc<str>, Limit>,
+    now: Nanos,
+    configs: &BTreeMap<Rc<str>, LimitConfig>,
+) {
+    limits.retain(|name, limit| configs.contains_key(name) || limit.in_flight() > 0);
+    for (name, limit) in limits.iter_mut() {
+        if !configs.contains_key(name) {
+            limit.configure(now, LimitConfig::default());
+        }
     }
-    for (name, set) in sets {
-        limits.entry(name.clone()).or_default().set(now, *set);
+    for (name, config) in configs {
+        limits.entry(name.clone()).or_default().configure(now, *config);
     }
 }
 
 impl Admission {
-    /// Puts a file's limits in force. Those under way count on, by their names; what waits at
-    /// a cluster that is limited no longer goes.
-    pub fn set(
+    /// Puts a configuration in force. What is in flight goes on counting under its name; what
+    /// waits at a cluster that is no longer limited is admitted. Back come the transitions by
+    /// cluster, which the caller passes on to those who wait.
+    #[must_use = "requests that wait never learn that they are admitted or rejected"]
+    pub fn configure(
         &mut self,
         now: Nanos,
-        set: &AdmissionConfig,
+        config: &AdmissionConfig,
     ) -> BTreeMap<Rc<str>, QueueTransitions> {
-        apply(&mut self.tenants, now, &set.tenants);
-        apply(&mut self.routes, now, &set.routes);
-        let unlimited =
-            FairQueueConfig { most: u32::MAX, queue: u32::MAX, ..FairQueueConfig::default() };
-        let mut moves = BTreeMap::new();
-        for (name, gate) in &mut self.clusters {
-            let set = set.clusters.get(name).unwrap_or(&unlimited);
-            moves.insert(name.clone(), gate.set(now, set.clone()));
+        configure_limits(&mut self.tenants, now, &config.tenants);
+        configure_limits(&mut self.routes, now, &config.routes);
+        let mut transitions = BTreeMap::new();
+        for (name, queue) in &mut self.clusters {
+            let config = config.clusters.get(name).cloned();
+            let config = config.unwrap_or_else(FairQueueConfig::unlimited);
+            transitions.insert(name.clone(), queue.configure(now, config));
         }
-        self.clusters.retain(|name, gate| set.clusters.contains_key(name) || gate.levels()[0] > 0);
-        for (name, gate) in &set.clusters {
-            self.clusters.entry(name.clone()).or_insert_with(|| FairQueue::new(gate.clone()));
+        let configs = &config.clusters;
+        self.clusters
+            .retain(|name, queue| configs.contains_key(name) || queue.usage().in_flight > 0);
+        for (name, config) in configs {
+            self.clusters.entry(name.clone()).or_insert_with(|| FairQueue::new(config.clone()));
         }
-        moves
+        transitions
     }
 
-    /// A request has come. [`Admission::leave`] is owed if it may go on.
-    pub fn enter(&mut self, now: Nanos, tenant: &str, route: &str) -> Result<(), LimitExceeded> {
-        let (tenants, routes) = (&mut self.tenants, &mut self.routes);
-        let (mut of, mut at) = (tenants.get_mut(tenant), routes.get_mut(route));
-        // What takes nothing away is asked first: a request refused has used up no rate.
-        if of.as_ref().is_some_and(|limit| limit.is_full()) {
+    /// Admits a request to its tenant's and its route's limits. Each one admitted is to be ended
+    /// by [`Admission::end_request`].
+    ///
+    /// # Errors
+    ///
+    /// The first limit that is exceeded; nothing counts against any limit then, but for a rate
+    /// of the tenant where that of the route is exceeded.
+    pub fn begin_request(
+        &mut self,
+        now: Nanos,
+        tenant: &str,
+        route: &str,
+    ) -> Result<(), LimitExceeded> {
+        let tenant = self.tenants.get_mut(tenant);
+        let route = self.routes.get_mut(route);
+        // Concurrency is checked first since that takes nothing: a request that is rejected for
+        // it uses up no rate.
+        if tenant.as_ref().is_some_and(|limit| limit.is_concurrency_full()) {
             return Err(LimitExceeded::TenantConcurrency);
         }
-        if at.as_ref().is_some_and(|limit| limit.is_full()) {
+        if route.as_ref().is_some_and(|limit| limit.is_concurrency_full()) {
             return Err(LimitExceeded::RouteConcurrency);
         }
-        if let Some(limit) = &of {
-            limit.take(now).map_err(LimitExceeded::TenantRate)?;
-        }
-        if let Some(limit) = &at {
-            limit.take(now).map_err(LimitExceeded::RouteRate)?;
+        if let Some(limit) = &tenant {
+            limit.try_acquire_rate(now).map_err(LimitExceeded::TenantRate)?;
         }
-        for limit in [&mut of, &mut at].into_iter().flatten() {
-            limit.held += 1;
+        if let Some(limit) = &route {
+            limit.try_acquire_rate(now).map_err(LimitExceeded::RouteRate)?;
         }
+        [tenant, route].into_iter().flatten().for_each(Limit::begin_request);
         Ok(())
     }
 
-    /// A request that entered is over.
-    pub fn leave(&mut self, tenant: &str, route: &str) {
+    /// Ends a request that was admitted.
+    pub fn end_request(&mut self, tenant: &str, route: &str) {
         let limits = [self.tenants.get_mut(tenant), self.routes.get_mut(route)];
-        for limit in limits.into_iter().flatten() {
-            limit.held = limit.held.saturating_sub(1);
-        }
+        limits.into_iter().flatten().for_each(Limit::end_request);
     }
 
-    /// Takes so many bytes for a tenant's body; whether they are there. [`Admission::empty`]
-    /// is owed if so.
-    pub fn fill(&mut self, tenant: &str, bytes: u64) -> bool {
-        let Some(limit) = self.tenants.get_mut(tenant) else { return true };
-        let after = limit.bytes.saturating_add(bytes);
-        if limit.set.bytes.is_some_and(|most| after > most) {
-            return false;
-        }
-        limit.bytes = after;
-        true
+    /// Reserves memory for a tenant's request body; whether there is enough. If so, the bytes are
+    /// to be given back by [`Admission::release_body`].
+    #[must_use]
+    pub fn try_reserve_body(&mut self, tenant: &str, bytes: u64) -> bool {
+        self.tenants.get_mut(tenant).is_none_or(|limit| limit.try_reserve_bytes(bytes))
     }
 
-    /// A body is no longer held.
-    pub fn empty(&mut self, tenant: &str, bytes: u64) {
+    /// Gives back memory that was reserved for a body.
+    pub fn release_body(&mut self, tenant: &str, bytes: u64) {
         if let Some(limit) = self.tenants.get_mut(tenant) {
-            limit.bytes = limit.bytes.saturating_sub(bytes);
+            limit.release_bytes(bytes);
         }
     }
 
-    /// A request wants to go to a cluster; none if that has no limit.
-    pub fn offer(
+    /// Offers a request to a cluster's queue; none if the cluster has no limit.
+    pub fn enqueue(
         &mut self,
         now: Nanos,
         cluster: &str,
-        offer: QueueEntry,
+        entry: QueueEntry,
     ) -> Option<(QueueDecision, QueueTransitions)> {
-        self.clusters.get_mut(cluster).map(|gate| gate.offer(now, offer))
+        self.clusters.get_mut(cluster).map(|queue| queue.enqueue(now, entry))
     }
 
-    /// One that went to a cluster is over.
-    pub fn done(&mut self, now: Nanos, cluster: &str, tenant: &Rc<str>) -> QueueTransitions {
-        self.clusters
-            .get_mut(cluster)
-            .map_or_else(QueueTransitions::default, |gate| gate.done(now, tenant))
+    /// Ends a request that a cluster's queue admitted.
+    #[must_use = "requests that wait never learn that they are admitted or rejected"]
+    pub fn complete(&mut self, now: Nanos, cluster: &str, tenant: &Rc<str>) -> QueueTransitions {
+        match self.clusters.get_mut(cluster) {
+            Some(queue) => queue.complete(now, tenant),
+            None => QueueTransitions::default(),
+        }
     }
 
-    /// One that waited for a cluster does so no longer.
-    pub fn give_up(&mut self, cluster: &str, ticket: QueueTicket) {
-        if let Some(gate) = self.clusters.get_mut(cluster) {
-            gate.leave(ticket);
+    /// Takes a request that waits out of a cluster's queue.
+    pub fn cancel(&mut self, cluster: &str, ticket: QueueTicket) {
+        if let Some(queue) = self.clusters.get_mut(cluster) {
+            queue.cancel(ticket);
         }
     }
 
-    /// How much is under way.
-    pub fn levels(&self) -> LimitUsage {
-        let tenants = self.tenants.iter().map(|(name, limit)| (name.to_string(), limit.held));
-        let clusters = self.clusters.iter().map(|(name, gate)| (name.to_string(), gate.levels()));
+    /// How much of the limits is in use.
+    pub fn usage(&self) -> LimitUsage {
+        let tenants = self.tenants.iter().map(|(name, limit)| TenantUsage {
+            tenant: name.to_string(),
+            in_flight: limit.in_flight(),
+        });
+        let clusters = self
+            .clusters
+            .iter()
+            .map(|(name, queue)| ClusterUsage { cluster: name.to_string(), queue: queue.usage() });
         LimitUsage { tenants: tenants.collect(), clusters: clusters.collect() }
     }
 }
--- /dev/null
+++ b/crates/admission/src/limit.rs
@@ -0,0 +1,80 @@
+//! The limits of one tenant or route, with what counts against them.
+
+use crate::rate::{RateConfig, RateLimit};
+use mintshelf_balancer::api::Nanos;
+
+/// What a tenant or a route is limited to; nothing by default.
+#[derive(Debug, Clone, Copy, Default, PartialEq)]
+pub struct LimitConfig {
+    /// Requests in a time.
+    pub rate: Option<RateConfig>,
+    /// Requests in flight at one time.
+    pub max_concurrency: Option<u32>,
+    /// Bytes of request bodies in memory at one time.
+    pub max_body_bytes: Option<u64>,
+    /// Open WebSockets at one time.
+    pub max_sockets: Option<u32>,
+}
+
+impl LimitConfig {
+    /// Whether it limits nothing.
+    pub fn is_unlimited(&self) -> bool {
+        *self == LimitConfig::default()
+    }
+}
+
+/// A limit in force.
+#[derive(Debug, Default)]
+pub(crate) struct Limit {
+    config: LimitConfig,
+    rate: Option<RateLimit>,
+    in_flight: u32,
+    body_bytes: u64,
+}
+
+impl Limit {
+    /// Changes the limits; what is in flight goes on counting.
+    pub(crate) fn configure(&mut self, now: Nanos, config: LimitConfig) {
+        // A rate that stays as it was does not get its burst anew.
+        if self.config.rate != config.rate {
+            self.rate = config.rate.map(|rate| RateLimit::new(rate, now));
+        }
+        self.config = config;
+    }
+
+    /// Requests in flight.
+    pub(crate) fn in_flight(&self) -> u32 {
+        self.in_flight
+    }
+
+    pub(crate) fn is_concurrency_full(&self) -> bool {
+        self.config.max_concurrency.is_some_and(|max| self.in_flight >= max)
+    }
+
+    /// Takes one request from the rate; if there is none, the time until there is.
+    pub(crate) fn try_acquire_rate(&self, now: Nanos) -> Result<(), Nanos> {
+        self.rate.as_ref().map_or(Ok(()), |rate| rate.try_acquire(now))
+    }
+
+    pub(crate) fn begin_request(&mut self) {
+        self.in_flight += 1;
+    }
+
+    pub(crate) fn end_request(&mut self) {
+        self.in_flight = self.in_flight.saturating_sub(1);
+    }
+
+    /// Reserves memory for a body; whether there is enough.
+    pub(crate) fn try_reserve_bytes(&mut self, bytes: u64) -> bool {
+        let reserved = self.body_bytes.saturating_add(bytes);
+        if self.config.max_body_bytes.is_some_and(|max| reserved > max) {
+            return false;
+        }
+        self.body_bytes = reserved;
+        true
+    }
+
+    pub(crate) fn release_bytes(&mut self, bytes: u64) {
+        self.body_bytes = self.body_bytes.saturating_sub(bytes);
+    }
+}
--- a/crates/admission/src/queue.rs
+++ b/crates/admission/src/queue.rs
@@ -1,245 +1,288 @@
-//! A bounded number of requests at one time, shared between tenants, and a bounded queue.
+//! A concurrency limit shared fairly between tenants, with a bounded queue.
 //!
-//! A free place is anybody's, but for a few that are kept for those who are active and have
-//! not taken theirs: else long requests of one could hold them all. Who has to wait does so in a queue
-//! that is ordered by tenant (the one with the least for its share), then first tries before
-//! repeats, worth before age, the earlier deadline first. What is over the bound is refused at
-//! once, and the least of all that wait is what goes: not the one that came last.
+//! A free place is anybody's, but for a few that are reserved for active tenants which do not use
+//! theirs: otherwise the long requests of one tenant could take them all. The queue is ordered by
+//! tenant (the least load for its share first), then first attempts before repeats, by descending
+//! priority weight, and by deadline. What exceeds the bound is rejected at once, and that is the
+//! last in this order, not the one that came last.
 
+use crate::member::{Member, Rank};
 use mintshelf_balancer::api::Nanos;
-use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 
-/// A tenant counts as active for so long after it last asked, and the idle are looked for this
-/// often.
-const ACTIVE: Nanos = 1_000_000_000;
-const SWEEP: Nanos = 100_000_000;
-/// Part of a tenant's share of the places that is kept for it. More would leave places idle
-/// while others wait; who waits is served next by share in any case.
-const KEPT: f64 = 0.25;
+/// A tenant counts as active for this long after its last request.
+const ACTIVE_PERIOD: Nanos = 1_000_000_000;
+/// Inactive tenants are looked for this often.
+const SWEEP_INTERVAL: Nanos = 100_000_000;
+/// Part of a tenant's share of the concurrency that is reserved for it. More would leave places
+/// unused while others wait; who waits is served next by share in any case.
+const RESERVED_PART: f64 = 0.25;
 
-/// What a gate is set to.
+/// The bounds of a queue and the shares of its tenants.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct FairQueueConfig {
-    /// Most at one time.
-    pub most: u32,
-    /// Most that wait.
-    pub queue: u32,
+    /// Upper bound of the requests in flight.
+    pub max_concurrency: u32,
+    /// Upper bound of the requests that wait.
+    pub max_queued: u32,
     /// Shares of tenants; 1 for one that is not named.
     pub shares: BTreeMap<Rc<str>, f64>,
 }
 
-/// A request that wants through.
+impl FairQueueConfig {
+    /// Without bounds.
+    pub(crate) fn unlimited() -> Self {
+        FairQueueConfig { max_concurrency: u32::MAX, max_queued: u32::MAX, ..Self::default() }
+    }
+}
+
+/// A request that is offered to a queue.
 #[derive(Debug, Clone)]
 pub struct QueueEntry {
-    /// Whose it is.
+    /// Its tenant.
     pub tenant: Rc<str>,
-    /// Its client has asked for it before.
-    pub repeat: bool,
-    /// What its answer is worth.
+    /// Whether its client has sent it before.
+    pub is_repeat: bool,
+    /// Its priority weight; a negative one counts as 0.
     pub priority_weight: f64,
-    /// When its client's time is up.
+    /// When its client stops waiting.
     pub deadline: Nanos,
-    /// What an answer usually takes.
-    pub needs: Nanos,
+    /// The usual latency of a response; 0 if unknown.
+    pub expected_latency: Nanos,
 }
 
-/// A place in the queue.
+/// Identifies a request that waits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct QueueTicket(u64);
 
-/// What becomes of an offer.
+/// What becomes of a request that is offered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QueueDecision {
-    /// It goes now, and [`FairQueue::done`] is owed.
-    Go,
-    /// It waits until one of the lists of [`QueueTransitions`] names its ticket, or it leaves.
+    /// It is admitted now, and is to be ended by [`FairQueue::complete`].
+    Admit,
+    /// It waits until a [`QueueTransitions`] names its ticket, or it is cancelled.
     Wait(QueueTicket),
-    /// It is refused.
-    Rejected(RejectReason),
+    /// It is rejected.
+    Reject(RejectReason),
 }
 
-/// Why something is refused.
+/// Why a request is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RejectReason {
-    /// The queue is at its bound, and the others in it come first.
-    Full,
-    /// It can't be answered in the time that is left.
+    /// The queue is full, and the others in it come first.
+    QueueFull,
+    /// It can't be answered before its deadline.
     TooLate,
 }
 
-/// What else follows: tickets that go now, and that are refused.
+/// A request that waited and is rejected.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct RejectedTicket {
+    /// The request.
+    pub ticket: QueueTicket,
+    /// Why.
+    pub reason: RejectReason,
+}
+
+/// Which requests wait no longer after a change of a queue.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct QueueTransitions {
-    /// They go, and [`FairQueue::done`] is owed for each.
-    pub go: Vec<QueueTicket>,
-    /// They are refused.
-    pub refused: Vec<(QueueTicket, RejectReason)>,
+    /// Admitted; each is to be ended by [`FairQueue::complete`].
+    pub admitted: Vec<QueueTicket>,
+    /// Rejected.
+    pub rejected: Vec<RejectedTicket>,
 }
 
-/// What comes first in a tenant's queue.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct Rank {
-    repeat: bool,
-    /// Bits of a number that is not negative: they are ordered as it is.
-    priority_weight: Reverse<u64>,
-    deadline: Nanos,
-    ticket: QueueTicket,
+impl QueueTransitions {
+    fn reject(&mut self, ticket: QueueTicket, reason: RejectReason) {
+        self.rejected.push(RejectedTicket { ticket, reason });
+    }
 }
 
-#[derive(Debug, Default)]
-struct Member {
-    held: u32,
-    queue: BTreeMap<Rank, Nanos>,
-    seen: Nanos,
-    share: f64,
-    /// Places that are kept for it.
-    part: u32,
+/// How many requests a queue knows of.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub struct QueueUsage {
+    /// Admitted, and not completed.
+    pub in_flight: usize,
+    /// Waiting.
+    pub queued: usize,
 }
 
-impl Member {
-    fn load(&self) -> u32 {
-        self.held + self.queue.len() as u32
-    }
+/// Where a request waits.
+#[derive(Debug, Clone)]
+struct QueuePosition {
+    tenant: Rc<str>,
+    rank: Rank,
 }
 
-/// A gate.
+/// The concurrency limit and the queue of one cluster.
 #[derive(Debug, Default)]
 pub struct FairQueue {
-    set: FairQueueConfig,
-    held: u32,
-    /// Those that are active.
+    config: FairQueueConfig,
+    in_flight: u32,
+    /// The tenants that are active.
     members: BTreeMap<Rc<str>, Member>,
-    /// Kept places that their owners have not taken.
-    kept: u32,
+    /// The sum of the reservations that are not used.
+    unused_reservations: u32,
     swept_at: Nanos,
-    waiting: HashMap<QueueTicket, (Rc<str>, Rank)>,
-    last: u64,
+    waiting: HashMap<QueueTicket, QueuePosition>,
+    last_ticket: u64,
 }
 
 impl FairQueue {
-    /// With nobody in it.
-    pub fn new(set: FairQueueConfig) -> Self {
-        FairQueue { set, ..FairQueue::default() }
+    /// Starts with nothing in flight.
+    pub fn new(config: FairQueueConfig) -> Self {
+        FairQueue { config, ..FairQueue::default() }
+    }
+
+    /// How many requests are in flight, and wait.
+    pub fn usage(&self) -> QueueUsage {
+        QueueUsage { in_flight: self.in_flight as usize, queued: self.waiting.len() }
+    }
+
+    /// Changes the bounds. What is in flight stays and counts; what waits keeps its place unless
+    /// the queue is now too short for it.
+    #[must_use = "requests that wait never learn that they are admitted or rejected"]
+    pub fn configure(&mut self, now: Nanos, config: FairQueueConfig) -> QueueTransitions {
+        self.config = config;
+        self.divide_reservations();
+        let mut transitions = QueueTransitions::default();
+        while self.waiting.len() > self.config.max_queued as usize {
+            let last = self.most_loaded().and_then(|tenant| self.pop_last(&tenant));
+            let Some(ticket) = last else { break };
+            transitions.reject(ticket, RejectReason::QueueFull);
+        }
+        self.admit_waiting(now, &mut transitions);
+        transitions
+    }
+
+    /// Offers a request. Another that waits may have to give way to it.
+    pub fn enqueue(&mut self, now: Nanos, entry: QueueEntry) -> (QueueDecision, QueueTransitions) {
+        let mut transitions = QueueTransitions::default();
+        let decision = self.decide(now, entry, &mut transitions);
+        (decision, transitions)
+    }
+
+    fn decide(
+        &mut self,
+        now: Nanos,
+        entry: QueueEntry,
+        transitions: &mut QueueTransitions,
+    ) -> QueueDecision {
+        self.record_activity(now, &entry.tenant);
+        if now.saturating_add(entry.expected_latency) >= entry.deadline {
+            return QueueDecision::Reject(RejectReason::TooLate);
+        }
+        let can_pass = |member: &Member| !member.is_waiting() && self.has_place_for(member);
+        if self.members.get(&entry.tenant).is_some_and(can_pass) {
+            self.admit(&entry.tenant);
+            return QueueDecision::Admit;
+        }
+        self.last_ticket += 1;
+        let ticket = QueueTicket(self.last_ticket);
+        let rank = Rank::new(&entry, ticket);
+        if self.waiting.len() >= self.config.max_queued as usize {
+            match self.displace(&entry.tenant, rank) {
+                Some(displaced) => transitions.reject(displaced, RejectReason::QueueFull),
+                None => return QueueDecision::Reject(RejectReason::QueueFull),
+            }
+        }
+        let member = self.members.entry(entry.tenant.clone()).or_default();
+        member.queue.insert(rank, entry.expected_latency);
+        self.waiting.insert(ticket, QueuePosition { tenant: entry.tenant, rank });
+        QueueDecision::Wait(ticket)
     }
 
-    /// How many are in it, and how many wait.
-    pub fn levels(&self) -> [usize; 2] {
-        [self.held as usize, self.waiting.len()]
+    /// Ends a request that was admitted.
+    #[must_use = "requests that wait never learn that they are admitted or rejected"]
+    pub fn complete(&mut self, now: Nanos, tenant: &Rc<str>) -> QueueTransitions {
+        if let Some(member) = self.members.get_mut(tenant).filter(|member| member.in_flight > 0) {
+            member.in_flight -= 1;
+            self.unused_reservations += u32::from(member.in_flight < member.reserved);
+            self.in_flight -= 1;
+        }
+        let mut transitions = QueueTransitions::default();
+        self.admit_waiting(now, &mut transitions);
+        self.sweep(now);
+        transitions
     }
 
-    /// Changes what it is set to. Those that are in it stay and count, those that wait keep
-    /// their place unless the queue is now too short for them.
-    pub fn set(&mut self, now: Nanos, set: FairQueueConfig) -> QueueTransitions {
-        self.set = set;
-        self.divide();
-        let mut moves = QueueTransitions::default();
-        while self.waiting.len() > self.set.queue as usize {
-            let Some(ticket) = self.heaviest().and_then(|tenant| self.pop_last(&tenant)) else {
-                break;
-            };
-            moves.refused.push((ticket, RejectReason::Full));
+    /// Takes a request that waits out of the queue.
+    pub fn cancel(&mut self, ticket: QueueTicket) {
+        let Some(position) = self.waiting.remove(&ticket) else { return };
+        if let Some(member) = self.members.get_mut(&position.tenant) {
+            member.queue.remove(&position.rank);
         }
-        self.grant(now, &mut moves);
-        moves
     }
 
     fn share(&self, tenant: &str) -> f64 {
-        self.set.shares.get(tenant).copied().unwrap_or(1.0).max(f64::MIN_POSITIVE)
+        self.config.shares.get(tenant).copied().unwrap_or(1.0).max(f64::MIN_POSITIVE)
     }
 
-    /// Divides the places between those that are active.
-    fn divide(&mut self) {
-        let shares = self.members.keys().map(|name| self.share(name)).collect::<Vec<_>>();
-        let all: f64 = shares.iter().sum();
-        self.kept = 0;
+    /// Divides what is reserved between the tenants that are active.
+    fn divide_reservations(&mut self) {
+        let shares: Vec<f64> = self.members.keys().map(|name| self.share(name)).collect();
+        let total_share: f64 = shares.iter().sum();
+        let reservable = f64::from(self.config.max_concurrency) * RESERVED_PART;
+        self.unused_reservations = 0;
         for (member, share) in self.members.values_mut().zip(shares) {
             member.share = share;
-            member.part = (f64::from(self.set.most) * KEPT * share / all) as u32;
-            self.kept += member.part.saturating_sub(member.held);
+            member.reserved = (reservable * share / total_share) as u32;
+            self.unused_reservations += member.unused_reservation();
         }
     }
 
-    /// Notes that a tenant asks; forgets those that have not for long.
-    fn see(&mut self, now: Nanos, tenant: &Rc<str>) {
-        let known = self.members.get_mut(tenant).map(|member| member.seen = now).is_some();
-        if !known {
-            self.members.insert(tenant.clone(), Member { seen: now, ..Member::default() });
-        }
-        if !self.sweep(now) && !known {
-            self.divide();
+    /// Notes that a tenant is active.
+    fn record_activity(&mut self, now: Nanos, tenant: &Rc<str>) {
+        let is_known = self.members.contains_key(tenant);
+        self.members.entry(tenant.clone()).or_default().last_seen = now;
+        let has_divided = self.sweep(now);
+        if !is_known && !has_divided {
+            self.divide_reservations();
         }
     }
 
-    /// Forgets those that are idle, now and then; whether it did.
+    /// Forgets the tenants that are inactive, if it is time for that; whether it was.
     fn sweep(&mut self, now: Nanos) -> bool {
-        if now.saturating_sub(self.swept_at) < SWEEP {
+        if now.saturating_sub(self.swept_at) < SWEEP_INTERVAL {
             return false;
         }
         self.swept_at = now;
-        self.members.retain(|_, m| m.load() > 0 || now.saturating_sub(m.seen) < ACTIVE);
-        self.divide();
+        self.members.retain(|_, member| {
+            member.load() > 0 || now.saturating_sub(member.last_seen) < ACTIVE_PERIOD
+        });
+        self.divide_reservations();
         true
     }
 
-    fn may_go(&self, member: &Member) -> bool {
-        let free = self.set.most.saturating_sub(self.held);
-        free > 0 && (member.held < member.part || free > self.kept)
-    }
-
-    /// A request wants through.
-    pub fn offer(&mut self, now: Nanos, offer: QueueEntry) -> (QueueDecision, QueueTransitions) {
-        let mut moves = QueueTransitions::default();
-        self.see(now, &offer.tenant);
-        if now.saturating_add(offer.needs) >= offer.deadline {
-            return (QueueDecision::Rejected(RejectReason::TooLate), moves);
-        }
-        let goes = |m: &Member| m.queue.is_empty() && self.may_go(m);
-        if self.members.get(&offer.tenant).is_some_and(goes) {
-            self.enter(&offer.tenant);
-            return (QueueDecision::Go, moves);
-        }
-        self.last += 1;
-        let ticket = QueueTicket(self.last);
-        let rank = Rank {
-            repeat: offer.repeat,
-            priority_weight: Reverse(offer.priority_weight.max(0.0).to_bits()),
-            deadline: offer.deadline,
-            ticket,
-        };
-        if self.waiting.len() >= self.set.queue as usize {
-            match self.displaced(&offer.tenant, rank) {
-                Some(loser) => moves.refused.push((loser, RejectReason::Full)),
-                None => return (QueueDecision::Rejected(RejectReason::Full), moves),
-            }
-        }
-        let member = self.members.entry(offer.tenant.clone()).or_default();
-        member.queue.insert(rank, offer.needs);
-        self.waiting.insert(ticket, (offer.tenant, rank));
-        (QueueDecision::Wait(ticket), moves)
+    fn has_place_for(&self, member: &Member) -> bool {
+        let free = self.config.max_concurrency.saturating_sub(self.in_flight);
+        free > 0 && (member.in_flight < member.reserved || free > self.unused_reservations)
     }
 
-    /// Whose load is largest for its share, of those with somebody waiting.
-    fn heaviest(&self) -> Option<Rc<str>> {
-        let waiting = self.members.iter().filter(|(_, member)| !member.queue.is_empty());
-        let weight = |member: &Member| f64::from(member.load()) / member.share;
-        let heaviest = waiting.max_by(|a, b| weight(a.1).total_cmp(&weight(b.1)));
-        heaviest.map(|(name, _)| name.clone())
+    /// The tenant whose load is largest for its share, of those with requests that wait.
+    fn most_loaded(&self) -> Option<Rc<str>> {
+        let relative_load = |member: &Member| f64::from(member.load()) / member.share;
+        self.members
+            .iter()
+            .filter(|(_, member)| member.is_waiting())
+            .max_by(|one, other| relative_load(one.1).total_cmp(&relative_load(other.1)))
+            .map(|(name, _)| name.clone())
     }
 
-    /// Makes room for one that comes before another; the loser.
-    fn displaced(&mut self, tenant: &Rc<str>, rank: Rank) -> Option<QueueTicket> {
-        let heaviest = self.heaviest()?;
-        if heaviest != *tenant {
+    /// Takes a request that comes after this one out of the full queue; none if there is none.
+    fn displace(&mut self, tenant: &Rc<str>, rank: Rank) -> Option<QueueTicket> {
+        let most_loaded = self.most_loaded()?;
+        if most_loaded != *tenant {
             let load = |name: &str| self.members.get(name).map_or(0, Member::load);
-            let ours = f64::from(load(tenant) + 1) / self.share(tenant);
-            if ours <= f64::from(load(&heaviest)) / self.share(&heaviest) {
-                return self.pop_last(&heaviest);
+            let own_load = f64::from(load(tenant) + 1) / self.share(tenant);
+            if own_load <= f64::from(load(&most_loaded)) / self.share(&most_loaded) {
+                return self.pop_last(&most_loaded);
             }
         }
-        let own = self.members.get(tenant)?.queue.last_key_value()?.0;
-        (rank < *own).then(|| self.pop_last(tenant)).flatten()
+        let (last_own, _) = self.members.get(tenant)?.queue.last_key_value()?;
+        (rank < *last_own).then(|| self.pop_last(tenant)).flatten()
     }
 
     fn pop_last(&mut self, tenant: &Rc<str>) -> Option<QueueTicket> {
@@ -248,53 +291,38 @@
         Some(rank.ticket)
     }
 
-    fn enter(&mut self, tenant: &Rc<str>) {
+    fn admit(&mut self, tenant: &Rc<str>) {
         if let Some(member) = self.members.get_mut(tenant) {
-            self.kept -= u32::from(member.held < member.part);
-            member.held += 1;
-            self.held += 1;
+            self.unused_reservations -= u32::from(member.in_flight < member.reserved);
+            member.in_flight += 1;
+            self.in_flight += 1;
         }
     }
 
-    /// One that went is over.
-    pub fn done(&mut self, now: Nanos, tenant: &Rc<str>) -> QueueTransitions {
-        if let Some(member) = self.members.get_mut(tenant).filter(|member| member.held > 0) {
-            member.held -= 1;
-            self.kept += u32::from(member.held < member.part);
-            self.held -= 1;
-        }
-        let mut moves = QueueTransitions::default();
-        self.grant(now, &mut moves);
-        self.sweep(now);
-        moves
-    }
-
-    /// One that waits does so no longer, by itself.
-    pub fn leave(&mut self, ticket: QueueTicket) {
-        if let Some((tenant, rank)) = self.waiting.remove(&ticket) {
-            if let Some(member) = self.members.get_mut(&tenant) {
-                member.queue.remove(&rank);
-            }
-        }
-    }
-
-    /// Lets those go whose turn it is.
-    fn grant(&mut self, now: Nanos, moves: &mut QueueTransitions) {
-        while self.held < self.set.most && !self.waiting.is_empty() {
-            let waiting = self.members.iter().filter(|(_, member)| !member.queue.is_empty());
-            let able = waiting.filter(|(_, member)| self.may_go(member));
-            let weight = |m: &Member| f64::from(m.held + 1) / m.share;
-            let next = able.min_by(|a, b| weight(a.1).total_cmp(&weight(b.1)));
-            let Some(tenant) = next.map(|(name, _)| name.clone()) else { return };
+    /// Admits requests that wait while there are places for them.
+    fn admit_waiting(&mut self, now: Nanos, transitions: &mut QueueTransitions) {
+        while self.in_flight < self.config.max_concurrency && !self.waiting.is_empty() {
+            let Some(tenant) = self.next_tenant() else { return };
             let member = self.members.get_mut(&tenant);
-            let Some((rank, needs)) = member.and_then(|m| m.queue.pop_first()) else { return };
+            let first = member.and_then(|member| member.queue.pop_first());
+            let Some((rank, expected_latency)) = first else { return };
             self.waiting.remove(&rank.ticket);
-            if now.saturating_add(needs) >= rank.deadline {
-                moves.refused.push((rank.ticket, RejectReason::TooLate));
+            if now.saturating_add(expected_latency) >= rank.deadline {
+                transitions.reject(rank.ticket, RejectReason::TooLate);
             } else {
-                self.enter(&tenant);
-                moves.go.push(rank.ticket);
+                self.admit(&tenant);
+                transitions.admitted.push(rank.ticket);
             }
         }
     }
+
+    /// The tenant whose request is admitted next: the one with the least in flight for its share.
+    fn next_tenant(&self) -> Option<Rc<str>> {
+        let relative_load = |member: &Member| f64::from(member.in_flight + 1) / member.share;
+        self.members
+            .iter()
+            .filter(|(_, member)| member.is_waiting() && self.has_place_for(member))
+            .min_by(|one, other| relative_load(one.1).total_cmp(&relative_load(other.1)))
+            .map(|(name, _)| name.clone())
+    }
 }
--- a/crates/admission/src/slots.rs
+++ b/crates/admission/src/slots.rs
@@ -1,51 +1,51 @@
-//! Seats of sockets that are held for long: how many there are, of whom, and who makes room.
+//! Slots for long-lived connections: how many there are, who has them, and who makes room.
 //!
-//! A place at a gate is given back within a deadline; a seat may be held for hours. So a member
-//! that comes late would find them all taken. While others want them nobody holds more than its
-//! share: who wants one below its share is given a claim, and one of whoever is furthest over
-//! its own is asked to leave.
+//! A place at a queue is given back within a deadline; a slot may be occupied for hours, so a
+//! tenant that comes late could find none. While others want slots no tenant has more than its
+//! share: one that wants a slot below its share gets a claim, and a connection of the tenant
+//! furthest over its own share is to be closed.
 
 use mintshelf_balancer::api::Nanos;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// How long a freed seat is kept for one that was told to come back for it.
-const CLAIM: Nanos = 10_000_000_000;
-/// Most seats that one tenant can claim at one time: each makes another socket leave.
-const CLAIMS_MAX: u32 = 16;
+/// How long a claim is good: who was rejected is to come back within this time.
+pub const CLAIM_DURATION: Nanos = 10_000_000_000;
+/// Upper bound of one tenant's claims at one time: each has another connection closed.
+const MAX_CLAIMS: u32 = 16;
 
-/// What a file sets.
+/// Bounds of the slots, and the shares of tenants.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct SlotConfig {
-    /// Seats in all.
-    pub most: u32,
+    /// Slots in all.
+    pub capacity: u32,
     /// Shares of tenants; 1 for one that is not named.
     pub shares: BTreeMap<Rc<str>, f64>,
-    /// Seats that a tenant may hold, where that is limited.
+    /// Upper bounds of tenants; those without one are not in it.
     pub tenants: BTreeMap<Rc<str>, u32>,
-    /// Seats at a route.
+    /// Upper bounds of routes; those without one are not in it.
     pub routes: BTreeMap<Rc<str>, u32>,
-    /// Seats at a cluster.
+    /// Upper bounds of clusters; those without one are not in it.
     pub clusters: BTreeMap<Rc<str>, u32>,
 }
 
-/// Whose a seat is, and what it is for.
+/// What a slot is occupied for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SlotOwner {
-    /// Whose.
+    /// The tenant.
     pub tenant: Rc<str>,
-    /// By which route.
+    /// The route by which its connection came.
     pub route: Rc<str>,
-    /// At which cluster.
+    /// The cluster that the connection goes to.
     pub cluster: Rc<str>,
 }
 
-/// Why there is no seat.
+/// Why there is no slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SlotUnavailable {
-    /// All are taken or kept.
+    /// All are occupied or claimed.
     Full,
-    /// The tenant holds as many as it may.
+    /// The tenant has as many as it may.
     Tenant,
     /// The route has as many as it may.
     Route,
@@ -53,267 +53,173 @@
     Cluster,
 }
 
-/// A refusal, and who is to make room for the next try.
+/// A rejection, and who is to make room for the next attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SlotRejected {
     /// Why.
-    pub why: SlotUnavailable,
-    /// The tenant one of whose sockets is to leave.
-    pub reclaim: Option<Rc<str>>,
+    pub reason: SlotUnavailable,
+    /// The tenant of which the caller is to close one connection, if any.
+    pub reclaim_from: Option<Rc<str>>,
 }
 
+/// One tenant's slots.
 #[derive(Debug, Default)]
 struct Member {
-    held: u32,
-    /// Seats that were freed, or are being freed, for it, and until when they are kept.
+    occupied: u32,
+    /// Slots that are free, or are being freed, for it.
     claims: u32,
-    claimed_until: Nanos,
+    /// Until when they are reserved.
+    claims_expire_at: Nanos,
 }
 
-/// All seats.
+/// All slots of the process.
 #[derive(Debug, Default)]
 pub struct SlotTable {
-    set: SlotConfig,
-    held: u32,
+    config: SlotConfig,
+    occupied: u32,
     tenants: BTreeMap<Rc<str>, Member>,
     routes: BTreeMap<Rc<str>, u32>,
     clusters: BTreeMap<Rc<str>, u32>,
 }
 
-fn is_full(held: &BTreeMap<Rc<str>, u32>, most: &BTreeMap<Rc<str>, u32>, name: &str) -> bool {
-    let held = held.get(name).copied().unwrap_or(0);
-    most.get(name).is_some_and(|most| held >= *most)
+fn is_full(occupied: &BTreeMap<Rc<str>, u32>, max: &BTreeMap<Rc<str>, u32>, name: &str) -> bool {
+    let occupied = occupied.get(name).copied().unwrap_or(0);
+    max.get(name).is_some_and(|max| occupied >= *max)
 }
 
-fn give_back(held: &mut BTreeMap<Rc<str>, u32>, name: &str) {
-    match held.get_mut(name) {
+fn decrement(occupied: &mut BTreeMap<Rc<str>, u32>, name: &str) {
+    match occupied.get_mut(name) {
         Some(count) if *count > 1 => *count -= 1,
-        _ => drop(held.remove(name)),
+        _ => drop(occupied.remove(name)),
     }
 }
 
 impl SlotTable {
-    /// Puts a file's numbers in force. Those who sit stay.
-    pub fn set(&mut self, set: SlotConfig) {
-        self.set = set;
+    /// Changes the bounds. Slots that are occupied stay so.
+    pub fn configure(&mut self, config: SlotConfig) {
+        self.config = config;
     }
 
-    /// How many are taken.
-    pub fn held(&self) -> u32 {
-        self.held
+    /// How many slots are occupied.
+    pub fn occupied(&self) -> u32 {
+        self.occupied
     }
 
-    /// How many each tenant holds.
+    /// How many slots each tenant has; those without any are left out.
     pub fn by_tenant(&self) -> impl Iterator<Item = (&Rc<str>, u32)> {
-        let held = self.tenants.iter().filter(|(_, member)| member.held > 0);
-        held.map(|(name, member)| (name, member.held))
+        let members = self.tenants.iter().filter(|(_, member)| member.occupied > 0);
+        members.map(|(name, member)| (name, member.occupied))
+    }
+
+    /// Occupies a slot, which is to be given back by [`SlotTable::release`].
+    ///
+    /// # Errors
+    ///
+    /// Why there is none. The caller closes a connection of the tenant that `reclaim_from` names;
+    /// the slot that this frees is reserved for [`CLAIM_DURATION`].
+    pub fn acquire(&mut self, now: Nanos, owner: &SlotOwner) -> Result<(), SlotRejected> {
+        self.expire_claims(now);
+        self.check_bounds(owner).map_err(|reason| SlotRejected { reason, reclaim_from: None })?;
+        let free = self.config.capacity.saturating_sub(self.occupied);
+        if free > self.claimed_by_others(&owner.tenant) {
+            self.occupy(owner);
+            return Ok(());
+        }
+        let reclaim_from = self.claim(now, &owner.tenant);
+        Err(SlotRejected { reason: SlotUnavailable::Full, reclaim_from })
+    }
+
+    /// Gives back a slot whose connection has closed.
+    pub fn release(&mut self, owner: &SlotOwner) {
+        self.occupied = self.occupied.saturating_sub(1);
+        if let Some(member) = self.tenants.get_mut(&owner.tenant) {
+            member.occupied = member.occupied.saturating_sub(1);
+        }
+        decrement(&mut self.routes, &owner.route);
+        decrement(&mut self.clusters, &owner.cluster);
+        // At time 0 nothing expires; this drops a tenant without slots and claims.
+        self.expire_claims(0);
+    }
+
+    fn check_bounds(&self, owner: &SlotOwner) -> Result<(), SlotUnavailable> {
+        let SlotOwner { tenant, route, cluster } = owner;
+        let occupied = self.tenants.get(tenant).map_or(0, |member| member.occupied);
+        if self.config.tenants.get(tenant).is_some_and(|max| occupied >= *max) {
+            return Err(SlotUnavailable::Tenant);
+        }
+        if is_full(&self.routes, &self.config.routes, route) {
+            return Err(SlotUnavailable::Route);
+        }
+        if is_full(&self.clusters, &self.config.clusters, cluster) {
+            return Err(SlotUnavailable::Cluster);
+        }
+        Ok(())
+    }
+
+    fn occupy(&mut self, owner: &SlotOwner) {
+        let member = self.tenants.entry(owner.tenant.clone()).or_default();
+        member.occupied += 1;
+        member.claims = member.claims.saturating_sub(1);
+        self.occupied += 1;
+        *self.routes.entry(owner.route.clone()).or_default() += 1;
+        *self.clusters.entry(owner.cluster.clone()).or_default() += 1;
     }
 
     fn share(&self, tenant: &str) -> f64 {
-        self.set.shares.get(tenant).copied().unwrap_or(1.0)
+        self.config.shares.get(tenant).copied().unwrap_or(1.0)
     }
 
-    /// Seats that are a tenant's by its share, among those who hold some or want one; `also`
-    /// wants one.
-    fn part(&self, tenant: &str, also: &str) -> u32 {
-        let mut all: f64 = self.tenants.keys().map(|name| self.share(name)).sum();
-        if !self.tenants.contains_key(also) {
-            all += self.share(also);
+    /// Slots that are a tenant's by its share, among the tenants that have or claim some and
+    /// `newcomer`, which wants one.
+    fn fair_part(&self, tenant: &str, newcomer: &str) -> u32 {
+        let mut total_share: f64 = self.tenants.keys().map(|name| self.share(name)).sum();
+        if !self.tenants.contains_key(newcomer) {
+            total_share += self.share(newcomer);
         }
-        let part = f64::from(self.set.most) * self.share(tenant) / all.max(f64::MIN_POSITIVE);
+        let capacity = f64::from(self.config.capacity);
+        let part = capacity * self.share(tenant) / total_share.max(f64::MIN_POSITIVE);
         (part as u32).max(1)
     }
 
-    /// Seats that are kept for others than this tenant.
-    fn kept_for_others(&self, tenant: &str) -> u32 {
+    /// Slots that are reserved for other tenants than this one.
+    fn claimed_by_others(&self, tenant: &str) -> u32 {
         let others = self.tenants.iter().filter(|(name, _)| ***name != *tenant);
         others.map(|(_, member)| member.claims).sum()
     }
 
-    fn expire(&mut self, now: Nanos) {
+    fn expire_claims(&mut self, now: Nanos) {
         self.tenants.retain(|_, member| {
-            if member.claimed_until <= now {
+            if member.claims_expire_at <= now {
                 member.claims = 0;
             }
-            member.held > 0 || member.claims > 0
+            member.occupied > 0 || member.claims > 0
         });
     }
 
-    /// Wants a seat. [`SlotTable::leave`] is owed if it gets one.
-    pub fn take(&mut self, now: Nanos, sitter: &SlotOwner) -> Result<(), SlotRejected> {
-        self.expire(now);
-        let refused = |why| Err(SlotRejected { why, reclaim: None });
-        let SlotOwner { tenant, route, cluster } = sitter;
-        let held = self.tenants.get(tenant).map_or(0, |member| member.held);
-        if self.set.tenants.get(tenant).is_some_and(|most| held >= *most) {
-            return refused(SlotUnavailable::Tenant);
-        }
-        if is_full(&self.routes, &self.set.routes, route) {
-            return refused(SlotUnavailable::Route);
-        }
-        if is_full(&self.clusters, &self.set.clusters, cluster) {
-            return refused(SlotUnavailable::Cluster);
-        }
-        let free = self.set.most.saturating_sub(self.held);
-        if free > self.kept_for_others(tenant) {
-            let member = self.tenants.entry(tenant.clone()).or_default();
-            member.held += 1;
-            member.claims = member.claims.saturating_sub(1);
-            self.held += 1;
-            *self.routes.entry(route.clone()).or_default() += 1;
-            *self.clusters.entry(cluster.clone()).or_default() += 1;
-            return Ok(());
-        }
-        let reclaim = self.claim(now, tenant, held);
-        Err(SlotRejected { why: SlotUnavailable::Full, reclaim })
-    }
-
-    /// One that is below its share and finds nothing claims a seat; whose it is to be.
-    fn claim(&mut self, now: Nanos, tenant: &Rc<str>, held: u32) -> Option<Rc<str>> {
-        let claims = self.tenants.get(tenant).map_or(0, |member| member.claims);
-        if held + claims >= self.part(tenant, tenant) || claims >= CLAIMS_MAX {
+    /// Claims a slot for a tenant below its share; the tenant that is to make room, if any.
+    fn claim(&mut self, now: Nanos, tenant: &Rc<str>) -> Option<Rc<str>> {
+        let own = self.tenants.get(tenant);
+        let (occupied, claims) = own.map_or((0, 0), |member| (member.occupied, member.claims));
+        if occupied + claims >= self.fair_part(tenant, tenant) || claims >= MAX_CLAIMS {
             return None;
         }
-        let over = |(name, member): (&Rc<str>, &Member)| {
-            let part = self.part(name, tenant);
-            // What others have claimed leaves it anyway.
-            (member.held > part).then(|| (f64::from(member.held) / self.share(name), name.clone()))
-        };
-        let others = self.tenants.iter().filter(|(name, _)| *name != tenant).filter_map(over);
-        let (_, from) = others.max_by(|a, b| a.0.total_cmp(&b.0))?;
+        let reclaim_from = self.furthest_over_share(tenant)?;
         let member = self.tenants.entry(tenant.clone()).or_default();
         member.claims += 1;
-        member.claimed_until = now.saturating_add(CLAIM);
-        Some(from)
-    }
-
-    /// A socket that had a seat has ended.
-    pub fn leave(&mut self, sitter: &SlotOwner) {
-        self.held = self.held.saturating_sub(1);
-        if let Some(member) = self.tenants.get_mut(&sitter.tenant) {
-            member.held = member.held.saturating_sub(1);
-        }
-        give_back(&mut self.routes, &sitter.route);
-        give_back(&mut self.clusters, &sitter.cluster);
-        self.expire(0);
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    const S: Nanos = 1_000_000_000;
-
-    fn sitter(tenant: &str) -> SlotOwner {
-        SlotOwner { tenant: tenant.into(), route: "r".into(), cluster: "c".into() }
-    }
-
-    fn seats(most: u32) -> SlotTable {
-        let mut seats = SlotTable::default();
-        seats.set(SlotConfig { most, ..SlotConfig::default() });
-        seats
-    }
-
-    #[test]
-    fn who_comes_late_gets_its_share_from_who_has_more_than_its_own() {
-        let mut seats = seats(10);
-        for _ in 0..10 {
-            seats.take(0, &sitter("early")).unwrap();
-        }
-        let refused = seats.take(0, &sitter("late")).unwrap_err();
-        assert_eq!(refused.reclaim.as_deref(), Some("early"));
-        // The seat that is freed is kept for it, and not taken back.
-        seats.leave(&sitter("early"));
-        let again = seats.take(S, &sitter("early")).unwrap_err();
-        assert_eq!(again, SlotRejected { why: SlotUnavailable::Full, reclaim: None });
-        seats.take(S, &sitter("late")).unwrap();
-        for _ in 0..4 {
-            let refused = seats.take(2 * S, &sitter("late")).unwrap_err();
-            assert!(refused.reclaim.is_some());
-            seats.leave(&sitter("early"));
-            seats.take(2 * S, &sitter("late")).unwrap();
-        }
-        let enough = seats.take(3 * S, &sitter("late")).unwrap_err();
-        assert_eq!(enough.reclaim, None, "both have their halves");
-        // A claim that nobody comes for is let go.
-        let mut seats = super::tests::seats(2);
-        seats.take(0, &sitter("a")).unwrap();
-        seats.take(0, &sitter("a")).unwrap();
-        assert!(seats.take(0, &sitter("b")).unwrap_err().reclaim.is_some());
-        seats.leave(&sitter("a"));
-        assert!(seats.take(CLAIM - 1, &sitter("a")).is_err());
-        assert!(seats.take(CLAIM, &sitter("a")).is_ok());
-    }
-
-    #[test]
-    fn each_limit_is_told_apart() {
-        let mut seats = seats(10);
-        let one = |name: &str| BTreeMap::from([(Rc::from(name), 1)]);
-        let with = |change: fn(&mut SlotConfig, BTreeMap<Rc<str>, u32>), name: &str| {
-            let mut set = SlotConfig { most: 10, ..SlotConfig::default() };
-            change(&mut set, one(name));
-            set
-        };
-        seats.take(0, &sitter("t")).unwrap();
-        for (set, why) in [
-            (with(|set, one| set.tenants = one, "t"), SlotUnavailable::Tenant),
-            (with(|set, one| set.routes = one, "r"), SlotUnavailable::Route),
-            (with(|set, one| set.clusters = one, "c"), SlotUnavailable::Cluster),
-            (SlotConfig { most: 1, ..SlotConfig::default() }, SlotUnavailable::Full),
-        ] {
-            seats.set(set);
-            assert_eq!(seats.take(0, &sitter("t")).unwrap_err().why, why);
-        }
-        seats.leave(&sitter("t"));
-        assert!(seats.take(0, &sitter("t")).is_ok());
-    }
-
-    proptest! {
-        /// Never more than there are; whoever keeps asking and is below its share gets there,
-        /// since those over theirs leave as they are asked; and what was taken is given back.
-        #[test]
-        fn seats_are_bounded_and_come_to_be_shared(
-            most in 4u32..40,
-            steps in prop::collection::vec((0usize..4, 0u8..4), 1..400),
-        ) {
-            let names = ["a", "b", "c", "d"];
-            let mut seats = seats(most);
-            let mut open = [0u32; 4];
-            let mut now = 0;
-            for (who, what) in steps {
-                now += S / 10;
-                if what == 0 && open[who] > 0 {
-                    seats.leave(&sitter(names[who]));
-                    open[who] -= 1;
-                } else if seats.take(now, &sitter(names[who])).is_ok() {
-                    open[who] += 1;
-                }
-                prop_assert!(seats.held() <= most);
-                prop_assert_eq!(seats.held(), open.iter().sum::<u32>());
-            }
-            // All four want as many as they can get, and go when they are asked.
-            for _ in 0..200 {
-                for who in 0..4 {
-                    now += S / 10;
-                    match seats.take(now, &sitter(names[who])) {
-                        Ok(()) => open[who] += 1,
-                        Err(SlotRejected { reclaim: Some(from), .. }) => {
-                            let from = names.iter().position(|name| **name == *from).unwrap();
-                            seats.leave(&sitter(names[from]));
-                            open[from] -= 1;
-                        }
-                        Err(_) => {}
-                    }
-                }
-            }
-            let part = most / 4;
-            prop_assert!(open.iter().all(|held| *held >= part.max(1)), "{open:?} of {most}");
-            for (who, held) in open.iter().enumerate() {
-                (0..*held).for_each(|_| seats.leave(&sitter(names[who])));
-            }
-            prop_assert_eq!(seats.held(), 0);
-        }
+        member.claims_expire_at = now.saturating_add(CLAIM_DURATION);
+        Some(reclaim_from)
+    }
+
+    /// The tenant with the most slots for its share, of those over their part. Claims of others
+    /// are not subtracted from its slots.
+    fn furthest_over_share(&self, newcomer: &Rc<str>) -> Option<Rc<str>> {
+        let relative_load =
+            |(name, member): &(&Rc<str>, &Member)| f64::from(member.occupied) / self.share(name);
+        self.tenants
+            .iter()
+            .filter(|(name, _)| *name != newcomer)
+            .filter(|(name, member)| member.occupied > self.fair_part(name, newcomer))
+            .max_by(|one, other| relative_load(one).total_cmp(&relative_load(other)))
+            .map(|(name, _)| name.clone())
     }
 }
--- a/crates/admission/src/tenants.rs
+++ b/crates/admission/src/tenants.rs
@@ -1,4 +1,4 @@
-//! Whose request it is: by the client's network, the listener, or a header.
+//! Which tenant a request belongs to: by the client's network, the listener, or a header.
 
 use ipnet::{IpNet, Ipv4Net, Ipv6Net};
 use prefix_trie::PrefixMap;
@@ -6,118 +6,93 @@
 use std::net::IpAddr;
 use std::rc::Rc;
 
-/// The tenant of whoever is nobody else.
+/// The name of the tenant of all requests that belong to no other.
 pub const OTHER_TENANTS: &str = "others";
 
-/// How tenants are told.
-#[derive(Debug, Clone, Default)]
-pub struct Tenants {
-    four: PrefixMap<Ipv4Net, Rc<str>>,
-    six: PrefixMap<Ipv6Net, Rc<str>>,
+/// The tenants by what identifies them.
+///
+/// ```
+/// use mintshelf_admission::tenants::{TenantResolver, OTHER_TENANTS};
+///
+/// let mut resolver = TenantResolver::new();
+/// resolver.add_network("10.0.0.0/8".parse().unwrap(), &"inside".into());
+/// let tenant = |address: &str| resolver.resolve(address.parse().unwrap(), "listener", None);
+/// assert_eq!(&*tenant("10.1.2.3"), "inside");
+/// assert_eq!(&*tenant("192.0.2.1"), OTHER_TENANTS);
+/// ```
+#[derive(Debug, Clone)]
+pub struct TenantResolver {
+    ipv4_networks: PrefixMap<Ipv4Net, Rc<str>>,
+    ipv6_networks: PrefixMap<Ipv6Net, Rc<str>>,
     listeners: HashMap<String, Rc<str>>,
-    values: HashMap<String, Rc<str>>,
-    others: Option<Rc<str>>,
+    header_values: HashMap<String, Rc<str>>,
+    others: Rc<str>,
 }
 
-impl Tenants {
-    /// None yet.
+impl Default for TenantResolver {
+    fn default() -> Self {
+        TenantResolver {
+            ipv4_networks: PrefixMap::default(),
+            ipv6_networks: PrefixMap::default(),
+            listeners: HashMap::default(),
+            header_values: HashMap::default(),
+            others: OTHER_TENANTS.into(),
+        }
+    }
+}
+
+impl TenantResolver {
+    /// Starts without tenants.
     pub fn new() -> Self {
-        Tenants { others: Some(OTHER_TENANTS.into()), ..Tenants::default() }
+        Self::default()
     }
 
-    /// Clients of a network are this tenant's. Of several that hold an address, the smallest
-    /// counts.
-    pub fn network(&mut self, network: IpNet, tenant: &Rc<str>) {
+    /// Clients of a network belong to a tenant. Of several networks that contain an address the
+    /// smallest counts.
+    pub fn add_network(&mut self, network: IpNet, tenant: &Rc<str>) {
         match network.trunc() {
-            IpNet::V4(network) => drop(self.four.insert(network, tenant.clone())),
-            IpNet::V6(network) => drop(self.six.insert(network, tenant.clone())),
+            IpNet::V4(network) => drop(self.ipv4_networks.insert(network, tenant.clone())),
+            IpNet::V6(network) => drop(self.ipv6_networks.insert(network, tenant.clone())),
         }
     }
 
-    /// Clients of a listener are.
-    pub fn listener(&mut self, name: &str, tenant: &Rc<str>) {
+    /// Clients of a listener belong to a tenant.
+    pub fn add_listener(&mut self, name: &str, tenant: &Rc<str>) {
         self.listeners.insert(name.to_string(), tenant.clone());
     }
 
-    /// Requests with this value of the header are.
-    pub fn value(&mut self, value: &str, tenant: &Rc<str>) {
-        self.values.insert(value.to_string(), tenant.clone());
-    }
-
-    /// Whose a request is. Its network can't be forged and counts first, then its listener,
-    /// then what its header says; else it is [`OTHER_TENANTS`]'.
-    pub fn of(&self, client: IpAddr, listener: &str, header: Option<&str>) -> Rc<str> {
-        // An IPv4 client of a listener for both comes with a mapped address (RFC 4291 2.5.5.2).
-        let network = match client.to_canonical() {
-            IpAddr::V4(ip) => self.four.get_lpm(&Ipv4Net::from(ip)).map(|(_, tenant)| tenant),
-            IpAddr::V6(ip) => self.six.get_lpm(&Ipv6Net::from(ip)).map(|(_, tenant)| tenant),
-        };
-        let listener = || self.listeners.get(listener);
-        let value = || self.values.get(header?);
-        let named = network.or_else(listener).or_else(value).or(self.others.as_ref());
-        named.cloned().unwrap_or_else(|| OTHER_TENANTS.into())
-    }
-}
-
-/// Whether two networks share an address.
-pub fn overlap(a: &IpNet, b: &IpNet) -> bool {
-    a.contains(b) || b.contains(a)
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-    use std::net::Ipv4Addr;
-
-    fn net(text: &str) -> IpNet {
-        text.parse().unwrap()
+    /// Requests with this value of the tenant header belong to a tenant.
+    pub fn add_header_value(&mut self, value: &str, tenant: &Rc<str>) {
+        self.header_values.insert(value.to_string(), tenant.clone());
     }
 
-    #[test]
-    fn networks_come_first_and_the_longest_prefix_wins() {
-        let [a, b, c, d] = ["a", "b", "c", "d"].map(Rc::<str>::from);
-        let mut tenants = Tenants::new();
-        tenants.network(net("10.0.0.0/8"), &a);
-        tenants.network(net("10.1.0.0/16"), &b);
-        tenants.network(net("2001:db8::/32"), &c);
-        tenants.listener("inner", &d);
-        tenants.value("key", &b);
-        let of = |ip: &str, listener, header| tenants.of(ip.parse().unwrap(), listener, header);
-        assert_eq!(&*of("10.2.0.1", "inner", Some("key")), "a");
-        assert_eq!(&*of("10.1.2.3", "", None), "b");
-        assert_eq!(&*of("::ffff:10.1.2.3", "", None), "b");
-        assert_eq!(&*of("2001:db8::7", "inner", None), "c");
-        assert_eq!(&*of("192.0.2.1", "inner", Some("key")), "d");
-        assert_eq!(&*of("192.0.2.1", "", Some("key")), "b");
-        assert_eq!(&*of("192.0.2.1", "", Some("other")), OTHER_TENANTS);
+    /// The tenant of a request. The client's network counts first since it can't be forged, then
+    /// the listener, then the value of the tenant header; without any of them it is
+    /// [`OTHER_TENANTS`].
+    pub fn resolve(&self, client: IpAddr, listener: &str, header_value: Option<&str>) -> Rc<str> {
+        self.by_network(client)
+            .or_else(|| self.listeners.get(listener))
+            .or_else(|| self.header_values.get(header_value?))
+            .unwrap_or(&self.others)
+            .clone()
     }
 
-    proptest! {
-        #![proptest_config(ProptestConfig { cases: 500, failure_persistence: None,
-            rng_seed: proptest::test_runner::RngSeed::Fixed(3), ..ProptestConfig::default() })]
-
-        /// The table agrees with asking every network.
-        #[test]
-        fn the_table_agrees_with_a_plain_search(
-            nets in prop::collection::vec((0u32..64, 0u8..=6), 1..12),
-            ip in 0u32..64,
-        ) {
-            let mut tenants = Tenants::new();
-            let mut all: Vec<(IpNet, Rc<str>)> = Vec::new();
-            for (n, (bits, len)) in nets.into_iter().enumerate() {
-                let address = Ipv4Addr::from(bits << 26);
-                let network = IpNet::new(IpAddr::V4(address), len).unwrap().trunc();
-                let name: Rc<str> = format!("t{n}").into();
-                tenants.network(network, &name);
-                all.retain(|(other, _)| *other != network);
-                all.push((network, name));
+    fn by_network(&self, client: IpAddr) -> Option<&Rc<str>> {
+        // An IPv4 client of a listener for both comes with a mapped address (RFC 4291 2.5.5.2).
+        match client.to_canonical() {
+            IpAddr::V4(ip) => {
+                let longest_prefix = self.ipv4_networks.get_lpm(&Ipv4Net::from(ip));
+                longest_prefix.map(|(_, tenant)| tenant)
+            }
+            IpAddr::V6(ip) => {
+                let longest_prefix = self.ipv6_networks.get_lpm(&Ipv6Net::from(ip));
+                longest_prefix.map(|(_, tenant)| tenant)
             }
-            let ip = IpAddr::V4(Ipv4Addr::from(ip << 26));
-            let holding = all.iter().filter(|(network, _)| network.contains(&ip));
-            let best = holding.max_by_key(|(network, _)| network.prefix_len());
-            let expected = best.map_or(OTHER_TENANTS, |(_, name)| name);
-            prop_assert_eq!(&*tenants.of(ip, "", None), expected);
         }
     }
 }
+
+/// Whether two networks have an address in common.
+pub fn networks_overlap(one: &IpNet, other: &IpNet) -> bool {
+    one.contains(other) || other.contains(one)
+}
--- /dev/null
+++ b/crates/admission/tests/slots.rs
@@ -0,0 +1,122 @@
+//! Slots: bounds, claims, and how tenants come to have their shares.
+
+use mintshelf_admission::slots::{
+    SlotConfig, SlotOwner, SlotRejected, SlotTable, SlotUnavailable, CLAIM_DURATION,
+};
+use mintshelf_balancer::api::Nanos;
+use proptest::prelude::*;
+use std::collections::BTreeMap;
+use std::rc::Rc;
+
+const S: Nanos = 1_000_000_000;
+
+fn owner(tenant: &str) -> SlotOwner {
+    SlotOwner { tenant: tenant.into(), route: "r".into(), cluster: "c".into() }
+}
+
+fn table(capacity: u32) -> SlotTable {
+    let mut slots = SlotTable::default();
+    slots.configure(SlotConfig { capacity, ..SlotConfig::default() });
+    slots
+}
+
+#[test]
+fn a_tenant_that_comes_late_gets_its_share_from_one_over_its_own() {
+    let mut slots = table(10);
+    for _ in 0..10 {
+        slots.acquire(0, &owner("early")).unwrap();
+    }
+    let rejected = slots.acquire(0, &owner("late")).unwrap_err();
+    assert_eq!(rejected.reclaim_from.as_deref(), Some("early"));
+    // The slot that is freed is reserved for it, and not given back.
+    slots.release(&owner("early"));
+    let again = slots.acquire(S, &owner("early")).unwrap_err();
+    assert_eq!(again, SlotRejected { reason: SlotUnavailable::Full, reclaim_from: None });
+    slots.acquire(S, &owner("late")).unwrap();
+    for _ in 0..4 {
+        let rejected = slots.acquire(2 * S, &owner("late")).unwrap_err();
+        assert!(rejected.reclaim_from.is_some());
+        slots.release(&owner("early"));
+        slots.acquire(2 * S, &owner("late")).unwrap();
+    }
+    let enough = slots.acquire(3 * S, &owner("late")).unwrap_err();
+    assert_eq!(enough.reclaim_from, None, "both have their halves");
+    // A claim that nobody comes for is let go.
+    let mut slots = table(2);
+    slots.acquire(0, &owner("a")).unwrap();
+    slots.acquire(0, &owner("a")).unwrap();
+    assert!(slots.acquire(0, &owner("b")).unwrap_err().reclaim_from.is_some());
+    slots.release(&owner("a"));
+    assert!(slots.acquire(CLAIM_DURATION - 1, &owner("a")).is_err());
+    assert!(slots.acquire(CLAIM_DURATION, &owner("a")).is_ok());
+}
+
+#[test]
+fn each_exceeded_bound_is_named() {
+    let mut slots = table(10);
+    let one = |name: &str| BTreeMap::from([(Rc::from(name), 1)]);
+    let with = |change: fn(&mut SlotConfig, BTreeMap<Rc<str>, u32>), name: &str| {
+        let mut config = SlotConfig { capacity: 10, ..SlotConfig::default() };
+        change(&mut config, one(name));
+        config
+    };
+    slots.acquire(0, &owner("t")).unwrap();
+    for (config, reason) in [
+        (with(|config, one| config.tenants = one, "t"), SlotUnavailable::Tenant),
+        (with(|config, one| config.routes = one, "r"), SlotUnavailable::Route),
+        (with(|config, one| config.clusters = one, "c"), SlotUnavailable::Cluster),
+        (SlotConfig { capacity: 1, ..SlotConfig::default() }, SlotUnavailable::Full),
+    ] {
+        slots.configure(config);
+        assert_eq!(slots.acquire(0, &owner("t")).unwrap_err().reason, reason);
+    }
+    slots.release(&owner("t"));
+    assert!(slots.acquire(0, &owner("t")).is_ok());
+}
+
+proptest! {
+    /// Never more than there are; whoever keeps asking and is below its share gets there,
+    /// since those over theirs leave as they are asked; and what was taken is given back.
+    #[test]
+    fn slots_are_bounded_and_come_to_be_shared(
+        capacity in 4u32..40,
+        steps in prop::collection::vec((0usize..4, 0u8..4), 1..400),
+    ) {
+        let names = ["a", "b", "c", "d"];
+        let mut slots = table(capacity);
+        let mut open = [0u32; 4];
+        let mut now = 0;
+        for (who, what) in steps {
+            now += S / 10;
+            if what == 0 && open[who] > 0 {
+                slots.release(&owner(names[who]));
+                open[who] -= 1;
+            } else if slots.acquire(now, &owner(names[who])).is_ok() {
+                open[who] += 1;
+            }
+            prop_assert!(slots.occupied() <= capacity);
+            prop_assert_eq!(slots.occupied(), open.iter().sum::<u32>());
+        }
+        // All four want as many as they can get, and go when they are asked.
+        for _ in 0..200 {
+            for who in 0..4 {
+                now += S / 10;
+                match slots.acquire(now, &owner(names[who])) {
+                    Ok(()) => open[who] += 1,
+                    Err(SlotRejected { reclaim_from: Some(from), .. }) => {
+                        let from = names.iter().position(|name| **name == *from).unwrap();
+                        slots.release(&owner(names[from]));
+                        open[from] -= 1;
+                    }
+                    Err(_) => {}
+                }
+            }
+        }
+        let part = capacity / 4;
+        prop_assert!(open.iter().all(|occupied| *occupied >= part.max(1)), "{open:?} of {capacity}");
+        for (who, occupied) in open.iter().enumerate() {
+            (0..*occupied).for_each(|_| slots.release(&owner(names[who])));
+        }
+        prop_assert_eq!(slots.occupied(), 0);
+    }
+}
