--- a/crates/routing/benches/routes.rs
+++ b/crates/routing/benches/routes.rs
@@ -1,7 +1,7 @@
 //! Cost of a match at 10, 1,000 and 10,000 routes: `cargo bench -p mintshelf-routing`.
 
 use http::{HeaderMap, Method};
-use mintshelf_routing::{Host, PathMatch, Pattern, Probe, Rule, Table};
+use mintshelf_routing::{HostMatch, PathMatch, Pattern, RequestView, RouteRule, RouteTable};
 use std::hint::black_box;
 use std::sync::Arc;
 use std::time::Instant;
@@ -9,7 +9,7 @@
 const ROUNDS: usize = 200_000;
 
 /// Routes as teams write them: hosts with a few paths each, some exact, some by method.
-fn rules(count: usize, regexes: bool) -> Vec<Arc<Rule>> {
+fn rules(count: usize, regexes: bool) -> Vec<Arc<RouteRule>> {
     let rule = |n: usize| {
         let host = format!("team{}.example", n / 10);
         let path = match n % 10 {
@@ -22,17 +22,17 @@
             _ => PathMatch::Prefix(format!("/api/v{n}/devices")),
         };
         let host = match n % 50 {
-            7 => Host::Under(format!("team{}.example", n / 10)),
-            _ => Host::Exact(host),
+            7 => HostMatch::Under(format!("team{}.example", n / 10)),
+            _ => HostMatch::Exact(host),
         };
         let methods = if n.is_multiple_of(3) { vec![Method::GET] } else { Vec::new() };
-        Arc::new(Rule { hosts: vec![host], path, methods, ..Rule::default() })
+        Arc::new(RouteRule { hosts: vec![host], path, methods, ..RouteRule::default() })
     };
     (0..count).map(rule).collect()
 }
 
 /// Nanoseconds a look-up, over requests spread over all routes.
-fn cost(table: &Table, count: usize, naively: bool) -> f64 {
+fn cost(table: &RouteTable, count: usize, naively: bool) -> f64 {
     let headers = HeaderMap::new();
     let asked: Vec<(String, String)> = (0..997)
         .map(|n| {
@@ -44,8 +44,8 @@
     let begun = Instant::now();
     for round in 0..rounds {
         let (host, path) = &asked[round % asked.len()];
-        let probe = Probe::new(host, path, &Method::GET, &headers);
-        black_box(if naively { table.find_naively(&probe) } else { table.find(&probe) });
+        let probe = RequestView::new(host, path, &Method::GET, &headers);
+        black_box(if naively { table.find_by_scan(&probe) } else { table.find(&probe) });
     }
     begun.elapsed().as_nanos() as f64 / rounds as f64
 }
@@ -57,8 +57,8 @@
     );
     let mut first = None;
     for count in [10, 1_000, 10_000] {
-        let Ok(plain) = Table::new(rules(count, false)) else { return };
-        let Ok(mixed) = Table::new(rules(count, true)) else { return };
+        let Ok(plain) = RouteTable::new(rules(count, false)) else { return };
+        let Ok(mixed) = RouteTable::new(rules(count, true)) else { return };
         cost(&plain, count, false);
         let by_table = cost(&plain, count, false);
         let with_regexes = cost(&mixed, count, false);
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,16 +1,42 @@
 //! Which route a request takes, and which cluster of that route. No I/O.
 //!
-//! Precedence is that of the Gateway API's HTTPRoute (see [`rank`]); the table finds the winner
-//! by look-ups, so its cost goes by the request's own parts and not by the number of routes.
+//! Precedence is that of the Gateway API's `HTTPRoute` (see [`rank`]). [`RouteTable`] finds the
+//! route by look-ups, so that the cost depends on the request's own parts and not on the number
+//! of routes.
+//!
+//! ```
+//! use http::{HeaderMap, Method};
+//! use mintshelf_routing::{HostMatch, PathMatch, RequestView, RouteRule, RouteTable};
+//! use std::sync::Arc;
+//!
+//! let rule = |host: &str, prefix: &str| RouteRule {
+//!     hosts: vec![HostMatch::parse(host).unwrap()],
+//!     path: PathMatch::Prefix(prefix.into()),
+//!     ..RouteRule::default()
+//! };
+//! let rules = [rule("*", "/"), rule("*.example", "/"), rule("*.example", "/api")];
+//! let table = RouteTable::new(rules.map(Arc::new)).unwrap();
+//! let headers = HeaderMap::new();
+//! let request = RequestView::new("a.example:8080", "/api/v1?q=1", &Method::GET, &headers);
+//! assert_eq!(table.find(&request), Some(2));
+//! ```
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+pub mod host;
+pub mod path;
 pub mod pattern;
 pub mod rank;
+pub mod request;
+pub mod rule;
 pub mod split;
 pub mod table;
 
-pub use pattern::{Failure, Host, PathMatch, Pattern, Probe, Rule, Test, Value};
-pub use split::Split;
-pub use table::Table;
+pub use host::{HostError, HostMatch};
+pub use path::PathMatch;
+pub use pattern::{Pattern, PatternError};
+pub use request::{Mismatch, RequestView};
+pub use rule::{FieldMatch, RouteRule, ValueMatch};
+pub use split::ClusterSplit;
+pub use table::{RouteTable, TableError};
--- /dev/null
+++ b/crates/routing/src/path.rs
@@ -0,0 +1,42 @@
+//! Paths that a route matches.
+
+use crate::pattern::Pattern;
+
+/// What a route requires of the path.
+#[derive(Debug, Clone, PartialEq)]
+pub enum PathMatch {
+    /// This path only.
+    Exact(String),
+    /// The expression matches the whole path.
+    Regex(Pattern),
+    /// These elements come first: `/a` matches `/a` and `/a/b`, never `/ab`. A slash at the end
+    /// does not count.
+    Prefix(String),
+}
+
+impl PathMatch {
+    /// Whether it matches a path, which is as sent.
+    pub fn matches(&self, path: &str) -> bool {
+        match self {
+            PathMatch::Exact(exact) => exact == path,
+            PathMatch::Regex(pattern) => pattern.matches(path),
+            PathMatch::Prefix(prefix) => after_prefix(prefix, path).is_some(),
+        }
+    }
+}
+
+/// What follows a prefix of whole elements in a path; it is empty or begins with a slash. None if
+/// the path does not begin with the prefix.
+pub fn after_prefix<'path>(prefix: &str, path: &'path str) -> Option<&'path str> {
+    let suffix = path.strip_prefix(prefix.trim_end_matches('/'))?;
+    (suffix.is_empty() || suffix.starts_with('/')).then_some(suffix)
+}
+
+/// Whether a path has an element `.` or `..`, plain or escaped. A server could resolve it, and
+/// serve another path than the one that was routed.
+pub fn has_dot_segments(path: &str) -> bool {
+    path.split('/').any(|element| {
+        let unescaped = element.replace("%2e", ".").replace("%2E", ".");
+        unescaped == "." || unescaped == ".."
+    })
+}
--- a/crates/routing/src/rank.rs
+++ b/crates/routing/src/rank.rs
@@ -1,33 +1,72 @@
-//! Which of two routes that both match wins.
+//! Which of two routes that match a request takes precedence.
 //!
-//! As the Gateway API states it for HTTPRoute: the more specific host (exact before wildcard,
+//! As the Gateway API states it for `HTTPRoute`: the more specific host (exact before wildcard,
 //! the longer suffix first, then any), then the path (exact, then the prefix with the most
 //! characters), then a method match, then the most header matches, then the most query
 //! matches, then the route that was written first. The API leaves regular expressions open:
 //! here they stand between exact paths and prefixes, the longer text first.
 
-use crate::pattern::{Host, PathMatch, Rule};
+use crate::host::HostMatch;
+use crate::path::PathMatch;
+use crate::rule::RouteRule;
 use std::cmp::Reverse;
 
-/// How specific a host is: more is better.
-pub fn host(host: &Host) -> (u8, usize) {
+/// How specific a host is; the greater takes precedence.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub enum HostRank {
+    /// Any host.
+    Any,
+    /// A wildcard, with the length of its suffix.
+    Under(usize),
+    /// One host.
+    Exact,
+}
+
+/// How specific a path is; the greater takes precedence.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub enum PathRank {
+    /// A prefix, with its length.
+    Prefix(usize),
+    /// An expression, with the length of its text.
+    Regex(usize),
+    /// One path.
+    Exact,
+}
+
+/// How specific the other conditions are, and the place in the file; the greater takes
+/// precedence. The order of the fields is that of the rules.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub struct DetailRank {
+    has_methods: bool,
+    headers: usize,
+    query_parameters: usize,
+    index: Reverse<usize>,
+}
+
+/// The rank of a host.
+pub fn host(host: &HostMatch) -> HostRank {
     match host {
-        Host::Exact(name) => (2, name.len()),
-        Host::Under(suffix) => (1, suffix.len()),
-        Host::Any => (0, 0),
+        HostMatch::Exact(_) => HostRank::Exact,
+        HostMatch::Under(suffix) => HostRank::Under(suffix.len()),
+        HostMatch::Any => HostRank::Any,
     }
 }
 
-/// How specific a path is: more is better.
-pub fn path(path: &PathMatch) -> (u8, usize) {
+/// The rank of a path.
+pub fn path(path: &PathMatch) -> PathRank {
     match path {
-        PathMatch::Exact(path) => (2, path.len()),
-        PathMatch::Regex(pattern) => (1, pattern.text().len()),
-        PathMatch::Prefix(prefix) => (0, prefix.trim_end_matches('/').len()),
+        PathMatch::Exact(_) => PathRank::Exact,
+        PathMatch::Regex(pattern) => PathRank::Regex(pattern.text().len()),
+        PathMatch::Prefix(prefix) => PathRank::Prefix(prefix.trim_end_matches('/').len()),
     }
 }
 
-/// How specific the rest of a rule is, then its place in the file: the greatest wins.
-pub fn details(rule: &Rule, place: usize) -> (bool, usize, usize, Reverse<usize>) {
-    (!rule.methods.is_empty(), rule.headers.len(), rule.query.len(), Reverse(place))
+/// The rank of the other conditions of a rule, which has this place in the file.
+pub fn details(rule: &RouteRule, index: usize) -> DetailRank {
+    DetailRank {
+        has_methods: !rule.methods.is_empty(),
+        headers: rule.headers.len(),
+        query_parameters: rule.query.len(),
+        index: Reverse(index),
+    }
 }
--- /dev/null
+++ b/crates/routing/src/request.rs
@@ -0,0 +1,121 @@
+//! A request as routing sees it, and how it meets a rule.
+
+use crate::rule::{FieldMatch, RouteRule};
+use http::{HeaderMap, Method};
+use std::borrow::Cow;
+use std::fmt;
+
+/// A request as routing sees it.
+#[derive(Debug, Clone)]
+pub struct RequestView<'request> {
+    /// Its host in lower case, without a port; empty if it names none.
+    pub host: Cow<'request, str>,
+    /// Its path, as sent: nothing is decoded.
+    pub path: &'request str,
+    /// Its query, as sent.
+    pub query: &'request str,
+    /// Its method.
+    pub method: &'request Method,
+    /// Its headers.
+    pub headers: &'request HeaderMap,
+}
+
+/// The host without its port and without the dot of the root at its end.
+fn host_name(host: &str) -> &str {
+    let is_port = |text: &str| text.bytes().all(|byte| byte.is_ascii_digit());
+    let name = match host.rsplit_once(':') {
+        // Colons are in an IPv6 address, too, which has brackets where there is a port.
+        Some((name, port)) if is_port(port) && (!name.contains(':') || name.ends_with(']')) => name,
+        _ => host,
+    };
+    name.strip_suffix('.').unwrap_or(name)
+}
+
+impl<'request> RequestView<'request> {
+    /// A request by its parts; `host` may have a port and capitals.
+    pub fn new(
+        host: &'request str,
+        path_and_query: &'request str,
+        method: &'request Method,
+        headers: &'request HeaderMap,
+    ) -> Self {
+        let name = host_name(host);
+        let host = match name.bytes().any(|byte| byte.is_ascii_uppercase()) {
+            true => Cow::Owned(name.to_ascii_lowercase()),
+            false => Cow::Borrowed(name),
+        };
+        let (path, query) = path_and_query.split_once('?').unwrap_or((path_and_query, ""));
+        RequestView { host, path, query, method, headers }
+    }
+
+    /// The values of a query parameter, as sent.
+    pub fn query_values<'name>(
+        &self,
+        name: &'name str,
+    ) -> impl Iterator<Item = &'request str> + use<'request, 'name> {
+        let parameters = self.query.split('&');
+        let pairs = parameters.map(|pair| pair.split_once('=').unwrap_or((pair, "")));
+        pairs.filter(move |(key, _)| *key == name).map(|(_, value)| value)
+    }
+
+    /// The first condition of a rule that the request does not meet; none if it meets all. Host
+    /// and path come first, since they decide most often.
+    pub fn mismatch<'rule>(&self, rule: &'rule RouteRule) -> Option<Mismatch<'rule>> {
+        if !rule.hosts().iter().any(|host| host.matches(&self.host)) {
+            return Some(Mismatch::Host);
+        }
+        if !rule.path.matches(self.path) {
+            return Some(Mismatch::Path);
+        }
+        self.detail_mismatch(rule)
+    }
+
+    /// The same without host and path.
+    pub fn detail_mismatch<'rule>(&self, rule: &'rule RouteRule) -> Option<Mismatch<'rule>> {
+        if !rule.methods.is_empty() && !rule.methods.contains(self.method) {
+            return Some(Mismatch::Method);
+        }
+        if let Some(header) = rule.headers.iter().find(|header| !self.matches_header(header)) {
+            return Some(Mismatch::Header(&header.name));
+        }
+        let parameter = rule.query.iter().find(|parameter| !self.matches_query(parameter))?;
+        Some(Mismatch::Query(&parameter.name))
+    }
+
+    /// Of several values one has to match: the Gateway API leaves that open.
+    fn matches_header(&self, header: &FieldMatch) -> bool {
+        let mut values = self.headers.get_all(header.name.as_str()).iter();
+        values.any(|value| value.to_str().is_ok_and(|value| header.value.matches(value)))
+    }
+
+    fn matches_query(&self, parameter: &FieldMatch) -> bool {
+        self.query_values(&parameter.name).any(|value| parameter.value.matches(value))
+    }
+}
+
+/// The condition of a rule that a request does not meet.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Mismatch<'rule> {
+    /// Its host is not served.
+    Host,
+    /// Its path does not match.
+    Path,
+    /// Its method is not among those named.
+    Method,
+    /// The header with this name is absent or does not match.
+    Header(&'rule str),
+    /// The query parameter with this name is absent or does not match.
+    Query(&'rule str),
+}
+
+impl fmt::Display for Mismatch<'_> {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Mismatch::Host => write!(formatter, "the host is not one of its hosts"),
+            Mismatch::Path => write!(formatter, "the path does not match"),
+            Mismatch::Method => write!(formatter, "the method is not one of its methods"),
+            Mismatch::Header(name) => write!(formatter, "header '{name}' does not pass"),
+            Mismatch::Query(name) => write!(formatter, "query parameter '{name}' does not pass"),
+        }
+    }
+}
--- /dev/null
+++ b/crates/routing/src/rule.rs
@@ -0,0 +1,75 @@
+//! Which requests a route matches.
+
+use crate::host::HostMatch;
+use crate::path::PathMatch;
+use crate::pattern::Pattern;
+use http::Method;
+
+/// What a header or a query parameter has to contain.
+#[derive(Debug, Clone, PartialEq)]
+pub enum ValueMatch {
+    /// Anything: it only has to be there.
+    Present,
+    /// This value.
+    Exact(String),
+    /// The expression matches the whole value.
+    Regex(Pattern),
+}
+
+impl ValueMatch {
+    /// Whether it matches a value.
+    pub fn matches(&self, value: &str) -> bool {
+        match self {
+            ValueMatch::Present => true,
+            ValueMatch::Exact(text) => text == value,
+            ValueMatch::Regex(pattern) => pattern.matches(value),
+        }
+    }
+}
+
+/// A header or a query parameter that has to match.
+#[derive(Debug, Clone, PartialEq)]
+pub struct FieldMatch {
+    /// Its name; that of a header in lower case.
+    pub name: String,
+    /// What it has to contain.
+    pub value: ValueMatch,
+}
+
+/// The requests that a route matches: those that meet all of the conditions.
+#[derive(Debug, Clone, PartialEq)]
+pub struct RouteRule {
+    /// The host is one of these; empty for any.
+    pub hosts: Vec<HostMatch>,
+    /// The path matches this.
+    pub path: PathMatch,
+    /// The method is one of these; empty for any.
+    pub methods: Vec<Method>,
+    /// Each of these headers matches.
+    pub headers: Vec<FieldMatch>,
+    /// Each of these query parameters matches.
+    pub query: Vec<FieldMatch>,
+}
+
+impl Default for RouteRule {
+    /// Matches every request.
+    fn default() -> Self {
+        RouteRule {
+            hosts: Vec::new(),
+            path: PathMatch::Prefix("/".into()),
+            methods: Vec::new(),
+            headers: Vec::new(),
+            query: Vec::new(),
+        }
+    }
+}
+
+impl RouteRule {
+    /// The hosts; any host where none is named.
+    pub(crate) fn hosts(&self) -> &[HostMatch] {
+        match self.hosts.is_empty() {
+            true => &[HostMatch::Any],
+            false => &self.hosts,
+        }
+    }
+}
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -1,171 +1,219 @@
-//! Finds the route that wins, by look-ups.
+//! Finds the route of a request by look-ups.
 
-use crate::pattern::{Host, PathMatch, Probe, Rule};
+use crate::host::HostMatch;
+use crate::path::PathMatch;
+use crate::pattern::anchored;
 use crate::rank;
+use crate::request::RequestView;
+use crate::rule::RouteRule;
 use regex::RegexSet;
 use std::cmp::Reverse;
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Most bytes that the expressions of one host may take together.
-const SET_SIZE: usize = 64 << 20;
+/// Upper bound of the bytes of all compiled expressions of one host.
+const MAX_SET_BYTES: usize = 64 << 20;
 
-/// Routes that share host and path, the winner of those that match first.
-type Ranked = Vec<usize>;
+/// The places of rules with the same host and path, in the order of their precedence.
+type RankedRules = Vec<usize>;
 
+/// The rules of one host by their paths.
 #[derive(Debug, Default)]
-struct Paths {
-    exact: HashMap<String, Ranked>,
-    /// Longest text first, with its routes; the set has the same order.
-    regexes: Vec<(String, Ranked)>,
-    set: Option<RegexSet>,
+struct PathTable {
+    exact: HashMap<String, RankedRules>,
+    /// Longest text first; the set has the same order.
+    regexes: Vec<RegexEntry>,
+    regex_set: Option<RegexSet>,
     /// By prefix, without a slash at its end.
-    prefixes: HashMap<String, Ranked>,
-    /// The length of the longest prefix: no need to try longer ones.
-    longest: usize,
+    prefixes: HashMap<String, RankedRules>,
+    /// The length of the longest prefix: longer ones need no look-up.
+    max_prefix_len: usize,
 }
 
-/// All routes of one listener. A look-up costs by the request's labels, path elements
+/// The rules with one expression.
+#[derive(Debug)]
+struct RegexEntry {
+    text: String,
+    rules: RankedRules,
+}
+
+/// All routes of one listener. A look-up costs by the request's labels and path elements
 /// and the routes that share one host and path, not by how many routes there are.
 #[derive(Debug, Default)]
-pub struct Table {
-    rules: Vec<Arc<Rule>>,
-    exact: HashMap<String, Paths>,
-    under: HashMap<String, Paths>,
-    any: Paths,
+pub struct RouteTable {
+    rules: Vec<Arc<RouteRule>>,
+    exact_hosts: HashMap<String, PathTable>,
+    /// By suffix.
+    wildcard_hosts: HashMap<String, PathTable>,
+    any_host: PathTable,
+}
+
+/// Why there is no table for some rules.
+#[derive(Debug, Clone, thiserror::Error)]
+pub enum TableError {
+    /// The expressions of one host are too large together.
+    #[error("expressions of one host: {0}")]
+    Expressions(#[source] regex::Error),
 }
 
-impl Table {
-    /// Lays out rules in the order of the file; `Err` names a rule whose expressions
-    /// together with its host's others are too large.
-    pub fn new(rules: impl IntoIterator<Item = Arc<Rule>>) -> Result<Self, String> {
-        let mut table = Table { rules: rules.into_iter().collect(), ..Table::default() };
-        let rules = std::mem::take(&mut table.rules);
-        for (place, rule) in rules.iter().enumerate() {
-            let any = [Host::Any];
-            let hosts = if rule.hosts.is_empty() { &any[..] } else { &rule.hosts[..] };
-            for host in hosts {
-                let paths = match host {
-                    Host::Any => &mut table.any,
-                    Host::Exact(name) => table.exact.entry(name.clone()).or_default(),
-                    Host::Under(suffix) => table.under.entry(suffix.clone()).or_default(),
-                };
-                paths.add(&rule.path, place);
+impl RouteTable {
+    /// A table of rules, which are in the order of the file.
+    ///
+    /// # Errors
+    ///
+    /// If the expressions of one host are too large together.
+    pub fn new(rules: impl IntoIterator<Item = Arc<RouteRule>>) -> Result<Self, TableError> {
+        let rules: Vec<Arc<RouteRule>> = rules.into_iter().collect();
+        let mut table = RouteTable::default();
+        for (index, rule) in rules.iter().enumerate() {
+            for host in rule.hosts() {
+                table.host_mut(host).add(&rule.path, index);
             }
         }
-        let all = table.exact.values_mut().chain(table.under.values_mut());
-        for paths in all.chain([&mut table.any]) {
-            paths.settle(&rules)?;
+        let named = table.exact_hosts.values_mut().chain(table.wildcard_hosts.values_mut());
+        for paths in named.chain([&mut table.any_host]) {
+            paths.finish(&rules)?;
+        }
+        Ok(RouteTable { rules, ..table })
+    }
+
+    fn host_mut(&mut self, host: &HostMatch) -> &mut PathTable {
+        match host {
+            HostMatch::Any => &mut self.any_host,
+            HostMatch::Exact(name) => self.exact_hosts.entry(name.clone()).or_default(),
+            HostMatch::Under(suffix) => self.wildcard_hosts.entry(suffix.clone()).or_default(),
         }
-        table.rules = rules;
-        Ok(table)
     }
 
-    /// The place of the route that wins; none if no route matches.
-    pub fn find(&self, probe: &Probe) -> Option<usize> {
-        let host = probe.host.as_ref();
-        let exact = self.exact.get(host).and_then(|paths| paths.find(self, probe));
+    /// The place of the rule that takes precedence, from 0 in the order of the file; none if no
+    /// rule matches.
+    pub fn find(&self, request: &RequestView) -> Option<usize> {
+        let exact = self.exact_hosts.get(request.host.as_ref());
         exact
-            .or_else(|| {
-                // From the longest suffix to the shortest.
-                let mut dots = host.bytes().enumerate().filter(|(_, b)| *b == b'.');
-                let wild = (!self.under.is_empty()).then_some(());
-                wild.and_then(|()| {
-                    dots.find_map(|(at, _)| self.under.get(&host[at + 1..])?.find(self, probe))
-                })
-            })
-            .or_else(|| self.any.find(self, probe))
+            .and_then(|paths| paths.find(&self.rules, request))
+            .or_else(|| self.find_by_wildcard(request))
+            .or_else(|| self.any_host.find(&self.rules, request))
+    }
+
+    /// Tries the suffixes of the host, from the longest to the shortest.
+    fn find_by_wildcard(&self, request: &RequestView) -> Option<usize> {
+        if self.wildcard_hosts.is_empty() {
+            return None;
+        }
+        let host = request.host.as_ref();
+        let dots = host.bytes().enumerate().filter(|(_, byte)| *byte == b'.');
+        let mut suffixes = dots.map(|(dot, _)| &host[dot + 1..]);
+        suffixes.find_map(|suffix| self.wildcard_hosts.get(suffix)?.find(&self.rules, request))
     }
 
     /// The rules, in the order of the file.
-    pub fn rules(&self) -> &[Arc<Rule>] {
+    pub fn rules(&self) -> &[Arc<RouteRule>] {
         &self.rules
     }
 
-    /// The plain way to the same answer, for tests: every rule is asked.
-    pub fn find_naively(&self, probe: &Probe) -> Option<usize> {
-        let any = [Host::Any];
-        let hits = self.rules.iter().enumerate().filter(|(_, r)| probe.fails(r).is_none());
-        let best = hits.max_by_key(|(place, rule)| {
-            let hosts = if rule.hosts.is_empty() { &any[..] } else { &rule.hosts[..] };
-            let taking = hosts.iter().filter(|h| h.takes(&probe.host)).map(rank::host);
-            let path = rank::path(&rule.path);
-            (taking.max(), path, rank::details(rule, *place))
+    /// The same as [`RouteTable::find`] by a scan of all rules, for tests and benchmarks.
+    pub fn find_by_scan(&self, request: &RequestView) -> Option<usize> {
+        let rules = self.rules.iter().enumerate();
+        let matching = rules.filter(|(_, rule)| request.mismatch(rule).is_none());
+        let first = matching.max_by_key(|(index, rule)| {
+            let hosts = rule.hosts().iter().filter(|host| host.matches(&request.host));
+            let host = hosts.map(rank::host).max();
+            (host, rank::path(&rule.path), rank::details(rule, *index))
         });
-        best.map(|(place, _)| place)
+        first.map(|(index, _)| index)
     }
 }
 
-impl Paths {
-    fn add(&mut self, path: &PathMatch, place: usize) {
-        let ranked = match path {
+impl PathTable {
+    fn add(&mut self, path: &PathMatch, index: usize) {
+        let rules = match path {
             PathMatch::Exact(path) => self.exact.entry(path.clone()).or_default(),
             PathMatch::Prefix(prefix) => {
                 let prefix = prefix.trim_end_matches('/');
-                self.longest = self.longest.max(prefix.len());
+                self.max_prefix_len = self.max_prefix_len.max(prefix.len());
                 self.prefixes.entry(prefix.to_string()).or_default()
             }
-            PathMatch::Regex(pattern) => {
-                let at = self.regexes.iter().position(|(text, _)| text == pattern.text());
-                let at = at.unwrap_or_else(|| {
-                    self.regexes.push((pattern.text().to_string(), Ranked::new()));
-                    self.regexes.len() - 1
-                });
-                &mut self.regexes[at].1
-            }
+            PathMatch::Regex(pattern) => self.regex_mut(pattern.text()),
         };
-        if ranked.last() != Some(&place) {
-            ranked.push(place);
+        if rules.last() != Some(&index) {
+            rules.push(index);
         }
     }
 
-    fn settle(&mut self, rules: &[Arc<Rule>]) -> Result<(), String> {
-        self.regexes.sort_by_key(|(text, _)| Reverse(text.len()));
-        let ranked = self.exact.values_mut().chain(self.prefixes.values_mut());
-        for ranked in ranked.chain(self.regexes.iter_mut().map(|(_, ranked)| ranked)) {
-            ranked.sort_by_key(|place| Reverse(rank::details(&rules[*place], *place)));
+    fn regex_mut(&mut self, text: &str) -> &mut RankedRules {
+        let known = self.regexes.iter().position(|entry| entry.text == text);
+        let position = known.unwrap_or_else(|| {
+            self.regexes.push(RegexEntry { text: text.to_string(), rules: RankedRules::new() });
+            self.regexes.len() - 1
+        });
+        &mut self.regexes[position].rules
+    }
+
+    /// Puts everything in the order of precedence, once all rules are added.
+    fn finish(&mut self, rules: &[Arc<RouteRule>]) -> Result<(), TableError> {
+        self.regexes.sort_by_key(|entry| Reverse(entry.text.len()));
+        let by_text = self.exact.values_mut().chain(self.prefixes.values_mut());
+        for ranked in by_text.chain(self.regexes.iter_mut().map(|entry| &mut entry.rules)) {
+            ranked.sort_by_key(|index| Reverse(rank::details(&rules[*index], *index)));
         }
         if !self.regexes.is_empty() {
-            let whole = self.regexes.iter().map(|(text, _)| format!("^(?:{text})$"));
-            let set = regex::RegexSetBuilder::new(whole).size_limit(SET_SIZE).build();
-            self.set = Some(set.map_err(|e| format!("expressions of one host: {e}"))?);
+            let expressions = self.regexes.iter().map(|entry| anchored(&entry.text));
+            let mut builder = regex::RegexSetBuilder::new(expressions);
+            let set = builder.size_limit(MAX_SET_BYTES).build();
+            self.regex_set = Some(set.map_err(TableError::Expressions)?);
         }
         Ok(())
     }
 
-    fn find(&self, table: &Table, probe: &Probe) -> Option<usize> {
-        let first = |ranked: &Ranked| {
-            ranked.iter().copied().find(|place| probe.fails_details(&table.rules[*place]).is_none())
-        };
-        if let Some(place) = self.exact.get(probe.path).and_then(first) {
-            return Some(place);
-        }
-        if let Some(set) = &self.set {
-            // Expressions of one length win in the order of the file, as all ties do.
-            let mut best: Option<(usize, usize)> = None;
-            for at in set.matches(probe.path) {
-                let (text, ranked) = &self.regexes[at];
-                if best.is_some_and(|(len, _)| text.len() < len) {
-                    break;
-                }
-                let Some(place) = first(ranked) else { continue };
-                let rank = |place: usize| rank::details(&table.rules[place], place);
-                if best.is_none_or(|(_, other)| rank(place) > rank(other)) {
-                    best = Some((text.len(), place));
-                }
+    fn find(&self, rules: &[Arc<RouteRule>], request: &RequestView) -> Option<usize> {
+        let first = |ranked: &RankedRules| first_match(ranked, rules, request);
+        self.exact
+            .get(request.path)
+            .and_then(first)
+            .or_else(|| self.find_by_regex(rules, request))
+            .or_else(|| self.find_by_prefix(rules, request))
+    }
+
+    /// The longest expressions that match come first; those of one length take precedence by the
+    /// other conditions, as all ties do.
+    fn find_by_regex(&self, rules: &[Arc<RouteRule>], request: &RequestView) -> Option<usize> {
+        let set = self.regex_set.as_ref()?;
+        let mut best: Option<usize> = None;
+        let mut best_len = 0;
+        for position in set.matches(request.path) {
+            let entry = &self.regexes[position];
+            if best.is_some() && entry.text.len() < best_len {
+                break;
             }
-            if let Some((_, place)) = best {
-                return Some(place);
+            let Some(index) = first_match(&entry.rules, rules, request) else { continue };
+            let rank = |index: usize| rank::details(&rules[index], index);
+            if best.is_none_or(|best| rank(index) > rank(best)) {
+                best = Some(index);
+                best_len = entry.text.len();
             }
         }
+        best
+    }
+
+    /// Tries the path itself, then cut at every slash from the end.
+    fn find_by_prefix(&self, rules: &[Arc<RouteRule>], request: &RequestView) -> Option<usize> {
         if self.prefixes.is_empty() {
             return None;
         }
-        // The path itself, then cut at every slash from the end.
-        let path = probe.path;
-        let ends = std::iter::once(path.len())
-            .chain(path.bytes().enumerate().rev().filter(|(_, b)| *b == b'/').map(|(at, _)| at));
-        ends.filter(|end| *end <= self.longest)
-            .find_map(|end| self.prefixes.get(&path[..end]).and_then(first))
+        let path = request.path;
+        let slashes = path.bytes().enumerate().rev().filter(|(_, byte)| *byte == b'/');
+        let ends = std::iter::once(path.len()).chain(slashes.map(|(slash, _)| slash));
+        ends.filter(|end| *end <= self.max_prefix_len)
+            .filter_map(|end| self.prefixes.get(&path[..end]))
+            .find_map(|ranked| first_match(ranked, rules, request))
     }
 }
+
+/// The first of the rules that matches a request, whose host and path match.
+fn first_match(
+    ranked: &RankedRules,
+    rules: &[Arc<RouteRule>],
+    request: &RequestView,
+) -> Option<usize> {
+    ranked.iter().copied().find(|index| request.detail_mismatch(&rules[*index]).is_none())
+}
--- a/crates/routing/tests/matching.rs
+++ b/crates/routing/tests/matching.rs
@@ -5,8 +5,8 @@
 use proptest::prelude::*;
 use std::sync::Arc;
 
-fn rule(host: &str, path: PathMatch) -> Rule {
-    Rule { hosts: vec![Host::parse(host).unwrap()], path, ..Rule::default() }
+fn rule(host: &str, path: PathMatch) -> RouteRule {
+    RouteRule { hosts: vec![HostMatch::parse(host).unwrap()], path, ..RouteRule::default() }
 }
 
 fn prefix(path: &str) -> PathMatch {
@@ -21,12 +21,12 @@
     PathMatch::Regex(Pattern::new(text).unwrap())
 }
 
-fn table(rules: Vec<Rule>) -> Table {
-    Table::new(rules.into_iter().map(Arc::new)).unwrap()
+fn table(rules: Vec<RouteRule>) -> RouteTable {
+    RouteTable::new(rules.into_iter().map(Arc::new)).unwrap()
 }
 
-fn find(table: &Table, host: &str, path: &str) -> Option<usize> {
-    table.find(&Probe::new(host, path, &Method::GET, &HeaderMap::new()))
+fn find(table: &RouteTable, host: &str, path: &str) -> Option<usize> {
+    table.find(&RequestView::new(host, path, &Method::GET, &HeaderMap::new()))
 }
 
 #[test]
@@ -69,13 +69,15 @@
 #[test]
 fn then_method_headers_query_and_the_place_in_the_file() {
     let on = |methods: Vec<Method>, headers: usize, query: usize| {
-        let test =
-            |name: &str, n: usize| Test { name: format!("{name}{n}"), value: Value::Present };
-        Rule {
+        let test = |name: &str, n: usize| FieldMatch {
+            name: format!("{name}{n}"),
+            value: ValueMatch::Present,
+        };
+        RouteRule {
             methods,
             headers: (0..headers).map(|n| test("x-", n)).collect(),
             query: (0..query).map(|n| test("q", n)).collect(),
-            ..Rule::default()
+            ..RouteRule::default()
         }
     };
     let t = table(vec![
@@ -87,7 +89,7 @@
         on(vec![Method::GET], 0, 0),
     ]);
     let mut headers = HeaderMap::new();
-    let get = |m: &Method, uri: &str, h: &HeaderMap| t.find(&Probe::new("", uri, m, h));
+    let get = |m: &Method, uri: &str, h: &HeaderMap| t.find(&RequestView::new("", uri, m, h));
     assert_eq!(get(&Method::GET, "/?q0=1", &headers), Some(4));
     assert_eq!(get(&Method::PUT, "/", &headers), Some(0));
     assert_eq!(get(&Method::PUT, "/?q0", &headers), Some(1));
@@ -100,34 +102,36 @@
 #[test]
 fn hosts_and_expressions_that_mean_nothing_are_refused() {
     for text in ["", "a b", "a.*", "*a", "http://a", "a:80", "a..b", "[::zz]", "*."] {
-        assert!(Host::parse(text).is_err(), "{text}");
+        assert!(HostMatch::parse(text).is_err(), "{text}");
     }
     for text in ["(", "a)|(b", "[", "(?:a{1000}){1000}"] {
         assert!(Pattern::new(text).is_err(), "{text}");
     }
-    assert!(Pattern::new("a|b").unwrap().takes("b") && !Pattern::new("a|b").unwrap().takes("ab"));
+    assert!(
+        Pattern::new("a|b").unwrap().matches("b") && !Pattern::new("a|b").unwrap().matches("ab")
+    );
 }
 
 #[test]
 fn paths_that_climb_are_seen() {
     for path in ["/a/../b", "/..", "/a/.", "/%2e%2E/a", "/.%2e/"] {
-        assert!(mintshelf_routing::pattern::has_dot_segments(path), "{path}");
+        assert!(mintshelf_routing::path::has_dot_segments(path), "{path}");
     }
     for path in ["/a..b", "/...", "/a/.b", "/"] {
-        assert!(!mintshelf_routing::pattern::has_dot_segments(path), "{path}");
+        assert!(!mintshelf_routing::path::has_dot_segments(path), "{path}");
     }
 }
 
 #[test]
 fn a_split_goes_by_weight_and_sticks_to_its_key() {
-    let split = |b: u32| Split::new([("a".to_string(), 1), ("b".to_string(), b)]).unwrap();
+    let split = |b: u32| ClusterSplit::new([("a".to_string(), 1), ("b".to_string(), b)]).unwrap();
     let (three, four) = (split(3), split(4));
     let keys: Vec<[u8; 4]> = (0..20_000u32).map(u32::to_le_bytes).collect();
     let to_b = keys.iter().filter(|k| three.pick(&k[..]) == "b").count();
     assert!((14_500..15_500).contains(&to_b), "{to_b}");
     // With more weight on b no key leaves it.
     assert!(keys.iter().all(|k| three.pick(&k[..]) == "a" || four.pick(&k[..]) == "b"));
-    assert!(Split::new([("a".to_string(), 0)]).is_none());
+    assert!(ClusterSplit::new([("a".to_string(), 0)]).is_none());
 }
 
 fn host_strategy() -> impl Strategy<Value = String> {
@@ -139,11 +143,11 @@
         .prop_map(|parts| format!("/{}", parts.join("/")))
 }
 
-fn rule_strategy() -> impl Strategy<Value = Rule> {
+fn rule_strategy() -> impl Strategy<Value = RouteRule> {
     let host = (host_strategy(), 0..3).prop_map(|(name, kind)| match kind {
-        0 => Host::Any,
-        1 => Host::Under(name),
-        _ => Host::Exact(name),
+        0 => HostMatch::Any,
+        1 => HostMatch::Under(name),
+        _ => HostMatch::Exact(name),
     });
     let path = (path_strategy(), 0..3, 0usize..4).prop_map(|(path, kind, which)| match kind {
         0 => prefix(&path),
@@ -153,12 +157,12 @@
     let method = prop::sample::select(vec![Method::GET, Method::PUT, Method::DELETE]);
     let tests = |names: [&'static str; 2]| {
         let value = prop::sample::select(vec![
-            Value::Present,
-            Value::Exact("1".into()),
-            Value::Regex(Pattern::new("[0-9]").unwrap()),
+            ValueMatch::Present,
+            ValueMatch::Exact("1".into()),
+            ValueMatch::Regex(Pattern::new("[0-9]").unwrap()),
         ]);
         let test = (prop::sample::select(names.to_vec()), value)
-            .prop_map(|(name, value)| Test { name: name.into(), value });
+            .prop_map(|(name, value)| FieldMatch { name: name.into(), value });
         prop::collection::vec(test, 0..3)
     };
     (
@@ -168,7 +172,7 @@
         tests(["x-a", "x-b"]),
         tests(["p", "q"]),
     )
-        .prop_map(|(hosts, path, methods, headers, query)| Rule {
+        .prop_map(|(hosts, path, methods, headers, query)| RouteRule {
             hosts,
             path,
             methods,
@@ -196,8 +200,8 @@
                 headers.insert(HeaderName::from_static("x-a"), header.parse().unwrap());
             }
             let uri = format!("{path}{query}");
-            let probe = Probe::new(&host, &uri, &method, &headers);
-            prop_assert_eq!(table.find(&probe), table.find_naively(&probe), "{} {}", host, uri);
+            let probe = RequestView::new(&host, &uri, &method, &headers);
+            prop_assert_eq!(table.find(&probe), table.find_by_scan(&probe), "{} {}", host, uri);
         }
     }
 }
