--- a/crates/config/src/admission.rs
+++ b/crates/config/src/admission.rs
@@ -1,78 +1,115 @@
-//! The limits of an operator's file as the package of limits takes them.
+//! The limits of an operator's file in the form of admission control.
 
-use crate::model::{File, BODY_SHARE};
-use mintshelf_admission::admission::{AdmissionConfig, LimitConfig};
+use crate::model::{OperatorConfig, BODY_SHARE};
+use mintshelf_admission::admission::AdmissionConfig;
+use mintshelf_admission::limit::LimitConfig;
 use mintshelf_admission::queue::FairQueueConfig;
 use mintshelf_admission::slots::SlotConfig;
-use mintshelf_admission::tenants::{Tenants, OTHER_TENANTS};
+use mintshelf_admission::tenants::{TenantResolver, OTHER_TENANTS};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Part of the descriptors that the requests of all tenants may hold, where the file sets no
-/// number: most of what is left for clients.
-const CLIENTS_SHARE: f64 = 0.5;
-/// A tenant may always hold one body of the longest kind that is held.
-const BODY: u64 = 64 << 10;
+/// Part of the file descriptors that the requests of all tenants may take, where the file states
+/// no concurrency: most of what is left for clients.
+const CLIENT_SHARE: f64 = 0.5;
+/// A tenant may always have one body in memory of the largest kind that is buffered.
+const MIN_BODY_BYTES: u64 = 64 << 10;
+/// Share of the requests that belong to no tenant.
+const OTHERS_SHARE: f64 = 1.0;
 
-/// All limits of a file.
-pub fn admission(file: &File) -> AdmissionConfig {
-    let mut shares: BTreeMap<Rc<str>, f64> = BTreeMap::new();
-    let mut tenants = BTreeMap::new();
-    if !file.tenants.is_empty() {
-        let all: f64 = 1.0 + file.tenants.iter().map(|tenant| tenant.share).sum::<f64>();
-        let limited = |share: f64, limit: LimitConfig| {
-            let part = share / all;
-            let most = (file.limits.sockets as f64 * CLIENTS_SHARE * part) as u32;
-            let bytes = (file.limits.memory as f64 * BODY_SHARE * part) as u64;
-            LimitConfig {
-                most: limit.most.or(Some(most.max(1))),
-                bytes: limit.bytes.or(Some(bytes.max(BODY))),
-                ..limit
-            }
-        };
-        tenants.insert(OTHER_TENANTS.into(), limited(1.0, LimitConfig::default()));
-        for tenant in &file.tenants {
-            let name: Rc<str> = tenant.name.as_str().into();
-            shares.insert(name.clone(), tenant.share);
-            tenants.insert(name, limited(tenant.share, tenant.limit));
-        }
+/// The limits of tenants, routes and clusters.
+pub fn admission_config(config: &OperatorConfig) -> AdmissionConfig {
+    let limited_routes = config.routes.iter().filter(|route| !route.limit.is_unlimited());
+    AdmissionConfig {
+        tenants: tenant_limits(config),
+        routes: limited_routes.map(|route| (route.name.as_str().into(), route.limit)).collect(),
+        clusters: cluster_queues(config),
     }
-    let limited = file.routes.iter().filter(|route| !route.limit.is_none());
-    let routes = limited.map(|route| (route.name.as_str().into(), route.limit)).collect();
-    let gate = |(name, (most, queue)): (&String, (u32, u32))| {
-        (name.as_str().into(), FairQueueConfig { most, queue, shares: shares.clone() })
+}
+
+/// The limits of tenants. What a tenant does not state is its share of the process's.
+fn tenant_limits(config: &OperatorConfig) -> BTreeMap<Rc<str>, LimitConfig> {
+    if config.tenants.is_empty() {
+        return BTreeMap::new();
+    }
+    let shares: f64 = config.tenants.iter().map(|tenant| tenant.share).sum();
+    let total_share = OTHERS_SHARE + shares;
+    let limits = |share: f64, stated: LimitConfig| {
+        let part = share / total_share;
+        let concurrency = (config.limits.file_descriptors as f64 * CLIENT_SHARE * part) as u32;
+        let body_bytes = (config.limits.memory_bytes as f64 * BODY_SHARE * part) as u64;
+        LimitConfig {
+            max_concurrency: stated.max_concurrency.or(Some(concurrency.max(1))),
+            max_body_bytes: stated.max_body_bytes.or(Some(body_bytes.max(MIN_BODY_BYTES))),
+            ..stated
+        }
     };
-    let clusters = file.clusters.iter().filter_map(|(name, c)| Some((name, c.concurrency?)));
-    let clusters = clusters.map(gate).collect();
-    AdmissionConfig { tenants, routes, clusters }
+    let others = (OTHER_TENANTS.into(), limits(OTHERS_SHARE, LimitConfig::default()));
+    let named = config.tenants.iter();
+    let named =
+        named.map(|tenant| (tenant.name.as_str().into(), limits(tenant.share, tenant.limit)));
+    std::iter::once(others).chain(named).collect()
+}
+
+fn tenant_shares(config: &OperatorConfig) -> BTreeMap<Rc<str>, f64> {
+    config.tenants.iter().map(|tenant| (tenant.name.as_str().into(), tenant.share)).collect()
+}
+
+/// The queues of the clusters that are limited.
+fn cluster_queues(config: &OperatorConfig) -> BTreeMap<Rc<str>, FairQueueConfig> {
+    let shares = tenant_shares(config);
+    let limited = config.clusters.iter().filter_map(|(name, cluster)| {
+        let limit = cluster.concurrency?;
+        let queue = FairQueueConfig {
+            max_concurrency: limit.max_concurrency,
+            max_queued: limit.max_queued,
+            shares: shares.clone(),
+        };
+        Some((name.as_str().into(), queue))
+    });
+    limited.collect()
 }
 
-/// The seats of a file's sockets.
-pub fn seats(file: &File) -> SlotConfig {
-    let name = |name: &String| Rc::<str>::from(name.as_str());
-    let tenants = file.tenants.iter();
-    let routes = file.routes.iter().filter_map(|r| Some((name(&r.name), r.limit.sockets?)));
-    let clusters = file.clusters.iter().filter_map(|(of, c)| Some((name(of), c.sockets[0]?)));
+/// The slots of WebSockets.
+pub fn slot_config(config: &OperatorConfig) -> SlotConfig {
+    let tenants = config.tenants.iter().filter_map(|tenant| {
+        let max_sockets = tenant.limit.max_sockets?;
+        Some((tenant.name.as_str().into(), max_sockets))
+    });
+    let routes = config.routes.iter().filter_map(|route| {
+        let max_sockets = route.limit.max_sockets?;
+        Some((route.name.as_str().into(), max_sockets))
+    });
+    let clusters = config.clusters.iter().filter_map(|(name, cluster)| {
+        let max_sockets = cluster.sockets.total?;
+        Some((name.as_str().into(), max_sockets))
+    });
     SlotConfig {
-        most: file.limits.websockets,
-        shares: tenants.clone().map(|t| (name(&t.name), t.share)).collect(),
-        tenants: tenants.filter_map(|t| Some((name(&t.name), t.limit.sockets?))).collect(),
+        capacity: config.limits.max_websockets,
+        shares: tenant_shares(config),
+        tenants: tenants.collect(),
         routes: routes.collect(),
         clusters: clusters.collect(),
     }
 }
 
-/// How a file tells its tenants apart; none if it has none.
-pub fn tenants(file: &File) -> Option<Tenants> {
-    if file.tenants.is_empty() {
+/// What identifies the tenants; none if the file has no tenants.
+pub fn tenant_resolver(config: &OperatorConfig) -> Option<TenantResolver> {
+    if config.tenants.is_empty() {
         return None;
     }
-    let mut tenants = Tenants::new();
-    for tenant in &file.tenants {
+    let mut resolver = TenantResolver::new();
+    for tenant in &config.tenants {
         let name: Rc<str> = tenant.name.as_str().into();
-        tenant.networks.iter().for_each(|network| tenants.network(*network, &name));
-        tenant.listeners.iter().for_each(|listener| tenants.listener(listener, &name));
-        tenant.values.iter().for_each(|value| tenants.value(value, &name));
+        for network in &tenant.networks {
+            resolver.add_network(*network, &name);
+        }
+        for listener in &tenant.listeners {
+            resolver.add_listener(listener, &name);
+        }
+        for value in &tenant.header_values {
+            resolver.add_header_value(value, &name);
+        }
     }
-    Some(tenants)
+    Some(resolver)
 }
--- a/crates/config/src/balancer.rs
+++ b/crates/config/src/balancer.rs
@@ -1,66 +1,84 @@
-//! A cluster of the operator's file as the decision module takes it.
+//! A cluster of the operator's file in the form of the decision module.
 
-use crate::model::{Class, Cluster, File, Then};
-use mintshelf_balancer::api::*;
-use mintshelf_retry::attempts::RetryPolicy;
-use mintshelf_retry::schedule::{AttemptTimeout, DedupGroup, Plan, RetryOn};
+use crate::model::{Class, Cluster, ConnectionLimits, OperatorConfig, Route, RouteAction};
+use mintshelf_balancer::api::{
+    Class as BalancerClassSettings, Effect, Group, ListedServer, Nanos, Objective, Prices,
+    Settings, SizeKind,
+};
+use mintshelf_retry::policy::RetryPolicy;
+use mintshelf_retry::schedule::{AttemptSchedule, AttemptTimeout, DedupGroup, RetryOn};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Shortest time between two turns that the module reckons with.
+/// Shortest time between two turns of the decision module.
 const TICK: Nanos = 5_000_000;
-/// Multiple of its present capacity that pushes a cold server over, and for how long.
-const FALL_MULTIPLE: f64 = 3.0;
-const TIP_AFTER: Nanos = 2_000_000_000;
+/// How long requests may still go to a server after the news that it drains.
+const DRAIN_GRACE: Nanos = 250_000_000;
+/// Multiple of its present capacity at which a server that warms up is overloaded.
+const OVERLOAD_MULTIPLE: f64 = 3.0;
+/// How long that multiple must last.
+const OVERLOAD_AFTER: Nanos = 2_000_000_000;
 /// Price of crossing zones, in points a request, where a cluster names a zone.
-const CROSS_ZONE: f64 = 0.02;
+const CROSS_ZONE_PRICE: f64 = 0.02;
+/// The part of a deduplication window that a client may be asked to wait.
+const RETRY_AFTER_DIVISOR: u64 = 4;
+/// All effects, by [`severity`].
+const EFFECTS: [Effect; 3] = [Effect::Safe, Effect::Idempotent, Effect::Unsafe];
 
-/// A class of the file in the module's numbers.
+/// A class of the file as the decision module knows it: one class for each effect that its
+/// requests can turn out to have.
 #[derive(Debug, Clone, PartialEq)]
-pub struct ModuleClass {
+pub struct BalancerClass {
     /// The mildest effect that its requests may have.
     pub effect: Effect,
-    /// The module's number for each effect, by [`severity`].
-    pub numbers: [Option<u32>; 3],
-    /// How long a request may wait.
+    /// The module's number of the class for each effect, by [`severity`].
+    class_numbers: [Option<u32>; EFFECTS.len()],
+    /// The time-out of a request.
     pub deadline: Nanos,
-    /// What an answer is worth.
+    /// The priority weight of its requests.
     pub priority_weight: f64,
 }
 
-/// What a cluster's instance of the module is started with.
+impl BalancerClass {
+    /// The module's number of the class for requests of this effect; none if they can't have it.
+    pub fn class_number(&self, effect: Effect) -> Option<u32> {
+        self.class_numbers[severity(effect)]
+    }
+}
+
+/// What a cluster's instance of the decision module is started with.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Module {
-    /// Its settings.
+pub struct BalancerConfig {
+    /// The module's settings.
     pub settings: Settings,
     /// The classes of the routes that lead to the cluster, by name.
-    pub classes: BTreeMap<String, ModuleClass>,
-    /// Its servers, with their addresses.
+    pub classes: BTreeMap<String, BalancerClass>,
+    /// The cluster's servers, with their addresses.
     pub servers: Vec<(ListedServer, SocketAddr)>,
-    /// Most connections to all endpoints, and to each.
-    pub connections: [Option<u32>; 2],
-    /// Most sockets to all endpoints, and to each.
-    pub sockets: [Option<u32>; 2],
-    /// What an open socket counts for beside a request.
+    /// Upper bounds of the connections.
+    pub connections: ConnectionLimits,
+    /// Upper bounds of the WebSockets.
+    pub sockets: ConnectionLimits,
+    /// The load of an open WebSocket, where that of a request is 1.
     pub socket_weight: f64,
-    /// In how long sockets leave an endpoint that has gone.
+    /// The time over which WebSockets leave an endpoint that has gone.
     pub socket_spread: Nanos,
-    /// The ramp after an outage.
-    pub return_ramp: Nanos,
-    /// What the attempts of each of the settings' classes may do.
-    pub tries: Vec<RetryPolicy>,
+    /// The time over which traffic returns after an outage of the whole cluster.
+    pub recovery_ramp: Nanos,
+    /// The retry policy of each class in the settings, in their order.
+    pub retry_policies: Vec<RetryPolicy>,
 }
 
-impl Module {
-    /// Whether only the servers differ, which are news to a running instance like any list.
-    pub fn differs_in_servers_only(&self, other: &Module) -> bool {
-        *other == Module { servers: other.servers.clone(), ..self.clone() }
+impl BalancerConfig {
+    /// Whether only the servers differ, which a running instance takes like any endpoint list.
+    pub fn differs_in_servers_only(&self, other: &BalancerConfig) -> bool {
+        *other == BalancerConfig { servers: other.servers.clone(), ..self.clone() }
     }
 }
 
-/// A number for an effect, the mildest first.
+/// The place of an effect in the order of severity, the mildest first, from 0.
 pub fn severity(effect: Effect) -> usize {
     match effect {
         Effect::Safe => 0,
@@ -69,208 +87,265 @@
     }
 }
 
-/// In nanoseconds.
-pub fn nanos(span: Duration) -> Nanos {
-    u64::try_from(span.as_nanos()).unwrap_or(u64::MAX)
-}
-
-/// The effects that a request of a class can turn out to have: its class's, or unsafe by
-/// its method or for want of a key; and those that routes state.
-fn effects(class: &Class, stated: &BTreeSet<usize>) -> Vec<Effect> {
-    [Effect::Safe, Effect::Idempotent, Effect::Unsafe]
-        .into_iter()
-        .filter(|e| *e == class.effect || *e == Effect::Unsafe || stated.contains(&severity(*e)))
-        .collect()
+/// A duration in nanoseconds; the longest that there is for one over 584 years.
+pub fn to_nanos(duration: Duration) -> Nanos {
+    u64::try_from(duration.as_nanos()).unwrap_or(u64::MAX)
 }
 
-/// The part of a window that a client that is refused may be told to wait.
-const ADVICE_PART: u64 = 4;
-
-/// What a class states, where that is less than its cluster's.
-pub fn least(own: Option<Duration>, cluster: Duration) -> Duration {
-    own.map_or(cluster, |own| own.min(cluster))
+/// A class's time-out where that is shorter than its cluster's, else the cluster's.
+pub fn effective_timeout(class: Option<Duration>, cluster: Duration) -> Duration {
+    class.map_or(cluster, |class| class.min(cluster))
 }
 
 /// The schedule of a class's requests of one effect at a cluster.
-pub fn plan(class: &Class, effect: Effect, cluster: &Cluster) -> Plan {
-    let (tries, window) = (&class.tries, nanos(class.window));
-    let advice = nanos(cluster.max_retry_after);
-    let zones: BTreeSet<&str> = cluster.endpoints.iter().map(|e| e.zone.as_str()).collect();
-    let group = tries.group.unwrap_or(DedupGroup::Cluster);
-    let (standard, follows) = match effect {
+pub fn attempt_schedule(class: &Class, effect: Effect, cluster: &Cluster) -> AttemptSchedule {
+    let attempts = &class.attempts;
+    let dedup_group = attempts.dedup_group.unwrap_or(DedupGroup::Cluster);
+    let (default_timeout, default_retry_on) = match effect {
         Effect::Safe => (AttemptTimeout::Adaptive, RetryOn::MayHaveRun),
-        Effect::Idempotent => (AttemptTimeout::Whole, RetryOn::MayHaveRun),
-        Effect::Unsafe => (AttemptTimeout::Whole, RetryOn::NeverRan),
+        Effect::Idempotent => (AttemptTimeout::Deadline, RetryOn::MayHaveRun),
+        Effect::Unsafe => (AttemptTimeout::Deadline, RetryOn::NeverRan),
     };
-    let mut plan = Plan {
+    let connect_timeout = effective_timeout(attempts.connect_timeout, cluster.connect_timeout);
+    let mut schedule = AttemptSchedule {
         effect,
-        window,
-        group,
-        one_group: group == DedupGroup::Cluster || zones.len() < 2,
-        latency_objective: nanos(class.latency_objective),
-        deadline: nanos(class.deadline),
-        attempts: tries.attempts.unwrap_or(cluster.max_attempts),
-        connect: nanos(least(tries.connect, cluster.connect_timeout)),
-        per_try: tries.per_try.unwrap_or(standard),
-        backoff: tries.backoff.unwrap_or_default().map(nanos),
-        retry_on: tries.retry_on.unwrap_or(follows),
-        hedged: tries.hedge.flatten().is_some(),
-        two_out: cluster.second_copies,
+        dedup_window: to_nanos(class.dedup_window),
+        dedup_group,
+        has_single_dedup_group: has_single_dedup_group(dedup_group, cluster),
+        latency_objective: to_nanos(class.latency_objective),
+        deadline: to_nanos(class.deadline),
+        max_attempts: attempts.max_attempts.unwrap_or(cluster.max_attempts),
+        connect_timeout: to_nanos(connect_timeout),
+        attempt_timeout: attempts.attempt_timeout.unwrap_or(default_timeout),
+        backoff: attempts.backoff.unwrap_or_default(),
+        retry_on: attempts.retry_on.unwrap_or(default_retry_on),
+        is_hedged: attempts.hedge_policy().is_some(),
+        allows_parallel_attempts: cluster.allows_parallel_attempts,
         tick: TICK,
-        advice: if effect == Effect::Idempotent {
-            advice.min(window / ADVICE_PART)
-        } else {
-            advice
-        },
-        client_retries: tries.client_retries.unwrap_or(0),
+        max_retry_after: max_retry_after(class, effect, cluster),
+        client_retries: attempts.client_retries.unwrap_or(0),
     };
-    if tries.attempts.is_none() {
-        plan.attempts = plan.fitting_attempts();
+    if attempts.max_attempts.is_none() {
+        schedule.max_attempts = schedule.fitting_attempts();
     }
-    plan
+    schedule
 }
 
-/// The effect under which the module decides on further attempts: what may not be sent again
-/// after it may have run is unsafe to it.
-fn module_effect(plan: &Plan) -> Effect {
-    match plan.retry_on {
+fn has_single_dedup_group(dedup_group: DedupGroup, cluster: &Cluster) -> bool {
+    let zones: BTreeSet<&str> =
+        cluster.endpoints.iter().map(|endpoint| endpoint.zone.as_str()).collect();
+    dedup_group == DedupGroup::Cluster || zones.len() < 2
+}
+
+/// The longest `Retry-After`. That of an idempotent request is also bounded by a part of its
+/// deduplication window.
+fn max_retry_after(class: &Class, effect: Effect, cluster: &Cluster) -> Nanos {
+    let max_retry_after = to_nanos(cluster.max_retry_after);
+    match effect {
+        Effect::Idempotent => {
+            max_retry_after.min(to_nanos(class.dedup_window) / RETRY_AFTER_DIVISOR)
+        }
+        Effect::Safe | Effect::Unsafe => max_retry_after,
+    }
+}
+
+/// The effect under which the module decides on retries: what may not be sent again after it may
+/// have run is unsafe to it.
+fn module_effect(schedule: &AttemptSchedule) -> Effect {
+    match schedule.retry_on {
         RetryOn::NeverRan => Effect::Unsafe,
-        RetryOn::MayHaveRun => plan.effect,
+        RetryOn::MayHaveRun => schedule.effect,
     }
 }
 
-/// Lays a cluster out for the module.
-pub fn module(file: &File, name: &str, cluster: &Cluster) -> Module {
-    let leads =
-        |then: &Then| matches!(then, Then::Forward(f) if f.split.clusters().any(|c| c == name));
-    let routes: Vec<_> = file.routes.iter().filter(|route| leads(&route.then)).collect();
-    let mut classes = BTreeMap::new();
-    let (mut laid, mut tries) = (Vec::new(), Vec::new());
-    for (name, class) in &file.classes {
-        let of: Vec<_> = routes.iter().filter(|route| route.policy == *name).collect();
-        if of.is_empty() {
-            continue;
+/// The settings of the decision module for one cluster, which is named `name` in the file.
+pub fn balancer_config(config: &OperatorConfig, name: &str, cluster: &Cluster) -> BalancerConfig {
+    let classes = cluster_classes(config, name, cluster);
+    let zones = Zones::of(cluster);
+    BalancerConfig {
+        settings: module_settings(cluster, &zones, classes.settings),
+        classes: classes.by_name,
+        servers: listed_servers(cluster, &zones),
+        connections: cluster.connections,
+        sockets: cluster.sockets,
+        socket_weight: cluster.socket_weight,
+        socket_spread: to_nanos(cluster.socket_spread),
+        recovery_ramp: to_nanos(cluster.recovery_ramp),
+        retry_policies: classes.retry_policies,
+    }
+}
+
+/// The classes of one cluster.
+#[derive(Default)]
+struct ClusterClasses {
+    by_name: BTreeMap<String, BalancerClass>,
+    /// By the module's numbers.
+    settings: Vec<BalancerClassSettings>,
+    /// By the module's numbers.
+    retry_policies: Vec<RetryPolicy>,
+}
+
+fn cluster_classes(
+    config: &OperatorConfig,
+    cluster_name: &str,
+    cluster: &Cluster,
+) -> ClusterClasses {
+    let mut classes = ClusterClasses::default();
+    for (name, class) in &config.classes {
+        let routes: Vec<&Route> = config
+            .routes
+            .iter()
+            .filter(|route| route.policy == *name && leads_to(route, cluster_name))
+            .collect();
+        if !routes.is_empty() {
+            classes.add(name, class, &routes, cluster);
         }
-        let stated = of.iter().filter_map(|route| route.effect).map(severity).collect();
-        let mut numbers = [None; 3];
-        for effect in effects(class, &stated) {
-            numbers[severity(effect)] = Some(laid.len() as u32);
-            let plan = plan(class, effect, cluster);
-            // What turns out unsafe by its method is never hedged, nor ended for its own time.
-            let hedge = class.tries.hedge.flatten().filter(|_| effect == Effect::Safe);
-            tries.push(RetryPolicy {
-                effect: module_effect(&plan),
-                per_try: plan.per_try,
-                bounds: plan.adaptive_bounds(),
-                attempts: plan.attempts,
-                hedge: hedge.filter(|_| cluster.second_copies),
-                connect: plan.connect,
-                idle: nanos(least(class.tries.idle, cluster.idle_timeout)),
-            });
-            laid.push(mintshelf_balancer::api::Class {
-                effect: module_effect(&plan),
-                group: match plan.group {
-                    DedupGroup::Cluster => Group::All,
-                    DedupGroup::Zone => Group::Zone,
-                },
-                dedup_window: nanos(class.window),
-                latency_objective: nanos(class.latency_objective),
-                deadline: nanos(class.deadline),
-                priority_weight: class.priority_weight,
-                late_weight: class.late_weight,
-                max_attempts: plan.attempts,
-                backoff: plan.backoff,
-            });
+    }
+    classes
+}
+
+fn leads_to(route: &Route, cluster_name: &str) -> bool {
+    match &route.action {
+        RouteAction::Forward(forward) => forward.split.clusters().any(|name| name == cluster_name),
+        RouteAction::Redirect(_) | RouteAction::Respond(_) => false,
+    }
+}
+
+impl ClusterClasses {
+    /// Adds a class for each effect that its requests can turn out to have: its own, unsafe by
+    /// the method or for want of an idempotency key, and those that routes state.
+    fn add(&mut self, name: &str, class: &Class, routes: &[&Route], cluster: &Cluster) {
+        let is_possible = |effect: Effect| {
+            effect == class.effect
+                || effect == Effect::Unsafe
+                || routes.iter().any(|route| route.effect == Some(effect))
+        };
+        let mut class_numbers = [None; EFFECTS.len()];
+        for effect in EFFECTS.into_iter().filter(|effect| is_possible(*effect)) {
+            class_numbers[severity(effect)] = Some(self.settings.len() as u32);
+            let schedule = attempt_schedule(class, effect, cluster);
+            self.retry_policies.push(retry_policy(class, effect, cluster, &schedule));
+            self.settings.push(class_settings(class, &schedule));
         }
-        let class = ModuleClass {
+        let class = BalancerClass {
             effect: class.effect,
-            numbers,
-            deadline: nanos(class.deadline),
+            class_numbers,
+            deadline: to_nanos(class.deadline),
             priority_weight: class.priority_weight,
         };
-        classes.insert(name.clone(), class);
+        self.by_name.insert(name.to_string(), class);
     }
-    let zones: BTreeSet<&str> = std::iter::once(cluster.zone.as_str())
-        .chain(cluster.endpoints.iter().map(|e| e.zone.as_str()))
-        .collect();
-    let zone = |name: &str| zones.iter().position(|z| *z == name).unwrap_or(0) as u32;
-    let servers = cluster.endpoints.iter().filter(|e| e.weight > 0).map(|endpoint| {
+}
+
+fn retry_policy(
+    class: &Class,
+    effect: Effect,
+    cluster: &Cluster,
+    schedule: &AttemptSchedule,
+) -> RetryPolicy {
+    // A request that turns out unsafe by its method is never hedged.
+    let is_hedged = effect == Effect::Safe && cluster.allows_parallel_attempts;
+    let idle_timeout = effective_timeout(class.attempts.idle_timeout, cluster.idle_timeout);
+    RetryPolicy {
+        effect: module_effect(schedule),
+        attempt_timeout: schedule.attempt_timeout,
+        timeout_bounds: schedule.adaptive_bounds(),
+        max_attempts: schedule.max_attempts,
+        hedge: class.attempts.hedge_policy().filter(|_| is_hedged),
+        connect_timeout: schedule.connect_timeout,
+        idle_timeout: to_nanos(idle_timeout),
+    }
+}
+
+fn class_settings(class: &Class, schedule: &AttemptSchedule) -> BalancerClassSettings {
+    BalancerClassSettings {
+        effect: module_effect(schedule),
+        group: match schedule.dedup_group {
+            DedupGroup::Cluster => Group::All,
+            DedupGroup::Zone => Group::Zone,
+        },
+        dedup_window: to_nanos(class.dedup_window),
+        latency_objective: to_nanos(class.latency_objective),
+        deadline: to_nanos(class.deadline),
+        priority_weight: class.priority_weight,
+        late_weight: class.late_weight,
+        max_attempts: schedule.max_attempts,
+        backoff: [schedule.backoff.initial, schedule.backoff.max],
+    }
+}
+
+/// The zones of a cluster, in the order of the module's numbers.
+struct Zones<'config>(Vec<&'config str>);
+
+impl<'config> Zones<'config> {
+    fn of(cluster: &'config Cluster) -> Self {
+        let endpoints = cluster.endpoints.iter().map(|endpoint| endpoint.zone.as_str());
+        let zones: BTreeSet<&str> =
+            std::iter::once(cluster.zone.as_str()).chain(endpoints).collect();
+        Zones(zones.into_iter().collect())
+    }
+
+    fn number(&self, name: &str) -> u32 {
+        self.0.iter().position(|zone| *zone == name).unwrap_or(0) as u32
+    }
+
+    fn count(&self) -> u32 {
+        self.0.len() as u32
+    }
+}
+
+/// The servers that have a weight.
+fn listed_servers(cluster: &Cluster, zones: &Zones) -> Vec<(ListedServer, SocketAddr)> {
+    let weighted = cluster.endpoints.iter().filter(|endpoint| endpoint.weight > 0);
+    let servers = weighted.map(|endpoint| {
         // Another address under an old name is another server.
         let hash = xxh3_64(format!("{} {}", endpoint.name, endpoint.address).as_bytes());
-        let listed = ListedServer {
+        let server = ListedServer {
             id: (hash ^ (hash >> 32)) as u32,
-            zone: zone(&endpoint.zone),
+            zone: zones.number(&endpoint.zone),
             size: f64::from(endpoint.weight),
             ..ListedServer::default()
         };
-        (listed, endpoint.address)
+        (server, endpoint.address)
     });
-    let max_attempts = laid.iter().map(|class| class.max_attempts).max().unwrap_or(1);
-    let settings = Settings {
+    servers.collect()
+}
+
+fn module_settings(
+    cluster: &Cluster,
+    zones: &Zones,
+    classes: Vec<BalancerClassSettings>,
+) -> Settings {
+    let max_attempts = classes.iter().map(|class| class.max_attempts).max().unwrap_or(1);
+    Settings {
         instances: 1,
-        zone: zone(&cluster.zone),
-        zones: zones.len() as u32,
+        zone: zones.number(&cluster.zone),
+        zones: zones.count(),
         kinds: 1,
-        classes: laid,
+        classes,
         size_kind: SizeKind::Nominal,
         tick: TICK,
         answer_slack: 4 * TICK,
-        drain_grace: 250_000_000,
-        cold_from: cluster.warm_from,
-        cold: nanos(cluster.warm_up),
-        fall_multiple: FALL_MULTIPLE,
-        tip_after: TIP_AFTER,
+        drain_grace: DRAIN_GRACE,
+        cold_from: cluster.warm_up_start,
+        cold: to_nanos(cluster.warm_up),
+        fall_multiple: OVERLOAD_MULTIPLE,
+        tip_after: OVERLOAD_AFTER,
         cancel: true,
         retry_after: true,
-        max_retry_after: nanos(cluster.max_retry_after),
+        max_retry_after: to_nanos(cluster.max_retry_after),
         max_attempts,
-        parallel_attempts: cluster.second_copies,
-        retry_ratio: cluster.retry_budget.0,
-        retry_budget_max: f64::from(cluster.retry_budget.1),
+        parallel_attempts: cluster.allows_parallel_attempts,
+        retry_ratio: cluster.retry_budget.ratio,
+        retry_budget_max: f64::from(cluster.retry_budget.burst),
         silence_is_local: true,
-        connect_timeout: nanos(cluster.connect_timeout),
-        idle_timeout: nanos(cluster.idle_timeout),
+        connect_timeout: to_nanos(cluster.connect_timeout),
+        idle_timeout: to_nanos(cluster.idle_timeout),
         goal: Objective { whole: 0.5, worst_window: 0.3, worst_class: 0.2, worst_tenant: 0.0 },
         prices: Prices {
-            cross_zone: if cluster.zone.is_empty() { 0.0 } else { CROSS_ZONE },
+            cross_zone: if cluster.zone.is_empty() { 0.0 } else { CROSS_ZONE_PRICE },
             ..Prices::default()
         },
         ..Settings::default()
-    };
-    let return_ramp = nanos(cluster.return_ramp);
-    Module {
-        settings,
-        classes,
-        servers: servers.collect(),
-        connections: cluster.connections,
-        sockets: cluster.sockets,
-        socket_weight: cluster.socket_weight,
-        socket_spread: nanos(cluster.socket_spread),
-        return_ramp,
-        tries,
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_class_is_laid_out_for_each_effect_that_it_can_have() {
-        let text = "listen = \"127.0.0.1:1\"\n\
-            [classes.read]\n[classes.queue]\neffect = \"keyed\"\nwindow = \"20s\"\n\
-            [clusters.a]\nendpoints = [\"127.0.0.1:2\", { address = \"127.0.0.1:3\", weight = 0 }]\n\
-            [[routes]]\nprefix = \"/r\"\nclass = \"read\"\ncluster = \"a\"\n\
-            [[routes]]\nprefix = \"/q\"\nclass = \"queue\"\ncluster = \"a\"\n";
-        let file = crate::file::read("f", text.as_bytes()).unwrap();
-        let module = module(&file, "a", &file.clusters["a"]);
-        assert_eq!(module.classes["queue"].numbers, [None, Some(0), Some(1)]);
-        assert_eq!(module.classes["read"].numbers, [Some(2), None, Some(3)]);
-        assert!(!module.classes.contains_key("default"));
-        let effects: Vec<_> = module.settings.classes.iter().map(|c| c.effect).collect();
-        assert_eq!(effects, [Effect::Idempotent, Effect::Unsafe, Effect::Safe, Effect::Unsafe]);
-        assert_eq!(module.settings.classes[0].dedup_window, 20_000_000_000);
-        // What has no weight gets nothing.
-        assert_eq!(module.servers.len(), 1);
     }
 }
--- /dev/null
+++ b/crates/config/src/file/attempt_checks.rs
@@ -0,0 +1,146 @@
+//! Checks the attempts of every class, with the overrides of routes, at every cluster that it
+//! reaches.
+
+use super::fields::effect_word;
+use super::parsed::{ParsedClass, ParsedClasses, ParsedClusters, ParsedRoute};
+use super::reader::Reader;
+use super::table::Table;
+use crate::balancer::{attempt_schedule, severity};
+use crate::model::{Class, Cluster, Forward, Sticky};
+use crate::problem::SafetyRule;
+use http::HeaderName;
+use mintshelf_balancer::api::Effect;
+use mintshelf_retry::violation::SafetyViolation;
+use std::collections::BTreeSet;
+use std::time::Duration;
+
+/// The header by which servers deduplicate requests.
+const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
+
+/// Checks the schedules of all routes that forward requests.
+pub fn check(
+    top: &Table,
+    routes: &[ParsedRoute],
+    classes: &ParsedClasses,
+    clusters: &ParsedClusters,
+) {
+    let mut checker = Checker { reader: top.reader, reported: BTreeSet::new() };
+    for route in routes {
+        let Some(class) = classes.get(&route.route.policy) else { continue };
+        let Some(forward) = route.forward() else { continue };
+        for name in forward.split.clusters() {
+            let Some(cluster) = clusters.get(name) else { continue };
+            checker.check_timeouts(class, name, &cluster.value);
+            checker.check_schedule(route, class, name, &cluster.value);
+        }
+        check_route_effect(top, route, &class.class);
+        check_idempotent_split(top, route, forward, route.effect(&class.class));
+    }
+}
+
+struct Checker<'reader, 'text> {
+    reader: &'reader Reader<'text>,
+    /// Settings that a problem has been reported of, by their offset and key: one is enough for
+    /// a setting that several routes or clusters share.
+    reported: BTreeSet<(usize, &'static str)>,
+}
+
+impl Checker<'_, '_> {
+    /// A cluster's classes share its connections: a class can only lower the cluster's times.
+    fn check_timeouts(&mut self, class: &ParsedClass, cluster_name: &str, cluster: &Cluster) {
+        let attempts = &class.class.attempts;
+        let connect = (attempts.connect_timeout, cluster.connect_timeout);
+        let idle = (attempts.idle_timeout, cluster.idle_timeout);
+        for (setting, (own, shared)) in [("connect-timeout", connect), ("idle-timeout", idle)] {
+            if let Some(own) = own.filter(|own| *own > shared) {
+                self.report_timeout(class, setting, own, cluster_name, shared);
+            }
+        }
+    }
+
+    fn report_timeout(
+        &mut self,
+        class: &ParsedClass,
+        setting: &'static str,
+        own: Duration,
+        cluster_name: &str,
+        shared: Duration,
+    ) {
+        let Some(place) = class.places.get_own(setting) else { return };
+        if !self.reported.insert((place.span.start, setting)) {
+            return;
+        }
+        let message = format!(
+            "{} is over cluster '{cluster_name}''s own, {}, which all its classes share",
+            humantime::format_duration(own),
+            humantime::format_duration(shared)
+        );
+        self.reader.report(place, message, "shorten it, or lengthen the cluster's");
+    }
+
+    fn check_schedule(
+        &mut self,
+        route: &ParsedRoute,
+        class: &ParsedClass,
+        cluster_name: &str,
+        cluster: &Cluster,
+    ) {
+        let schedule = attempt_schedule(&class.class, route.effect(&class.class), cluster);
+        for violation in schedule.violations() {
+            let setting = violation.setting();
+            // A time-out that is inherited and has no effect here does no harm.
+            let is_inherited = class.places.get_own(setting).is_none();
+            if violation == SafetyViolation::UselessAttemptTimeout && is_inherited {
+                continue;
+            }
+            let owner = if class.place.is_stated() { &class.place } else { &route.place };
+            let place = class.places.get(setting).unwrap_or(owner);
+            if !self.reported.insert((place.span.start, setting)) {
+                continue;
+            }
+            let message = format!(
+                "class '{}' at cluster '{cluster_name}': {}",
+                route.route.class,
+                violation.describe(&schedule)
+            );
+            if violation.duplicates_effect() {
+                let rule = SafetyRule::NoDuplicateEffect;
+                self.reader.report_violation(place, message, violation.remedy(), rule);
+            } else {
+                self.reader.report(place, message, violation.remedy());
+            }
+        }
+    }
+}
+
+/// A route must not give requests a milder effect than their class: they would be sent again.
+fn check_route_effect(top: &Table, route: &ParsedRoute, class: &Class) {
+    let Some(effect) = route.route.effect else { return };
+    if severity(effect) >= severity(class.effect) {
+        return;
+    }
+    let message = format!(
+        "the route makes requests of class '{}' {}, which the class says are {}",
+        route.route.class,
+        effect_word(effect),
+        effect_word(class.effect)
+    );
+    let remedy = "give the route a class of its own, or leave its effect out";
+    let rule = SafetyRule::NoDuplicateEffect;
+    top.reader.report_violation(&route.place.child("effect"), message, remedy, rule);
+}
+
+/// An idempotent request that is rejected must not come back to a cluster that does not know its
+/// key.
+fn check_idempotent_split(top: &Table, route: &ParsedRoute, forward: &Forward, effect: Effect) {
+    let has_several_clusters = forward.split.clusters().count() > 1;
+    let is_split_by_key = forward.sticky == Some(Sticky::Header(IDEMPOTENCY_KEY));
+    if effect != Effect::Idempotent || !has_several_clusters || is_split_by_key {
+        return;
+    }
+    let message = "a repeat of a keyed request could go to another cluster, which does not know \
+                   its key";
+    let remedy = "write sticky = \"header:idempotency-key\"";
+    let rule = SafetyRule::NoDuplicateEffect;
+    top.reader.report_violation(&route.place.child("clusters"), message, remedy, rule);
+}
--- /dev/null
+++ b/crates/config/src/file/classes.rs
@@ -0,0 +1,128 @@
+//! Request classes, and classes with the overrides of a route.
+
+use super::attempts;
+use super::fields::effect;
+use super::parsed::{ParsedAttempts, ParsedClass, ParsedClasses, DEFAULT_CLASS};
+use super::reader::{Located, Place};
+use super::sockets;
+use super::table::Table;
+use super::value::{ms, MAX_DURATION};
+use crate::model::Class;
+use crate::problem::SafetyRule;
+use mintshelf_balancer::api::Effect;
+use std::time::Duration;
+
+/// A class that states nothing.
+fn default_class(defaults: &ParsedAttempts) -> Class {
+    Class {
+        effect: Effect::Safe,
+        dedup_window: Duration::ZERO,
+        latency_objective: ms(1_000),
+        deadline: ms(15_000),
+        priority_weight: 1.0,
+        late_weight: 1.0,
+        attempts: defaults.settings.clone(),
+        sockets: sockets::default_settings(),
+    }
+}
+
+/// Parses `[classes]`; the default class is there in any case.
+pub fn parse(top: &Table, defaults: &ParsedAttempts) -> ParsedClasses {
+    let mut classes = ParsedClasses::new();
+    let default_class = default_class(defaults);
+    let unstated = ParsedClass {
+        class: default_class.clone(),
+        places: defaults.places.clone(),
+        place: Place::default(),
+    };
+    classes.insert(DEFAULT_CLASS.to_string(), unstated);
+    let Some(tables) = top.table("classes") else { return classes };
+    for member in tables.members() {
+        let Some(table) = tables.as_table(member.value, "[classes.NAME]") else { continue };
+        let class = class(&table, &default_class, defaults, member.name.place);
+        classes.insert(member.name.value.to_string(), class);
+        table.finish();
+    }
+    classes
+}
+
+fn class(
+    table: &Table,
+    default_class: &Class,
+    defaults: &ParsedAttempts,
+    place: Place,
+) -> ParsedClass {
+    let effect = effect(table);
+    let window = table.duration("window", default_class.dedup_window, ms(0)..=MAX_DURATION);
+    check_window(table, effect.as_ref(), &window);
+    let objective = table.duration("aim", default_class.latency_objective, ms(1)..=MAX_DURATION);
+    let default_deadline = default_class.deadline.max(objective.value);
+    let deadline = table.duration("deadline", default_deadline, ms(1)..=MAX_DURATION);
+    check_objective(table, &objective, deadline.value);
+    let ParsedAttempts { settings, mut places } = attempts::parse(table, defaults);
+    if table.has("window") {
+        places.record("window", Some(window.clone()));
+    }
+    let class = Class {
+        effect: effect.map_or(default_class.effect, |effect| effect.value),
+        dedup_window: window.value,
+        latency_objective: objective.value,
+        deadline: deadline.value,
+        priority_weight: table.number("worth", default_class.priority_weight, 0.0..=1e6).value,
+        late_weight: table.number("late-worth", default_class.late_weight, 0.0..=1.0).value,
+        attempts: settings,
+        sockets: sockets::settings(table),
+    };
+    ParsedClass { class, places, place }
+}
+
+/// Idempotent classes have a deduplication window, and no others.
+fn check_window(table: &Table, effect: Option<&Located<Effect>>, window: &Located<Duration>) {
+    match effect {
+        Some(Located { value: Effect::Idempotent, place }) if window.value.is_zero() => {
+            let message = "a keyed class has no window";
+            let remedy = "state for how long servers drop repeats, as in window = \"20s\", or \
+                          write effect = \"unsafe\"";
+            let rule = SafetyRule::NoDuplicateEffect;
+            table.reader.report_violation(place, message, remedy, rule);
+        }
+        Some(Located { value: Effect::Idempotent, .. }) => {}
+        _ if table.has("window") => {
+            let message = "only keyed classes have a window";
+            let remedy = "remove it, or write effect = \"keyed\"";
+            table.reader.report(&window.place, message, remedy);
+        }
+        _ => {}
+    }
+}
+
+/// An objective past the deadline is never met.
+fn check_objective(table: &Table, objective: &Located<Duration>, deadline: Duration) {
+    if objective.value <= deadline {
+        return;
+    }
+    let message = format!(
+        "the aim, {}, is past the deadline, {}",
+        humantime::format_duration(objective.value),
+        humantime::format_duration(deadline)
+    );
+    let remedy = "state a deadline that is no shorter than the aim";
+    let rule = SafetyRule::NoLostRequest;
+    table.reader.report_violation(&objective.place, message, remedy, rule);
+}
+
+/// A class with the overrides of a route, which are in this table.
+pub fn with_overrides(base: &ParsedClass, table: &Table) -> ParsedClass {
+    let ParsedAttempts { settings, places } = attempts::parse(table, &base.attempts());
+    let deadline = table.duration("deadline", base.class.deadline, ms(1)..=MAX_DURATION);
+    let default_objective = base.class.latency_objective.min(deadline.value);
+    let objective = table.duration("aim", default_objective, ms(1)..=MAX_DURATION);
+    check_objective(table, &objective, deadline.value);
+    let class = Class {
+        latency_objective: objective.value,
+        deadline: deadline.value,
+        attempts: settings,
+        ..base.class.clone()
+    };
+    ParsedClass { class, places, place: base.place.clone() }
+}
--- /dev/null
+++ b/crates/config/src/file/conflicts.rs
@@ -0,0 +1,160 @@
+//! Checks routes against each other: those that no request reaches, and those that make requests
+//! of another one milder.
+
+use super::fields::effect_word;
+use super::parsed::{ParsedClasses, ParsedRoute};
+use super::reader::Located;
+use super::table::Table;
+use crate::balancer::severity;
+use crate::model::{Listener, Route};
+use crate::problem::SafetyRule;
+use http::Method;
+use mintshelf_balancer::api::Effect;
+use mintshelf_routing::{rank, HostMatch};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Routes, by their places in the file, with the same host and the same paths.
+type RouteGroups = BTreeMap<(HostMatch, String), Vec<usize>>;
+
+fn group_by_host_and_path(routes: &[ParsedRoute]) -> RouteGroups {
+    let mut groups = RouteGroups::new();
+    for (index, route) in routes.iter().enumerate() {
+        for host in route.hosts() {
+            groups.entry((host, route.path_key())).or_default().push(index);
+        }
+    }
+    groups
+}
+
+/// Checks that every route is reached by some request.
+pub fn check_reachability(top: &Table, routes: &[ParsedRoute], listeners: &[Located<Listener>]) {
+    let groups = group_by_host_and_path(routes);
+    for (index, route) in routes.iter().enumerate() {
+        let covering = |host: HostMatch| {
+            let group = groups.get(&(host, route.path_key()))?;
+            let mut others = group.iter().copied().filter(|other| *other != index);
+            others.find(|other| covers(routes, listeners, *other, index))
+        };
+        // One for each of its hosts; the first of them is reported.
+        let covering: Option<Vec<usize>> = route.hosts().into_iter().map(covering).collect();
+        let Some(first) = covering.and_then(|covering| covering.first().copied()) else {
+            continue;
+        };
+        let other = &routes[first].route;
+        let message = format!(
+            "no request reaches it: route '{}' in line {} takes them all",
+            other.name, other.line
+        );
+        top.reader.report(&route.place, message, "remove it, or make it ask for more");
+    }
+}
+
+/// Whether one route takes all requests of a host and a path that another one would take.
+fn covers(
+    routes: &[ParsedRoute],
+    listeners: &[Located<Listener>],
+    one: usize,
+    other: usize,
+) -> bool {
+    let one_rule = &routes[one].route.rule;
+    let other_rule = &routes[other].route.rule;
+    let covers_methods = one_rule.methods.is_empty()
+        || (!other_rule.methods.is_empty()
+            && other_rule.methods.iter().all(|method| one_rule.methods.contains(method)));
+    rank::details(one_rule, one) > rank::details(other_rule, other)
+        && covers_methods
+        && one_rule.headers.iter().all(|test| other_rule.headers.contains(test))
+        && one_rule.query.iter().all(|test| other_rule.query.contains(test))
+        && listener_names(&routes[one].route, listeners)
+            .is_superset(&listener_names(&routes[other].route, listeners))
+}
+
+fn listener_names<'names>(
+    route: &'names Route,
+    listeners: &'names [Located<Listener>],
+) -> BTreeSet<&'names str> {
+    match route.listeners.is_empty() {
+        true => listeners.iter().map(|listener| listener.value.name.as_str()).collect(),
+        false => route.listeners.iter().map(String::as_str).collect(),
+    }
+}
+
+/// Of two routes with the same host and path, one that requires more takes requests out of the
+/// other. Its effect must not be milder than what they were said to have.
+pub fn check_milder_routes(top: &Table, routes: &[ParsedRoute], classes: &ParsedClasses) {
+    let mut reported = BTreeSet::new();
+    for group in group_by_host_and_path(routes).values() {
+        let pairs =
+            group.iter().flat_map(|graver| group.iter().map(move |milder| (*graver, *milder)));
+        for (graver, milder) in pairs {
+            let Some(effects) = milder_effects(routes, classes, graver, milder) else { continue };
+            if reported.insert(milder) {
+                report_milder(top, &routes[graver], &routes[milder], effects);
+            }
+        }
+    }
+}
+
+/// The effects of two routes.
+#[derive(Clone, Copy)]
+struct EffectPair {
+    graver: Effect,
+    milder: Effect,
+}
+
+/// The effects of two routes, if the second is milder and takes requests out of the first.
+fn milder_effects(
+    routes: &[ParsedRoute],
+    classes: &ParsedClasses,
+    graver: usize,
+    milder: usize,
+) -> Option<EffectPair> {
+    let effect = |route: &ParsedRoute| {
+        let class = classes.get(&route.route.class)?;
+        Some(route.effect(&class.class))
+    };
+    let (graver_route, milder_route) = (&routes[graver], &routes[milder]);
+    let effects = EffectPair { graver: effect(graver_route)?, milder: effect(milder_route)? };
+    let is_milder = severity(effects.graver) > severity(effects.milder);
+    let wins = rank::details(&milder_route.route.rule, milder)
+        > rank::details(&graver_route.route.rule, graver);
+    let are_forwarded = graver_route.forward().is_some() && milder_route.forward().is_some();
+    let is_conflict = is_milder
+        && wins
+        && are_forwarded
+        && share_milder_method(&graver_route.route, &milder_route.route, effects.milder);
+    is_conflict.then_some(effects)
+}
+
+fn report_milder(top: &Table, graver: &ParsedRoute, milder: &ParsedRoute, effects: EffectPair) {
+    let message = format!(
+        "requests that route '{}' in line {} says are {} would be {} here",
+        graver.route.name,
+        graver.route.line,
+        effect_word(effects.graver),
+        effect_word(effects.milder)
+    );
+    let remedy = "let the two ask for different methods, or give both the same class";
+    let rule = SafetyRule::NoDuplicateEffect;
+    top.reader.report_violation(&milder.place, message, remedy, rule);
+}
+
+/// Whether requests with some method that both routes take would be milder at the second, which
+/// has this effect.
+fn share_milder_method(graver: &Route, milder: &Route, milder_effect: Effect) -> bool {
+    let (graver_methods, milder_methods) = (&graver.rule.methods, &milder.rule.methods);
+    let takes =
+        |methods: &[Method], method: &Method| methods.is_empty() || methods.contains(method);
+    let is_shared =
+        |method: &&Method| takes(graver_methods, method) && takes(milder_methods, method);
+    // By its method a request is unsafe again in a safe class, unless the route says otherwise.
+    let is_unsafe_anyway = |method: &Method| {
+        milder_effect == Effect::Safe && milder.effect.is_none() && !method.is_safe()
+    };
+    let named = graver_methods.iter().chain(milder_methods);
+    // Where neither route names methods, one of each kind stands for all.
+    let is_any = graver_methods.is_empty() && milder_methods.is_empty();
+    let representatives = [Method::GET, Method::POST];
+    let unnamed = representatives.iter().filter(|_| is_any);
+    named.chain(unnamed).filter(is_shared).any(|method| !is_unsafe_anyway(method))
+}
--- /dev/null
+++ b/crates/config/src/file/endpoints.rs
@@ -0,0 +1,100 @@
+//! The endpoints of a cluster.
+
+use super::fields::{address, parse_address, ADDRESS_REMEDY};
+use super::reader::{Located, Place};
+use super::table::Table;
+use crate::model::Endpoint;
+use crate::problem::SafetyRule;
+use std::collections::HashMap;
+use toml::de::DeValue;
+
+const MAX_WEIGHT: u32 = 1_000_000;
+
+/// Parses the endpoints of a cluster. Those that state no zone are in `cluster_zone`.
+pub fn endpoints(cluster: &Table, cluster_zone: &str) -> Vec<Endpoint> {
+    let mut endpoints: Vec<Endpoint> = Vec::new();
+    let mut first_lines: HashMap<String, usize> = HashMap::new();
+    let values = cluster.one_or_many("endpoints");
+    let is_empty = values.is_empty();
+    for at in values {
+        let place = at.place.clone();
+        if let Some(endpoint) = endpoint(cluster, at, cluster_zone) {
+            check_unique(cluster, &endpoint, &place, &mut first_lines);
+            endpoints.push(endpoint);
+        }
+    }
+    check_usable(cluster, &endpoints, is_empty);
+    endpoints
+}
+
+fn endpoint<'reader, 'text>(
+    cluster: &Table<'reader, 'text>,
+    at: Located<&'reader DeValue<'text>>,
+    zone: &str,
+) -> Option<Endpoint> {
+    match at.value {
+        DeValue::String(text) => {
+            let text = Located { value: text.as_ref(), place: at.place };
+            let address = cluster.parse(text, ADDRESS_REMEDY, parse_address)?.value;
+            let name = address.to_string();
+            Some(Endpoint { name, address, weight: 1, zone: zone.to_string() })
+        }
+        DeValue::Table(_) => {
+            let table = cluster.as_table(at, "{ address = \"...\" }")?;
+            let endpoint = full_endpoint(&table, zone);
+            table.finish();
+            endpoint
+        }
+        _ => {
+            let remedy = "write an address, or { address = \"...\", weight = 2, zone = \"a\" }";
+            cluster.reader.report(&at.place, "is not an endpoint", remedy);
+            None
+        }
+    }
+}
+
+fn full_endpoint(table: &Table, cluster_zone: &str) -> Option<Endpoint> {
+    // All fields are read before an absent address ends it, so that all problems are found.
+    let address = address(table, "address");
+    let name = table.text("name");
+    let zone = table.text("zone");
+    let weight = table.integer("weight", 1, 0..=MAX_WEIGHT).value;
+    let address = address?.value;
+    Some(Endpoint {
+        name: name.map_or_else(|| address.to_string(), |name| name.value.to_string()),
+        address,
+        weight,
+        zone: zone.map_or(cluster_zone, |zone| zone.value).to_string(),
+    })
+}
+
+/// Endpoints differ in name and address. `first_lines` has the lines of those before.
+fn check_unique(
+    cluster: &Table,
+    endpoint: &Endpoint,
+    place: &Place,
+    first_lines: &mut HashMap<String, usize>,
+) {
+    let line = cluster.reader.line(place);
+    for key in [format!("name '{}'", endpoint.name), format!("address {}", endpoint.address)] {
+        if let Some(first_line) = first_lines.insert(key.clone(), line) {
+            let message = format!("the {key} stands in line {first_line} already");
+            let remedy = "remove one of the two, or give it a weight";
+            cluster.reader.report(place, message, remedy);
+            break;
+        }
+    }
+}
+
+/// A cluster has an endpoint with a weight. Endpoints with errors may have had one.
+fn check_usable(cluster: &Table, endpoints: &[Endpoint], is_empty: bool) {
+    let (message, remedy) = if is_empty {
+        ("there are no endpoints", "list them, as in endpoints = [\"127.0.0.1:9001\"]")
+    } else if !endpoints.is_empty() && endpoints.iter().all(|endpoint| endpoint.weight == 0) {
+        ("every endpoint has weight 0", "give one at least a weight of 1")
+    } else {
+        return;
+    };
+    let place = cluster.place_of("endpoints");
+    cluster.reader.report_violation(&place, message, remedy, SafetyRule::NoLostRequest);
+}
--- /dev/null
+++ b/crates/config/src/file/fields.rs
@@ -0,0 +1,75 @@
+//! Fields that stand in several tables: addresses, header names, paths and effects.
+
+use super::error::FieldError;
+use super::reader::Located;
+use super::table::Table;
+use http::HeaderName;
+use mintshelf_balancer::api::Effect;
+use mintshelf_routing::path::has_dot_segments;
+use std::net::SocketAddr;
+
+/// How to write an address.
+pub const ADDRESS_REMEDY: &str = "write an IP address and a port, as in \"127.0.0.1:8080\"; \
+                                  names are not looked up";
+/// How to write a header's name.
+pub const HEADER_REMEDY: &str = "write a name as in \"x-request-id\"";
+/// How to write a path.
+pub const PATH_REMEDY: &str = "write a path that begins with a slash, as in \"/a\"";
+/// What is wrong with a setting of a route that forwards nothing.
+pub const NOT_FORWARDED: &str = "has no effect on a route that answers by itself";
+
+/// Parses an address that can be connected to.
+pub fn parse_address(text: &str) -> Result<SocketAddr, FieldError> {
+    let address: SocketAddr = text.parse().map_err(FieldError::Address)?;
+    if address.port() == 0 {
+        return Err(FieldError::PortZero);
+    }
+    Ok(address)
+}
+
+/// A field with an address, which has to be there.
+pub fn address(table: &Table, key: &'static str) -> Option<Located<SocketAddr>> {
+    let address = table.parsed(key, ADDRESS_REMEDY, parse_address);
+    if address.is_none() && !table.has(key) {
+        table.reader.report(&table.place_of(key), "is missing", ADDRESS_REMEDY);
+    }
+    address
+}
+
+/// Parses a header's name.
+pub fn parse_header_name(text: &str) -> Result<HeaderName, FieldError> {
+    text.parse().map_err(FieldError::HeaderName)
+}
+
+/// Parses a path as a request can have it.
+pub fn parse_path(text: &str) -> Result<String, FieldError> {
+    let is_invalid =
+        |character: char| character.is_ascii_control() || matches!(character, ' ' | '?' | '#');
+    if !text.starts_with('/') {
+        Err(FieldError::RelativePath)
+    } else if text.contains(is_invalid) || has_dot_segments(text) {
+        Err(FieldError::InvalidPath)
+    } else {
+        Ok(text.to_string())
+    }
+}
+
+/// The effect of a class or a route.
+pub fn effect(table: &Table) -> Option<Located<Effect>> {
+    let remedy = "write \"safe\", \"keyed\" or \"unsafe\"";
+    table.parsed("effect", remedy, |text| match text {
+        "safe" => Ok(Effect::Safe),
+        "keyed" => Ok(Effect::Idempotent),
+        "unsafe" => Ok(Effect::Unsafe),
+        _ => Err(FieldError::NotA("an effect")),
+    })
+}
+
+/// The word for an effect in the file.
+pub fn effect_word(effect: Effect) -> &'static str {
+    match effect {
+        Effect::Safe => "safe",
+        Effect::Idempotent => "keyed",
+        Effect::Unsafe => "unsafe",
+    }
+}
--- a/crates/config/src/file/fleet.rs
+++ b/crates/config/src/file/fleet.rs
@@ -1,182 +1,221 @@
-//! `[fleet]`: who this process is among those that agree, and by which spans.
+//! `[fleet]`: the fleet that agrees on leases, and who this process is in it.
 
-use super::reader::{At, Table};
-use super::{address, ms, EVER};
-use crate::model::{Fleet, FleetVoter};
+use super::error::FieldError;
+use super::fields::address;
+use super::reader::{Located, Place};
+use super::table::Table;
+use super::value::{ms, MAX_DURATION};
+use crate::balancer::to_nanos;
+use crate::model::{FleetConfig, FleetVoter};
 use mintshelf_lease::lease::{is_valid_name, NAME_MAX};
 use mintshelf_lease::timing::{ClockError, Nanos, Timing, TimingError};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Voters that a file may name.
-const VOTERS_MAX: usize = 7;
-
-const VOTERS: &str = "name three or five, as in voters = [{ name = \"v1\", address = \
+/// Upper bound of the voters: each entry of the log waits for a majority of them.
+const MAX_VOTERS: usize = 7;
+/// How to write voters.
+const VOTERS_REMEDY: &str = "name three or five, as in voters = [{ name = \"v1\", address = \
                       \"10.0.0.1:7001\" }, ...]";
 
-struct ReadVoter {
-    name: String,
-    address: SocketAddr,
-    place: At<()>,
+/// A voter with its place.
+struct ParsedVoter {
+    voter: FleetVoter,
+    place: Place,
 }
 
-/// The table, if it is there and whole.
-pub fn read(top: &Table) -> Option<Fleet> {
+/// Parses `[fleet]`; none if it is absent or incomplete.
+pub fn parse(top: &Table) -> Option<FleetConfig> {
     let table = top.table("fleet")?;
-    let fleet = whole(&table);
+    let fleet = fleet(&table);
     table.finish();
     fleet
 }
 
-fn name(table: &Table, key: &'static str) -> Option<At<String>> {
-    let mend = format!("write {key} = \"...\", 1 to {NAME_MAX} bytes without control characters");
-    if !table.has(key) {
-        table.reader.wrong(&table.span, &table.path(key), "is missing", &mend);
+fn fleet(table: &Table) -> Option<FleetConfig> {
+    // All fields are read before an absent one ends it, so that all problems are found.
+    let fleet_name = name(table, "fleet");
+    let own_name = name(table, "name");
+    let own_address = table.has("address").then(|| address(table, "address")).flatten();
+    let directory = table.text("directory").map(|path| PathBuf::from(path.value));
+    let allows_single = table.flag("allow-single", false);
+    let voters = voters(table);
+    let timing = timing(table);
+    let (fleet_name, own_name, voters) = (fleet_name?, own_name?, voters?);
+    if !allows_single {
+        check_majority(table, voters.len());
+    }
+    check_unique(table, &voters);
+    let index = voters.iter().position(|parsed| parsed.voter.name == own_name.value);
+    let own = index.map(|index| &voters[index].voter);
+    check_own_address(table, &own_name.value, own, own_address.as_ref(), &voters);
+    if own.is_some() && directory.is_none() {
+        let message = format!("is missing, and '{}' is a voter", own_name.value);
+        let remedy = "write directory = \"/var/lib/mintshelf\": what it promises must outlive it";
+        table.reader.report(&table.place_of("directory"), message, remedy);
     }
-    table.parsed(key, &mend, |text| {
-        is_valid_name(text).then(|| text.to_owned()).ok_or_else(|| "is no name".to_owned())
+    Some(FleetConfig {
+        fleet: fleet_name.value,
+        name: own_name.value,
+        id: index.map(|index| index as u64 + 1),
+        directory,
+        voters: voters.into_iter().map(|parsed| parsed.voter).collect(),
+        timing: timing?,
     })
 }
 
-fn whole(table: &Table) -> Option<Fleet> {
-    // All are read before any is missed, so that all errors come in one run.
-    let (fleet, own) = (name(table, "fleet"), name(table, "name"));
-    let at = table.has("address").then(|| address(table, "address")).flatten();
-    let directory = table.text("directory").map(|at| at.map(PathBuf::from));
-    let single = table.flag("allow-single", false);
-    let voters = voters(table);
-    let spans = spans(table);
-    let (fleet, own, voters) = (fleet?, own?, voters?);
-    let wrong =
-        |span: &_, field: &str, what: &str, mend: &str| table.reader.wrong(span, field, what, mend);
-    if !single && (voters.len() == 1 || voters.len().is_multiple_of(2)) {
-        let what = match voters.len() {
-            1 => "is one voter: when it is away nobody agrees on anything".to_owned(),
-            n => format!("are {n} voters: of an even number no more may fail than of {}", n - 1),
-        };
-        let mend = "name three or five, or write allow-single = true to have it so";
-        table.reader.wrong(
-            &table.reader.span_of(&table.path("voters")),
-            &table.path("voters"),
-            what,
-            mend,
-        );
+fn name(table: &Table, key: &'static str) -> Option<Located<String>> {
+    let remedy = format!("write {key} = \"...\", 1 to {NAME_MAX} bytes without control characters");
+    if !table.has(key) {
+        table.reader.report(&table.place_of(key), "is missing", &remedy);
     }
-    for (n, voter) in voters.iter().enumerate() {
-        let (place, before) = (&voter.place, &voters[..n]);
-        if before.iter().any(|other| other.name == voter.name) {
-            wrong(&place.span, &place.field, "has another voter's name", "give each its own");
+    table.parsed(key, &remedy, |text| match is_valid_name(text) {
+        true => Ok(text.to_owned()),
+        false => Err(FieldError::InvalidName),
+    })
+}
+
+/// The place of the list of voters.
+fn voters_place(table: &Table) -> Place {
+    table.reader.place_of_field(table.path("voters"))
+}
+
+/// An odd number of voters, over one, goes on while a minority is away.
+fn check_majority(table: &Table, voters: usize) {
+    let message = match voters {
+        1 => "is one voter: when it is away nobody agrees on anything".to_owned(),
+        even if even.is_multiple_of(2) => {
+            format!("are {even} voters: of an even number no more may fail than of {}", even - 1)
+        }
+        _ => return,
+    };
+    let remedy = "name three or five, or write allow-single = true to have it so";
+    table.reader.report(&voters_place(table), message, remedy);
+}
+
+/// Voters differ in name and address.
+fn check_unique(table: &Table, voters: &[ParsedVoter]) {
+    for (index, ParsedVoter { voter, place }) in voters.iter().enumerate() {
+        let earlier = voters[..index].iter().map(|parsed| &parsed.voter);
+        if earlier.clone().any(|other| other.name == voter.name) {
+            table.reader.report(place, "has another voter's name", "give each its own");
         }
-        if before.iter().any(|other| other.address == voter.address) {
-            wrong(&place.span, &place.field, "has another voter's address", "give each its own");
+        if earlier.clone().any(|other| other.address == voter.address) {
+            table.reader.report(place, "has another voter's address", "give each its own");
         }
     }
-    let id = voters.iter().position(|voter| voter.name == own.value);
-    match (id.map(|id| &voters[id]), &at) {
-        (Some(voter), Some(at)) if voter.address != at.value => {
-            let what = format!("is not {}, the address of voter '{}'", voter.address, voter.name);
-            let mend = "write the same address in both places, or another name";
-            table.reader.wrong(&at.span, &at.field, what, mend);
+}
+
+/// A voter listens at the address that its entry states, and no other process at any voter's.
+/// `own` is the entry of this process, if it is a voter.
+fn check_own_address(
+    table: &Table,
+    own_name: &str,
+    own: Option<&FleetVoter>,
+    address: Option<&Located<SocketAddr>>,
+    voters: &[ParsedVoter],
+) {
+    match (own, address) {
+        (Some(own), Some(address)) if own.address != address.value => {
+            let message = format!("is not {}, the address of voter '{}'", own.address, own.name);
+            let remedy = "write the same address in both places, or another name";
+            table.reader.report(&address.place, message, remedy);
         }
-        (Some(voter), None) => {
-            let what = format!("is missing, and '{}' is a voter", voter.name);
-            let mend = format!("write address = \"{}\"", voter.address);
-            table.reader.wrong(&table.span, &table.path("address"), what, mend);
+        (Some(own), None) => {
+            let message = format!("is missing, and '{}' is a voter", own.name);
+            let remedy = format!("write address = \"{}\"", own.address);
+            table.reader.report(&table.place_of("address"), message, remedy);
         }
-        (None, Some(at)) => {
-            let (what, mend) = match voters.iter().find(|voter| voter.address == at.value) {
-                Some(voter) => (
-                    format!(
-                        "is the address of voter '{}', and this is '{}'",
-                        voter.name, own.value
-                    ),
-                    format!("write name = \"{}\", or leave the address out", voter.name),
-                ),
-                None => (
-                    format!("is nobody's: '{}' is none of the voters", own.value),
-                    "leave it out for a member, or name this process among the voters".to_owned(),
-                ),
-            };
-            table.reader.wrong(&at.span, &at.field, what, mend);
+        (None, Some(address)) => {
+            let mut voters = voters.iter().map(|parsed| &parsed.voter);
+            let owner = voters.find(|voter| voter.address == address.value);
+            report_foreign_address(table, own_name, address, owner);
         }
-        _ => {}
-    }
-    if id.is_some() && directory.is_none() {
-        let mend = "write directory = \"/var/lib/mintshelf\": what it promises must outlive it";
-        let what = format!("is missing, and '{}' is a voter", own.value);
-        table.reader.wrong(&table.span, &table.path("directory"), what, mend);
+        (Some(_), Some(_)) | (None, None) => {}
     }
-    Some(Fleet {
-        fleet: fleet.value,
-        name: own.value,
-        id: id.map(|id| id as u64 + 1),
-        directory: directory.map(|at| at.value),
-        voters: voters
-            .into_iter()
-            .map(|ReadVoter { name, address, .. }| FleetVoter { name, address })
-            .collect(),
-        spans: spans?,
-    })
 }
 
-fn voters(table: &Table) -> Option<Vec<ReadVoter>> {
+/// Reports the address of a process that is no voter; `owner` is the voter whose address it is.
+fn report_foreign_address(
+    table: &Table,
+    own_name: &str,
+    address: &Located<SocketAddr>,
+    owner: Option<&FleetVoter>,
+) {
+    let (message, remedy) = match owner {
+        Some(owner) => (
+            format!("is the address of voter '{}', and this is '{own_name}'", owner.name),
+            format!("write name = \"{}\", or leave the address out", owner.name),
+        ),
+        None => (
+            format!("is nobody's: '{own_name}' is none of the voters"),
+            "leave it out for a member, or name this process among the voters".to_owned(),
+        ),
+    };
+    table.reader.report(&address.place, message, remedy);
+}
+
+/// The voters; none if the list or one of them is incomplete.
+fn voters(table: &Table) -> Option<Vec<ParsedVoter>> {
     if !table.has("voters") {
-        table.reader.wrong(&table.span, &table.path("voters"), "is missing", VOTERS);
+        table.reader.report(&table.place_of("voters"), "is missing", VOTERS_REMEDY);
         return None;
     }
-    let mut voters = Vec::new();
     let tables = table.tables("voters");
-    let all = tables.len();
-    for inner in tables {
-        let place = At { value: (), span: inner.span.clone(), field: inner.field.clone() };
-        let (name, at) = (name(&inner, "name"), address(&inner, "address"));
-        inner.finish();
-        if let (Some(name), Some(at)) = (name, at) {
-            voters.push(ReadVoter { name: name.value, address: at.value, place });
-        }
-    }
-    let span = table.reader.span_of(&table.path("voters"));
-    if all == 0 {
-        table.reader.wrong(&span, &table.path("voters"), "is empty", VOTERS);
+    let count = tables.len();
+    let voters: Vec<ParsedVoter> = tables.into_iter().filter_map(voter).collect();
+    if count == 0 {
+        table.reader.report(&voters_place(table), "is empty", VOTERS_REMEDY);
         return None;
     }
-    if all > VOTERS_MAX {
-        let what = format!("are {all} voters, over {VOTERS_MAX}: each entry waits for a majority");
-        table.reader.wrong(&span, &table.path("voters"), what, VOTERS);
+    if count > MAX_VOTERS {
+        let message =
+            format!("are {count} voters, over {MAX_VOTERS}: each entry waits for a majority");
+        table.reader.report(&voters_place(table), message, VOTERS_REMEDY);
     }
-    (voters.len() == all).then_some(voters)
+    (voters.len() == count).then_some(voters)
 }
 
-fn spans(table: &Table) -> Option<Timing> {
-    let standard = Timing::default();
-    let read =
-        |key, default: Nanos| table.duration(key, Duration::from_nanos(default), ms(1)..=EVER);
-    let election = read("election", standard.election);
-    let heartbeat = read("heartbeat", standard.heartbeat);
-    let session = read("session", standard.session);
-    let lease = read("lease", standard.lease);
-    let ppm = table.whole("clock-error-ppm", standard.error.ppm, 0..=100_000);
-    let nanos = |at: &At<Duration>| at.value.as_nanos() as Nanos;
-    let spans = Timing {
-        election: nanos(&election),
-        heartbeat: nanos(&heartbeat),
-        session: nanos(&session),
-        lease: nanos(&lease),
-        error: ClockError { ppm: ppm.value },
+fn voter(table: Table) -> Option<ParsedVoter> {
+    let name = name(&table, "name");
+    let address = address(&table, "address");
+    let place = table.place.clone();
+    table.finish();
+    let voter = FleetVoter { name: name?.value, address: address?.value };
+    Some(ParsedVoter { voter, place })
+}
+
+/// The timing of elections and leases; none if it is unsound.
+fn timing(table: &Table) -> Option<Timing> {
+    let defaults = Timing::default();
+    let duration = |key, default: Nanos| {
+        table.duration(key, Duration::from_nanos(default), ms(1)..=MAX_DURATION)
+    };
+    let election = duration("election", defaults.election);
+    let heartbeat = duration("heartbeat", defaults.heartbeat);
+    let session = duration("session", defaults.session);
+    let lease = duration("lease", defaults.lease);
+    let clock_error = table.integer("clock-error-ppm", defaults.error.ppm, 0..=100_000);
+    let timing = Timing {
+        election: to_nanos(election.value),
+        heartbeat: to_nanos(heartbeat.value),
+        session: to_nanos(session.value),
+        lease: to_nanos(lease.value),
+        error: ClockError { ppm: clock_error.value },
     };
-    let Err(problem) = spans.check() else { return Some(spans) };
-    let at = match problem {
-        TimingError::Election { .. } | TimingError::Bounds => &election,
-        TimingError::Lease { .. } => &lease,
-        TimingError::Session { .. } => &session,
+    let Err(error) = timing.check() else { return Some(timing) };
+    let place = match error {
+        TimingError::Election { .. } | TimingError::Bounds => &election.place,
+        TimingError::Lease { .. } => &lease.place,
+        TimingError::Session { .. } => &session.place,
         TimingError::Error { .. } => {
-            table.reader.wrong(&ppm.span, &ppm.field, problem, "write a smaller one");
+            table.reader.report(&clock_error.place, error, "write a smaller one");
             return None;
         }
     };
-    let mend = "see the page on the fleet for what the spans are for";
-    let span = if at.span.is_empty() { &table.span } else { &at.span };
-    table.reader.wrong(span, &at.field, problem, mend);
+    let span = if place.is_stated() { &place.span } else { &table.place.span };
+    let place = Place { span: span.clone(), field: place.field.clone() };
+    table.reader.report(&place, error, "see the page on the fleet for what the spans are for");
     None
 }
--- /dev/null
+++ b/crates/config/src/file/process.rs
@@ -0,0 +1,103 @@
+//! The process: `listen`, `listeners`, `limits`, `forwarding`, `admin` and `repeat-header`.
+
+use super::error::FieldError;
+use super::fields::{address, parse_address, parse_header_name, ADDRESS_REMEDY, HEADER_REMEDY};
+use super::reader::{Located, Place};
+use super::sockets;
+use super::table::Table;
+use super::value::{ms, MAX_DURATION};
+use crate::model::{Forwarding, Listener, ProcessLimits};
+use http::HeaderName;
+use std::net::SocketAddr;
+
+/// File descriptors, unless the file states a number.
+const DEFAULT_FILE_DESCRIPTORS: usize = 1024;
+
+/// The address of the admin listener.
+pub fn admin(top: &Table) -> Option<Located<SocketAddr>> {
+    let table = top.table("admin")?;
+    let address = address(&table, "address");
+    table.finish();
+    address
+}
+
+/// The header that marks repeats.
+pub fn repeat_header(top: &Table) -> Option<HeaderName> {
+    let header = top.parsed("repeat-header", HEADER_REMEDY, parse_header_name)?;
+    Some(header.value)
+}
+
+/// The listeners of `listen` and of `[[listeners]]`.
+pub fn listeners(top: &Table) -> Vec<Located<Listener>> {
+    let mut listeners = Vec::new();
+    for at in top.texts("listen") {
+        let name = format!("listen{}", listeners.len());
+        if let Some(address) = top.parse(at, ADDRESS_REMEDY, parse_address) {
+            listeners.push(address.map(|address| Listener { name, address }));
+        }
+    }
+    for table in top.tables("listeners") {
+        let default_name = format!("listener{}", listeners.len());
+        let name = table.text("name").map_or(default_name, |name| name.value.to_string());
+        if let Some(address) = address(&table, "address") {
+            listeners.push(address.map(|address| Listener { name, address }));
+        }
+        table.finish();
+    }
+    if listeners.is_empty() && !top.has("listen") && !top.has("listeners") {
+        let remedy = "write listen = \"127.0.0.1:8080\" as its first line";
+        top.reader.report(&Place::default(), "there is no listener", remedy);
+    }
+    listeners
+}
+
+fn default_limits() -> ProcessLimits {
+    ProcessLimits {
+        memory_bytes: 64 << 20,
+        file_descriptors: DEFAULT_FILE_DESCRIPTORS,
+        head_timeout: ms(2_500),
+        idle_timeout: ms(20_000),
+        stream_timeout: ms(30_000),
+        abort_on_close: false,
+        max_websockets: sockets::default_max_websockets(DEFAULT_FILE_DESCRIPTORS),
+        websocket_drain: sockets::DEFAULT_DRAIN,
+    }
+}
+
+/// What the process may use.
+pub fn limits(top: &Table) -> ProcessLimits {
+    let defaults = default_limits();
+    let Some(table) = top.table("limits") else { return defaults };
+    let duration = |key, default| table.duration(key, default, ms(100)..=MAX_DURATION).value;
+    let file_descriptors =
+        table.integer("sockets", DEFAULT_FILE_DESCRIPTORS as u32, 64..=1 << 20).value as usize;
+    let limits = ProcessLimits {
+        memory_bytes: table.size("memory", defaults.memory_bytes, 16 << 20..=64 << 30).value,
+        file_descriptors,
+        head_timeout: duration("head-timeout", defaults.head_timeout),
+        idle_timeout: duration("idle-timeout", defaults.idle_timeout),
+        stream_timeout: duration("stream-timeout", defaults.stream_timeout),
+        abort_on_close: table.flag("abort-on-close", defaults.abort_on_close),
+        max_websockets: sockets::max_websockets(&table, file_descriptors),
+        websocket_drain: sockets::drain(&table),
+    };
+    table.finish();
+    limits
+}
+
+/// What is disclosed of this hop.
+pub fn forwarding(top: &Table) -> Forwarding {
+    let Some(table) = top.table("forwarding") else { return Forwarding::default() };
+    let pseudonym = |text: &str| match parse_header_name(text) {
+        Ok(_) => Ok(text.to_string()),
+        Err(_) => Err(FieldError::NotA("a pseudonym (RFC 9110 7.6.3)")),
+    };
+    let request_id = table.parsed("request-id", HEADER_REMEDY, parse_header_name);
+    let forwarding = Forwarding {
+        via: table.parsed("via", "write one word", pseudonym).map(|via| via.value),
+        adds_forwarded: table.flag("forwarded", false),
+        request_id: request_id.map(|header| header.value),
+    };
+    table.finish();
+    forwarding
+}
--- a/crates/config/src/file/reader.rs
+++ b/crates/config/src/file/reader.rs
@@ -1,427 +1,173 @@
-//! Reads tables of a TOML file field by field, and notes everything that is wrong.
+//! Collects the problems of a file that is being read, and where each of its fields stands.
 
-use crate::problem::{BrokenRule, Places, Problem};
+use crate::problem::{LineColumn, LineIndex, Problem, SafetyRule};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Display;
-use std::ops::{Range, RangeInclusive};
-use std::time::Duration;
-use toml::de::{DeTable, DeValue};
-use toml::Spanned;
+use std::ops::Range;
 
-/// How alike an unknown key and a known one must be to be proposed.
-const ALIKE: f64 = 0.7;
-
-/// The name that one is most like, and how alike they are, from 0 to 1.
-pub fn most_alike<'k>(name: &str, known: impl Iterator<Item = &'k str>) -> Option<(&'k str, f64)> {
-    known
-        .map(|known| (known, strsim::jaro_winkler(name, known)))
-        .max_by(|(_, a), (_, b)| a.total_cmp(b))
-}
-
-/// Reads a span of time with its unit, within bounds.
-pub fn span(text: &str, bounds: &RangeInclusive<Duration>) -> Result<Duration, String> {
-    let span = humantime::parse_duration(text).map_err(|e| e.to_string())?;
-    if bounds.contains(&span) {
-        return Ok(span);
-    }
-    let [least, most] = [bounds.start(), bounds.end()].map(|d| humantime::format_duration(*d));
-    Err(format!("is not between {least} and {most}"))
-}
-
-/// A file that is being read.
-pub struct Reader<'a> {
-    name: &'a str,
-    places: Places<'a>,
-    problems: RefCell<Vec<(usize, Problem)>>,
-    stated: RefCell<BTreeMap<String, Range<usize>>>,
-    /// The keys that were asked for in each table, where that is wanted.
-    known: Option<RefCell<Known>>,
+/// Where something stands in the file.
+#[derive(Debug, Clone, Default, PartialEq, Eq)]
+pub struct Place {
+    /// The bytes of the text; empty for what the file does not state.
+    pub span: Range<usize>,
+    /// The path of the field, as in `clusters.web.endpoints[1]`; empty for the file.
+    pub field: String,
 }
 
-/// Keys by table.
-pub type Known = BTreeMap<String, BTreeSet<&'static str>>;
-
-impl<'a> Reader<'a> {
-    pub fn new(name: &'a str, text: &'a str) -> Self {
-        Reader {
-            name,
-            places: Places::new(text),
-            problems: RefCell::default(),
-            stated: RefCell::default(),
-            known: None,
-        }
-    }
-
-    /// Notes what is wrong, where it stands.
-    pub fn wrong(&self, span: &Range<usize>, field: &str, what: impl Display, mend: impl Display) {
-        self.breaks(span, field, what, mend, None);
-    }
-
-    /// The same, with the rule that it would break.
-    pub fn breaks(
-        &self,
-        span: &Range<usize>,
-        field: &str,
-        what: impl Display,
-        mend: impl Display,
-        rule: impl Into<Option<BrokenRule>>,
-    ) {
-        let (line, column) = self.places.of(span.start);
-        let problem = Problem {
-            file: self.name.to_string(),
-            line,
-            column,
-            field: field.to_string(),
-            what: what.to_string(),
-            mend: mend.to_string(),
-            rule: rule.into(),
-        };
-        self.problems.borrow_mut().push((span.start, problem));
-    }
-
-    pub fn line(&self, span: &Range<usize>) -> usize {
-        self.places.of(span.start).0
-    }
-
-    fn state(&self, field: &str, span: &Range<usize>) {
-        self.stated.borrow_mut().insert(field.to_string(), span.clone());
-    }
-
-    /// Notes the keys that are asked for as well.
-    pub fn with_keys(self) -> Self {
-        Reader { known: Some(RefCell::default()), ..self }
-    }
-
-    /// The keys that were asked for, if they were noted.
-    pub fn known(self) -> Known {
-        self.known.map(RefCell::into_inner).unwrap_or_default()
-    }
-
-    /// Where a field stands that was stated; else the file's beginning.
-    pub fn span_of(&self, field: &str) -> Range<usize> {
-        self.stated.borrow().get(field).cloned().unwrap_or(0..0)
+impl Place {
+    /// The same bytes, for a field of the table that stands here.
+    pub fn child(&self, key: &str) -> Place {
+        Place { span: self.span.clone(), field: format!("{}.{key}", self.field) }
     }
 
-    /// All that was noted, in the order of the text, and what was stated where.
-    pub fn finish(self) -> (Vec<(usize, Problem)>, BTreeMap<String, usize>) {
-        let mut problems = self.problems.into_inner();
-        problems.sort_by_key(|(at, problem)| (*at, problem.what.clone()));
-        let stated = self.stated.into_inner().into_iter();
-        let stated = stated.map(|(field, span)| (field, self.places.of(span.start).0)).collect();
-        (problems, stated)
+    /// Whether the file states it.
+    pub fn is_stated(&self) -> bool {
+        !self.span.is_empty()
     }
 }
 
 /// Something that was read, and where it stands.
 #[derive(Debug, Clone)]
-pub struct At<T> {
+pub struct Located<T> {
     pub value: T,
-    pub span: Range<usize>,
-    pub field: String,
+    pub place: Place,
 }
 
-impl<T> At<T> {
-    pub fn map<U>(self, f: impl FnOnce(T) -> U) -> At<U> {
-        At { value: f(self.value), span: self.span, field: self.field }
+impl<T> Located<T> {
+    pub fn map<U>(self, transform: impl FnOnce(T) -> U) -> Located<U> {
+        Located { value: transform(self.value), place: self.place }
     }
 }
 
-/// A table, with the keys that have been asked for.
-pub struct Table<'r, 'a> {
-    pub reader: &'r Reader<'a>,
-    pub field: String,
-    pub span: Range<usize>,
-    table: &'r DeTable<'a>,
-    asked: RefCell<BTreeSet<&'static str>>,
-}
-
-fn kind(value: &DeValue) -> &'static str {
-    match value {
-        DeValue::String(_) => "a text",
-        DeValue::Integer(_) => "a whole number",
-        DeValue::Float(_) => "a number",
-        DeValue::Boolean(_) => "true or false",
-        DeValue::Datetime(_) => "a date",
-        DeValue::Array(_) => "a list",
-        DeValue::Table(_) => "a table",
-    }
+/// A problem, with what later steps need to know of it.
+#[derive(Debug)]
+pub struct LocatedProblem {
+    /// The byte of the text at which it stands.
+    pub offset: usize,
+    /// Whether a name refers to nothing or is referred to by nothing, which a syntax error
+    /// elsewhere can cause.
+    pub is_reference: bool,
+    pub problem: Problem,
 }
 
-impl<'r, 'a> Table<'r, 'a> {
-    pub fn new(
-        reader: &'r Reader<'a>,
-        field: &str,
-        span: Range<usize>,
-        table: &'r DeTable<'a>,
-    ) -> Self {
-        Table { reader, field: field.to_string(), span, table, asked: RefCell::default() }
-    }
-
-    pub fn path(&self, key: &str) -> String {
-        if self.field.is_empty() {
-            key.to_string()
-        } else {
-            format!("{}.{key}", self.field)
-        }
-    }
-
-    fn value(&self, key: &'static str) -> Option<At<&'r DeValue<'a>>> {
-        self.asked.borrow_mut().insert(key);
-        let value = self.table.get(key)?;
-        let field = self.path(key);
-        self.reader.state(&field, &value.span());
-        Some(At { value: value.get_ref(), span: value.span(), field })
-    }
+/// Keys by the path of their table.
+pub type KnownKeys = BTreeMap<String, BTreeSet<&'static str>>;
 
-    /// Whether a key is there.
-    pub fn has(&self, key: &'static str) -> bool {
-        self.asked.borrow_mut().insert(key);
-        self.table.get(key).is_some()
-    }
+/// All that was found in a file.
+pub struct Findings {
+    /// In the order of the text.
+    pub problems: Vec<LocatedProblem>,
+    /// The line of each field that the file states.
+    pub stated_lines: BTreeMap<String, usize>,
+}
 
-    fn mismatch(&self, at: &At<&DeValue>, wanted: &str, example: &str) {
-        let what = format!("is {}, not {wanted}", kind(at.value));
-        self.reader.wrong(&at.span, &at.field, what, format!("write it as in {example}"));
-    }
+/// A file that is being read.
+pub struct Reader<'text> {
+    file_name: &'text str,
+    lines: LineIndex<'text>,
+    problems: RefCell<Vec<LocatedProblem>>,
+    stated: RefCell<BTreeMap<String, Range<usize>>>,
+    /// The keys that were requested in each table, where they are collected.
+    known_keys: Option<RefCell<KnownKeys>>,
+}
 
-    /// A text.
-    pub fn text(&self, key: &'static str) -> Option<At<&'r str>> {
-        let at = self.value(key)?;
-        match at.value {
-            DeValue::String(text) => Some(At { value: text, span: at.span, field: at.field }),
-            _ => {
-                self.mismatch(&at, "a text", &format!("{key} = \"...\""));
-                None
-            }
+impl<'text> Reader<'text> {
+    pub fn new(file_name: &'text str, text: &'text str) -> Self {
+        Reader {
+            file_name,
+            lines: LineIndex::new(text),
+            problems: RefCell::default(),
+            stated: RefCell::default(),
+            known_keys: None,
         }
     }
 
-    /// A text that is read into something else; `read` says what is wrong with it.
-    pub fn parsed<T>(
-        &self,
-        key: &'static str,
-        mend: &str,
-        read: impl Fn(&str) -> Result<T, String>,
-    ) -> Option<At<T>> {
-        let at = self.text(key)?;
-        self.parse(at, mend, read)
+    /// Collects the keys that are requested in each table.
+    pub fn collecting_keys(self) -> Self {
+        Reader { known_keys: Some(RefCell::default()), ..self }
     }
 
-    /// The same for a text already at hand.
-    pub fn parse<T>(
-        &self,
-        at: At<&str>,
-        mend: &str,
-        read: impl Fn(&str) -> Result<T, String>,
-    ) -> Option<At<T>> {
-        match read(at.value) {
-            Ok(value) => Some(At { value, span: at.span, field: at.field }),
-            Err(what) => {
-                let what = format!("'{}': {what}", at.value.escape_debug());
-                self.reader.wrong(&at.span, &at.field, what, mend);
-                None
-            }
-        }
+    /// Reports a problem.
+    pub fn report(&self, place: &Place, message: impl Display, remedy: impl Display) {
+        self.push(place, message.to_string(), remedy.to_string(), None, false);
     }
 
-    /// A span of time with its unit, within bounds.
-    pub fn duration(
+    /// Reports a problem that would break a safety rule.
+    pub fn report_violation(
         &self,
-        key: &'static str,
-        default: Duration,
-        bounds: RangeInclusive<Duration>,
-    ) -> At<Duration> {
-        let read = |text: &str| span(text, &bounds);
-        let mend = format!("write a span with its unit, as in {key} = \"400ms\" or \"1.5s\"");
-        self.or(key, self.parsed(key, &mend, read), default)
+        place: &Place,
+        message: impl Display,
+        remedy: impl Display,
+        rule: SafetyRule,
+    ) {
+        self.push(place, message.to_string(), remedy.to_string(), Some(rule), false);
     }
 
-    /// A number of bytes with its unit, within bounds.
-    pub fn size(
+    /// Reports a name that refers to nothing, or is referred to by nothing.
+    pub fn report_reference(
         &self,
-        key: &'static str,
-        default: usize,
-        bounds: RangeInclusive<usize>,
-    ) -> At<usize> {
-        let read = |text: &str| {
-            let size = text.parse::<bytesize::ByteSize>()?;
-            let size = usize::try_from(size.as_u64()).unwrap_or(usize::MAX);
-            let iec = |n: &usize| bytesize::ByteSize(*n as u64).display().iec().to_string();
-            if bounds.contains(&size) {
-                Ok(size)
-            } else {
-                Err(format!("is not between {} and {}", iec(bounds.start()), iec(bounds.end())))
-            }
-        };
-        let mend = format!("write a size with its unit, as in {key} = \"64KiB\"");
-        self.or(key, self.parsed(key, &mend, read), default)
-    }
-
-    fn or<T>(&self, key: &'static str, read: Option<At<T>>, default: T) -> At<T> {
-        let (span, field) = (self.span.clone(), self.path(key));
-        read.unwrap_or(At { value: default, span, field })
-    }
-
-    /// A number within bounds.
-    pub fn number(&self, key: &'static str, default: f64, bounds: RangeInclusive<f64>) -> At<f64> {
-        let read = self.value(key).and_then(|at| {
-            let value = match at.value {
-                DeValue::Integer(n) => i64::from_str_radix(n.as_str(), n.radix()).ok(),
-                DeValue::Float(n) => match n.as_str().parse::<f64>() {
-                    Ok(n) => return self.within(at, n, &bounds),
-                    Err(_) => None,
-                },
-                _ => {
-                    self.mismatch(&at, "a number", &format!("{key} = {default}"));
-                    return None;
-                }
-            };
-            let Some(value) = value else {
-                self.reader.wrong(&at.span, &at.field, "is out of range", "write a smaller number");
-                return None;
-            };
-            self.within(at, value as f64, &bounds)
-        });
-        self.or(key, read, default)
+        place: &Place,
+        message: impl Display,
+        remedy: impl Display,
+        rule: Option<SafetyRule>,
+    ) {
+        self.push(place, message.to_string(), remedy.to_string(), rule, true);
     }
 
-    fn within(
+    fn push(
         &self,
-        at: At<&DeValue>,
-        value: f64,
-        bounds: &RangeInclusive<f64>,
-    ) -> Option<At<f64>> {
-        if bounds.contains(&value) {
-            return Some(At { value, span: at.span, field: at.field });
-        }
-        let what = format!("{value} is not between {} and {}", bounds.start(), bounds.end());
-        self.reader.wrong(&at.span, &at.field, what, "write a number between them");
-        None
-    }
-
-    /// A whole number within bounds.
-    pub fn whole(&self, key: &'static str, default: u32, bounds: RangeInclusive<u32>) -> At<u32> {
-        let (least, most) = (f64::from(*bounds.start()), f64::from(*bounds.end()));
-        let read = self.number(key, f64::from(default), least..=most);
-        if read.value.fract() != 0.0 {
-            let what = format!("{} is not a whole number", read.value);
-            self.reader.wrong(&read.span, &read.field, what, "write it without a fraction");
-        }
-        read.map(|n| n as u32)
-    }
-
-    /// True or false.
-    pub fn flag(&self, key: &'static str, default: bool) -> bool {
-        let Some(at) = self.value(key) else { return default };
-        match at.value {
-            DeValue::Boolean(flag) => *flag,
-            _ => {
-                self.mismatch(&at, "true or false", &format!("{key} = true"));
-                default
-            }
-        }
-    }
-
-    /// True or false, where a key that may hold other things holds that.
-    pub fn plain_flag(&self, key: &'static str) -> Option<At<bool>> {
-        let DeValue::Boolean(value) = self.table.get(key)?.get_ref() else { return None };
-        self.value(key).map(|at| at.map(|_| *value))
+        place: &Place,
+        message: String,
+        remedy: String,
+        rule: Option<SafetyRule>,
+        is_reference: bool,
+    ) {
+        let offset = place.span.start;
+        let LineColumn { line, column } = self.lines.place(offset);
+        let file = self.file_name.to_string();
+        let field = place.field.clone();
+        let problem = Problem { file, line, column, field, message, remedy, rule };
+        self.problems.borrow_mut().push(LocatedProblem { offset, is_reference, problem });
     }
 
-    /// The members of a list; one that is no list counts as a list of one, where `lone`.
-    pub fn list(&self, key: &'static str, lone: bool) -> Vec<At<&'r DeValue<'a>>> {
-        let Some(at) = self.value(key) else { return Vec::new() };
-        match at.value {
-            DeValue::Array(list) => list
-                .iter()
-                .enumerate()
-                .map(|(n, v)| At {
-                    value: v.get_ref(),
-                    span: v.span(),
-                    field: format!("{}[{n}]", at.field),
-                })
-                .collect(),
-            _ if lone => vec![at],
-            _ => {
-                self.mismatch(&at, "a list", &format!("{key} = [...]"));
-                Vec::new()
-            }
-        }
+    /// The line of a place, from 1.
+    pub fn line(&self, place: &Place) -> usize {
+        self.lines.place(place.span.start).line
     }
 
-    /// A list of texts.
-    pub fn texts(&self, key: &'static str) -> Vec<At<&'r str>> {
-        let text = |at: At<&'r DeValue<'a>>| match at.value {
-            DeValue::String(text) => {
-                Some(At { value: text.as_ref(), span: at.span, field: at.field })
-            }
-            _ => {
-                self.mismatch(&at, "a text", &format!("{key} = [\"...\"]"));
-                None
-            }
-        };
-        self.list(key, true).into_iter().filter_map(text).collect()
+    /// Notes that the file states a field.
+    pub fn note_stated(&self, place: &Place) {
+        self.stated.borrow_mut().insert(place.field.clone(), place.span.clone());
     }
 
-    /// A table under a key.
-    pub fn table(&self, key: &'static str) -> Option<Table<'r, 'a>> {
-        let at = self.value(key)?;
-        self.as_table(at, &format!("[{}]", self.path(key)))
+    /// Where a field stands that the file states; else the file's beginning.
+    pub fn place_of_field(&self, field: String) -> Place {
+        let span = self.stated.borrow().get(&field).cloned().unwrap_or(0..0);
+        Place { span, field }
     }
 
-    /// A value as a table.
-    pub fn as_table(&self, at: At<&'r DeValue<'a>>, example: &str) -> Option<Table<'r, 'a>> {
-        match at.value {
-            DeValue::Table(table) => {
-                Some(Table::new(self.reader, &at.field, at.span.clone(), table))
-            }
-            _ => {
-                self.mismatch(&at, "a table", example);
-                None
-            }
+    /// Notes the keys that were requested in a table, where they are collected.
+    pub fn note_known_keys(&self, table: &str, keys: &BTreeSet<&'static str>) {
+        if let Some(known_keys) = &self.known_keys {
+            known_keys.borrow_mut().insert(table.to_string(), keys.clone());
         }
     }
 
-    /// The tables of a list of tables.
-    pub fn tables(&self, key: &'static str) -> Vec<Table<'r, 'a>> {
-        let example = format!("[[{}]]", self.path(key));
-        self.list(key, true).into_iter().filter_map(|at| self.as_table(at, &example)).collect()
+    /// The keys that were collected.
+    pub fn into_known_keys(self) -> KnownKeys {
+        self.known_keys.map(RefCell::into_inner).unwrap_or_default()
     }
 
-    /// All members, for a table whose keys are names.
-    pub fn members(&self) -> Vec<(At<&'r str>, At<&'r DeValue<'a>>)> {
-        let member = |(key, value): (&'r Spanned<_>, &'r Spanned<DeValue<'a>>)| {
-            let name: &'r std::borrow::Cow<'a, str> = key.get_ref();
-            let name: &'r str = name.as_ref();
-            let field = self.path(name);
-            self.reader.state(&field, &key.span());
-            let value = At { value: value.get_ref(), span: key.span(), field: field.clone() };
-            (At { value: name, span: key.span(), field }, value)
-        };
-        self.table.iter().map(member).collect()
-    }
-
-    /// Notes every key that nobody asked for, with the known one that it is most like.
-    pub fn finish(self) {
-        let asked = self.asked.borrow();
-        if let Some(known) = &self.reader.known {
-            known.borrow_mut().insert(self.field.clone(), asked.clone());
-        }
-        for (key, _) in self.table.iter() {
-            let name: &str = key.get_ref();
-            if asked.contains(name) {
-                continue;
-            }
-            let best = most_alike(name, asked.iter().copied());
-            let mend = match best.filter(|(_, alike)| *alike >= ALIKE) {
-                Some((best, _)) => format!("did you mean '{best}'?"),
-                None => {
-                    let known: Vec<&str> = asked.iter().copied().collect();
-                    format!("known here: {}", known.join(", "))
-                }
-            };
-            self.reader.wrong(&key.span(), &self.path(name), "is not a known key", mend);
+    /// All that was found.
+    pub fn finish(self) -> Findings {
+        let mut problems = self.problems.into_inner();
+        problems.sort_by_key(|located| (located.offset, located.problem.message.clone()));
+        let stated = self.stated.into_inner().into_iter();
+        let line = |span: Range<usize>| self.lines.place(span.start).line;
+        Findings {
+            problems,
+            stated_lines: stated.map(|(field, span)| (field, line(span))).collect(),
         }
     }
 }
--- /dev/null
+++ b/crates/config/src/file/references.rs
@@ -0,0 +1,151 @@
+//! Checks names and addresses across tables: what clashes, and what refers to nothing.
+
+use super::fields::NOT_FORWARDED;
+use super::parsed::{ParsedClasses, ParsedClusters, ParsedRoute, DEFAULT_CLASS};
+use super::reader::{Located, Place};
+use super::table::Table;
+use super::value::most_similar;
+use crate::model::{Class, Listener};
+use crate::problem::SafetyRule;
+use mintshelf_balancer::api::Effect;
+use std::collections::{BTreeSet, HashMap};
+use std::net::SocketAddr;
+
+/// Whether two addresses can't both be listened on.
+fn clash(one: &SocketAddr, other: &SocketAddr) -> bool {
+    let is_any = one.ip().is_unspecified() || other.ip().is_unspecified();
+    one.port() == other.port() && (one.ip() == other.ip() || is_any)
+}
+
+/// Checks that all listeners can listen, and have names of their own.
+pub fn check_listeners(
+    top: &Table,
+    listeners: &[Located<Listener>],
+    admin: Option<&Located<SocketAddr>>,
+) {
+    const REMEDY: &str = "give each an address and a port of its own";
+    for (index, Located { value: listener, place }) in listeners.iter().enumerate() {
+        let mut earlier = listeners[..index].iter();
+        if let Some(other) =
+            earlier.clone().find(|other| clash(&other.value.address, &listener.address))
+        {
+            let line = top.reader.line(&other.place);
+            let message = format!("{} clashes with the listener in line {line}", listener.address);
+            top.reader.report(place, message, REMEDY);
+        }
+        if let Some(other) = earlier.find(|other| other.value.name == listener.name) {
+            let line = top.reader.line(&other.place);
+            let message = format!("the name '{}' stands in line {line} already", listener.name);
+            top.reader.report(place, message, "name it otherwise");
+        }
+        if admin.is_some_and(|admin| clash(&admin.value, &listener.address)) {
+            let message = format!("{} clashes with the admin listener", listener.address);
+            top.reader.report(place, message, REMEDY);
+        }
+    }
+}
+
+/// Checks that the names of listeners, classes and clusters refer to something, and that all
+/// classes and clusters are referred to.
+pub fn check_names(
+    top: &Table,
+    routes: &[ParsedRoute],
+    listeners: &[Located<Listener>],
+    classes: &ParsedClasses,
+    clusters: &ParsedClusters,
+) {
+    let listener_names: Vec<&str> =
+        listeners.iter().map(|listener| listener.value.name.as_str()).collect();
+    let class_names: Vec<&str> = classes.keys().map(String::as_str).collect();
+    let cluster_names: Vec<&str> = clusters.keys().map(String::as_str).collect();
+    for route in routes {
+        for name in &route.listeners {
+            check_name(top, name, "listener", &listener_names);
+        }
+        for name in &route.clusters {
+            check_name(top, name, "cluster", &cluster_names);
+        }
+        match classes.get(&route.route.class) {
+            Some(class) => check_effect(top, route, &class.class),
+            None => {
+                if let Some(name) = &route.class {
+                    check_name(top, name, "class", &class_names);
+                }
+            }
+        }
+    }
+    check_used(top, routes, classes, clusters);
+}
+
+/// Checks that a name is among those that are defined.
+fn check_name(top: &Table, name: &Located<String>, kind: &str, defined: &[&str]) {
+    if defined.contains(&name.value.as_str()) {
+        return;
+    }
+    let message = format!("'{}' names nothing: there is no such {kind}", name.value);
+    let remedy = match most_similar(&name.value, defined.iter().copied()) {
+        Some(similar) => format!("did you mean '{}'?", similar.name),
+        None => "define it first".to_string(),
+    };
+    let rule = Some(SafetyRule::NoLostRequest);
+    top.reader.report_reference(&name.place, message, remedy, rule);
+}
+
+/// Checks that every class and cluster is named by a route.
+fn check_used(
+    top: &Table,
+    routes: &[ParsedRoute],
+    classes: &ParsedClasses,
+    clusters: &ParsedClusters,
+) {
+    let used_classes: BTreeSet<&str> =
+        routes.iter().map(|route| route.route.class.as_str()).collect();
+    let used_clusters: BTreeSet<&str> = routes
+        .iter()
+        .flat_map(|route| route.clusters.iter().map(|name| name.value.as_str()))
+        .collect();
+    let report = |kind: &str, name: &str, place: &Place| {
+        let message = format!("the {kind} '{name}' is named nowhere");
+        top.reader.report_reference(place, message, "name it in a route, or remove it", None);
+    };
+    for (name, class) in classes {
+        if name != DEFAULT_CLASS && !used_classes.contains(name.as_str()) {
+            report("class", name, &class.place);
+        }
+    }
+    for (name, cluster) in clusters {
+        if !used_clusters.contains(name.as_str()) {
+            report("cluster", name, &cluster.place);
+        }
+    }
+}
+
+/// A route that makes requests idempotent needs the deduplication window of such a class.
+fn check_effect(top: &Table, route: &ParsedRoute, class: &Class) {
+    let Some(effect) = route.route.effect else { return };
+    let place = route.place.child("effect");
+    if effect == Effect::Idempotent && class.effect != Effect::Idempotent {
+        let class = &route.route.class;
+        let message = format!("the effect is keyed, but its class '{class}' has no window");
+        let remedy = "give the route a keyed class";
+        let rule = SafetyRule::NoDuplicateEffect;
+        top.reader.report_violation(&place, message, remedy, rule);
+    }
+    if route.forward().is_none() {
+        top.reader.report(&place, NOT_FORWARDED, "remove it");
+    }
+}
+
+/// Routes with limits are told apart by their names.
+pub fn check_limited_routes(top: &Table, routes: &[ParsedRoute]) {
+    let mut lines: HashMap<&str, usize> = HashMap::new();
+    for ParsedRoute { route, place, .. } in routes {
+        if route.limit.is_unlimited() {
+            continue;
+        }
+        if let Some(line) = lines.insert(&route.name, route.line) {
+            let message = format!("route '{}' in line {line} is limited too", route.name);
+            top.reader.report(place, message, "give the two routes names of their own");
+        }
+    }
+}
--- a/crates/config/src/file/sockets.rs
+++ b/crates/config/src/file/sockets.rs
@@ -1,30 +1,36 @@
-//! WebSocket: which routes pass handshakes on, and what their sockets are held to.
-
-use super::reader::{At, Table};
-use super::routes::Read;
-use super::tries::ReadClass;
-use super::{ms, EVER};
-use crate::model::{SocketClass, Then, WebSocket, UPSTREAM_SHARE};
-use crate::module::nanos;
-use crate::problem::BrokenRule;
+//! WebSockets: which routes forward handshakes, and the limits of their connections.
+
+use super::error::FieldError;
+use super::parsed::{ParsedClasses, ParsedRoute};
+use super::reader::{Located, Place};
+use super::table::Table;
+use super::value::{ms, MAX_DURATION};
+use crate::balancer::to_nanos;
+use crate::model::{RouteAction, SocketSettings, WebSocket, UPSTREAM_SHARE};
+use crate::problem::SafetyRule;
+use http::uri::Authority;
+use http::{HeaderName, Method};
 use mintshelf_balancer::api::Effect;
 use mintshelf_websocket::handshake::Terms;
 use mintshelf_websocket::session::{Resume, SessionConfig};
 use mintshelf_websocket::timers::TimerConfig;
-use std::collections::BTreeMap;
+use std::fmt::Display;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Part of the connections to servers that sockets may take: the rest is for requests.
-const SOCKETS_MOST: f64 = 0.8;
-/// Part of the descriptors that sockets take unless the file says otherwise.
-const SOCKETS: f64 = 0.2;
+/// Part of the connections to servers that WebSockets may take: the rest is for requests.
+const MAX_UPSTREAM_SHARE: f64 = 0.8;
+/// Part of the file descriptors that WebSockets take unless the file says otherwise.
+const DEFAULT_SHARE: f64 = 0.2;
+/// The time over which WebSockets are closed at the end, unless the file says otherwise.
+pub const DEFAULT_DRAIN: Duration = Duration::from_secs(5);
+const MAX_DRAIN: Duration = Duration::from_secs(600);
 
-/// What a class's sockets are held to unless it says otherwise.
-pub fn standard() -> SocketClass {
-    let seconds = |n| nanos(Duration::from_secs(n));
-    SocketClass {
-        life: TimerConfig {
+/// The limits of a class that states none.
+pub fn default_settings() -> SocketSettings {
+    let seconds = |seconds| to_nanos(Duration::from_secs(seconds));
+    SocketSettings {
+        timers: TimerConfig {
             idle: seconds(3600),
             lifetime: seconds(86_400),
             ping: seconds(30),
@@ -33,151 +39,178 @@
             message: seconds(60),
             closing: seconds(5),
         },
-        longest: 1 << 20,
-        buffer: 64 << 10,
+        max_message_bytes: 1 << 20,
+        buffer_bytes: 64 << 10,
     }
 }
 
-/// Reads `[classes.NAME.sockets]`.
-pub fn class(table: &Table) -> SocketClass {
-    let standard = standard();
-    let Some(inner) = table.table("sockets") else { return standard };
-    let span = |key, default, least| {
-        nanos(inner.duration(key, Duration::from_nanos(default), least..=EVER).value)
+/// Parses the `sockets` of a class.
+pub fn settings(class: &Table) -> SocketSettings {
+    let defaults = default_settings();
+    let Some(table) = class.table("sockets") else { return defaults };
+    let duration = |key, default, min| {
+        to_nanos(table.duration(key, Duration::from_nanos(default), min..=MAX_DURATION).value)
     };
-    let life = standard.life;
-    let set = SocketClass {
-        life: TimerConfig {
-            idle: span("idle-timeout", life.idle, ms(100)),
-            lifetime: span("lifetime", life.lifetime, ms(100)),
-            ping: span("ping-interval", life.ping, ms(50)),
-            silence: span("ping-timeout", life.silence, ms(10)),
-            stall: span("stall-timeout", life.stall, ms(10)),
-            message: span("message-timeout", life.message, ms(10)),
-            closing: span("close-timeout", life.closing, ms(10)),
+    let timers = defaults.timers;
+    let max_message = defaults.max_message_bytes as usize;
+    let settings = SocketSettings {
+        timers: TimerConfig {
+            idle: duration("idle-timeout", timers.idle, ms(100)),
+            lifetime: duration("lifetime", timers.lifetime, ms(100)),
+            ping: duration("ping-interval", timers.ping, ms(50)),
+            silence: duration("ping-timeout", timers.silence, ms(10)),
+            stall: duration("stall-timeout", timers.stall, ms(10)),
+            message: duration("message-timeout", timers.message, ms(10)),
+            closing: duration("close-timeout", timers.closing, ms(10)),
         },
-        longest: inner.size("longest-message", standard.longest as usize, 1..=1 << 30).value as u64,
-        buffer: inner.size("buffer", standard.buffer, 4 << 10..=1 << 20).value,
+        max_message_bytes: table.size("longest-message", max_message, 1..=1 << 30).value as u64,
+        buffer_bytes: table.size("buffer", defaults.buffer_bytes, 4 << 10..=1 << 20).value,
     };
-    inner.finish();
-    set
+    table.finish();
+    settings
 }
 
-/// Reads a route's `websocket`.
-pub fn route(table: &Table, methods: &[http::Method]) -> Option<At<WebSocket>> {
-    let flag = table.plain_flag("websocket");
-    let (terms, resume, span, field) = match flag {
-        Some(At { value: false, .. }) => return None,
-        Some(At { span, field, .. }) => (Terms::default(), None, span, field),
-        None => {
-            let inner = table.table("websocket")?;
-            let (span, field) = (inner.span.clone(), inner.field.clone());
-            let (terms, resume) = terms(inner);
-            (terms, resume, span, field)
-        }
-    };
-    if !methods.is_empty() && !methods.contains(&http::Method::GET) {
-        let what = "a handshake is a GET, which the route does not take";
-        table.reader.wrong(&span, &field, what, "add GET to methods, or remove websocket");
+/// What a route states of handshakes.
+struct Handshakes {
+    terms: Terms,
+    resume: Option<Resume>,
+    place: Place,
+}
+
+/// Parses the `websocket` of a route for requests with these methods, empty for any.
+pub fn route(table: &Table, methods: &[Method]) -> Option<Located<WebSocket>> {
+    let Handshakes { terms, resume, place } = handshakes(table)?;
+    if !methods.is_empty() && !methods.contains(&Method::GET) {
+        let message = "a handshake is a GET, which the route does not take";
+        table.reader.report(&place, message, "add GET to methods, or remove websocket");
     }
-    let session = Rc::new(standard().with(resume));
-    Some(At { value: WebSocket { terms, session }, span, field })
+    let session = Rc::new(session(&default_settings(), resume));
+    Some(Located { value: WebSocket { terms, session }, place })
 }
 
-fn terms(inner: Table) -> (Terms, Option<Resume>) {
-    let list = |key, read: fn(&str) -> Result<String, String>, mend: &str| {
-        let texts = inner.texts(key).into_iter();
-        let read = texts.filter_map(|at| inner.parse(at, mend, read).map(|at| at.value));
-        inner.has(key).then(|| read.collect::<Vec<_>>())
-    };
-    let mend = "write an origin as in \"https://lab.example\", without a path";
-    let origins = list("origins", origin, mend);
-    let mend = "write a name as in \"status.v1\"";
-    let token = |text: &str| match text.parse::<http::HeaderName>() {
-        Ok(_) => Ok(text.to_string()),
-        Err(_) => Err("is not a subprotocol's name".to_string()),
+fn handshakes(table: &Table) -> Option<Handshakes> {
+    if let Some(flag) = table.flag_if_boolean("websocket") {
+        let handshakes = Handshakes { terms: Terms::default(), resume: None, place: flag.place };
+        return flag.value.then_some(handshakes);
+    }
+    let table = table.table("websocket")?;
+    let place = table.place.clone();
+    let (terms, resume) = terms(&table);
+    table.finish();
+    Some(Handshakes { terms, resume, place })
+}
+
+fn terms(table: &Table) -> (Terms, Option<Resume>) {
+    let origin_remedy = "write an origin as in \"https://lab.example\", without a path";
+    let subprotocol_remedy = "write a name as in \"status.v1\"";
+    let terms = Terms {
+        origins: optional_list(table, "origins", origin_remedy, parse_origin),
+        subprotocols: optional_list(table, "subprotocols", subprotocol_remedy, parse_subprotocol),
+        extensions: table.flag("extensions", false),
     };
-    let subprotocols = list("subprotocols", token, mend);
-    let extensions = inner.flag("extensions", false);
-    let mend = "write \"handshake\" or \"first-message\"";
-    let resume = inner.parsed("resume", mend, |text| match text {
+    let remedy = "write \"handshake\" or \"first-message\"";
+    let resume = table.parsed("resume", remedy, |text| match text {
         "handshake" => Ok(Resume::Handshake),
         "first-message" => Ok(Resume::FirstMessage),
-        _ => Err("is not what restores a socket".into()),
+        _ => Err(FieldError::NotA("what restores a socket")),
     });
-    if let Some(at) = resume.as_ref().filter(|_| extensions) {
-        let what = "a server that takes over can't read what was compressed for another";
-        let mend = "write extensions = false, or remove resume";
-        inner.reader.breaks(&at.span, &at.field, what, mend, BrokenRule::Lost);
+    if let Some(resume) = resume.as_ref().filter(|_| terms.extensions) {
+        let message = "a server that takes over can't read what was compressed for another";
+        let remedy = "write extensions = false, or remove resume";
+        let rule = SafetyRule::NoLostRequest;
+        table.reader.report_violation(&resume.place, message, remedy, rule);
     }
-    inner.finish();
-    (Terms { origins, subprotocols, extensions }, resume.map(|at| at.value))
+    (terms, resume.map(|resume| resume.value))
 }
 
-fn origin(text: &str) -> Result<String, String> {
-    let wrong = || "is not an origin".to_string();
-    let (scheme, host) = text.split_once("://").ok_or_else(wrong)?;
-    let plain = scheme.bytes().all(|b| b.is_ascii_alphanumeric()) && !scheme.is_empty();
-    match host.parse::<http::uri::Authority>() {
-        Ok(_) if plain && !host.contains(['/', '@']) => Ok(text.to_ascii_lowercase()),
-        _ => Err(wrong()),
+/// A list of texts that are parsed; none if the key is absent.
+fn optional_list<E: Display>(
+    table: &Table,
+    key: &'static str,
+    remedy: &str,
+    parse: fn(&str) -> Result<String, E>,
+) -> Option<Vec<String>> {
+    let texts = table.texts(key).into_iter();
+    let parsed = texts.filter_map(|at| Some(table.parse(at, remedy, parse)?.value));
+    table.has(key).then(|| parsed.collect())
+}
+
+fn parse_subprotocol(text: &str) -> Result<String, FieldError> {
+    match text.parse::<HeaderName>() {
+        Ok(_) => Ok(text.to_string()),
+        Err(_) => Err(FieldError::NotA("a subprotocol's name")),
     }
 }
 
-/// Gives each route's sockets what their class says, and holds that against the rules.
-pub fn settle(top: &Table, routes: &mut [Read], classes: &BTreeMap<String, ReadClass>) {
-    for read in routes {
-        let Then::Forward(forward) = &mut read.route.then else { continue };
-        let (Some(socket), Some(at)) = (&mut forward.websocket, &read.websocket) else { continue };
-        let Some(class) = classes.get(&read.route.policy) else { continue };
-        let resume = socket.session.resume;
-        let session = Rc::new(class.class.sockets.with(resume));
-        *socket = Rc::new(WebSocket { terms: socket.terms.clone(), session });
-        // Danger: what restores a socket is sent again, after it has run.
-        let effect = read.route.effect.unwrap_or(class.class.effect);
+fn parse_origin(text: &str) -> Result<String, FieldError> {
+    const ERROR: FieldError = FieldError::NotA("an origin");
+    let (scheme, host) = text.split_once("://").ok_or(ERROR)?;
+    let is_scheme = !scheme.is_empty() && scheme.bytes().all(|byte| byte.is_ascii_alphanumeric());
+    match host.parse::<Authority>() {
+        Ok(_) if is_scheme && !host.contains(['/', '@']) => Ok(text.to_ascii_lowercase()),
+        _ => Err(ERROR),
+    }
+}
+
+/// Gives the WebSockets of each route the limits of its class, and checks that only safe
+/// requests are resumed: what restores a connection is sent again after it has run.
+pub fn apply_classes(top: &Table, routes: &mut [ParsedRoute], classes: &ParsedClasses) {
+    for parsed in routes {
+        let Some(place) = &parsed.websocket else { continue };
+        let RouteAction::Forward(forward) = &mut parsed.route.action else { continue };
+        let Some(websocket) = &mut forward.websocket else { continue };
+        let Some(class) = classes.get(&parsed.route.policy) else { continue };
+        let resume = websocket.session.resume;
+        let terms = websocket.terms.clone();
+        let session = Rc::new(session(&class.class.sockets, resume));
+        *websocket = Rc::new(WebSocket { terms, session });
+        let effect = parsed.route.effect.unwrap_or(class.class.effect);
         if resume.is_some() && effect != Effect::Safe {
-            let what = format!(
+            let message = format!(
                 "a socket of class '{}' would be opened again at another server, and only safe \
                  requests may run twice",
-                read.route.class
+                parsed.route.class
             );
-            let mend = "remove resume, or give the route a safe class";
-            top.reader.breaks(&at.span, &at.field, what, mend, BrokenRule::Twice);
+            let remedy = "remove resume, or give the route a safe class";
+            let rule = SafetyRule::NoDuplicateEffect;
+            top.reader.report_violation(place, message, remedy, rule);
         }
     }
 }
 
-/// In how long the sockets are closed when the process ends.
-const DRAIN: Duration = Duration::from_secs(5);
+fn session(settings: &SocketSettings, resume: Option<Resume>) -> SessionConfig {
+    SessionConfig {
+        life: settings.timers,
+        longest: settings.max_message_bytes,
+        buffer: settings.buffer_bytes,
+        resume,
+    }
+}
 
-/// How many sockets a process with so many descriptors holds, and in how long they are closed
-/// when it ends.
-pub fn standard_limits(sockets: usize) -> (u32, Duration) {
-    ((sockets as f64 * SOCKETS) as u32, DRAIN)
+/// Upper bound of the WebSockets of a process that states none.
+pub fn default_max_websockets(file_descriptors: usize) -> u32 {
+    (file_descriptors as f64 * DEFAULT_SHARE) as u32
 }
 
-/// Reads what the file says of that.
-pub fn limits(table: &Table, sockets: usize) -> (u32, Duration) {
-    let (count, drain) = standard_limits(sockets);
-    let at = table.whole("websockets", count, 0..=1 << 20);
-    let most = (sockets as f64 * UPSTREAM_SHARE * SOCKETS_MOST) as u32;
-    if at.value > most {
-        let what = format!(
-            "{} sockets would leave requests too few connections: of {sockets} descriptors up to \
-             {most} may be sockets",
-            at.value
+/// Parses the upper bound of the WebSockets of a process.
+pub fn max_websockets(limits: &Table, file_descriptors: usize) -> u32 {
+    let default = default_max_websockets(file_descriptors);
+    let stated = limits.integer("websockets", default, 0..=1 << 20);
+    let max = (file_descriptors as f64 * UPSTREAM_SHARE * MAX_UPSTREAM_SHARE) as u32;
+    if stated.value > max {
+        let message = format!(
+            "{} sockets would leave requests too few connections: of {file_descriptors} \
+             descriptors up to {max} may be sockets",
+            stated.value
         );
-        let mend = "lower it, or raise sockets";
-        table.reader.breaks(&at.span, &at.field, what, mend, BrokenRule::Lost);
+        let remedy = "lower it, or raise sockets";
+        let rule = SafetyRule::NoLostRequest;
+        limits.reader.report_violation(&stated.place, message, remedy, rule);
     }
-    let drain = table.duration("websocket-drain", drain, ms(0)..=Duration::from_secs(600));
-    (at.value, drain.value)
+    stated.value
 }
 
-impl SocketClass {
-    /// As a session takes it.
-    fn with(&self, resume: Option<Resume>) -> SessionConfig {
-        let SocketClass { life, longest, buffer } = *self;
-        SessionConfig { life, longest, buffer, resume }
-    }
+/// Parses the time over which the WebSockets of a process are closed at its end.
+pub fn drain(limits: &Table) -> Duration {
+    limits.duration("websocket-drain", DEFAULT_DRAIN, ms(0)..=MAX_DRAIN).value
 }
--- /dev/null
+++ b/crates/config/src/file/syntax.rs
@@ -0,0 +1,73 @@
+//! Errors of the file's encoding and of TOML.
+
+use super::reader::LocatedProblem;
+use crate::problem::{LineColumn, LineIndex, Problem};
+use std::collections::BTreeSet;
+use toml::de::Error;
+
+/// Largest file: far over ten thousand routes.
+const MAX_FILE_BYTES: usize = 16 << 20;
+
+fn file_problem(file_name: &str, place: LineColumn, message: String, remedy: &str) -> Problem {
+    Problem {
+        file: file_name.to_string(),
+        line: place.line,
+        column: place.column,
+        field: String::new(),
+        message,
+        remedy: remedy.to_string(),
+        rule: None,
+    }
+}
+
+/// The text of a file.
+///
+/// # Errors
+///
+/// One problem if the file is too large or not in UTF-8.
+pub fn decode<'bytes>(file_name: &str, bytes: &'bytes [u8]) -> Result<&'bytes str, Problem> {
+    if bytes.len() > MAX_FILE_BYTES {
+        let message = format!("has {} bytes, over {MAX_FILE_BYTES}", bytes.len());
+        let start = LineColumn { line: 1, column: 1 };
+        return Err(file_problem(file_name, start, message, "split the installation"));
+    }
+    std::str::from_utf8(bytes).map_err(|error| {
+        let valid = std::str::from_utf8(&bytes[..error.valid_up_to()]).unwrap_or_default();
+        let place = LineIndex::new(valid).place(valid.len());
+        let message = "is not text in UTF-8".to_string();
+        file_problem(file_name, place, message, "save it as a UTF-8 text file")
+    })
+}
+
+/// Adds syntax errors, the first of each line, to the problems of a file, which are in the order
+/// of the text. Problems that a syntax error may have caused are left out: what stands behind
+/// the first one may have been misread, and what refers to it may not have been read at all.
+pub fn merge_errors(
+    file_name: &str,
+    text: &str,
+    errors: &[Error],
+    mut problems: Vec<LocatedProblem>,
+) -> Vec<LocatedProblem> {
+    if errors.is_empty() {
+        return problems;
+    }
+    let starts = errors.iter().filter_map(Error::span).map(|span| span.start);
+    let first_error = starts.min().unwrap_or(0);
+    problems.retain(|located| {
+        located.offset < first_error && located.offset > 0 && !located.is_reference
+    });
+    let index = LineIndex::new(text);
+    let mut lines = BTreeSet::new();
+    for error in errors {
+        let offset = error.span().map_or(text.len(), |span| span.start);
+        let place = index.place(offset);
+        if lines.insert(place.line) {
+            let message = error.message().lines().collect::<Vec<_>>().join(", ");
+            let remedy = "see the reference page for the form";
+            let problem = file_problem(file_name, place, message, remedy);
+            problems.push(LocatedProblem { offset, is_reference: false, problem });
+        }
+    }
+    problems.sort_by_key(|located| located.offset);
+    problems
+}
--- /dev/null
+++ b/crates/config/src/file/tenants.rs
@@ -0,0 +1,226 @@
+//! Tenants: what identifies them, and their limits.
+
+use super::error::FieldError;
+use super::fields::{parse_header_name, HEADER_REMEDY};
+use super::limits;
+use super::reader::{Located, Place};
+use super::table::{Member, Table};
+use crate::model::{Listener, Tenant};
+use http::HeaderName;
+use ipnet::IpNet;
+use mintshelf_admission::tenants::{networks_overlap, OTHER_TENANTS};
+use std::collections::HashMap;
+
+/// Upper bound of the tenants: each takes a place in every cluster's queue.
+const MAX_TENANTS: usize = 256;
+
+/// The tenants of a file.
+pub struct ParsedTenants {
+    /// In the order of the file.
+    pub tenants: Vec<Tenant>,
+    /// The header that names a request's tenant.
+    pub header: Option<HeaderName>,
+}
+
+/// A tenant with the places of its networks.
+struct ParsedTenant {
+    tenant: Tenant,
+    /// The tenant within whose networks its own may lie.
+    within: Option<String>,
+    networks: Vec<Located<IpNet>>,
+}
+
+/// Parses `[tenants]` and `tenant-header`.
+pub fn parse(top: &Table, listeners: &[Located<Listener>]) -> ParsedTenants {
+    let header = top.parsed("tenant-header", HEADER_REMEDY, parse_header_name);
+    let tenants = match top.table("tenants") {
+        Some(tables) => parse_all(&tables, listeners, header.is_some()),
+        None => Vec::new(),
+    };
+    check_within(top, &tenants);
+    check_networks(top, &tenants);
+    check_unique(top, &tenants);
+    ParsedTenants {
+        tenants: tenants.into_iter().map(|parsed| parsed.tenant).collect(),
+        header: header.map(|header| header.value),
+    }
+}
+
+fn parse_all(
+    tables: &Table,
+    listeners: &[Located<Listener>],
+    has_header: bool,
+) -> Vec<ParsedTenant> {
+    let mut tenants = Vec::new();
+    for Member { name, value } in tables.members() {
+        let Some(table) = tables.as_table(value, "[tenants.NAME]") else { continue };
+        tenants.push(tenant(&table, &name, listeners, has_header));
+        table.finish();
+    }
+    if tenants.len() > MAX_TENANTS {
+        let message = format!("there are {} tenants, over {MAX_TENANTS}", tenants.len());
+        tables.reader.report(&tables.place, message, "give several one name");
+    }
+    tenants
+}
+
+fn tenant(
+    table: &Table,
+    name: &Located<&str>,
+    listeners: &[Located<Listener>],
+    has_header: bool,
+) -> ParsedTenant {
+    if name.value == OTHER_TENANTS {
+        let message = format!("'{OTHER_TENANTS}' are those who are no tenant");
+        table.reader.report(&name.place, message, "name it otherwise");
+    }
+    let networks = networks(table);
+    let listeners = own_listeners(table, listeners);
+    let header_values = header_values(table, has_header);
+    if !table.has("networks") && listeners.is_empty() && header_values.is_empty() {
+        let message = "nothing tells whose requests are this tenant's";
+        let remedy = "state networks, listeners or header-values";
+        table.reader.report(&table.place, message, remedy);
+    }
+    let tenant = Tenant {
+        name: name.value.to_string(),
+        share: table.number("share", 1.0, 0.001..=1e6).value,
+        networks: networks.iter().map(|network| network.value).collect(),
+        listeners,
+        header_values,
+        limit: limits::limit(table),
+    };
+    let within = table.text("within").map(|within| within.value.to_string());
+    ParsedTenant { tenant, within, networks }
+}
+
+fn networks(table: &Table) -> Vec<Located<IpNet>> {
+    let remedy = "write a network as in \"10.0.0.0/8\" or \"2001:db8::/32\"";
+    let parse = |text: &str| text.parse::<IpNet>().map_err(FieldError::Network);
+    let mut networks = Vec::new();
+    for text in table.texts("networks") {
+        let Some(network) = table.parse(text, remedy, parse) else { continue };
+        let truncated = network.value.trunc();
+        if network.value != truncated {
+            let message = format!("{} has bits behind its prefix", network.value);
+            table.reader.report(&network.place, message, format!("write {truncated}"));
+        }
+        networks.push(network.map(|network| network.trunc()));
+    }
+    networks
+}
+
+fn own_listeners(table: &Table, listeners: &[Located<Listener>]) -> Vec<String> {
+    let own = table.texts("listeners");
+    for at in &own {
+        if !listeners.iter().any(|listener| listener.value.name == at.value) {
+            let message = format!("'{}' names nothing: there is no such listener", at.value);
+            table.reader.report_reference(&at.place, message, "define it first", None);
+        }
+    }
+    own.into_iter().map(|at| at.value.to_string()).collect()
+}
+
+fn header_values(table: &Table, has_header: bool) -> Vec<String> {
+    let values = table.texts("header-values");
+    if let Some(first) = values.first().filter(|_| !has_header) {
+        let place = Place { span: first.place.span.clone(), field: table.path("header-values") };
+        let remedy = "name the header at the top, as in tenant-header = \"x-member\"";
+        table.reader.report(&place, "no header names tenants", remedy);
+    }
+    values.into_iter().map(|at| at.value.to_string()).collect()
+}
+
+/// The place of a tenant's field.
+fn field_place(top: &Table, tenant: &Tenant, key: &str) -> Place {
+    top.reader.place_of_field(format!("tenants.{}.{key}", tenant.name))
+}
+
+/// `within` has to name a tenant.
+fn check_within(top: &Table, tenants: &[ParsedTenant]) {
+    for parsed in tenants {
+        let Some(name) = &parsed.within else { continue };
+        if tenants.iter().any(|other| other.tenant.name == *name) {
+            continue;
+        }
+        let message = format!("'{name}' names nothing: there is no such tenant");
+        let place = field_place(top, &parsed.tenant, "within");
+        top.reader.report_reference(&place, message, "name another tenant", None);
+    }
+}
+
+/// A network of a tenant.
+struct TenantNetwork<'tenants> {
+    tenant: &'tenants ParsedTenant,
+    network: IpNet,
+    place: &'tenants Place,
+}
+
+impl TenantNetwork<'_> {
+    fn is_of_tenant(&self, tenant: &ParsedTenant) -> bool {
+        std::ptr::eq(self.tenant, tenant)
+    }
+
+    /// Whether this network may lie within that of another tenant.
+    fn may_lie_within(&self, outer: &TenantNetwork) -> bool {
+        self.network != outer.network
+            && self.tenant.within.as_ref() == Some(&outer.tenant.tenant.name)
+    }
+}
+
+/// Two tenants must not claim one network: the traffic of one would count as the other's. Where a
+/// part of another's network is meant, the smaller one says so by `within`.
+fn check_networks(top: &Table, tenants: &[ParsedTenant]) {
+    let mut networks: Vec<TenantNetwork> = tenants
+        .iter()
+        .flat_map(|tenant| {
+            tenant.networks.iter().map(move |at| TenantNetwork {
+                tenant,
+                network: at.value,
+                place: &at.place,
+            })
+        })
+        .collect();
+    // In this order a network comes before those that lie within it.
+    networks.sort_by_key(|network| (network.network.network(), network.network.prefix_len()));
+    let mut enclosing: Vec<&TenantNetwork> = Vec::new();
+    for inner in &networks {
+        enclosing.retain(|outer| networks_overlap(&outer.network, &inner.network));
+        // The smallest of the others' networks around it is the one it is taken out of.
+        let mut others = enclosing.iter().rev();
+        let outer = others.find(|outer| !outer.is_of_tenant(inner.tenant));
+        if let Some(outer) = outer.filter(|outer| !inner.may_lie_within(outer)) {
+            report_overlap(top, inner, outer);
+        }
+        enclosing.push(inner);
+    }
+}
+
+fn report_overlap(top: &Table, inner: &TenantNetwork, outer: &TenantNetwork) {
+    let other = &outer.tenant.tenant.name;
+    let message = format!(
+        "{} overlaps {} of tenant '{other}' in line {}",
+        inner.network,
+        outer.network,
+        top.reader.line(outer.place)
+    );
+    let remedy = format!("give the addresses to one of the two, or write within = \"{other}\"");
+    top.reader.report(inner.place, message, remedy);
+}
+
+/// Two tenants must not claim one listener or header value.
+fn check_unique(top: &Table, tenants: &[ParsedTenant]) {
+    let mut claims: HashMap<(&str, &str), &str> = HashMap::new();
+    for ParsedTenant { tenant, .. } in tenants {
+        let listeners = tenant.listeners.iter().map(|name| ("listeners", name.as_str()));
+        let values = tenant.header_values.iter().map(|value| ("header-values", value.as_str()));
+        for (key, claimed) in listeners.chain(values) {
+            let Some(other) = claims.insert((key, claimed), &tenant.name) else { continue };
+            if other != tenant.name {
+                let message = format!("'{claimed}' is of tenant '{other}' already");
+                let place = field_place(top, tenant, key);
+                top.reader.report(&place, message, "give it to one of the two");
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/config/src/file/value.rs
@@ -0,0 +1,58 @@
+//! Values of fields: durations and sizes with their units, and names that are nearly right.
+
+use super::error::FieldError;
+use bytesize::ByteSize;
+use std::ops::RangeInclusive;
+use std::time::Duration;
+
+/// The longest duration that a setting may have.
+pub const MAX_DURATION: Duration = Duration::from_secs(86_400);
+
+/// A duration in milliseconds.
+pub const fn ms(millis: u64) -> Duration {
+    Duration::from_millis(millis)
+}
+
+/// Parses a duration with its unit, within bounds.
+pub fn parse_duration(
+    text: &str,
+    bounds: &RangeInclusive<Duration>,
+) -> Result<Duration, FieldError> {
+    let duration = humantime::parse_duration(text)?;
+    if bounds.contains(&duration) {
+        return Ok(duration);
+    }
+    Err(FieldError::OutOfBounds {
+        min: humantime::format_duration(*bounds.start()).to_string(),
+        max: humantime::format_duration(*bounds.end()).to_string(),
+    })
+}
+
+/// Parses a number of bytes with its unit, within bounds.
+pub fn parse_size(text: &str, bounds: &RangeInclusive<usize>) -> Result<usize, FieldError> {
+    let size: ByteSize = text.parse().map_err(FieldError::Size)?;
+    let size = usize::try_from(size.as_u64()).unwrap_or(usize::MAX);
+    if bounds.contains(&size) {
+        return Ok(size);
+    }
+    let format = |bytes: &usize| ByteSize(*bytes as u64).display().iec().to_string();
+    Err(FieldError::OutOfBounds { min: format(bounds.start()), max: format(bounds.end()) })
+}
+
+/// A known name that resembles another one.
+#[derive(Debug, Clone, Copy)]
+pub struct SimilarName<'known> {
+    pub name: &'known str,
+    /// From 0 to 1, where 1 is the same.
+    pub similarity: f64,
+}
+
+/// The known name that resembles this one most; none if nothing is known.
+pub fn most_similar<'known>(
+    name: &str,
+    known: impl Iterator<Item = &'known str>,
+) -> Option<SimilarName<'known>> {
+    known
+        .map(|known| SimilarName { name: known, similarity: strsim::jaro_winkler(name, known) })
+        .max_by(|one, other| one.similarity.total_cmp(&other.similarity))
+}
--- /dev/null
+++ b/crates/config/src/model/class.rs
@@ -0,0 +1,83 @@
+//! Request classes: their effect and times, and the settings of their attempts and WebSockets.
+
+use mintshelf_balancer::api::Effect;
+use mintshelf_retry::policy::HedgePolicy;
+use mintshelf_retry::schedule::{AttemptTimeout, Backoff, DedupGroup, RetryOn};
+use mintshelf_websocket::timers::TimerConfig;
+use std::time::Duration;
+
+/// A class of requests.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Class {
+    /// The mildest effect that its requests may have.
+    pub effect: Effect,
+    /// For how long servers deduplicate an idempotent request.
+    pub dedup_window: Duration,
+    /// A response within this time earns the full priority weight.
+    pub latency_objective: Duration,
+    /// How long a request may wait for the head of its response.
+    pub deadline: Duration,
+    /// What a response is worth against those of other classes.
+    pub priority_weight: f64,
+    /// The fraction of the priority weight that a late response earns.
+    pub late_weight: f64,
+    /// What its attempts may do.
+    pub attempts: AttemptSettings,
+    /// The limits of its WebSockets.
+    pub sockets: SocketSettings,
+}
+
+/// What the attempts of a class's requests may do; absent is what neither the class nor the
+/// file's defaults state.
+#[derive(Debug, Clone, Default, PartialEq)]
+pub struct AttemptSettings {
+    /// How long one attempt may take once it is connected.
+    pub attempt_timeout: Option<AttemptTimeout>,
+    /// Upper bound of the attempts, the first included; else the cluster's.
+    pub max_attempts: Option<u32>,
+    /// The pauses between attempts.
+    pub backoff: Option<Backoff>,
+    /// Which attempts a retry may follow.
+    pub retry_on: Option<RetryOn>,
+    /// Whether and how requests are hedged.
+    pub hedge: Option<HedgeSetting>,
+    /// How often clients send a request again by themselves.
+    pub client_retries: Option<u32>,
+    /// Which endpoints deduplicate each other's requests.
+    pub dedup_group: Option<DedupGroup>,
+    /// Longest wait for a connection, where that is less than the cluster's.
+    pub connect_timeout: Option<Duration>,
+    /// A connection that has been idle for longer is not reused, where that is less than the
+    /// cluster's.
+    pub idle_timeout: Option<Duration>,
+}
+
+impl AttemptSettings {
+    /// How requests are hedged; none if they are not.
+    pub fn hedge_policy(&self) -> Option<HedgePolicy> {
+        match self.hedge {
+            Some(HedgeSetting::On(policy)) => Some(policy),
+            Some(HedgeSetting::Off) | None => None,
+        }
+    }
+}
+
+/// What a file states about hedging.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub enum HedgeSetting {
+    /// There is none, whatever is inherited.
+    Off,
+    /// There is, by this policy.
+    On(HedgePolicy),
+}
+
+/// The limits of the WebSockets of a class.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct SocketSettings {
+    /// Their timers.
+    pub timers: TimerConfig,
+    /// Longest message, in bytes as sent.
+    pub max_message_bytes: u64,
+    /// Bytes that may be queued for one peer.
+    pub buffer_bytes: usize,
+}
--- /dev/null
+++ b/crates/config/src/model/cluster.rs
@@ -0,0 +1,87 @@
+//! Clusters: their endpoints, connections, retry budget and limits.
+
+use http::HeaderName;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+/// Servers that do the same.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Cluster {
+    /// Its servers.
+    pub endpoints: Vec<Endpoint>,
+    /// The zone of this sidecar, for this cluster; empty if it has none.
+    pub zone: String,
+    /// Longest wait for a connection.
+    pub connect_timeout: Duration,
+    /// Servers close idle connections after this.
+    pub idle_timeout: Duration,
+    /// Upper bound of the attempts of one request, where its class states no other.
+    pub max_attempts: u32,
+    /// The budget of retries and hedges.
+    pub retry_budget: RetryBudgetConfig,
+    /// Whether two attempts of one request may be in flight at a time.
+    pub allows_parallel_attempts: bool,
+    /// Statuses that count as a failure of the endpoint.
+    pub failure_statuses: Vec<u16>,
+    /// A header by which a server says that it never ran the request.
+    pub never_ran_header: Option<HeaderName>,
+    /// How long a server that has just been added warms up.
+    pub warm_up: Duration,
+    /// The fraction of its capacity at which it starts.
+    pub warm_up_start: f64,
+    /// The concurrency limit; none if absent.
+    pub concurrency: Option<ConcurrencyLimit>,
+    /// Upper bounds of the connections.
+    pub connections: ConnectionLimits,
+    /// Upper bounds of the WebSockets.
+    pub sockets: ConnectionLimits,
+    /// The load of an open WebSocket, where that of a request is 1.
+    pub socket_weight: f64,
+    /// The time over which WebSockets leave an endpoint that has gone.
+    pub socket_spread: Duration,
+    /// Longest `Retry-After` that a client is given.
+    pub max_retry_after: Duration,
+    /// Shortest time over which traffic returns after an outage of the whole cluster; 0 for all
+    /// at once.
+    pub recovery_ramp: Duration,
+}
+
+/// The budget of retries and hedges of one cluster.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct RetryBudgetConfig {
+    /// What each request adds to the budget, in attempts.
+    pub ratio: f64,
+    /// Upper bound of the budget, in attempts.
+    pub burst: u32,
+}
+
+/// How many requests a cluster takes.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct ConcurrencyLimit {
+    /// Upper bound of the requests in flight.
+    pub max_concurrency: u32,
+    /// Upper bound of the requests that wait.
+    pub max_queued: u32,
+}
+
+/// Upper bounds of connections or WebSockets; no bound where absent.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub struct ConnectionLimits {
+    /// To all endpoints of a cluster.
+    pub total: Option<u32>,
+    /// To each of them.
+    pub per_endpoint: Option<u32>,
+}
+
+/// One server of a cluster.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Endpoint {
+    /// Its name, unique in its cluster.
+    pub name: String,
+    /// Where it listens.
+    pub address: SocketAddr,
+    /// Its capacity against the others'; 0 for none of the traffic.
+    pub weight: u32,
+    /// Its zone; empty if it has none.
+    pub zone: String,
+}
--- /dev/null
+++ b/crates/config/src/model/fleet.rs
@@ -0,0 +1,31 @@
+//! The fleet that agrees on leases, and this process's place in it.
+
+use mintshelf_lease::timing::Timing;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+
+/// The fleet, and who this process is in it.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct FleetConfig {
+    /// The fleet's name: processes of other fleets are rejected.
+    pub fleet: String,
+    /// This process's name.
+    pub name: String,
+    /// This process's number if it is a voter, from 1 in the order of the file.
+    pub id: Option<u64>,
+    /// Where a voter stores its log.
+    pub directory: Option<PathBuf>,
+    /// All voters, in the order of the file, which is the same in each process's file.
+    pub voters: Vec<FleetVoter>,
+    /// Elections, heartbeats and lease durations.
+    pub timing: Timing,
+}
+
+/// One voter.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct FleetVoter {
+    /// Its name.
+    pub name: String,
+    /// Where it listens for the other processes.
+    pub address: SocketAddr,
+}
--- /dev/null
+++ b/crates/config/src/model/process.rs
@@ -0,0 +1,74 @@
+//! The process: its listeners, what it may use, who shares it, and what it discloses.
+
+use http::HeaderName;
+use ipnet::IpNet;
+use mintshelf_admission::limit::LimitConfig;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+/// Part of the file descriptors that is reserved for connections to servers. A client being
+/// served takes one of each; most clients are idle.
+pub const UPSTREAM_SHARE: f64 = 0.4;
+/// Part of the memory limit that the queues of WebSockets may fill.
+pub const SOCKET_QUEUE_SHARE: f64 = 0.2;
+/// Part of the memory limit that the bodies of requests may fill. The rest is for the
+/// libraries' buffers (32 KiB each way a connection at most) and for responses.
+pub const BODY_SHARE: f64 = 0.3;
+
+/// An address that takes clients.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct Listener {
+    /// The name by which routes and tenants refer to it.
+    pub name: String,
+    /// Where it listens.
+    pub address: SocketAddr,
+}
+
+/// A tenant that shares the installation.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Tenant {
+    /// Its name.
+    pub name: String,
+    /// Its share against the others'.
+    pub share: f64,
+    /// The networks of its clients.
+    pub networks: Vec<IpNet>,
+    /// The names of the listeners that are its own.
+    pub listeners: Vec<String>,
+    /// Values of the tenant header that name it.
+    pub header_values: Vec<String>,
+    /// What it is limited to.
+    pub limit: LimitConfig,
+}
+
+/// What the process may use.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct ProcessLimits {
+    /// Memory; the budgets are parts of it.
+    pub memory_bytes: usize,
+    /// File descriptors.
+    pub file_descriptors: usize,
+    /// The longest time from the first byte of a request to the end of its head.
+    pub head_timeout: Duration,
+    /// An idle client's connection is closed after this.
+    pub idle_timeout: Duration,
+    /// A body that makes no progress for this long, either way, is given up.
+    pub stream_timeout: Duration,
+    /// Whether a client that ends its sending before it has its response counts as gone.
+    pub abort_on_close: bool,
+    /// Upper bound of the open WebSockets.
+    pub max_websockets: u32,
+    /// The time over which WebSockets are closed when the process or their listener ends.
+    pub websocket_drain: Duration,
+}
+
+/// What is disclosed of this hop to the next one.
+#[derive(Debug, Clone, Default, PartialEq, Eq)]
+pub struct Forwarding {
+    /// The name in `Via` (RFC 9110 7.6.3); no `Via` if absent.
+    pub via: Option<String>,
+    /// Whether `Forwarded` (RFC 7239) names the client.
+    pub adds_forwarded: bool,
+    /// The header with a request's id; one is made where none came.
+    pub request_id: Option<HeaderName>,
+}
--- /dev/null
+++ b/crates/config/src/model/route.rs
@@ -0,0 +1,121 @@
+//! Routes: which requests they match, and what is done with those.
+
+use http::{HeaderName, HeaderValue, StatusCode};
+use mintshelf_admission::limit::LimitConfig;
+use mintshelf_balancer::api::Effect;
+use mintshelf_routing::{ClusterSplit, RouteRule};
+use mintshelf_websocket::handshake::Terms;
+use mintshelf_websocket::session::SessionConfig;
+use std::rc::Rc;
+use std::sync::Arc;
+
+/// A route.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Route {
+    /// Its name in logs, metrics and `explain`.
+    pub name: String,
+    /// Its line in the file, from 1.
+    pub line: usize,
+    /// The names of its listeners; empty for all.
+    pub listeners: Vec<String>,
+    /// Which requests it matches.
+    pub rule: Arc<RouteRule>,
+    /// The name of its class.
+    pub class: String,
+    /// The name in [`OperatorConfig::classes`](super::OperatorConfig::classes) of its class with
+    /// the overrides of the route; the class's own where there are none.
+    pub policy: String,
+    /// The effect of all its requests, where the operator knows better than their methods.
+    pub effect: Option<Effect>,
+    /// What it is limited to.
+    pub limit: LimitConfig,
+    /// What is done with requests that match.
+    pub action: RouteAction,
+}
+
+/// What is done with a request that a route matches.
+#[derive(Debug, Clone, PartialEq)]
+pub enum RouteAction {
+    /// It is forwarded to a server.
+    Forward(Forward),
+    /// Its client is redirected.
+    Redirect(Redirect),
+    /// It gets a response of the route's own.
+    Respond(Respond),
+}
+
+/// How a request is forwarded.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Forward {
+    /// The clusters, with their weights.
+    pub split: ClusterSplit,
+    /// What makes a client stay at one cluster.
+    pub sticky: Option<Sticky>,
+    /// What replaces the route's path prefix.
+    pub rewrite_prefix: Option<String>,
+    /// Forwards WebSocket handshakes; they are ordinary requests where this is absent.
+    pub websocket: Option<Rc<WebSocket>>,
+    /// Changes to the headers of the request.
+    pub request: HeaderEdits,
+    /// Changes to the headers of the response.
+    pub response: HeaderEdits,
+}
+
+/// A route that forwards WebSocket handshakes.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct WebSocket {
+    /// What of a handshake is forwarded.
+    pub terms: Terms,
+    /// The limits of its WebSockets.
+    pub session: Rc<SessionConfig>,
+}
+
+/// Where the key of a sticky split comes from.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum Sticky {
+    /// The value of a header.
+    Header(HeaderName),
+    /// The value of a cookie.
+    Cookie(String),
+    /// The value of a query parameter.
+    Query(String),
+    /// The client's address.
+    Client,
+}
+
+/// Changes to headers: `remove` first, then `set`, then `add`.
+#[derive(Debug, Clone, Default, PartialEq)]
+pub struct HeaderEdits {
+    /// Headers that are removed.
+    pub remove: Vec<HeaderName>,
+    /// Headers that replace those of the same name.
+    pub set: Vec<(HeaderName, HeaderValue)>,
+    /// Headers that are added to those of the same name.
+    pub add: Vec<(HeaderName, HeaderValue)>,
+}
+
+/// Where a client is redirected.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Redirect {
+    /// 301, 302, 303, 307 or 308.
+    pub status: StatusCode,
+    /// Another scheme.
+    pub scheme: Option<String>,
+    /// Another host, maybe with a port.
+    pub host: Option<String>,
+    /// Another path, all of it.
+    pub path: Option<String>,
+    /// What replaces the route's path prefix.
+    pub prefix: Option<String>,
+}
+
+/// A response of the route's own.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Respond {
+    /// Its status.
+    pub status: StatusCode,
+    /// Its body.
+    pub body: String,
+    /// The media type of the body.
+    pub content_type: HeaderValue,
+}
--- a/crates/config/src/platform.rs
+++ b/crates/config/src/platform.rs
@@ -1,53 +1,92 @@
-//! The configuration file that `RELAY_CONFIG` names.
+//! The sidecar's configuration on the platform: the JSON file that `RELAY_CONFIG` names.
 
 use mintshelf_balancer::api::Settings;
 use mintshelf_balancer::settings::parse_settings;
+use serde::de::DeserializeOwned;
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
+use std::num::ParseIntError;
 use std::path::{Path, PathBuf};
 
-/// Why the sidecar cannot start: one line that names the file and the field.
-#[derive(Debug)]
+/// Lower bound of the file descriptors with which a sidecar can do its work.
+const MIN_FILE_DESCRIPTORS: usize = 64;
+
+/// Why the sidecar cannot start. Its message is one line that names the file and the field.
+#[derive(Debug, thiserror::Error)]
+#[error("{}: {}: {}", .file.display(), .error.field(), one_line(.error))]
 pub struct ConfigError {
     file: PathBuf,
-    field: String,
-    what: String,
+    #[source]
+    error: ContentError,
 }
 
-impl std::fmt::Display for ConfigError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let what = self.what.replace(['\n', '\r'], " ");
-        write!(f, "{}: {}: {what}", self.file.display(), self.field)
-    }
+fn one_line(error: &ContentError) -> String {
+    error.to_string().replace(['\n', '\r'], " ")
 }
 
-impl std::error::Error for ConfigError {}
+/// What is wrong with the content of the file.
+#[derive(Debug, thiserror::Error)]
+enum ContentError {
+    #[error(transparent)]
+    Unreadable(std::io::Error),
+    /// Not JSON, or a field is missing or of another type.
+    #[error("{error}")]
+    Json { field: String, error: serde_json::Error },
+    #[error("'{text}': {error}")]
+    Seed { text: String, error: ParseIntError },
+    #[error("{0} is under {MIN_FILE_DESCRIPTORS}")]
+    FewFileDescriptors(usize),
+    /// The decision module does not take its settings.
+    #[error("{0}")]
+    Settings(String),
+    #[error("'{name}' is there twice")]
+    DuplicateName { field: String, name: String },
+    #[error("is 0: nothing could be sent to any server; it is 1 at least")]
+    NoAttempts,
+    #[error("is missing, but the settings allow peers")]
+    NoPeerAddress,
+}
 
-/// What a sidecar is told at its start.
+impl ContentError {
+    /// The field at fault, as in `limits.sockets`.
+    fn field(&self) -> &str {
+        match self {
+            ContentError::Unreadable(_) => "file",
+            ContentError::Json { field, .. } | ContentError::DuplicateName { field, .. } => field,
+            ContentError::Seed { .. } => "seed",
+            ContentError::FewFileDescriptors(_) => "limits.sockets",
+            ContentError::Settings(_) => "settings",
+            ContentError::NoAttempts => "settings.limits.max-attempts",
+            ContentError::NoPeerAddress => "peer_listen",
+        }
+    }
+}
+
+/// The configuration that a sidecar starts with.
 #[derive(Debug)]
-pub struct Config {
+pub struct PlatformConfig {
     /// Its name, for the log.
     pub name: String,
     /// Where clients connect.
     pub listen: SocketAddr,
     /// Where discovery answers.
     pub discovery: SocketAddr,
-    /// For random numbers; new with each start.
+    /// The seed of random numbers; another one with each start.
     pub seed: u64,
-    /// The most file descriptors the process may hold.
-    pub sockets: usize,
-    /// The memory it may use, in bytes.
-    pub memory: usize,
+    /// Upper bound of the process's file descriptors.
+    pub file_descriptors: usize,
+    /// The memory that it may use.
+    pub memory_bytes: usize,
     /// Where peers' datagrams arrive, if there are any.
     pub peer_listen: Option<SocketAddr>,
     /// The address of each sidecar of the tier, by number.
     pub peers: Vec<SocketAddr>,
-    /// Reaches all of them.
-    pub peers_all: Option<SocketAddr>,
-    /// The list of servers as last held, in discovery's form.
-    pub known: Option<String>,
-    /// The decision module's settings.
+    /// An address that reaches all of them.
+    pub broadcast_address: Option<SocketAddr>,
+    /// The endpoint list as last cached, in the form of discovery.
+    pub cached_list: Option<String>,
+    /// The settings of the decision module.
     pub settings: Settings,
     /// The names that the settings give to what the module numbers.
     pub names: Names,
@@ -66,46 +105,48 @@
     /// Kinds of machine.
     pub kinds: Vec<String>,
     /// Fields of a load report.
-    pub report: Vec<String>,
+    pub report_fields: Vec<String>,
 }
 
+/// The names as the settings have them.
 #[derive(Deserialize)]
 struct RawNames {
-    classes: Vec<Named>,
+    classes: Vec<RawNamed>,
     #[serde(default)]
-    tenants: Vec<Named>,
+    tenants: Vec<RawNamed>,
     #[serde(default)]
     zones: Vec<String>,
     #[serde(default)]
     flavors: Vec<String>,
     #[serde(default)]
-    report: Report,
+    report: RawReport,
 }
 
 #[derive(Deserialize)]
-struct Named {
+struct RawNamed {
     name: String,
 }
 
 #[derive(Deserialize, Default)]
-struct Report {
+struct RawReport {
     #[serde(default)]
     fields: Vec<String>,
 }
 
 impl From<RawNames> for Names {
     fn from(raw: RawNames) -> Self {
-        let names = |of: Vec<Named>| of.into_iter().map(|n| n.name).collect();
+        let names = |named: Vec<RawNamed>| named.into_iter().map(|raw| raw.name).collect();
         Names {
             classes: names(raw.classes),
             tenants: names(raw.tenants),
             zones: raw.zones,
             kinds: raw.flavors,
-            report: raw.report.fields,
+            report_fields: raw.report.fields,
         }
     }
 }
 
+/// The file, as it is written.
 #[derive(Deserialize)]
 struct RawConfig {
     name: String,
@@ -127,67 +168,78 @@
     sockets: usize,
 }
 
-/// Fewest descriptors with which a sidecar can do its work.
-const LEAST_SOCKETS: usize = 64;
-
-impl Config {
-    /// Reads the file.
+impl PlatformConfig {
+    /// Reads a file.
+    ///
+    /// # Errors
+    ///
+    /// If the file can't be read, or a field is missing or has no sound value.
     pub fn read(file: &Path) -> Result<Self, ConfigError> {
-        let error = |field: &str, what: String| ConfigError {
-            file: file.to_path_buf(),
-            field: field.to_string(),
-            what,
-        };
-        let text = std::fs::read_to_string(file).map_err(|e| error("file", e.to_string()))?;
-        let raw: RawConfig = parse(&text).map_err(|(field, what)| error(&field, what))?;
-        let seed = u64::from_str_radix(&raw.seed, 16)
-            .map_err(|e| error("seed", format!("'{}': {e}", raw.seed)))?;
-        if raw.limits.sockets < LEAST_SOCKETS {
-            let what = format!("{} is under {LEAST_SOCKETS}", raw.limits.sockets);
-            return Err(error("limits.sockets", what));
-        }
-        let text = raw.settings.to_string();
-        let settings = parse_settings(&text).map_err(|what| error("settings", what))?;
-        let names: Names =
-            parse(&text).map_err(|(field, what)| error(&format!("settings.{field}"), what))?;
-        for (field, names) in [("classes", &names.classes), ("tenants", &names.tenants)] {
-            // Danger: requests of one would get the effect, or the share, of the other.
-            let twice = |at: &usize| names[..*at].contains(&names[*at]);
-            if let Some(at) = (0..names.len()).find(twice) {
-                let field = format!("settings.{field}[{at}].name");
-                return Err(error(&field, format!("'{}' is there twice", names[at])));
-            }
+        Self::read_content(file).map_err(|error| ConfigError { file: file.to_path_buf(), error })
+    }
+
+    fn read_content(file: &Path) -> Result<Self, ContentError> {
+        let text = std::fs::read_to_string(file).map_err(ContentError::Unreadable)?;
+        let raw: RawConfig = parse_json(&text, "")?;
+        let seed = parse_seed(&raw.seed)?;
+        if raw.limits.sockets < MIN_FILE_DESCRIPTORS {
+            return Err(ContentError::FewFileDescriptors(raw.limits.sockets));
         }
+        let settings_text = raw.settings.to_string();
+        let settings = parse_settings(&settings_text)
+            .map_err(|error| ContentError::Settings(error.to_string()))?;
+        let names: Names = parse_json(&settings_text, "settings.")?;
+        // Requests of one class or tenant would get the effect or the share of the other.
+        check_unique("classes", &names.classes)?;
+        check_unique("tenants", &names.tenants)?;
         if settings.max_attempts == 0 {
-            let what = "is 0: nothing could be sent to any server; it is 1 at least";
-            return Err(error("settings.limits.max-attempts", what.into()));
+            return Err(ContentError::NoAttempts);
         }
         if settings.peers && raw.peer_listen.is_none() {
-            return Err(error("peer_listen", "is missing, but the settings allow peers".into()));
+            return Err(ContentError::NoPeerAddress);
         }
-        Ok(Config {
+        Ok(PlatformConfig {
             name: raw.name,
             listen: raw.listen,
             discovery: raw.discovery,
             seed,
-            sockets: raw.limits.sockets,
-            memory: raw.limits.memory_mb << 20,
+            file_descriptors: raw.limits.sockets,
+            memory_bytes: raw.limits.memory_mb << 20,
             peer_listen: raw.peer_listen,
             peers: raw.peers,
-            peers_all: raw.peers_all,
-            known: raw.known.map(|known| known.to_string()),
+            broadcast_address: raw.peers_all,
+            cached_list: raw.known.map(|list| list.to_string()),
             settings,
             names,
         })
     }
 }
 
-/// Reads JSON; an error comes with the path of the field at fault.
-fn parse<T: serde::de::DeserializeOwned>(text: &str) -> Result<T, (String, String)> {
+/// Parses the seed, which is a hexadecimal number.
+fn parse_seed(text: &str) -> Result<u64, ContentError> {
+    u64::from_str_radix(text, 16)
+        .map_err(|error| ContentError::Seed { text: text.to_string(), error })
+}
+
+/// Checks that the names under a key of the settings differ.
+fn check_unique(key: &str, names: &[String]) -> Result<(), ContentError> {
+    let is_repeated = |index: &usize| names[..*index].contains(&names[*index]);
+    match (0..names.len()).find(is_repeated) {
+        Some(index) => Err(ContentError::DuplicateName {
+            field: format!("settings.{key}[{index}].name"),
+            name: names[index].clone(),
+        }),
+        None => Ok(()),
+    }
+}
+
+/// Parses JSON. `prefix` comes before the path of the field at fault in an error.
+fn parse_json<T: DeserializeOwned>(text: &str, prefix: &str) -> Result<T, ContentError> {
     let mut json = serde_json::Deserializer::from_str(text);
-    serde_path_to_error::deserialize(&mut json).map_err(|e| {
-        let path = e.path().to_string();
-        let field = if path == "." { "content".to_string() } else { path };
-        (field, e.into_inner().to_string())
+    serde_path_to_error::deserialize(&mut json).map_err(|error| {
+        let path = error.path().to_string();
+        let path = if path == "." { "content" } else { &path };
+        let field = format!("{prefix}{path}");
+        ContentError::Json { field, error: error.into_inner() }
     })
 }
--- a/crates/config/src/problem.rs
+++ b/crates/config/src/problem.rs
@@ -1,107 +1,126 @@
-//! What is wrong with an operator's file, where, and how to mend it.
+//! What is wrong with an operator's file: where, which safety rule it would break, and the
+//! remedy.
 
 use std::fmt;
 
-/// The rules that a file may break, by their numbers in the README.
+/// The safety rules that a file may break, numbered as in the README.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum BrokenRule {
-    /// A request would be lost, or get no answer of its own.
-    Lost,
-    /// An effect could happen twice.
-    Twice,
-    /// A cold server could be pushed over.
-    Cold,
+pub enum SafetyRule {
+    /// Every request gets a response.
+    NoLostRequest,
+    /// No effect happens twice.
+    NoDuplicateEffect,
+    /// A server that warms up is not overloaded.
+    NoOverloadedWarmUp,
 }
 
-impl BrokenRule {
-    /// Its number.
+impl SafetyRule {
+    /// Its number in the README.
     pub fn number(self) -> u8 {
         match self {
-            BrokenRule::Lost => 1,
-            BrokenRule::Twice => 2,
-            BrokenRule::Cold => 4,
+            SafetyRule::NoLostRequest => 1,
+            SafetyRule::NoDuplicateEffect => 2,
+            SafetyRule::NoOverloadedWarmUp => 4,
         }
     }
 }
 
-impl fmt::Display for BrokenRule {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let what = match self {
-            BrokenRule::Lost => "no request is lost",
-            BrokenRule::Twice => "no effect twice",
-            BrokenRule::Cold => "a cold server is not pushed over",
+impl fmt::Display for SafetyRule {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let rule = match self {
+            SafetyRule::NoLostRequest => "no request is lost",
+            SafetyRule::NoDuplicateEffect => "no effect twice",
+            SafetyRule::NoOverloadedWarmUp => "a cold server is not pushed over",
         };
-        write!(f, "rule {}, {what}", self.number())
+        write!(formatter, "rule {}, {rule}", self.number())
     }
 }
 
-/// One error in a file.
+/// One error in a file. Its [`Display`](fmt::Display) is one line for people.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Problem {
-    /// The file, as it was named.
+    /// The file's name, as the caller gave it.
     pub file: String,
-    /// Line, from 1; 0 where the file as a whole is at fault.
+    /// Line, from 1.
     pub line: usize,
     /// Column in characters, from 1.
     pub column: usize,
     /// The field, as in `clusters.web.endpoints[1].weight`; empty for the file.
     pub field: String,
     /// What is wrong.
-    pub what: String,
-    /// How to mend it.
-    pub mend: String,
-    /// The rule that it would break, if any.
-    pub rule: Option<BrokenRule>,
+    pub message: String,
+    /// What the operator can do about it; may be empty.
+    pub remedy: String,
+    /// The safety rule that it would break, if any.
+    pub rule: Option<SafetyRule>,
 }
 
 impl fmt::Display for Problem {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}:{}:{}: ", self.file, self.line, self.column)?;
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(formatter, "{}:{}:{}: ", self.file, self.line, self.column)?;
         if !self.field.is_empty() {
-            write!(f, "{}: ", self.field)?;
+            write!(formatter, "{}: ", self.field)?;
         }
-        write!(f, "{}", self.what)?;
+        write!(formatter, "{}", self.message)?;
         if let Some(rule) = self.rule {
-            write!(f, " (would break {rule})")?;
+            write!(formatter, " (would break {rule})")?;
         }
-        if !self.mend.is_empty() {
-            write!(f, "; {}", self.mend)?;
+        if !self.remedy.is_empty() {
+            write!(formatter, "; {}", self.remedy)?;
         }
         Ok(())
     }
 }
 
 impl Problem {
-    /// The same for programs.
-    pub fn json(&self) -> serde_json::Value {
+    /// The form for programs, as `check --json` prints it. Its keys are stable.
+    pub fn to_json(&self) -> serde_json::Value {
         serde_json::json!({
-            "file": self.file, "line": self.line, "column": self.column, "field": self.field,
-            "what": self.what, "mend": self.mend, "rule": self.rule.map(BrokenRule::number),
+            "file": self.file,
+            "line": self.line,
+            "column": self.column,
+            "field": self.field,
+            "what": self.message,
+            "mend": self.remedy,
+            "rule": self.rule.map(SafetyRule::number),
         })
     }
 }
 
-/// Lines and columns of a text.
+/// A place in a text, for people.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct LineColumn {
+    /// From 1.
+    pub line: usize,
+    /// In characters, from 1.
+    pub column: usize,
+}
+
+/// Finds lines and columns of a text.
 #[derive(Debug)]
-pub struct Places<'a> {
-    text: &'a str,
-    starts: Vec<usize>,
+pub struct LineIndex<'text> {
+    text: &'text str,
+    line_starts: Vec<usize>,
 }
 
-impl<'a> Places<'a> {
+impl<'text> LineIndex<'text> {
     /// Finds the lines of a text.
-    pub fn new(text: &'a str) -> Self {
-        let ends = text.bytes().enumerate().filter(|(_, b)| *b == b'\n');
-        let starts = std::iter::once(0).chain(ends.map(|(at, _)| at + 1)).collect();
-        Places { text, starts }
+    pub fn new(text: &'text str) -> Self {
+        let line_feeds = text.bytes().enumerate().filter(|(_, byte)| *byte == b'\n');
+        let later_lines = line_feeds.map(|(offset, _)| offset + 1);
+        LineIndex { text, line_starts: std::iter::once(0).chain(later_lines).collect() }
     }
 
-    /// Line and column, both from 1, of a byte.
-    pub fn of(&self, byte: usize) -> (usize, usize) {
-        let byte = byte.min(self.text.len());
-        let line = self.starts.partition_point(|start| *start <= byte);
-        let start = self.starts[line - 1];
-        let column = self.text.get(start..byte).map_or(byte - start, |t| t.chars().count());
-        (line, column + 1)
+    /// The place of the byte with this offset; of the end of the text for one behind it.
+    pub fn place(&self, offset: usize) -> LineColumn {
+        let offset = offset.min(self.text.len());
+        let line = self.line_starts.partition_point(|start| *start <= offset);
+        let start = self.line_starts[line - 1];
+        let before = match self.text.get(start..offset) {
+            Some(text) => text.chars().count(),
+            // The offset is within a character.
+            None => offset - start,
+        };
+        LineColumn { line, column: before + 1 }
     }
 }
--- a/crates/config/tests/attempts.rs
+++ b/crates/config/tests/attempts.rs
@@ -2,15 +2,15 @@
 //! schedule that breaks it.
 
 use mintshelf_balancer::api::Effect;
+use mintshelf_config::balancer::{attempt_schedule, balancer_config};
 use mintshelf_config::file;
-use mintshelf_config::module::{module, plan};
-use mintshelf_retry::schedule::AttemptTimeout;
+use mintshelf_retry::schedule::{AttemptTimeout, TimeoutBounds};
 use proptest::prelude::*;
 
 const LAB: &str = include_str!("../../../deploy/lab.toml");
 
 fn errors(text: &str) -> Vec<String> {
-    let problems = file::read("f", text.as_bytes()).err().unwrap_or_default();
+    let problems = file::parse("f", text.as_bytes()).err().unwrap_or_default();
     problems.iter().map(|p| p.to_string()).collect()
 }
 
@@ -21,7 +21,7 @@
 }
 
 /// One error, which names a line that holds `at`, and says all of `parts`.
-fn refused(what: &str, text: &str, at: &str, parts: &[&str]) {
+fn assert_rejected(what: &str, text: &str, at: &str, parts: &[&str]) {
     let errors = errors(text);
     assert_eq!(errors.len(), 1, "{what}: {errors:#?}");
     let line: usize = errors[0].split(':').nth(1).unwrap().parse().unwrap();
@@ -46,20 +46,25 @@
     assert_ne!(slow, LAB);
     let with = |more: &str| slow.replacen(queue, &format!("{queue}\n{late}\n{more}"), 1);
     let window = ["attempt 3 could", "the window is 20 s"];
-    refused("the cluster's wait", &with(""), "window = ", &window);
+    assert_rejected("the cluster's wait", &with(""), "window = ", &window);
     // 2 x 8 s + 0.9 s + 1.8 s + 3 x 0.1 s are under 20 s.
     let shorter = with("connect-timeout = \"100ms\"");
     assert_eq!(errors(&shorter), Vec::<String>::new());
-    let file = file::read("f", shorter.as_bytes()).unwrap();
-    let module = module(&file, "bench", &file.clusters["bench"]);
-    let number = module.classes["queue-run"].numbers[1].unwrap() as usize;
-    assert_eq!(module.tries[number].connect, 100_000_000);
-    let other = module.classes["run-logs"].numbers[0].unwrap() as usize;
-    assert_eq!(module.tries[other].connect, 2_000_000_000);
+    let file = file::parse("f", shorter.as_bytes()).unwrap();
+    let config = balancer_config(&file, "bench", &file.clusters["bench"]);
+    let number = config.classes["queue-run"].class_number(Effect::Idempotent).unwrap() as usize;
+    assert_eq!(config.retry_policies[number].connect_timeout, 100_000_000);
+    let other = config.classes["run-logs"].class_number(Effect::Safe).unwrap() as usize;
+    assert_eq!(config.retry_policies[other].connect_timeout, 2_000_000_000);
     let over = behind("[classes.run-logs]", "connect-timeout = \"3s\"");
-    refused("more", &over, "connect-timeout = \"3s\"", &["over cluster 'bench''s own, 200ms"]);
+    assert_rejected(
+        "more",
+        &over,
+        "connect-timeout = \"3s\"",
+        &["over cluster 'bench''s own, 200ms"],
+    );
     let over = behind("[classes.run-logs]", "idle-timeout = \"20s\"");
-    refused("rest", &over, "idle-timeout = \"20s\"", &["over cluster 'bench''s own, 15s"]);
+    assert_rejected("rest", &over, "idle-timeout = \"20s\"", &["over cluster 'bench''s own, 15s"]);
     // What is inherited is cut to what the cluster has.
     let all = behind("sockets = 256", "[defaults]\nconnect-timeout = \"3s\"");
     assert_eq!(errors(&all), Vec::<String>::new());
@@ -74,30 +79,35 @@
         text.replacen("zone = \"charguia\"\n", "zone = \"charguia\"\nsecond-copies = true\n", 1)
     };
     let direct = behind(flash, "retry-on = \"may-have-run\"");
-    refused(
+    assert_rejected(
         "directly",
         &direct,
         "retry-on",
         &[again, TWICE, "class 'flash-device' at cluster 'bench'"],
     );
     let direct = copies(behind(flash, "hedge = { after = \"p95\" }"));
-    refused("a copy, directly", &direct, "hedge", &[copy, TWICE]);
+    assert_rejected("a copy, directly", &direct, "hedge", &[copy, TWICE]);
     // What safe classes may have is inherited by all.
     let by_default = behind("sockets = 256", "[defaults]\nretry-on = \"may-have-run\"");
-    refused("through a default", &by_default, "retry-on", &[again, "'flash-device'"]);
+    assert_rejected("through a default", &by_default, "retry-on", &[again, "'flash-device'"]);
     let hedged =
         copies(behind("sockets = 256", "[defaults]\nhedge = { after = \"30ms\", share = 0.1 }"));
     let hedged_queue = hedged.replacen("window = \"20s\"", "window = \"20s\"\nhedge = false", 1);
-    refused("a copy, through a default", &hedged_queue, "hedge = {", &[copy, "'flash-device'"]);
+    assert_rejected(
+        "a copy, through a default",
+        &hedged_queue,
+        "hedge = {",
+        &[copy, "'flash-device'"],
+    );
     let mended = hedged_queue.replacen(flash, &format!("{flash}\nhedge = false"), 1);
     assert_eq!(errors(&mended), Vec::<String>::new());
     let route = "class = \"flash-device\"";
     let over = behind(route, "overrides = { retry-on = \"may-have-run\" }");
-    refused("through a route", &over, "overrides", &[again, TWICE]);
+    assert_rejected("through a route", &over, "overrides", &[again, TWICE]);
     let over = copies(behind(route, "overrides = { hedge = { after = \"1s\" } }"));
-    refused("a copy, through a route", &over, "overrides", &[copy, TWICE]);
+    assert_rejected("a copy, through a route", &over, "overrides", &[copy, TWICE]);
     let milder = behind(route, "effect = \"safe\"");
-    refused(
+    assert_rejected(
         "by its effect",
         &milder,
         "[[routes]]",
@@ -108,7 +118,7 @@
         "{LAB}\n[[routes]]\nname = \"fast\"\nregex = \"/devices/[^/]+/flash\"\nmethods = [\"POST\"]\n\
          headers = {{ x-fast = true }}\nclass = \"queue-run\"\ncluster = \"bench\"\n"
     );
-    refused(
+    assert_rejected(
         "by a header",
         &by_header,
         "[[routes]]",
@@ -121,7 +131,7 @@
     )
         + "\n[[routes]]\nname = \"peek\"\nregex = \"/devices/[^/]+/flash\"\nmethods = [\"GET\"]\n\
            class = \"run-logs\"\ncluster = \"bench\"\n";
-    refused(
+    assert_rejected(
         "by a method",
         &by_method,
         "[[routes]]",
@@ -146,14 +156,14 @@
     let long =
         |more: &str| LAB.replacen("deadline = \"4s\"", &format!("deadline = \"30s\"\n{more}"), 1);
     // Nothing bounds the first attempt but the deadline.
-    refused(
+    assert_rejected(
         "no time for each try",
         &long(""),
         "window",
         &["no per-try time-out", "the window is 20 s", TWICE],
     );
     let sum = long("per-try-timeout = \"8s\"\nbackoff = { first = \"1.8s\", most = \"3.6s\" }");
-    refused(
+    assert_rejected(
         "the sum",
         &sum,
         "window",
@@ -173,15 +183,15 @@
     let connect = long("per-try-timeout = \"8s\"\nbackoff = { first = \"500ms\", most = \"1s\" }");
     assert_eq!(errors(&connect), Vec::<String>::new());
     let connect = connect.replacen("connect-timeout = \"200ms\"", "connect-timeout = \"2s\"", 1);
-    refused("by its connections", &connect, "window", &["2 x 2 s connecting", TWICE]);
+    assert_rejected("by its connections", &connect, "window", &["2 x 2 s connecting", TWICE]);
     let over = LAB.replacen(
         "class = \"queue-run\"\n",
         "class = \"queue-run\"\noverrides = { deadline = \"40s\" }\n",
         1,
     );
-    refused("through a route", &over, "window", &["the deadline, 40 s", TWICE]);
+    assert_rejected("through a route", &over, "window", &["the deadline, 40 s", TWICE]);
     let client = LAB.replacen("window = \"20s\"", "window = \"20s\"\nclient-retries = 2", 1);
-    refused(
+    assert_rejected(
         "its client's",
         &client,
         "client-retries",
@@ -194,18 +204,28 @@
             1,
         )
         .replacen("zone = \"charguia\"\n", "zone = \"charguia\"\nsecond-copies = true\n", 1);
-    refused("a copy", &hedge, "hedge", &["outside the first one's dedup group", TWICE]);
+    assert_rejected("a copy", &hedge, "hedge", &["outside the first one's dedup group", TWICE]);
     // The file that was taken without a word.
     let measured = "listen = \"127.0.0.1:1\"\n[classes.q]\neffect = \"keyed\"\nwindow = \"20s\"\n\
         deadline = \"300s\"\n[clusters.c]\nendpoints = \"127.0.0.1:2\"\nmax-attempts = 6\n\
         connect-timeout = \"30s\"\n[[routes]]\nclass = \"q\"\ncluster = \"c\"\n";
-    refused("the measured file", measured, "window", &["300 s", "the window is 20 s", TWICE]);
+    assert_rejected(
+        "the measured file",
+        measured,
+        "window",
+        &["300 s", "the window is 20 s", TWICE],
+    );
     let split = LAB.replacen(
         "class = \"queue-run\"\ncluster = \"bench\"",
         "class = \"queue-run\"\nclusters = { bench = 1, other = 1 }",
         1,
     ) + "\n[clusters.other]\nendpoints = \"127.0.0.1:9004\"\n";
-    refused("to another cluster", &split, "[[routes]]", &["which does not know its key", TWICE]);
+    assert_rejected(
+        "to another cluster",
+        &split,
+        "[[routes]]",
+        &["which does not know its key", TWICE],
+    );
     let sticky =
         split.replacen("other = 1 }", "other = 1 }\nsticky = \"header:idempotency-key\"", 1);
     assert_eq!(errors(&sticky), Vec::<String>::new());
@@ -216,13 +236,13 @@
     let status = |more: &str| {
         LAB.replacen("deadline = \"1.2s\"", &format!("deadline = \"1.2s\"\n{more}"), 1)
     };
-    refused(
+    assert_rejected(
         "over the whole",
         &status("per-try-timeout = \"2s\""),
         "per-try",
         &["one try may take longer than the whole request, 1.2 s"],
     );
-    refused(
+    assert_rejected(
         "no room",
         &status("per-try-timeout = \"600ms\"\nmax-attempts = 3"),
         "max-attempts",
@@ -230,14 +250,14 @@
     );
     // Nobody asked for three.
     assert_eq!(errors(&status("per-try-timeout = \"600ms\"")), Vec::<String>::new());
-    refused(
+    assert_rejected(
         "no copies there",
         &status("hedge = { after = \"p95\" }"),
         "hedge",
         &["does not allow two attempts", "second-copies = true"],
     );
-    refused("a copy of no time", &status("hedge = true"), "hedge", &["when a copy goes"]);
-    refused(
+    assert_rejected("a copy of no time", &status("hedge = true"), "hedge", &["when a copy goes"]);
+    assert_rejected(
         "too many copies",
         &status("hedge = { after = \"p95\", share = 0.9 }").replacen(
             "zone = \"charguia\"\n",
@@ -247,25 +267,30 @@
         "hedge",
         &["0.9 is not between 0 and 0.5"],
     );
-    refused(
+    assert_rejected(
         "a falling pause",
         &status("backoff = { first = \"2s\", most = \"1s\" }"),
         "backoff",
         &["shorter than the first"],
     );
-    refused(
+    assert_rejected(
         "a word",
         &status("per-try-timeout = \"soon\""),
         "per-try",
         &["'soon'", "\"adaptive\" or \"none\""],
     );
-    refused("seven", &status("max-attempts = 7"), "max-attempts", &["7 is not between 1 and 6"]);
+    assert_rejected(
+        "seven",
+        &status("max-attempts = 7"),
+        "max-attempts",
+        &["7 is not between 1 and 6"],
+    );
     let pointless = LAB.replacen(
         "[classes.flash-device]",
         "[classes.flash-device]\nper-try-timeout = \"1s\"",
         1,
     );
-    refused("nothing to follow", &pointless, "per-try", &["no attempt may follow"]);
+    assert_rejected("nothing to follow", &pointless, "per-try", &["no attempt may follow"]);
     // Inherited, it harms nothing.
     assert_eq!(
         errors(&behind("sockets = 256", "[defaults]\nper-try-timeout = \"1s\"")),
@@ -275,33 +300,32 @@
 
 #[test]
 fn a_class_that_states_only_its_times_gets_good_ones() {
-    let file = file::read("f", LAB.as_bytes()).unwrap();
-    let module = module(&file, "bench", &file.clusters["bench"]);
-    let number =
-        |class: &str, effect: usize| module.classes[class].numbers[effect].unwrap() as usize;
-    let status = &module.tries[number("device-status", 0)];
-    assert_eq!((status.per_try, status.attempts), (AttemptTimeout::Adaptive, 3));
-    let [least, most] = status.bounds;
-    assert_eq!(least, 200_000_000, "half its aim");
-    assert_eq!(most, 400_000_000, "what is answered within the aim is not cut");
-    let queue = number("queue-run", 1);
-    let window = module.settings.classes[queue].window();
+    let file = file::parse("f", LAB.as_bytes()).unwrap();
+    let config = balancer_config(&file, "bench", &file.clusters["bench"]);
+    let number = |class: &str, effect| config.classes[class].class_number(effect).unwrap() as usize;
+    let status = &config.retry_policies[number("device-status", Effect::Safe)];
+    assert_eq!((status.attempt_timeout, status.max_attempts), (AttemptTimeout::Adaptive, 3));
+    let TimeoutBounds { min, max } = status.timeout_bounds;
+    assert_eq!(min, 200_000_000, "half its aim");
+    assert_eq!(max, 400_000_000, "what is answered within the aim is not cut");
+    let queue = number("queue-run", Effect::Idempotent);
+    let window = config.settings.classes[queue].window();
     assert_eq!(
-        (module.tries[queue].per_try, window),
-        (AttemptTimeout::Whole, Some(20_000_000_000))
+        (config.retry_policies[queue].attempt_timeout, window),
+        (AttemptTimeout::Deadline, Some(20_000_000_000))
     );
     let over = LAB.replacen(
         "class = \"run-logs\"\n",
         "class = \"run-logs\"\noverrides = { max-attempts = 2, deadline = \"2s\" }\n",
         1,
     );
-    let file = file::read("f", over.as_bytes()).unwrap();
-    let module = mintshelf_config::module::module(&file, "bench", &file.clusters["bench"]);
+    let file = file::parse("f", over.as_bytes()).unwrap();
+    let config = balancer_config(&file, "bench", &file.clusters["bench"]);
     let policy = &file.routes[1].policy;
-    let number = module.classes[policy].numbers[0].unwrap() as usize;
-    assert_eq!(module.settings.classes[number].max_attempts, 2);
-    assert_eq!(module.classes[policy].deadline, 2_000_000_000);
-    assert!(!module.classes.contains_key("run-logs"), "nothing goes by it");
+    let number = config.classes[policy].class_number(Effect::Safe).unwrap() as usize;
+    assert_eq!(config.settings.classes[number].max_attempts, 2);
+    assert_eq!(config.classes[policy].deadline, 2_000_000_000);
+    assert!(!config.classes.contains_key("run-logs"), "nothing goes by it");
 }
 
 proptest! {
@@ -346,17 +370,17 @@
             "listen = \"127.0.0.1:1\"\n[classes.c]\n{class}{by_class}\n[clusters.a]\nendpoints = \"127.0.0.1:2\"\n\
              connect-timeout = \"{connect}ms\"\nsecond-copies = {copies}\n[[routes]]\nclass = \"c\"\ncluster = \"a\"\n{by_route}"
         );
-        let read = file::read("f", text.as_bytes());
+        let read = file::parse("f", text.as_bytes());
         if let Ok(file) = read {
             let policy = &file.classes[&file.routes[0].policy];
-            let plan = plan(policy, policy.effect, &file.clusters["a"]);
-            prop_assert!(plan.breaches().is_empty(), "{text}");
-            let module = module(&file, "a", &file.clusters["a"]);
-            for (tries, laid) in module.tries.iter().zip(&module.settings.classes) {
-                let safe = laid.effect == Effect::Safe;
-                prop_assert!(tries.hedge.is_none() || (safe && copies), "{text}");
-                prop_assert_eq!(tries.attempts, laid.max_attempts);
-                prop_assert!(laid.max_attempts <= module.settings.max_attempts);
+            let schedule = attempt_schedule(policy, policy.effect, &file.clusters["a"]);
+            prop_assert!(schedule.violations().is_empty(), "{text}");
+            let config = balancer_config(&file, "a", &file.clusters["a"]);
+            for (retry, class) in config.retry_policies.iter().zip(&config.settings.classes) {
+                let safe = class.effect == Effect::Safe;
+                prop_assert!(retry.hedge.is_none() || (safe && copies), "{text}");
+                prop_assert_eq!(retry.max_attempts, class.max_attempts);
+                prop_assert!(class.max_attempts <= config.settings.max_attempts);
             }
         } else {
             let errors = errors(&text);
--- a/crates/config/tests/broken.rs
+++ b/crates/config/tests/broken.rs
@@ -4,12 +4,12 @@
 
 use common::{broken, with, LAB, MINIMAL};
 use mintshelf_config::file;
-use mintshelf_config::model::Then;
+use mintshelf_config::model::RouteAction;
 use proptest::prelude::*;
 
 /// The errors of a text as `line:column what`.
 fn errors(text: &[u8]) -> Vec<String> {
-    let problems = file::read("f", text).err().unwrap_or_default();
+    let problems = file::parse("f", text).err().unwrap_or_default();
     problems.iter().map(|p| p.to_string()).collect()
 }
 
@@ -18,12 +18,12 @@
     for text in [MINIMAL, LAB] {
         assert_eq!(errors(text.as_bytes()), Vec::<String>::new());
     }
-    let lab = file::read("f", LAB.as_bytes()).unwrap();
+    let lab = file::parse("f", LAB.as_bytes()).unwrap();
     assert_eq!((lab.routes.len(), lab.classes.len(), lab.clusters.len()), (5, 5, 1));
     assert_eq!(lab.clusters["bench"].endpoints[0].weight, 3);
-    assert!(matches!(&lab.routes[4].then, Then::Respond(r) if r.status == 404));
-    assert_eq!(lab.stated["classes.flash-device.aim"], 45);
-    assert!(!lab.stated.contains_key("clusters.bench.max-attempts"));
+    assert!(matches!(&lab.routes[4].action, RouteAction::Respond(r) if r.status == 404));
+    assert_eq!(lab.stated_lines["classes.flash-device.aim"], 45);
+    assert!(!lab.stated_lines.contains_key("clusters.bench.max-attempts"));
 }
 
 #[test]
@@ -87,11 +87,11 @@
             }
         }
         let lines = bytes.iter().filter(|b| **b == b'\n').count() + 1;
-        if let Err(problems) = file::read("f", &bytes) {
+        if let Err(problems) = file::parse("f", &bytes) {
             prop_assert!(!problems.is_empty());
             for p in problems {
                 prop_assert!((1..=lines).contains(&p.line) && p.column >= 1, "{}", p);
-                prop_assert!(!p.what.is_empty() && !p.to_string().contains('\n'), "{:?}", p);
+                prop_assert!(!p.message.is_empty() && !p.to_string().contains('\n'), "{:?}", p);
             }
         }
     }
--- a/crates/config/tests/limits.rs
+++ b/crates/config/tests/limits.rs
@@ -1,6 +1,6 @@
 //! Limits and tenants as a file states them, and what is wrong with them.
 
-use mintshelf_config::admission::{admission, tenants};
+use mintshelf_config::admission::{admission_config, tenant_resolver};
 use mintshelf_config::file;
 
 const LAB: &str = include_str!("../../../deploy/lab.toml");
@@ -10,11 +10,11 @@
 }
 
 fn errors(text: &str) -> Vec<String> {
-    let problems = file::read("f", text.as_bytes()).err().unwrap_or_default();
+    let problems = file::parse("f", text.as_bytes()).err().unwrap_or_default();
     problems.iter().map(|p| p.to_string()).collect()
 }
 
-fn refused(more: &str, parts: &[&str]) {
+fn assert_rejected(more: &str, parts: &[&str]) {
     // The header's name must stand before the first table.
     let text = format!("tenant-header = \"x-member\"\n{}", with(more));
     let errors = errors(&text);
@@ -48,55 +48,59 @@
         1,
     );
     assert_eq!(errors(&text), Vec::<String>::new());
-    let file = file::read("f", text.as_bytes()).unwrap();
-    let set = admission(&file);
-    assert_eq!(set.tenants["orange"].most, Some(20));
-    let rate = set.tenants["orange"].rate.unwrap();
+    let file = file::parse("f", text.as_bytes()).unwrap();
+    let limits = admission_config(&file);
+    assert_eq!(limits.tenants["orange"].max_concurrency, Some(20));
+    let rate = limits.tenants["orange"].rate.unwrap();
     assert_eq!((rate.count.get(), rate.burst.get()), (100, 100));
     // By its share of half of 256 descriptors: 1 of 4 parts.
-    assert_eq!(set.tenants["telecom"].most, Some(32));
-    assert_eq!(set.tenants["others"].most, Some(32));
-    assert_eq!((set.clusters["bench"].most, set.clusters["bench"].queue), (40, 80));
-    assert_eq!(set.clusters["bench"].shares["orange"], 2.0);
-    assert_eq!(set.routes["flash"].most, Some(3));
-    let tenants = tenants(&file).unwrap();
-    let of = |ip: &str, header| tenants.of(ip.parse().unwrap(), "members", header).to_string();
-    assert_eq!(of("10.1.2.3", Some("tt")), "orange");
-    assert_eq!(of("10.1.7.3", None), "telecom");
-    assert_eq!(of("2001:db8:1::9", None), "orange");
-    assert_eq!(of("10.9.9.9", Some("tt")), "telecom");
-    assert_eq!(of("10.9.9.9", None), "others");
+    assert_eq!(limits.tenants["telecom"].max_concurrency, Some(32));
+    assert_eq!(limits.tenants["others"].max_concurrency, Some(32));
+    assert_eq!(
+        (limits.clusters["bench"].max_concurrency, limits.clusters["bench"].max_queued),
+        (40, 80)
+    );
+    assert_eq!(limits.clusters["bench"].shares["orange"], 2.0);
+    assert_eq!(limits.routes["flash"].max_concurrency, Some(3));
+    let resolver = tenant_resolver(&file).unwrap();
+    let tenant =
+        |ip: &str, header| resolver.resolve(ip.parse().unwrap(), "members", header).to_string();
+    assert_eq!(tenant("10.1.2.3", Some("tt")), "orange");
+    assert_eq!(tenant("10.1.7.3", None), "telecom");
+    assert_eq!(tenant("2001:db8:1::9", None), "orange");
+    assert_eq!(tenant("10.9.9.9", Some("tt")), "telecom");
+    assert_eq!(tenant("10.9.9.9", None), "others");
     // Without any of it nothing is limited, and nothing is asked.
-    assert!(admission(&file::read("f", LAB.as_bytes()).unwrap()).is_empty());
+    assert!(admission_config(&file::parse("f", LAB.as_bytes()).unwrap()).is_empty());
 }
 
 #[test]
 fn what_is_wrong_with_tenants_is_told() {
     let a = "[tenants.a]\nnetworks = \"10.0.0.0/8\"\n";
-    refused(
+    assert_rejected(
         &format!("{a}[tenants.b]\nnetworks = \"10.1.0.0/16\""),
         &["10.1.0.0/16 overlaps 10.0.0.0/8 of tenant 'a' in line 10", "within = \"a\""],
     );
-    refused(
+    assert_rejected(
         &format!("[tenants.b]\nnetworks = \"10.0.0.0/8\"\nwithin = \"a\"\n{a}"),
         &["10.0.0.0/8 overlaps 10.0.0.0/8 of tenant"],
     );
-    refused(
+    assert_rejected(
         "[tenants.a]\nnetworks = \"10.0.0.1/8\"",
         &["has bits behind its prefix", "write 10.0.0.0/8"],
     );
-    refused("[tenants.a]\nnetworks = \"10.0.0.0/33\"", &["is not a network"]);
-    refused(&format!("{a}within = \"b\""), &["there is no such tenant"]);
-    refused("[tenants.a]\nshare = 2", &["nothing tells whose requests"]);
-    refused("[tenants.a]\nlisteners = \"x\"", &["there is no such listener"]);
-    refused(
+    assert_rejected("[tenants.a]\nnetworks = \"10.0.0.0/33\"", &["is not a network"]);
+    assert_rejected(&format!("{a}within = \"b\""), &["there is no such tenant"]);
+    assert_rejected("[tenants.a]\nshare = 2", &["nothing tells whose requests"]);
+    assert_rejected("[tenants.a]\nlisteners = \"x\"", &["there is no such listener"]);
+    assert_rejected(
         "[tenants.others]\nnetworks = \"10.0.0.0/8\"",
         &["'others' are those who are no tenant"],
     );
-    refused(&format!("{a}rate = \"much\""), &["is not a rate", "\"100/s\""]);
-    refused(&format!("{a}rate = \"0/s\""), &["would let nothing through"]);
-    refused(&format!("{a}burst = 3"), &["has no effect without a rate"]);
-    refused(
+    assert_rejected(&format!("{a}rate = \"much\""), &["is not a rate", "\"100/s\""]);
+    assert_rejected(&format!("{a}rate = \"0/s\""), &["would let nothing through"]);
+    assert_rejected(&format!("{a}burst = 3"), &["has no effect without a rate"]);
+    assert_rejected(
         "[tenants.a]\nheader-values = \"x\"\n[tenants.b]\nheader-values = \"x\"",
         &["'x' is of tenant 'a' already"],
     );
--- a/crates/config/tests/schema.rs
+++ b/crates/config/tests/schema.rs
@@ -98,7 +98,7 @@
 
 #[test]
 fn every_table_has_the_keys_that_the_reader_knows() {
-    assert!(file::read("f", ALL.as_bytes()).is_ok(), "{:?}", file::read("f", ALL.as_bytes()));
+    assert!(file::parse("f", ALL.as_bytes()).is_ok(), "{:?}", file::parse("f", ALL.as_bytes()));
     let whole = schema::schema();
     let tables = file::known_keys(ALL);
     assert!(tables.len() >= 25, "{:?}", tables.keys());
@@ -183,7 +183,7 @@
             true => untold.push(what),
         }
         // What the schema refuses the reader refuses.
-        assert!(file::read("f", text.as_bytes()).is_err(), "{what}");
+        assert!(file::parse("f", text.as_bytes()).is_err(), "{what}");
     }
     assert!(untold.is_empty(), "the schema could tell: {untold:?}");
     assert!(told >= 15, "{told}");
