--- a/crates/mintshelf/src/admin.rs
+++ b/crates/mintshelf/src/admin.rs
@@ -168,15 +168,21 @@
         gauges(all, "recovery_phase", help, "cluster", of(3));
         let help = "Clients that were told when to come back, and whose time is ahead";
         gauges(all, "expected_back", help, "cluster", of(4));
-        let levels = daemon.gates.levels();
-        let tenants = levels.tenants.into_iter().map(|(name, held)| (name, i64::from(held)));
+        let usage = daemon.gates.levels();
+        let tenants = usage.tenants.into_iter();
+        let tenants = tenants.map(|usage| (usage.tenant, i64::from(usage.in_flight)));
         gauges(all, "tenant_requests", "Requests under way, by tenant", "tenant", tenants);
-        let of = |which: usize| {
-            let clusters = levels.clusters.iter();
-            clusters.map(move |(name, levels)| (name.clone(), levels[which] as i64))
-        };
-        gauges(all, "gate_requests", "Requests that have a place at a cluster", "cluster", of(0));
-        gauges(all, "gate_waiting", "Requests that wait for a place", "cluster", of(1));
+        let queues = usage.clusters.iter();
+        let requests = queues.clone().map(|of| (of.cluster.clone(), of.queue.in_flight as i64));
+        let waiting = queues.map(|of| (of.cluster.clone(), of.queue.queued as i64));
+        gauges(
+            all,
+            "gate_requests",
+            "Requests that have a place at a cluster",
+            "cluster",
+            requests,
+        );
+        gauges(all, "gate_waiting", "Requests that wait for a place", "cluster", waiting);
         self.sockets(&mut registry);
         let clients: Gauge = Gauge::default();
         clients.set(daemon.clients.len() as i64);
--- a/crates/mintshelf/src/check.rs
+++ b/crates/mintshelf/src/check.rs
@@ -2,7 +2,7 @@
 
 use crate::UNUSABLE;
 use mintshelf_config::file;
-use mintshelf_config::model::File;
+use mintshelf_config::model::OperatorConfig;
 use mintshelf_config::problem::Problem;
 use std::path::Path;
 use std::process::ExitCode;
@@ -34,10 +34,10 @@
 }
 
 /// Reads a file.
-pub fn read(path: &Path) -> Result<File, Unusable> {
+pub fn read(path: &Path) -> Result<OperatorConfig, Unusable> {
     let name = path.display().to_string();
     let bytes = std::fs::read(path).map_err(|e| Unusable::Unread(format!("{name}: {e}")))?;
-    file::read(&name, &bytes).map_err(Unusable::Broken)
+    file::parse(&name, &bytes).map_err(Unusable::Broken)
 }
 
 /// Writes a file's errors to standard output.
@@ -51,7 +51,7 @@
         }
     };
     if json {
-        let all: Vec<_> = problems.iter().map(|problem| problem.json()).collect();
+        let all: Vec<_> = problems.iter().map(|problem| problem.to_json()).collect();
         println!("{}", serde_json::Value::from(all));
     } else {
         problems.iter().for_each(|problem| println!("{problem}"));
--- a/crates/mintshelf/src/daemon.rs
+++ b/crates/mintshelf/src/daemon.rs
@@ -3,9 +3,9 @@
 use crate::check;
 use mintshelf_admission::slots::SlotConfig;
 use mintshelf_balancer::api::{ListedServer, ServerId};
-use mintshelf_config::admission::{admission, seats, tenants};
-use mintshelf_config::model::{self, File, Route, Then, SOCKET_QUEUE_SHARE};
-use mintshelf_config::module::{module, nanos, Module};
+use mintshelf_config::admission::{admission_config, slot_config, tenant_resolver};
+use mintshelf_config::balancer::{balancer_config, to_nanos, BalancerConfig};
+use mintshelf_config::model::{self, OperatorConfig, Route, RouteAction, SOCKET_QUEUE_SHARE};
 use mintshelf_config::platform::Names;
 use mintshelf_proxy::clients::{Clients, Patience};
 use mintshelf_proxy::driver::{Driver, Spec};
@@ -17,7 +17,7 @@
 use mintshelf_proxy::sockets::registry::Sockets;
 use mintshelf_proxy::upstream::{Connections, Style};
 use mintshelf_recovery::Phase;
-use mintshelf_routing::Table;
+use mintshelf_routing::RouteTable;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::hash::{BuildHasher, Hasher, RandomState};
@@ -45,14 +45,14 @@
 
 struct Running {
     pool: Rc<Pool>,
-    module: Module,
+    module: BalancerConfig,
     style: Style,
     run: AbortHandle,
 }
 
 #[derive(Default)]
 struct State {
-    file: Option<Rc<File>>,
+    file: Option<Rc<OperatorConfig>>,
     taken: Option<SystemTime>,
     listeners: BTreeMap<SocketAddr, Listening>,
     pools: BTreeMap<String, Running>,
@@ -68,7 +68,7 @@
     connections: Rc<Connections>,
     patience: Patience,
     /// What the first file said of what can't change while the program runs.
-    fixed: (model::Limits, Option<SocketAddr>, Option<model::Fleet>),
+    fixed: (model::ProcessLimits, Option<SocketAddr>, Option<model::FleetConfig>),
     /// The planned end has begun.
     ending: CancellationToken,
     /// All open WebSockets.
@@ -85,16 +85,16 @@
 pub type Refused = Vec<String>;
 
 /// Reads a file; the errors are lines.
-pub fn read(path: &Path) -> Result<File, Refused> {
+pub fn read(path: &Path) -> Result<OperatorConfig, Refused> {
     check::read(path).map_err(|unusable| unusable.lines())
 }
 
 impl Daemon {
     /// Puts a first file in force.
-    pub fn start(path: PathBuf, file: File) -> Result<Rc<Self>, Refused> {
-        let limits = Limits::new(file.limits.sockets, file.limits.memory);
+    pub fn start(path: PathBuf, file: OperatorConfig) -> Result<Rc<Self>, Refused> {
+        let limits = Limits::new(file.limits.file_descriptors, file.limits.memory_bytes);
         let longest = file.classes.values().map(|class| class.deadline).max();
-        let queues = (file.limits.memory as f64 * SOCKET_QUEUE_SHARE) as usize;
+        let queues = (file.limits.memory_bytes as f64 * SOCKET_QUEUE_SHARE) as usize;
         let daemon = Rc::new(Daemon {
             path,
             state: RefCell::default(),
@@ -140,7 +140,7 @@
 
     /// Puts a file in force, whole or not at all. All of it happens in one turn: no request
     /// sees a part of it.
-    fn apply(&self, file: File) -> Result<(), Refused> {
+    fn apply(&self, file: OperatorConfig) -> Result<(), Refused> {
         let file = Rc::new(file);
         let mut tables = Vec::new();
         for listener in &file.listeners {
@@ -148,8 +148,8 @@
                 route.listeners.is_empty() || route.listeners.contains(&listener.name)
             };
             let routes: Vec<Route> = file.routes.iter().filter(on).cloned().collect();
-            let table = Table::new(routes.iter().map(|route| route.rule.clone()));
-            tables.push((listener, routes, table.map_err(|e| vec![e])?));
+            let table = RouteTable::new(routes.iter().map(|route| route.rule.clone()));
+            tables.push((listener, routes, table.map_err(|e| vec![e.to_string()])?));
         }
         let mut bound = HashMap::new();
         for listener in &file.listeners {
@@ -181,10 +181,11 @@
                 });
             }
         }
-        let set = admission(&file);
+        let set = admission_config(&file);
         self.gates.set(&set);
-        self.sockets.set(SlotConfig { most: self.fixed.0.websockets, ..seats(&file) });
-        let tenants = tenants(&file).map(Rc::new);
+        self.sockets
+            .set(SlotConfig { capacity: self.fixed.0.max_websockets, ..slot_config(&file) });
+        let tenants = tenant_resolver(&file).map(Rc::new);
         for (listener, routes, table) in tables {
             let limited = (!set.is_empty()).then(|| Limited {
                 gates: self.gates.clone(),
@@ -231,10 +232,10 @@
 
     /// Keeps the clusters that stay as they are, with all that was learned; a change of
     /// endpoints alone is news to the module like any other list.
-    fn apply_clusters(&self, state: &mut State, file: &File) {
+    fn apply_clusters(&self, state: &mut State, file: &OperatorConfig) {
         let mut old = std::mem::take(&mut state.pools);
         for (name, cluster) in &file.clusters {
-            let module = module(file, name, cluster);
+            let module = balancer_config(file, name, cluster);
             let style = Style::Plain {
                 failures: cluster.failure_statuses.clone(),
                 never_ran: cluster.never_ran_header.clone(),
@@ -264,7 +265,7 @@
         old.into_values().for_each(|running| self.retire(running));
     }
 
-    fn start_pool(&self, name: &str, module: Module, style: Style) -> Running {
+    fn start_pool(&self, name: &str, module: BalancerConfig, style: Style) -> Running {
         let spec = Spec {
             settings: module.settings.clone(),
             names: Names::default(),
@@ -272,9 +273,12 @@
             style: style.clone(),
             peers: None,
             discovery: None,
-            return_ramp: Some(module.return_ramp),
-            tries: module.tries.clone(),
-            most: Most { connections: module.connections, sockets: module.sockets },
+            return_ramp: Some(module.recovery_ramp),
+            tries: module.retry_policies.clone(),
+            most: Most {
+                connections: [module.connections.total, module.connections.per_endpoint],
+                sockets: [module.sockets.total, module.sockets.per_endpoint],
+            },
             socket_weight: module.socket_weight,
             name: Some(name.to_string()),
         };
@@ -306,7 +310,7 @@
     }
 
     fn socket_drain(&self) -> u64 {
-        nanos(self.fixed.0.websocket_drain)
+        to_nanos(self.fixed.0.websocket_drain)
     }
 
     /// Reads the file again; one that is refused changes nothing.
@@ -422,8 +426,8 @@
 }
 
 fn route_in_force(route: &Route) -> serde_json::Value {
-    let to: Vec<&str> = match &route.then {
-        Then::Forward(forward) => forward.split.clusters().collect(),
+    let to: Vec<&str> = match &route.action {
+        RouteAction::Forward(forward) => forward.split.clusters().collect(),
         _ => Vec::new(),
     };
     serde_json::json!({"name": route.name, "line": route.line, "class": route.class, "clusters": to})
--- a/crates/mintshelf/src/demo.rs
+++ b/crates/mintshelf/src/demo.rs
@@ -117,7 +117,7 @@
         "listen = \"{at}\"\n[clusters.demo]\nendpoints = [{}]\n[[routes]]\ncluster = \"demo\"\n",
         endpoints.join(", ")
     );
-    let file = file::read("demo", text.as_bytes()).map_err(|p| format!("{p:?}"))?;
+    let file = file::parse("demo", text.as_bytes()).map_err(|p| format!("{p:?}"))?;
     let _daemon = Daemon::start(PathBuf::from("demo"), file).map_err(|lines| lines.join("\n"))?;
     let told = Rc::new(Client::default());
     for _ in 0..CLIENTS {
--- a/crates/mintshelf/src/explain.rs
+++ b/crates/mintshelf/src/explain.rs
@@ -4,12 +4,13 @@
 use http::{HeaderMap, HeaderName, HeaderValue, Method, Uri};
 use humantime::format_duration;
 use mintshelf_balancer::api::Effect;
-use mintshelf_config::model::{File, Then};
-use mintshelf_config::module::{least, plan};
+use mintshelf_config::balancer::{attempt_schedule, effective_timeout};
+use mintshelf_config::model::{OperatorConfig, RouteAction};
 use mintshelf_proxy::plain::effect_of;
-use mintshelf_retry::attempts::HedgeDelay;
-use mintshelf_retry::schedule::{self, AttemptTimeout, RetryOn};
-use mintshelf_routing::{Probe, Table};
+use mintshelf_retry::duration::format_nanos;
+use mintshelf_retry::policy::HedgeDelay;
+use mintshelf_retry::schedule::{AttemptTimeout, RetryOn};
+use mintshelf_routing::{RequestView, RouteTable};
 use mintshelf_websocket::session::Resume;
 use std::fmt::{Display, Write};
 use std::path::Path;
@@ -50,7 +51,12 @@
 }
 
 /// What is told of a request, for people.
-pub fn explain(file: &File, method: &str, url: &str, headers: &[String]) -> Result<String, String> {
+pub fn explain(
+    file: &OperatorConfig,
+    method: &str,
+    url: &str,
+    headers: &[String],
+) -> Result<String, String> {
     let headers = parse_headers(headers)?;
     let method: Method =
         method.parse().map_err(|_| format!("method '{method}': is not a method"))?;
@@ -59,8 +65,9 @@
     let named = headers.get(http::header::HOST).and_then(|h| h.to_str().ok());
     let host = host.or(named.map(str::to_string)).unwrap_or_default();
     let target = uri.path_and_query().map_or("/", |p| p.as_str());
-    let probe = Probe::new(&host, target, &method, &headers);
-    let table = Table::new(file.routes.iter().map(|route| route.rule.clone()))?;
+    let probe = RequestView::new(&host, target, &method, &headers);
+    let table = RouteTable::new(file.routes.iter().map(|route| route.rule.clone()));
+    let table = table.map_err(|error| error.to_string())?;
     let won = table.find(&probe);
     let mut text = String::new();
     // Writing to a String cannot fail.
@@ -72,7 +79,7 @@
     };
     let others = file.routes.iter().enumerate().filter(|(place, _)| Some(*place) != won);
     for (_, route) in others {
-        let why = match probe.fails(&route.rule) {
+        let why = match probe.mismatch(&route.rule) {
             Some(failure) => failure.to_string(),
             None => "it matches too, but is less specific, or comes later".to_string(),
         };
@@ -85,13 +92,13 @@
 }
 
 /// A line with a setting, and where it came from.
-fn setting(text: &mut String, file: &File, field: &str, value: impl Display) {
+fn setting(text: &mut String, file: &OperatorConfig, field: &str, value: impl Display) {
     setting_of(text, file, &[field.to_string()], value);
 }
 
 /// The same for a setting that may stand in several places: the first that states it counts.
-fn setting_of(text: &mut String, file: &File, fields: &[String], value: impl Display) {
-    let stated = fields.iter().find_map(|field| Some((field, file.stated.get(field)?)));
+fn setting_of(text: &mut String, file: &OperatorConfig, fields: &[String], value: impl Display) {
+    let stated = fields.iter().find_map(|field| Some((field, file.stated_lines.get(field)?)));
     let own = fields.iter().rfind(|field| !field.starts_with("defaults."));
     let _ = match (stated, own) {
         (Some((field, line)), _) => writeln!(text, "  {field} = {value} (line {line})"),
@@ -100,23 +107,29 @@
     };
 }
 
-fn told(text: &mut String, file: &File, place: usize, method: &Method, headers: &HeaderMap) {
+fn told(
+    text: &mut String,
+    file: &OperatorConfig,
+    place: usize,
+    method: &Method,
+    headers: &HeaderMap,
+) {
     let route = &file.routes[place];
     let on = match route.listeners.is_empty() {
         true => "all listeners".to_string(),
         false => route.listeners.join(", "),
     };
     let _ = writeln!(text, "on {on}");
-    let forward = match &route.then {
-        Then::Redirect(redirect) => {
+    let forward = match &route.action {
+        RouteAction::Redirect(redirect) => {
             let _ = writeln!(text, "answered here: {}, a redirect", redirect.status);
             return;
         }
-        Then::Respond(respond) => {
+        RouteAction::Respond(respond) => {
             let _ = writeln!(text, "answered here: {}", respond.status);
             return;
         }
-        Then::Forward(forward) => forward,
+        RouteAction::Forward(forward) => forward,
     };
     let Some(class) = file.classes.get(&route.policy) else { return };
     let keyed = headers.contains_key("idempotency-key");
@@ -134,7 +147,7 @@
     setting_of(text, file, &over("deadline"), span(class.deadline));
     setting(text, file, &of("worth"), class.priority_weight);
     if effect == Effect::Idempotent {
-        setting(text, file, &of("window"), span(class.window));
+        setting(text, file, &of("window"), span(class.dedup_window));
     }
     for name in forward.split.clusters() {
         let Some(cluster) = file.clusters.get(name) else { continue };
@@ -142,22 +155,22 @@
         let _ = writeln!(text, "cluster '{name}', {count} endpoints");
         let of = |key: &str| format!("clusters.{name}.{key}");
         for (key, own, whole) in [
-            ("connect-timeout", class.tries.connect, cluster.connect_timeout),
-            ("idle-timeout", class.tries.idle, cluster.idle_timeout),
+            ("connect-timeout", class.attempts.connect_timeout, cluster.connect_timeout),
+            ("idle-timeout", class.attempts.idle_timeout, cluster.idle_timeout),
         ] {
             let mut fields = vec![of(key)];
             if own.is_some_and(|own| own < whole) {
                 fields = over(key);
                 fields.push(format!("defaults.{key}"));
             }
-            setting_of(text, file, &fields, span(least(own, whole)));
+            setting_of(text, file, &fields, span(effective_timeout(own, whole)));
         }
         tries(text, file, place, name, effect);
         let statuses = format!("{:?}", cluster.failure_statuses);
         setting(text, file, &of("failure-statuses"), statuses);
         setting(text, file, &of("warm-up"), span(cluster.warm_up));
         setting(text, file, &of("max-retry-after"), span(cluster.max_retry_after));
-        setting(text, file, &of("return-ramp"), span(cluster.return_ramp));
+        setting(text, file, &of("return-ramp"), span(cluster.recovery_ramp));
     }
     if let Some(socket) = &forward.websocket {
         let resume = match socket.session.resume {
@@ -177,62 +190,63 @@
             ("close-timeout", life.closing),
         ] {
             let field = format!("classes.{}.sockets.{key}", route.class);
-            setting(text, file, &field, schedule::told(nanos));
+            setting(text, file, &field, format_nanos(nanos));
         }
-        setting(text, file, "limits.websockets", file.limits.websockets);
+        setting(text, file, "limits.websockets", file.limits.max_websockets);
     }
     let limits = &file.limits;
     setting(text, file, "limits.head-timeout", span(limits.head_timeout));
     setting(text, file, "limits.idle-timeout", span(limits.idle_timeout));
     setting(text, file, "limits.stream-timeout", span(limits.stream_timeout));
-    setting(text, file, "limits.memory", limits.memory);
-    setting(text, file, "limits.sockets", limits.sockets);
+    setting(text, file, "limits.memory", limits.memory_bytes);
+    setting(text, file, "limits.sockets", limits.file_descriptors);
 }
 
 /// What a request's attempts at a cluster may do, and their schedule as a time line.
-fn tries(text: &mut String, file: &File, place: usize, cluster: &str, effect: Effect) {
+fn tries(text: &mut String, file: &OperatorConfig, place: usize, cluster: &str, effect: Effect) {
     let route = &file.routes[place];
     let (Some(class), Some(of)) = (file.classes.get(&route.policy), file.clusters.get(cluster))
     else {
         return;
     };
-    let plan = plan(class, effect, of);
+    let plan = attempt_schedule(class, effect, of);
     let places = |key: &str| {
         let class = format!("classes.{}.{key}", route.class);
         vec![format!("routes[{place}].overrides.{key}"), class, format!("defaults.{key}")]
     };
     let mut attempts = places("max-attempts");
     attempts.push(format!("clusters.{cluster}.max-attempts"));
-    setting_of(text, file, &attempts, plan.attempts);
-    let per_try = match plan.per_try {
-        _ if effect == Effect::Unsafe || plan.attempts < 2 => "none".to_string(),
-        AttemptTimeout::Whole => "none".to_string(),
-        AttemptTimeout::Fixed(span) => schedule::told(span),
+    setting_of(text, file, &attempts, plan.max_attempts);
+    let per_try = match plan.attempt_timeout {
+        _ if effect == Effect::Unsafe || plan.max_attempts < 2 => "none".to_string(),
+        AttemptTimeout::Deadline => "none".to_string(),
+        AttemptTimeout::Fixed(span) => format_nanos(span),
         AttemptTimeout::Adaptive => {
-            let [least, most] = plan.adaptive_bounds().map(schedule::told);
+            let bounds = plan.adaptive_bounds();
+            let (least, most) = (format_nanos(bounds.min), format_nanos(bounds.max));
             format!("adaptive, {least} to {most} by the answers seen")
         }
     };
     setting_of(text, file, &places("per-try-timeout"), per_try);
-    let [first, most] = plan.backoff.map(schedule::told);
+    let (first, most) = (format_nanos(plan.backoff.initial), format_nanos(plan.backoff.max));
     setting_of(text, file, &places("backoff"), format!("up to {first}, doubling to {most}"));
     let retry_on = match plan.retry_on {
         RetryOn::NeverRan => "never-ran",
         RetryOn::MayHaveRun => "may-have-run",
     };
     setting_of(text, file, &places("retry-on"), retry_on);
-    let hedge = match class.tries.hedge.flatten().filter(|_| effect == Effect::Safe) {
+    let hedge = match class.attempts.hedge_policy().filter(|_| effect == Effect::Safe) {
         None => "none".to_string(),
         Some(hedge) => {
-            let after = match hedge.after {
-                HedgeDelay::Span(span) => schedule::told(span),
+            let after = match hedge.delay {
+                HedgeDelay::Fixed(span) => format_nanos(span),
                 HedgeDelay::P95 => "the time in which 95 of a hundred answers come".to_string(),
             };
-            format!("after {after}, {} of the requests at most", hedge.share)
+            format!("after {after}, {} of the requests at most", hedge.max_share)
         }
     };
     setting_of(text, file, &places("hedge"), hedge);
-    let (ratio, burst) = of.retry_budget;
+    let (ratio, burst) = (of.retry_budget.ratio, of.retry_budget.burst);
     let field = format!("clusters.{cluster}.retry-budget");
     setting(text, file, &field, format!("{ratio} a request, {burst} saved"));
     let _ = write!(text, "{plan}");
--- a/crates/mintshelf/src/fleet.rs
+++ b/crates/mintshelf/src/fleet.rs
@@ -1,7 +1,7 @@
 //! The process as one of a fleet: a voter beside the traffic, and the commands that ask voters.
 
 use crate::{check, lease_run, runtime, UNUSABLE};
-use mintshelf_config::model::{Fleet, FleetVoter};
+use mintshelf_config::model::{FleetConfig, FleetVoter};
 use mintshelf_consensus::replica::Stored;
 use mintshelf_consensus_node::client::{ask, tell};
 use mintshelf_consensus_node::frame::Report;
@@ -33,11 +33,11 @@
     }
 }
 
-fn identity(fleet: &Fleet, id: u64) -> Identity {
+fn identity(fleet: &FleetConfig, id: u64) -> Identity {
     Identity { fleet: fleet.fleet.clone(), voter: id }
 }
 
-fn directory(fleet: &Fleet) -> Result<&Path, String> {
+fn directory(fleet: &FleetConfig) -> Result<&Path, String> {
     // The file was checked: a voter has one.
     fleet.directory.as_deref().ok_or_else(|| "a voter without a directory".into())
 }
@@ -46,7 +46,7 @@
 ///
 /// # Errors
 /// Its store is in use, another's, damaged or empty, or its address is taken.
-pub fn start(fleet: &Fleet) -> Result<Option<Voting>, String> {
+pub fn start(fleet: &FleetConfig) -> Result<Option<Voting>, String> {
     let Some(id) = fleet.id else { return Ok(None) };
     let directory = directory(fleet)?;
     let opened = Store::open(directory, &identity(fleet, id)).map_err(|error| error.to_string())?;
@@ -69,7 +69,7 @@
         fleet: fleet.fleet.clone(),
         id,
         others: all.into_iter().filter(|(other, _)| *other != id).collect(),
-        spans: fleet.spans,
+        spans: fleet.timing,
     };
     let runtime = runtime()?;
     let (stop, stopped) = oneshot::channel::<()>();
@@ -104,7 +104,7 @@
 }
 
 /// A file's fleet, or what is wrong, and the exit code.
-fn of(config: &Path) -> Result<Fleet, ExitCode> {
+fn of(config: &Path) -> Result<FleetConfig, ExitCode> {
     let file = check::read(config).map_err(|unusable| {
         unusable.lines().iter().for_each(|line| eprintln!("mintshelf: {line}"));
         unusable.code()
@@ -120,7 +120,7 @@
     Ok(())
 }
 
-fn begin(fleet: &Fleet) -> Result<String, String> {
+fn begin(fleet: &FleetConfig) -> Result<String, String> {
     let id = fleet.id.ok_or_else(|| format!("'{}' is no voter: it keeps nothing", fleet.name))?;
     let directory = directory(fleet)?;
     let opened = Store::open(directory, &identity(fleet, id)).map_err(|error| error.to_string())?;
@@ -141,14 +141,14 @@
 }
 
 /// A life of this command's own.
-fn owner(fleet: &Fleet) -> Owner {
+fn owner(fleet: &FleetConfig) -> Owner {
     use std::hash::{BuildHasher, Hasher, RandomState};
     let drawn = RandomState::new().build_hasher().finish() >> 32;
     Owner { member: fleet.name.clone(), incarnation: drawn }
 }
 
 /// What each voter says of itself, in the order of the file; none where it does not answer.
-fn reports(fleet: &Fleet) -> Result<Vec<Option<Report>>, ExitCode> {
+fn reports(fleet: &FleetConfig) -> Result<Vec<Option<Report>>, ExitCode> {
     let runtime = runtime().map_err(failed)?;
     let owner = owner(fleet);
     let all = fleet.voters.iter().map(|voter| {
@@ -223,7 +223,7 @@
 }
 
 /// Says that nothing is agreed now.
-fn nobody_leads(fleet: &Fleet, reports: &[Option<Report>]) -> ExitCode {
+fn nobody_leads(fleet: &FleetConfig, reports: &[Option<Report>]) -> ExitCode {
     let (all, here) = (fleet.voters.len(), reports.iter().flatten().count());
     let needed = all / 2 + 1;
     eprintln!("mintshelf: nobody leads: {here} of {all} voters answer, {needed} are needed");
@@ -303,7 +303,7 @@
     command: Vec<OsString>,
 ) -> Result<ExitCode, ExitCode> {
     let fleet = of(config)?;
-    let span = span.map_or(fleet.spans.lease, |span| span.as_nanos() as u64);
+    let span = span.map_or(fleet.timing.lease, |span| span.as_nanos() as u64);
     if !(lease_run::SPAN_MIN..=lease::SPAN_MAX).contains(&span) {
         eprintln!("mintshelf: --span is 1s to 24h");
         return Err(ExitCode::from(UNUSABLE));
--- a/crates/mintshelf/src/lease_run.rs
+++ b/crates/mintshelf/src/lease_run.rs
@@ -5,7 +5,7 @@
 //! gone; the command dies with the guard. So a holder that is stopped or killed leaves no command
 //! behind, and neither does a guard.
 
-use mintshelf_config::model::Fleet;
+use mintshelf_config::model::FleetConfig;
 use mintshelf_consensus_node::client::{hold, Standing, Want};
 use mintshelf_consensus_node::clock;
 use mintshelf_lease::lease::Owner;
@@ -46,14 +46,14 @@
 ///
 /// # Errors
 /// The guard can't be started.
-pub async fn run(fleet: &Fleet, owner: Owner, task: Task) -> Result<u8, String> {
+pub async fn run(fleet: &FleetConfig, owner: Owner, task: Task) -> Result<u8, String> {
     let want = Want {
         fleet: fleet.fleet.clone(),
         voters: fleet.voters.iter().map(|voter| voter.address).collect(),
         owner,
         lease: task.lease.clone(),
         span: task.span,
-        error: fleet.spans.error,
+        error: fleet.timing.error,
         wait: !task.wait.is_zero(),
     };
     let (said, mut standing) = watch::channel(Standing::default());
--- a/crates/mintshelf/src/platform.rs
+++ b/crates/mintshelf/src/platform.rs
@@ -1,6 +1,6 @@
 //! The platform's sidecar: configured by `RELAY_CONFIG`, fed by discovery.
 
-use mintshelf_config::platform::Config;
+use mintshelf_config::platform::PlatformConfig;
 use mintshelf_proxy::clients::{Clients, Patience};
 use mintshelf_proxy::driver::{Driver, Spec};
 use mintshelf_proxy::inbound::{listen, Inbound};
@@ -33,7 +33,7 @@
 pub async fn run() -> Result<(), String> {
     let file = std::env::var_os("RELAY_CONFIG").ok_or("environment: RELAY_CONFIG: is not set")?;
     let file = PathBuf::from(file);
-    let config = Config::read(&file).map_err(|e| e.to_string())?;
+    let config = PlatformConfig::read(&file).map_err(|e| e.to_string())?;
     let unusable = |field: &str, e: std::io::Error| format!("{}: {field}: {e}", file.display());
     // Danger: taken before anything else, so that an early SIGTERM is not deadly.
     let mut terminated = signal(SignalKind::terminate()).map_err(|e| format!("SIGTERM: {e}"))?;
@@ -41,17 +41,17 @@
     let peers = match config.peer_listen.filter(|_| config.settings.peers) {
         None => None,
         Some(address) => {
-            let peers = Peers::bind(address, config.peers.clone(), config.peers_all).await;
+            let peers = Peers::bind(address, config.peers.clone(), config.broadcast_address).await;
             Some(peers.map_err(|e| unusable("peer_listen", e))?)
         }
     };
     let listener = listen(config.listen).map_err(|e| unusable("listen", e))?;
-    let limits = Limits::new(config.sockets, config.memory);
+    let limits = Limits::new(config.file_descriptors, config.memory_bytes);
     let draining = CancellationToken::new();
     let deadlines = config.settings.classes.iter().map(|class| class.deadline);
     let longest = Duration::from_nanos(deadlines.max().unwrap_or(0));
     let stay = longest + STAY;
-    let Config { name, listen, settings, names, seed, discovery, known, .. } = config;
+    let PlatformConfig { name, listen, settings, names, seed, discovery, cached_list, .. } = config;
     let spec = Spec {
         return_ramp: None,
         tries: Vec::new(),
@@ -63,7 +63,7 @@
         seed,
         style: Style::Platform,
         peers,
-        discovery: Some((discovery, known)),
+        discovery: Some((discovery, cached_list)),
     };
     let driver = Driver::start(spec, Connections::new(&limits));
     let patience = Patience {
@@ -79,7 +79,7 @@
     eprintln!("mintshelf: {name} listens on {listen}");
     let reloads = async {
         while reload.recv().await.is_some() {
-            match Config::read(&file) {
+            match PlatformConfig::read(&file) {
                 Ok(new) => {
                     eprintln!("mintshelf: {name} reloads; discovery is {}", new.discovery);
                     driver.move_discovery(new.discovery);
--- a/crates/proxy/src/driver.rs
+++ b/crates/proxy/src/driver.rs
@@ -22,7 +22,8 @@
 use mintshelf_balancer::decide::Balancer;
 use mintshelf_config::platform::Names;
 use mintshelf_recovery::{End, Phase, Recovery, WINDOW_PART};
-use mintshelf_retry::attempts::{AttemptTracker, RetryPolicy, TimeoutAction};
+use mintshelf_retry::attempts::{AttemptTracker, RetryConditions, TimeoutAction};
+use mintshelf_retry::policy::RetryPolicy;
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::future::poll_fn;
@@ -106,7 +107,7 @@
         let clock = Clock::start();
         let connect_timeout = Duration::from_nanos(settings.connect_timeout);
         let idle_timeout = Duration::from_nanos(settings.idle_timeout);
-        let fields = names.report.clone();
+        let fields = names.report_fields.clone();
         let mode = settings.report_mode;
         let endpoints = Endpoints::default();
         let (at, known) = discovery.map_or((None, None), |(at, known)| (Some(at), known));
@@ -381,7 +382,7 @@
             let id: RequestId = core.last_id.to_string().into();
             let deadline = now.saturating_add(arrival.patience);
             if let Some(tries) = self.tries.get(arrival.class as usize) {
-                tries.borrow_mut().begin();
+                tries.borrow_mut().record_request();
             }
             let taken = Taken {
                 message,
@@ -460,13 +461,13 @@
         let class = taken.class;
         let trial = self.tries.get(class).filter(|_| held).and_then(|tries| {
             let mut tries = tries.borrow_mut();
-            let copy_after = tries.copy_after(now).filter(|_| number == 0);
-            let limit = tries.limit(now, number);
+            let copy_after = tries.hedge_delay(now).filter(|_| number == 0);
+            let limit = tries.attempt_timeout(now, number);
             (limit.is_some() || copy_after.is_some()).then_some(Trial { limit, copy_after })
         });
         let bounds = self.tries.get(class).map(|tries| {
             let tries = tries.borrow();
-            [tries.plan().connect, tries.plan().idle].map(Duration::from_nanos)
+            [tries.policy().connect_timeout, tries.policy().idle_timeout].map(Duration::from_nanos)
         });
         let until = Until {
             end: self.clock.instant(until),
@@ -490,14 +491,15 @@
         let paid = self.core.borrow().balancer.can_retry();
         let elsewhere = self.endpoints.len() > 1;
         let cut = |tries: &RefCell<AttemptTracker>| {
-            tries.borrow_mut().expired(self.clock.now(), limit, paid, elsewhere)
+            let conditions = RetryConditions { has_budget: paid, has_other_endpoint: elsewhere };
+            tries.borrow_mut().on_timeout(self.clock.now(), limit, conditions)
         };
-        self.tries.get(class).map_or(TimeoutAction::Now, cut)
+        self.tries.get(class).map_or(TimeoutAction::Cancel, cut)
     }
 
     /// Asks the module for a second copy of a request, if their share allows one.
     fn second_copy(self: &Rc<Self>, class: usize, id: &RequestId) {
-        if self.tries.get(class).is_some_and(|tries| tries.borrow_mut().may_copy()) {
+        if self.tries.get(class).is_some_and(|tries| tries.borrow_mut().try_hedge()) {
             self.post(Event::HedgeRequested { id: id.clone() });
         }
     }
@@ -519,7 +521,7 @@
     /// What half of the answers of a class take; 0 while that is not known.
     pub fn usual(&self, class: u32) -> Nanos {
         let now = self.clock.now();
-        self.tries.get(class as usize).map_or(0, |tries| tries.borrow_mut().usual(now))
+        self.tries.get(class as usize).map_or(0, |tries| tries.borrow_mut().median_latency(now))
     }
 
     /// When a client whose request has not been sent is told to come back.
@@ -530,8 +532,8 @@
     /// Attempts that were ended for their own time, and second copies, so far.
     pub fn tried(&self) -> [u64; 2] {
         self.tries.iter().fold([0; 2], |[cut, copied], tries| {
-            let [more_cut, more_copied] = tries.borrow().counts();
-            [cut + more_cut, copied + more_copied]
+            let counts = tries.borrow().counts();
+            [cut + counts.timed_out, copied + counts.hedged]
         })
     }
 
@@ -552,7 +554,7 @@
             let tries = class.and_then(|class| self.tries.get(class));
             if let (Some(tries), true) = (tries, outcome.answered()) {
                 if let Event::AttemptEnded { took, .. } = &event {
-                    tries.borrow_mut().answered(now, *took);
+                    tries.borrow_mut().record_response(now, *took);
                 }
             }
             if let Event::AttemptEnded { server, took, .. } = &event {
--- a/crates/proxy/src/edits.rs
+++ b/crates/proxy/src/edits.rs
@@ -5,11 +5,11 @@
 use bytes::Bytes;
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::{Response, StatusCode};
-use mintshelf_config::model::{Edits, Redirect, Respond, Route};
-use mintshelf_routing::pattern;
+use mintshelf_config::model::{HeaderEdits, Redirect, Respond, Route};
+use mintshelf_routing::path::after_prefix;
 
 /// Changes headers as a route says.
-pub(crate) fn edit(headers: &mut HeaderMap, edits: &Edits) {
+pub(crate) fn edit(headers: &mut HeaderMap, edits: &HeaderEdits) {
     for name in &edits.remove {
         headers.remove(name);
     }
@@ -42,7 +42,7 @@
     let mintshelf_routing::PathMatch::Prefix(prefix) = &route.rule.path else {
         return path_and_query.to_string();
     };
-    let rest = with.and_then(|with| Some((with, pattern::after_prefix(prefix, path)?)));
+    let rest = with.and_then(|with| Some((with, after_prefix(prefix, path)?)));
     let Some((with, rest)) = rest else { return path_and_query.to_string() };
     let path = format!("{}{rest}", with.trim_end_matches('/'));
     format!("{}{query}", if path.is_empty() { "/" } else { &path })
@@ -85,7 +85,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use mintshelf_config::model::Then;
+    use mintshelf_config::model::RouteAction;
     use std::sync::Arc;
 
     #[test]
@@ -94,7 +94,7 @@
             name: String::new(),
             line: 0,
             listeners: Vec::new(),
-            rule: Arc::new(mintshelf_routing::Rule {
+            rule: Arc::new(mintshelf_routing::RouteRule {
                 path: mintshelf_routing::PathMatch::Prefix(prefix.into()),
                 ..Default::default()
             }),
@@ -102,7 +102,7 @@
             policy: String::new(),
             limit: Default::default(),
             effect: None,
-            then: Then::Respond(Respond {
+            action: RouteAction::Respond(Respond {
                 status: StatusCode::OK,
                 body: String::new(),
                 content_type: HeaderValue::from_static("a/b"),
--- a/crates/proxy/src/gates.rs
+++ b/crates/proxy/src/gates.rs
@@ -6,7 +6,7 @@
 use hyper::StatusCode;
 use mintshelf_admission::admission::{Admission, AdmissionConfig, LimitExceeded, LimitUsage};
 use mintshelf_admission::queue::{
-    QueueDecision, QueueEntry, QueueTicket, QueueTransitions, RejectReason,
+    QueueDecision, QueueEntry, QueueTicket, QueueTransitions, RejectReason, RejectedTicket,
 };
 use mintshelf_balancer::api::Nanos;
 use std::cell::RefCell;
@@ -54,7 +54,7 @@
 
 impl Drop for Entered {
     fn drop(&mut self) {
-        self.gates.admission.borrow_mut().leave(&self.tenant, &self.route);
+        self.gates.admission.borrow_mut().end_request(&self.tenant, &self.route);
     }
 }
 
@@ -68,7 +68,7 @@
 impl Drop for Through {
     fn drop(&mut self) {
         let now = self.gates.clock.now();
-        let moves = self.gates.admission.borrow_mut().done(now, &self.cluster, &self.tenant);
+        let moves = self.gates.admission.borrow_mut().complete(now, &self.cluster, &self.tenant);
         self.gates.carry(&self.cluster, moves);
     }
 }
@@ -82,7 +82,7 @@
 
 impl Drop for Filled {
     fn drop(&mut self) {
-        self.gates.admission.borrow_mut().empty(&self.tenant, self.bytes);
+        self.gates.admission.borrow_mut().release_body(&self.tenant, self.bytes);
     }
 }
 
@@ -115,7 +115,7 @@
         match waiter.map(|waiter| waiter.end) {
             // Nobody took the place that it was given.
             Some(Some(Ok(()))) => drop(self.gates.through(&self.key.0, &self.tenant)),
-            Some(None) => self.gates.admission.borrow_mut().give_up(&self.key.0, self.key.1),
+            Some(None) => self.gates.admission.borrow_mut().cancel(&self.key.0, self.key.1),
             Some(Some(Err(_))) | None => {}
         }
     }
@@ -124,14 +124,15 @@
 impl Gates {
     /// Puts limits in force; what is under way counts on.
     pub fn set(&self, set: &AdmissionConfig) {
-        let moves = self.admission.borrow_mut().set(self.clock.now(), set);
+        let moves = self.admission.borrow_mut().configure(self.clock.now(), set);
         moves.into_iter().for_each(|(cluster, moves)| self.carry(&cluster, moves));
     }
 
     /// Tells those that wait what became of them.
     fn carry(&self, cluster: &Rc<str>, moves: QueueTransitions) {
-        let go = moves.go.into_iter().map(|ticket| (ticket, Ok(())));
-        let refused = moves.refused.into_iter().map(|(ticket, why)| (ticket, Err(why)));
+        let go = moves.admitted.into_iter().map(|ticket| (ticket, Ok(())));
+        let refused = moves.rejected.into_iter();
+        let refused = refused.map(|RejectedTicket { ticket, reason }| (ticket, Err(reason)));
         for (ticket, end) in go.chain(refused) {
             let mut waiters = self.waiters.borrow_mut();
             let waiter = waiters.entry((cluster.clone(), ticket)).or_default();
@@ -149,7 +150,7 @@
     /// A request has come; its body has not.
     pub fn enter(self: &Rc<Self>, tenant: Rc<str>, route: &Rc<str>) -> Result<Entered, Refusal> {
         let now = self.clock.now();
-        match self.admission.borrow_mut().enter(now, &tenant, route) {
+        match self.admission.borrow_mut().begin_request(now, &tenant, route) {
             Ok(()) => Ok(Entered { gates: self.clone(), tenant, route: route.clone() }),
             Err(over) => {
                 let (code, what, after) = match over {
@@ -190,7 +191,7 @@
 
     /// Takes so many bytes for a tenant's body.
     pub fn fill(self: &Rc<Self>, tenant: &Rc<str>, bytes: u64) -> Result<Filled, Refusal> {
-        if self.admission.borrow_mut().fill(tenant, bytes) {
+        if self.admission.borrow_mut().try_reserve_body(tenant, bytes) {
             return Ok(Filled { gates: self.clone(), tenant: tenant.clone(), bytes });
         }
         let what = "its tenant's bodies take all the room that it has; it has not run";
@@ -211,14 +212,14 @@
         advice: impl Fn() -> Nanos,
     ) -> Result<(Option<Through>, Nanos), Refusal> {
         let now = self.clock.now();
-        let (tenant, needs) = (offer.tenant.clone(), offer.needs);
+        let (tenant, needs) = (offer.tenant.clone(), offer.expected_latency);
         let offer = QueueEntry { deadline: now.saturating_add(patience), ..offer };
-        let offered = self.admission.borrow_mut().offer(now, cluster, offer);
+        let offered = self.admission.borrow_mut().enqueue(now, cluster, offer);
         let Some((verdict, moves)) = offered else { return Ok((None, patience)) };
         self.carry(cluster, moves);
         let end = match verdict {
-            QueueDecision::Go => Ok(()),
-            QueueDecision::Rejected(why) => Err(why),
+            QueueDecision::Admit => Ok(()),
+            QueueDecision::Reject(why) => Err(why),
             QueueDecision::Wait(ticket) => {
                 let key = (cluster.clone(), ticket);
                 self.waiters.borrow_mut().insert(key.clone(), Waiter::default());
@@ -230,7 +231,7 @@
         let left = || patience.saturating_sub(self.clock.now().saturating_sub(now)).max(1);
         end.map(|()| (Some(self.through(cluster, &tenant)), left())).map_err(|why| {
             let (code, what) = match why {
-                RejectReason::Full => {
+                RejectReason::QueueFull => {
                     ("queue-full", "too many wait for the cluster; it has not run")
                 }
                 RejectReason::TooLate => {
@@ -244,6 +245,6 @@
 
     /// How much is under way.
     pub fn levels(&self) -> LimitUsage {
-        self.admission.borrow().levels()
+        self.admission.borrow().usage()
     }
 }
--- a/crates/proxy/src/notes.rs
+++ b/crates/proxy/src/notes.rs
@@ -20,13 +20,13 @@
 impl Notes {
     /// None written yet.
     pub fn new(clock: &Clock) -> Self {
-        let set = RateConfig { count: LINES, per: Duration::from_secs(1), burst: LINES };
+        let set = RateConfig { count: LINES, period: Duration::from_secs(1), burst: LINES };
         Notes { rate: RateLimit::new(set, clock.now()), left_out: Cell::new(0) }
     }
 
     /// Whether a line may be written now; if so, how many were left out before it.
     pub fn may_write(&self, clock: &Clock) -> Option<u64> {
-        if self.rate.take(clock.now()).is_ok() {
+        if self.rate.try_acquire(clock.now()).is_ok() {
             return Some(self.left_out.take());
         }
         self.left_out.set(self.left_out.get() + 1);
--- a/crates/proxy/src/open.rs
+++ b/crates/proxy/src/open.rs
@@ -8,7 +8,7 @@
 use hyper::Request;
 use mintshelf_balancer::api::*;
 use mintshelf_balancer::decide::Balancer;
-use mintshelf_retry::shutdown::{ShutdownDeadlines, Verdict};
+use mintshelf_retry::shutdown::{FinalResponse, ShutdownDeadlines};
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::rc::Rc;
 use tokio::sync::OwnedSemaphorePermit;
@@ -158,9 +158,9 @@
         all.sort_unstable_by(|a, b| a.0.cmp(&b.0));
         for (id, class, ran_at) in all {
             let effect = classes.get(class).map_or(Effect::Unsafe, |class| class.effect);
-            let reply = match ShutdownDeadlines::verdict(effect, ran_at.is_some()) {
-                Verdict::Refuse => Reply::Refused { after, ran_at },
-                Verdict::Fail => Reply::Failed { timed_out: false },
+            let reply = match ShutdownDeadlines::final_response(effect, ran_at.is_some()) {
+                FinalResponse::Reject => Reply::Refused { after, ran_at },
+                FinalResponse::Fail => Reply::Failed { timed_out: false },
             };
             self.abandon(&id, reply);
         }
--- a/crates/proxy/src/plain.rs
+++ b/crates/proxy/src/plain.rs
@@ -17,11 +17,12 @@
 use hyper::{Method, Request, Response, StatusCode, Uri, Version};
 use mintshelf_admission::queue::QueueEntry;
 use mintshelf_admission::slots::SlotOwner;
-use mintshelf_admission::tenants::{Tenants, OTHER_TENANTS};
+use mintshelf_admission::tenants::{TenantResolver, OTHER_TENANTS};
 use mintshelf_balancer::api::{Effect, Nanos};
-use mintshelf_config::model::{Forward, Forwarding, Route, Sticky, Then};
-use mintshelf_config::module::{severity, ModuleClass};
-use mintshelf_routing::{pattern, Probe, Table};
+use mintshelf_config::balancer::BalancerClass;
+use mintshelf_config::model::{Forward, Forwarding, Route, RouteAction, Sticky};
+use mintshelf_routing::path::has_dot_segments;
+use mintshelf_routing::{RequestView, RouteTable};
 use mintshelf_websocket::handshake;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
@@ -43,7 +44,7 @@
 /// the one they began with.
 pub struct Serving {
     /// Finds a route's place.
-    pub table: Table,
+    pub table: RouteTable,
     /// The routes, in the same order.
     pub routes: Vec<Route>,
     /// Requests that each of them took.
@@ -65,7 +66,7 @@
     /// The limits.
     pub gates: Rc<Gates>,
     /// Tells tenants apart; absent where there are none.
-    pub tenants: Option<Rc<Tenants>>,
+    pub tenants: Option<Rc<TenantResolver>>,
     /// The header that names a tenant.
     pub tenant_header: Option<HeaderName>,
     /// The routes' names, in their order.
@@ -79,7 +80,7 @@
     fn tenant(&self, client: &Client, listener: &str, headers: &HeaderMap) -> Rc<str> {
         let Some(tenants) = &self.tenants else { return OTHER_TENANTS.into() };
         let value = self.tenant_header.as_ref().and_then(|name| headers.get(name));
-        tenants.of(client.peer.ip(), listener, value.and_then(|value| value.to_str().ok()))
+        tenants.resolve(client.peer.ip(), listener, value.and_then(|value| value.to_str().ok()))
     }
 }
 
@@ -96,7 +97,7 @@
     /// The instance.
     pub driver: Rc<Driver>,
     /// The module's classes by the file's names.
-    pub classes: BTreeMap<String, ModuleClass>,
+    pub classes: BTreeMap<String, BalancerClass>,
 }
 
 /// What was done, for the figures.
@@ -198,7 +199,7 @@
             let what = "this is no tunnel";
             return Err(Refusal::new(StatusCode::NOT_IMPLEMENTED, "no-tunnel", what).last());
         }
-        if pattern::has_dot_segments(path.split('?').next().unwrap_or("/")) {
+        if has_dot_segments(path.split('?').next().unwrap_or("/")) {
             return Err(bad("climbing-path", "the path holds an element '.' or '..'"));
         }
         let expect = request.headers().get(header::EXPECT);
@@ -206,25 +207,25 @@
             let what = "only 100-continue can be expected";
             return Err(Refusal::new(StatusCode::EXPECTATION_FAILED, "expectation", what));
         }
-        let probe = Probe::new(&host, &path, request.method(), request.headers());
+        let probe = RequestView::new(&host, &path, request.method(), request.headers());
         let Some(place) = serving.table.find(&probe) else {
             let what = "no route takes this request";
             return Err(Refusal::new(StatusCode::NOT_FOUND, "no-route", what));
         };
         let route = &serving.routes[place];
-        let key = match &route.then {
-            Then::Forward(forward) => sticky_key(forward.sticky.as_ref(), &probe, client),
+        let key = match &route.action {
+            RouteAction::Forward(forward) => sticky_key(forward.sticky.as_ref(), &probe, client),
             _ => None,
         };
         serving.hits[place].set(serving.hits[place].get() + 1);
-        match &route.then {
-            Then::Forward(forward) => {
+        match &route.action {
+            RouteAction::Forward(forward) => {
                 let key = key.unwrap_or_else(|| self.next_number().to_le_bytes().to_vec());
                 let to = Way { serving, place, route, forward, key, host, path, draining };
                 self.forward(to, client, request).await
             }
-            Then::Redirect(redirect) => redirected(redirect, route, &host, &path),
-            Then::Respond(respond) => Ok(responded(respond)),
+            RouteAction::Redirect(redirect) => redirected(redirect, route, &host, &path),
+            RouteAction::Respond(respond) => Ok(responded(respond)),
         }
     }
 
@@ -245,7 +246,7 @@
         let class = pool.classes.get(&route.policy).ok_or_else(gone)?;
         let keyed = request.headers().contains_key("idempotency-key");
         let effect = effect_of(class.effect, route.effect, request.method(), keyed);
-        let (number, patience) = (class.numbers[severity(effect)], class.deadline);
+        let (number, patience) = (class.class_number(effect), class.deadline);
         let (class, priority_weight) = (number.ok_or_else(gone)?, class.priority_weight);
         let marked = serving.repeat_header.as_ref().and_then(|name| request.headers().get(name));
         let repeat = marked.is_some_and(|value| value != "0");
@@ -374,7 +375,7 @@
         if let Some(via) = &on.via {
             append_via(headers, via);
         }
-        if on.forwarded {
+        if on.adds_forwarded {
             let ip = match client.peer.ip() {
                 std::net::IpAddr::V4(ip) => ip.to_string(),
                 std::net::IpAddr::V6(ip) => format!("\"[{ip}]\""),
@@ -465,8 +466,13 @@
     let limited = serving.limited.as_ref();
     let gate = limited.and_then(|l| Some((&l.gates, l.clusters.get(name)?))).zip(tenant);
     if let Some(((gates, name), tenant)) = gate {
-        let needs = pool.driver.usual(class);
-        let offer = QueueEntry { tenant, repeat, priority_weight, deadline: 0, needs };
+        let offer = QueueEntry {
+            tenant,
+            is_repeat: repeat,
+            priority_weight,
+            deadline: 0,
+            expected_latency: pool.driver.usual(class),
+        };
         let advice = || pool.driver.advice(class);
         (through, patience) = gates.pass(name, patience, offer, advice).await?;
     }
@@ -536,11 +542,11 @@
     Ok(host.to_string())
 }
 
-fn sticky_key(sticky: Option<&Sticky>, probe: &Probe, client: &Client) -> Option<Vec<u8>> {
+fn sticky_key(sticky: Option<&Sticky>, probe: &RequestView, client: &Client) -> Option<Vec<u8>> {
     match sticky? {
         Sticky::Client => Some(client.peer.ip().to_string().into_bytes()),
         Sticky::Header(name) => probe.headers.get(name).map(|v| v.as_bytes().to_vec()),
-        Sticky::Query(name) => probe.parameters(name).next().map(|v| v.as_bytes().to_vec()),
+        Sticky::Query(name) => probe.query_values(name).next().map(|v| v.as_bytes().to_vec()),
         Sticky::Cookie(name) => {
             let cookies = probe.headers.get_all(header::COOKIE).iter();
             let mut pairs = cookies.filter_map(|c| c.to_str().ok()).flat_map(|c| c.split(';'));
--- a/crates/proxy/src/platform.rs
+++ b/crates/proxy/src/platform.rs
@@ -55,7 +55,7 @@
         let clock = self.driver.clock();
         let ending = ShutdownDeadlines::new(clock.now(), nanos(longest));
         self.ending.set(Some(ending));
-        sleep_until(clock.instant(ending.cut_at())).await;
+        sleep_until(clock.instant(ending.final_response_at())).await;
         self.driver.give_up(self.restart_advice());
     }
 
@@ -134,7 +134,7 @@
         let path = head.uri.path_and_query().map_or("/", |path| path.as_str());
         head.uri = path.parse().map_err(|_| bad("path\n"))?;
         if let Some(ending) = self.ending.get() {
-            match ending.patience(self.driver.clock().now(), arrival.patience) {
+            match ending.limit_timeout(self.driver.clock().now(), arrival.patience) {
                 Some(patience) => arrival.patience = patience,
                 None => return Ok(Reply::Refused { after: self.restart_advice(), ran_at: None }),
             }
--- a/crates/proxy/src/sockets/front.rs
+++ b/crates/proxy/src/sockets/front.rs
@@ -15,7 +15,6 @@
 use mintshelf_admission::slots::{SlotOwner, SlotUnavailable};
 use mintshelf_balancer::api::{Effect, Nanos};
 use mintshelf_config::model::WebSocket;
-use mintshelf_config::module::severity;
 use mintshelf_websocket::handshake::{HandshakeError, NegotiatedTerms, Offer};
 use mintshelf_websocket::session::Session;
 use std::rc::Rc;
@@ -163,7 +162,7 @@
         let mut head = head.clone();
         ask(&self.offer, &self.sockets, &mut head);
         let asks = Asks {
-            class: class.numbers[severity(*effect)]?,
+            class: class.class_number(*effect)?,
             priority_weight: class.priority_weight,
             repeat: true,
             patience: class.deadline,
--- a/crates/proxy/src/sockets/registry.rs
+++ b/crates/proxy/src/sockets/registry.rs
@@ -120,7 +120,7 @@
 
 impl Drop for Seated {
     fn drop(&mut self) {
-        self.sockets.seats.borrow_mut().leave(&self.sitter);
+        self.sockets.seats.borrow_mut().release(&self.sitter);
     }
 }
 
@@ -210,7 +210,7 @@
 
     /// Puts a file's numbers in force.
     pub fn set(&self, set: SlotConfig) {
-        self.seats.borrow_mut().set(set);
+        self.seats.borrow_mut().configure(set);
     }
 
     /// The clock of all sockets' times.
@@ -237,14 +237,14 @@
     /// Takes a seat; if there is none, one of whoever has more than its share may be sent away.
     pub fn seat(self: &Rc<Self>, sitter: &SlotOwner) -> Result<Seated, SlotUnavailable> {
         let now = self.clock.now();
-        let taken = self.seats.borrow_mut().take(now, sitter);
+        let taken = self.seats.borrow_mut().acquire(now, sitter);
         match taken {
             Ok(()) => Ok(Seated { sockets: self.clone(), sitter: sitter.clone() }),
             Err(refused) => {
-                if let Some(from) = refused.reclaim {
+                if let Some(from) = refused.reclaim_from {
                     self.reclaim(now, &from);
                 }
-                Err(refused.why)
+                Err(refused.reason)
             }
         }
     }
--- a/crates/proxy/src/trying.rs
+++ b/crates/proxy/src/trying.rs
@@ -49,7 +49,7 @@
             }
         };
         sleep_until(connected + Duration::from_nanos(limit)).await;
-        while let TimeoutAction::Wait(span) = expired(limit) {
+        while let TimeoutAction::RecheckAfter(span) = expired(limit) {
             sleep(Duration::from_nanos(span)).await;
         }
     };
