--- a/crates/proxy/src/socket_connector.rs
+++ b/crates/proxy/src/socket_connector.rs
@@ -6,7 +6,6 @@
 use crate::upstream::{Answer, AnswerBody};
 use crate::websocket::reconnect::{ReconnectRequest, ServerConnection, SocketConnector};
 use hyper::Request;
-use mintshelf_config::module::severity;
 
 impl SocketConnector for Plain {
     async fn connect(&self, request: &ReconnectRequest) -> Option<ServerConnection> {
@@ -16,7 +15,7 @@
         let class = pool.classes.get(&target.policy)?;
         let head = request.handshake_head();
         let asks = Asks {
-            class: class.numbers[severity(target.effect)]?,
+            class: class.class_number(target.effect)?,
             priority_weight: class.priority_weight,
             repeat: true,
             patience: class.deadline,
