--- a/crates/mintshelf/tests/crossings/attempts.rs
+++ b/crates/mintshelf/tests/crossings/attempts.rs
@@ -117,3 +117,81 @@
 fn nor_one_on_which_a_second_answer_stands() {
     at_rest(|mut stream| stream.write_all(&answer("surplus")).unwrap());
 }
+
+/// Clients that take every place and can't be evicted: each has had an answer and has begun a
+/// further request.
+fn take_all_places(sidecar: &Sidecar) -> Vec<std::net::TcpStream> {
+    const NO_PLACE: Duration = Duration::from_millis(400);
+    let mut crowd = Vec::new();
+    loop {
+        let mut stream = connect(sidecar.at).unwrap();
+        stream.set_read_timeout(Some(NO_PLACE)).unwrap();
+        stream.write_all(&request("safe", &format!("crowd-{}", crowd.len()))).unwrap();
+        let Some(got) = Message::read(&mut stream) else { return crowd };
+        assert_eq!(got.status(), 200, "{}", got.head);
+        stream.write_all(b"GET /api HT").unwrap();
+        crowd.push(stream);
+        assert!(crowd.len() < 128, "there are more places than descriptors");
+    }
+}
+
+#[test]
+fn a_request_that_waited_to_be_accepted_tells_what_is_left_of_its_time() {
+    const PATIENCE: Duration = Duration::from_secs(6);
+    const HELD: Duration = Duration::from_millis(800);
+    // The first attempt of each held request fails.
+    let failed = std::sync::Mutex::new(std::collections::HashSet::new());
+    let server = Server::start(move |request, _| {
+        let id = request.header("x-txn").unwrap().to_string();
+        if id.starts_with("held") && failed.lock().unwrap().insert(id) {
+            return Some(b"HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n".to_vec());
+        }
+        Some(answer("served"))
+    });
+    let discovery = Discovery::start(1, vec![server.entry("a")]);
+    let sidecar = Sidecar::start(PROGRAM, config(discovery.at, vec![server.entry("a")]));
+    let crowd = take_all_places(&sidecar);
+    let begun = Instant::now();
+    let mut held: Vec<_> = (0..3).map(|_| connect(sidecar.at).unwrap()).collect();
+    for (number, stream) in held.iter_mut().enumerate() {
+        let id = format!("held-{number}");
+        stream.write_all(&patient("safe", &id, PATIENCE.as_millis() as u64)).unwrap();
+    }
+    let written = Instant::now();
+    thread::sleep(HELD);
+    let waited = written.elapsed();
+    drop(crowd);
+    for stream in &mut held {
+        assert_eq!(Message::read(stream).unwrap().status(), 200);
+    }
+    let took = begun.elapsed();
+    for number in 0..3 {
+        let id = format!("held-{number}");
+        let seen = server.seen();
+        let told: Vec<_> = seen.iter().filter(|m| m.header("x-txn") == Some(&id)).collect();
+        assert!(told.len() > 1, "{id} had a further attempt");
+        for attempt in told {
+            let told = attempt.header("x-remaining-ms").unwrap().parse().unwrap();
+            let told = Duration::from_millis(told);
+            assert!(told <= PATIENCE - waited, "{id}: {told:?} told after {waited:?}");
+            // Nor much less than there is.
+            let least = PATIENCE - took - Duration::from_secs(1);
+            assert!(told >= least, "{id}: {told:?} told, {took:?} in all");
+        }
+    }
+}
+
+#[test]
+fn a_request_behind_an_idle_crowd_is_accepted_at_once() {
+    let server = Server::start(|_, _| Some(answer("served")));
+    let discovery = Discovery::start(1, vec![server.entry("a")]);
+    let sidecar = Sidecar::start(PROGRAM, config(discovery.at, vec![server.entry("a")]));
+    let crowd: Vec<_> = (0..400).filter_map(|_| connect(sidecar.at)).collect();
+    let begun = Instant::now();
+    assert_eq!(sidecar.ask(&request("safe", "behind")).unwrap().status(), 200);
+    let took = begun.elapsed();
+    // At one eviction in 20 ms it would be 3.8 s.
+    assert!(took < Duration::from_secs(2), "{took:?}");
+    assert!(sidecar.descriptors() <= 128, "{}", sidecar.descriptors());
+    drop(crowd);
+}
--- a/crates/proxy/src/clients.rs
+++ b/crates/proxy/src/clients.rs
@@ -14,6 +14,9 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
+/// Waits to be accepted that are shorter are not counted.
+const QUEUED_LEAST: Duration = Duration::from_millis(5);
+
 /// How long a connection may be in its phases.
 #[derive(Debug, Clone, Copy)]
 pub struct Patience {
@@ -61,6 +64,8 @@
     pub scan: RefCell<Scan>,
     /// The library has no more of the answer to ask for.
     pub handed_over: Cell<bool>,
+    /// How long the request that came with the connection may have waited to be accepted.
+    queued: Cell<Duration>,
     /// Whether it is to make room.
     pub evicted: CancellationToken,
     /// What becomes of it after a 101.
@@ -79,8 +84,12 @@
 }
 
 impl Client {
-    /// A connection that was just accepted.
-    pub fn new(stream: Stream, peer: SocketAddr, patience: Patience) -> Self {
+    /// A connection that was just accepted, after a wait in the listener's queue of at most
+    /// `queued`.
+    pub fn new(stream: Stream, peer: SocketAddr, patience: Patience, queued: Duration) -> Self {
+        // A request that is not there yet was sent after the connection was accepted.
+        let came_with_request = queued >= QUEUED_LEAST && pending(&stream) == Pending::Bytes;
+        let queued = if came_with_request { queued } else { Duration::ZERO };
         Client {
             stream,
             peer,
@@ -89,6 +98,7 @@
             patience,
             scan: RefCell::default(),
             handed_over: Cell::new(false),
+            queued: Cell::new(queued),
             evicted: CancellationToken::new(),
             upgrade: RefCell::default(),
         }
@@ -99,6 +109,16 @@
         self.phase.get()
     }
 
+    /// When that phase began.
+    pub fn since(&self) -> Instant {
+        self.since.get()
+    }
+
+    /// How long its first request may have waited to be accepted; nothing for later ones.
+    pub fn take_queued(&self) -> Duration {
+        self.queued.take()
+    }
+
     /// Begins a phase.
     pub fn enter(&self, phase: Phase) {
         self.phase.set(phase);
@@ -193,14 +213,17 @@
     /// read must not be closed for it.
     pub fn evict_one(&self, least: Duration) -> bool {
         let clients = self.by_number.borrow();
+        let now = Instant::now();
         let unwanted = |c: &&Rc<Client>| {
             c.phase.get() <= Phase::Idle
-                && c.since.get().elapsed() >= least
+                && now.saturating_duration_since(c.since.get()) >= least
                 && !c.evicted.is_cancelled()
-                && (c.phase.get() == Phase::Closing || !c.has_pending())
         };
-        let victim =
-            clients.values().filter(unwanted).min_by_key(|c| (c.phase.get(), c.since.get()));
+        let mut candidates: Vec<_> = clients.values().filter(unwanted).collect();
+        candidates.sort_unstable_by_key(|c| (c.phase.get(), c.since.get()));
+        // In this order, as each look asks the kernel.
+        let may_go = |c: &&&Rc<Client>| c.phase.get() == Phase::Closing || !c.has_pending();
+        let victim = candidates.iter().find(may_go);
         victim.inspect(|client| client.evicted.cancel()).is_some()
     }
 }
--- a/crates/proxy/src/driver.rs
+++ b/crates/proxy/src/driver.rs
@@ -16,7 +16,6 @@
 use crate::trying::{self, Trial};
 use crate::upstream::{Answer, AnswerBody, Connections, Ended, Style, Until, Upstream};
 use crate::weights::Weights;
-use hyper::header::{HeaderName, HeaderValue};
 use hyper::Request;
 use mintshelf_balancer::api::*;
 use mintshelf_balancer::decide::Balancer;
@@ -33,9 +32,6 @@
 use tokio::task::spawn_local;
 use tokio_util::time::DelayQueue;
 
-/// Tells a server how long this sidecar will wait.
-const REMAINING: HeaderName = HeaderName::from_static("x-remaining-ms");
-
 const SECOND: Nanos = 1_000_000_000;
 /// A client that is told when to come back may take so long longer.
 const ADVICE_MARGIN: Nanos = SECOND;
@@ -50,7 +46,6 @@
     discovery: Option<Rc<Discovery>>,
     clock: Clock,
     upstream: Rc<Upstream>,
-    style: Style,
     probing: Probing,
     peers: Option<Peers>,
     max_attempts: usize,
@@ -129,8 +124,7 @@
             endpoints,
             discovery: discovery.clone(),
             clock,
-            upstream: Upstream::new(all, connect_timeout, idle_timeout, style.clone(), most),
-            style,
+            upstream: Upstream::new(all, connect_timeout, idle_timeout, style, most),
             probing: Probing {
                 fields: if mode == ReportMode::Absent { Vec::new() } else { fields.clone() },
                 timeout: connect_timeout,
@@ -436,11 +430,7 @@
             return;
         };
         let to = self.to(server);
-        let mut message = taken.message.request.clone();
-        if self.style == Style::Platform {
-            let remaining = HeaderValue::from((until - now) / 1_000_000);
-            message.headers_mut().insert(REMAINING, remaining);
-        }
+        let message = taken.message.request.clone();
         if let Outbound::Streamed(upload) = message.body() {
             // What has gone of such a body can't be sent again: the module may not try.
             let (driver, id) = (Rc::downgrade(self), id.clone());
--- a/crates/proxy/src/inbound.rs
+++ b/crates/proxy/src/inbound.rs
@@ -22,7 +22,7 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
-use tokio::task::spawn_local;
+use tokio::task::{spawn_local, unconstrained};
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 use tokio_util::sync::CancellationToken;
 
@@ -35,7 +35,10 @@
 const IDLE_LEAST: Duration = Duration::from_secs(2);
 /// Part of the places under which few are left.
 const FEW_PLACES: usize = 4;
-/// Pause after the kernel has no descriptor or memory for a connection.
+/// What a client has from its answer on to read it, before its connection makes room.
+const READ_TIME: Duration = Duration::from_millis(20);
+/// Pause after the kernel has no descriptor or memory for a connection, and between two looks
+/// for an idle connection to evict while all places are taken.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 /// Idle connections are closed so long after SIGTERM. By then no new ones come,
 /// and what a client sends just then it can send again elsewhere.
@@ -53,6 +56,38 @@
     Upgraded(Bytes),
 }
 
+/// The connections that wait in the kernel for a listener's accept.
+struct Backlog {
+    listener: TcpListener,
+    /// Whether it was empty at the last look, and the reactor watches it since.
+    watched: bool,
+    /// The first connection that has not been accepted yet came no earlier.
+    since: Instant,
+}
+
+impl Backlog {
+    fn new(listener: TcpListener) -> Self {
+        Backlog { listener, watched: false, since: Instant::now() }
+    }
+
+    /// Accepts the next connection. Back comes, too, the earliest moment at which it may have
+    /// come: when the first one came after the backlog was last empty.
+    async fn accept(&mut self) -> io::Result<(TcpStream, SocketAddr, Instant)> {
+        // Danger: out of its budget, a poll would be pending although connections wait.
+        let accepted = unconstrained(poll_fn(|cx| {
+            let polled = self.listener.poll_accept(cx);
+            if polled.is_pending() {
+                self.watched = true;
+            } else if std::mem::take(&mut self.watched) {
+                self.since = Instant::now();
+            }
+            polled
+        }));
+        let (stream, peer) = accepted.await?;
+        Ok((stream, peer, self.since))
+    }
+}
+
 /// What all connections share.
 pub struct Inbound<F> {
     front: Rc<F>,
@@ -91,24 +126,16 @@
     /// Accepts connections for ever.
     pub async fn accept(self: &Rc<Self>, listener: TcpListener) {
         let all = self.places.available_permits();
+        let mut backlog = Backlog::new(listener);
         loop {
             if self.places.available_permits() < all / FEW_PLACES {
                 self.clients.evict_one(IDLE_LEAST);
             }
-            let place = loop {
-                if self.places.available_permits() == 0 {
-                    // With none to evict all are busy, and the kernel keeps the others.
-                    self.clients.evict_one(Duration::ZERO);
-                }
-                match timeout(ACCEPT_PAUSE, self.places.clone().acquire_owned()).await {
-                    Ok(Ok(place)) => break place,
-                    Ok(Err(_)) => return,
-                    Err(_) => {}
-                }
-            };
-            match listener.accept().await {
-                Ok((stream, peer)) => {
-                    spawn_local(self.clone().converse(stream, peer, place));
+            match backlog.accept().await {
+                Ok((stream, peer, since)) => {
+                    // Accepted before it has a place: so it is known when it came.
+                    let Some(place) = self.place().await else { return };
+                    spawn_local(self.clone().converse(stream, peer, since.elapsed(), place));
                 }
                 // Danger: out of descriptors, accept fails at once and for ever.
                 Err(_) => sleep(ACCEPT_PAUSE).await,
@@ -116,17 +143,31 @@
         }
     }
 
+    /// Waits for a place, and evicts an idle connection where there is none; no place at the end.
+    async fn place(&self) -> Option<OwnedSemaphorePermit> {
+        loop {
+            if self.places.available_permits() == 0 {
+                // With none to evict all are busy, and the kernel keeps the others.
+                self.clients.evict_one(Duration::ZERO);
+            }
+            if let Ok(place) = timeout(ACCEPT_PAUSE, self.places.clone().acquire_owned()).await {
+                return place.ok();
+            }
+        }
+    }
+
     async fn converse(
         self: Rc<Self>,
         stream: TcpStream,
         peer: SocketAddr,
+        queued: Duration,
         _place: OwnedSemaphorePermit,
     ) {
         if stream.set_nodelay(true).is_err() {
             return;
         }
         let stream = Rc::new(RefCell::new(stream));
-        let client = Rc::new(Client::new(stream.clone(), peer, self.patience));
+        let client = Rc::new(Client::new(stream.clone(), peer, self.patience, queued));
         let number = self.clients.add(client.clone());
         let mut prefix = Bytes::new();
         loop {
@@ -134,11 +175,12 @@
             match Box::pin(self.serve(&stream, &client, prefix)).await {
                 Close::Again(rest) => prefix = rest,
                 Close::Gently => {
+                    let read_by = read_by(&client);
                     client.enter(Phase::Closing);
                     tokio::select! {
                         biased;
                         () = close_gently(&stream) => {}
-                        () = self.in_the_way(&client) => {}
+                        () = in_the_way(&client, read_by) => {}
                     }
                     break;
                 }
@@ -227,13 +269,6 @@
         .await
     }
 
-    /// Waits until a connection that is being closed has to make room: its client has had a
-    /// moment to read what there is, and to end its side.
-    async fn in_the_way(&self, client: &Client) {
-        client.evicted.cancelled().await;
-        sleep(ACCEPT_PAUSE).await;
-    }
-
     /// Waits until a connection is dead, evicted, or idle at the planned end; how it is to be
     /// closed. Danger: what a client sends in that very moment would be met by a reset, and take
     /// an answer with it that the client has not read yet.
@@ -272,6 +307,23 @@
     }
 }
 
+/// When a client has had the time to read what it was answered last: at once if that was
+/// nothing.
+fn read_by(client: &Client) -> Instant {
+    match client.phase() {
+        Phase::Fresh if client.evicted.is_cancelled() => Instant::now(),
+        Phase::Idle => client.since() + READ_TIME,
+        _ => Instant::now() + READ_TIME,
+    }
+}
+
+/// Waits until a connection that is being closed has to make room and its client has had the
+/// time to read its answer.
+async fn in_the_way(client: &Client, read_by: Instant) {
+    client.evicted.cancelled().await;
+    sleep_until(read_by).await;
+}
+
 /// Waits until a connection's phase fits and nothing stands on it that nobody has read yet: that
 /// is served first.
 async fn quiet(client: &Client, fits: impl Fn(Phase) -> bool) {
--- a/crates/proxy/src/platform.rs
+++ b/crates/proxy/src/platform.rs
@@ -73,6 +73,7 @@
         request: Request<Incoming>,
         draining: bool,
     ) -> Response<FrontBody> {
+        let queued = client.take_queued();
         let mut last = false;
         let mut headers = HeaderMap::new();
         let (status, body) = if request.uri().path() == "/-/ready" {
@@ -81,7 +82,7 @@
                 true => (StatusCode::SERVICE_UNAVAILABLE, Bytes::from_static(b"draining\n")),
             }
         } else {
-            match self.take(&client, request).await {
+            match self.take(&client, request, queued).await {
                 Ok(Reply::Served(answer)) => {
                     headers = answer.headers;
                     strip_hop_by_hop(&mut headers);
@@ -114,11 +115,13 @@
 }
 
 impl Platform {
-    /// Reads a request whole and gets it its final answer.
+    /// Reads a request whole and gets it its final answer. Its client has waited for up to
+    /// `queued` since it sent the request.
     async fn take(
         self: &Rc<Self>,
         client: &Rc<Client>,
         request: Request<Incoming>,
+        queued: Duration,
     ) -> Result<Reply, Unfit> {
         let bad = |what| Unfit::new(StatusCode::BAD_REQUEST, what);
         let (mut head, mut body) = request.into_parts();
@@ -126,6 +129,7 @@
             return Err(bad("Content-Length and Transfer-Encoding\n"));
         }
         let mut arrival = self.arrival(&head.headers)?;
+        arrival.patience = arrival.patience.saturating_sub(nanos(queued));
         let txn = head.headers.get(TXN).cloned().ok_or(bad("X-Txn is missing\n"))?;
         let (body, room) = self.hold(&mut body, arrival.patience).await?;
         client.enter(Phase::Busy);
--- a/crates/proxy/src/upstream.rs
+++ b/crates/proxy/src/upstream.rs
@@ -10,7 +10,7 @@
 use bytes::{Bytes, BytesMut};
 use hyper::body::{Body, Frame, Incoming};
 use hyper::client::conn::http1::Builder;
-use hyper::header::{self, HeaderMap, HeaderName};
+use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
 use mintshelf_balancer::api::{Outcome, ServerId};
@@ -38,6 +38,8 @@
 const SMALL_MAX: usize = 4 << 10;
 /// Header that marks an answer which the server never ran the request for.
 const TURNED_AWAY: &str = "x-turned-away";
+/// Tells a server how long this sidecar will wait.
+const REMAINING: HeaderName = HeaderName::from_static("x-remaining-ms");
 /// Header that carries a load report.
 const LOAD_REPORT: &str = "x-pressure";
 
@@ -342,7 +344,7 @@
     async fn exchange(
         self: &Rc<Self>,
         to: To,
-        request: Request<Outbound>,
+        mut request: Request<Outbound>,
         meter: &RefCell<Option<Rc<Meter>>>,
         until: Until,
         cancel: &Cancel,
@@ -374,6 +376,12 @@
         *meter.borrow_mut() = Some(link.meter.clone());
         // Danger: any server but the platform's may begin a request before its last byte.
         let plain = self.style != Style::Platform;
+        if !plain {
+            // Not before the connection is there: waiting for it has used up part of the time.
+            let remaining = until.end.saturating_duration_since(Instant::now()).as_millis();
+            let remaining = u64::try_from(remaining).unwrap_or(u64::MAX);
+            request.headers_mut().insert(REMAINING, HeaderValue::from(remaining));
+        }
         if let Some(asked) = asked {
             return match link.ask_upgrade(request).await {
                 Ok(response) if response.status() == StatusCode::SWITCHING_PROTOCOLS => {
