--- a/crates/proxy/src/clients.rs
+++ b/crates/proxy/src/clients.rs
@@ -50,6 +50,19 @@
     Busy,
 }
 
+/// How readily a connection makes room, the readiest first.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+enum Eviction {
+    /// Its last answer is out.
+    Closing,
+    /// It has sent nothing.
+    Silent,
+    /// Between requests: a request that crosses the close is sent again.
+    Idle,
+    /// Its first request has begun, and would be lost.
+    Begun,
+}
+
 /// One connection as seen from outside its task.
 #[derive(Debug)]
 pub struct Client {
@@ -64,6 +77,8 @@
     pub scan: RefCell<Scan>,
     /// The library has no more of the answer to ask for.
     pub handed_over: Cell<bool>,
+    /// Whether it has sent anything.
+    begun: Cell<bool>,
     /// How long the request that came with the connection may have waited to be accepted.
     queued: Cell<Duration>,
     /// Whether it is to make room.
@@ -98,6 +113,7 @@
             patience,
             scan: RefCell::default(),
             handed_over: Cell::new(false),
+            begun: Cell::new(false),
             queued: Cell::new(queued),
             evicted: CancellationToken::new(),
             upgrade: RefCell::default(),
@@ -125,6 +141,17 @@
         self.since.set(Instant::now());
     }
 
+    /// How readily it makes room; none while it has a further request or an answer under way.
+    fn eviction(&self) -> Option<Eviction> {
+        match self.phase.get() {
+            Phase::Closing => Some(Eviction::Closing),
+            Phase::Fresh if self.begun.get() => Some(Eviction::Begun),
+            Phase::Fresh => Some(Eviction::Silent),
+            Phase::Idle => Some(Eviction::Idle),
+            Phase::Receiving | Phase::Busy => None,
+        }
+    }
+
     /// Whether bytes wait to be read.
     pub fn has_pending(&self) -> bool {
         pending(&self.stream) == Pending::Bytes
@@ -158,6 +185,9 @@
 
 impl Watcher for Client {
     fn read(&self, bytes: &[u8]) {
+        if !bytes.is_empty() {
+            self.begun.set(true);
+        }
         if !bytes.is_empty() && self.phase.get() == Phase::Idle {
             self.enter(Phase::Receiving);
         }
@@ -207,23 +237,27 @@
     }
 
     /// Closes a connection to make room: of those whose last answer is out, else
-    /// of those that have sent nothing, else of the idle ones, the one that is so
-    /// for longest, if it has been for `least`. Danger: a crowd that connects and
+    /// of those that have sent nothing, else of the idle ones, else of those whose
+    /// first request has begun, the one that is so for longest, if it has been for `least`. Danger: a crowd that connects and
     /// sends nothing would shut out the rest, and one whose request waits to be
     /// read must not be closed for it.
     pub fn evict_one(&self, least: Duration) -> bool {
         let clients = self.by_number.borrow();
         let now = Instant::now();
-        let unwanted = |c: &&Rc<Client>| {
-            c.phase.get() <= Phase::Idle
-                && now.saturating_duration_since(c.since.get()) >= least
-                && !c.evicted.is_cancelled()
+        let unwanted = |client: &Rc<Client>| {
+            let long = now.saturating_duration_since(client.since.get()) >= least;
+            client.eviction().filter(|_| long && !client.evicted.is_cancelled())
         };
-        let mut candidates: Vec<_> = clients.values().filter(unwanted).collect();
-        candidates.sort_unstable_by_key(|c| (c.phase.get(), c.since.get()));
+        let mut candidates: Vec<_> = clients
+            .values()
+            .filter_map(|client| Some((unwanted(client)?, client.since.get(), client)))
+            .collect();
+        candidates.sort_unstable_by_key(|(eviction, since, _)| (*eviction, *since));
         // In this order, as each look asks the kernel.
-        let may_go = |c: &&&Rc<Client>| c.phase.get() == Phase::Closing || !c.has_pending();
+        let may_go = |(eviction, _, client): &&(Eviction, Instant, &Rc<Client>)| {
+            *eviction == Eviction::Closing || !client.has_pending()
+        };
         let victim = candidates.iter().find(may_go);
-        victim.inspect(|client| client.evicted.cancel()).is_some()
+        victim.inspect(|(_, _, client)| client.evicted.cancel()).is_some()
     }
 }
