--- a/crates/balancer/src/api/settings.rs
+++ b/crates/balancer/src/api/settings.rs
@@ -132,6 +132,24 @@
     pub prices: Prices,
 }
 
+impl Settings {
+    /// The value of a field in a load report, if the report has it.
+    #[must_use]
+    pub fn report_value(&self, report: &[f64], field: ReportField) -> Option<f64> {
+        let position = self.report_fields.iter().position(|other| *other == field);
+        report.get(position?).copied()
+    }
+
+    /// Requests at a server according to its load report, in service and waiting; `None` if
+    /// the report states neither.
+    #[must_use]
+    pub fn reported_queue(&self, report: &[f64]) -> Option<f64> {
+        let in_flight = self.report_value(report, ReportField::InFlight);
+        let waiting = self.report_value(report, ReportField::Queue);
+        Some(in_flight.or(waiting)? + waiting.unwrap_or(0.0))
+    }
+}
+
 /// Weights of the parts of a deployment's objective.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Objective {
--- a/crates/balancer/src/budget.rs
+++ b/crates/balancer/src/budget.rs
@@ -1,35 +1,38 @@
-//! A budget of retries and second copies that grows with requests, so that failures at every
-//! server multiply the work by no more than a known factor.
+//! The retry budget: retries and hedges limited to a fraction of the requests, so that
+//! failures at every server multiply the work by no more than a known factor.
 
-/// What further attempts that the servers may have worked for cost: one credit each.
+/// Credits for attempts beyond the first that the servers may have worked for.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct RetryBudget {
-    ratio: f64,
-    most: f64,
+    credits_per_request: f64,
+    max_credit: f64,
     credit: f64,
 }
 
 impl RetryBudget {
-    /// Full. Each request adds `ratio` of a credit, up to `most` saved: over any stretch with
-    /// n requests at most `ratio * n + most` further attempts are paid for.
-    pub fn new(ratio: f64, most: f64) -> Self {
-        RetryBudget { ratio, most, credit: most }
+    /// Creates a full budget. Each request adds `credits_per_request`, of which `max_credit`
+    /// can be saved up: over any period with n requests at most
+    /// `credits_per_request * n + max_credit` further attempts are covered.
+    #[must_use]
+    pub fn new(credits_per_request: f64, max_credit: f64) -> Self {
+        RetryBudget { credits_per_request, max_credit, credit: max_credit }
     }
 
-    /// A request has come.
+    /// Adds the credit of one request.
     pub fn earn(&mut self) {
-        self.credit = (self.credit + self.ratio).min(self.most);
+        self.credit = (self.credit + self.credits_per_request).min(self.max_credit);
     }
 
-    /// Whether a price could be paid.
+    /// Whether the credit covers a price.
+    #[must_use]
     pub fn covers(&self, price: f64) -> bool {
         self.credit >= price
     }
 
-    /// Pays a price if it is covered; whether it was.
+    /// Pays a price if the credit covers it, and returns whether it did.
     pub fn pay(&mut self, price: f64) -> bool {
-        let covered = self.covers(price);
-        self.credit -= if covered { price } else { 0.0 };
-        covered
+        let is_covered = self.covers(price);
+        self.credit -= if is_covered { price } else { 0.0 };
+        is_covered
     }
 }
--- a/crates/balancer/src/decay.rs
+++ b/crates/balancer/src/decay.rs
@@ -1,51 +1,55 @@
-//! A sum whose parts lose half their weight in a given time.
+//! Sums and means with exponential decay: each part loses half its weight in a half-life.
 
 use crate::api::Nanos;
 
-/// A sum that fades with time.
+/// A sum that decays exponentially.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct DecayingCounter {
-    /// The sum at the time below.
+    /// The sum at the time of the last addition.
     pub sum: f64,
-    at: Nanos,
+    updated_at: Nanos,
 }
 
 impl DecayingCounter {
-    /// What is left of it now.
+    /// The sum that is left at `now`.
+    #[must_use]
     pub fn get(&self, now: Nanos, half_life: Nanos) -> f64 {
-        self.sum * (-(now.saturating_sub(self.at) as f64) / half_life as f64).exp2()
+        let elapsed = now.saturating_sub(self.updated_at) as f64;
+        self.sum * (-elapsed / half_life as f64).exp2()
     }
 
-    /// Adds a value now.
+    /// Adds a value at `now`.
     pub fn add(&mut self, now: Nanos, half_life: Nanos, value: f64) {
-        *self = DecayingCounter { sum: self.get(now, half_life) + value, at: now };
+        *self = DecayingCounter { sum: self.get(now, half_life) + value, updated_at: now };
     }
 
-    /// Moves towards 1 with the time passed: the weight of what came meanwhile.
+    /// Moves the sum towards 1 as its difference from 1 decays: the weight of a constant
+    /// stream of additions since then.
     pub fn fill(&mut self, now: Nanos, half_life: Nanos) {
-        let missing = DecayingCounter { sum: 1.0 - self.sum, at: self.at };
-        *self = DecayingCounter { sum: 1.0 - missing.get(now, half_life), at: now };
+        let missing = DecayingCounter { sum: 1.0 - self.sum, updated_at: self.updated_at };
+        *self = DecayingCounter { sum: 1.0 - missing.get(now, half_life), updated_at: now };
     }
 }
 
-/// A mean whose parts lose half their weight in a given time.
+/// A mean of samples whose weights decay exponentially.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct DecayingMean {
-    /// The sum of the samples.
+    /// Sum of the samples.
     pub sum: DecayingCounter,
-    /// How many there were.
+    /// Number of samples.
     pub count: DecayingCounter,
 }
 
 impl DecayingMean {
-    /// Adds samples now, by their sum and count; less than none takes some away.
+    /// Adds samples at `now`, by their sum and count; a negative count removes samples.
     pub fn add(&mut self, now: Nanos, half_life: Nanos, sum: f64, count: f64) {
         self.sum.add(now, half_life, sum);
         self.count.add(now, half_life, count);
     }
 
-    /// The mean now, drawn to 0 by so many samples of that.
-    pub fn get(&self, now: Nanos, half_life: Nanos, prior: f64) -> f64 {
-        self.sum.get(now, half_life) / (self.count.get(now, half_life) + prior)
+    /// The mean at `now`, drawn to 0 as if by `prior_samples` samples of that value.
+    #[must_use]
+    pub fn get(&self, now: Nanos, half_life: Nanos, prior_samples: f64) -> f64 {
+        self.sum.get(now, half_life) / (self.count.get(now, half_life) + prior_samples)
     }
 }
--- a/crates/balancer/src/decide/discovery.rs
+++ b/crates/balancer/src/decide/discovery.rs
@@ -1,77 +1,105 @@
-//! Asking discovery, and taking over the lists it gives.
+//! Calls to discovery, and the endpoint lists that it provides.
 
-use super::*;
+use super::rates::{RATE_HALF_LIFE, RATE_MEMORY_SECONDS};
+use super::{Balancer, MS};
+use crate::api::{Action, EndpointState, ListKind, ListedServer, Nanos, NOTIFIED_WITHIN};
+use crate::rng::hash;
+use crate::state::{DiscoveryCall, ServerState, Timer};
 
-/// First discovery call falls within this, of the time after which news counts as told.
-pub(super) const WATCH_SPREAD: Nanos = NOTIFIED_WITHIN / 5 * 2;
-/// The same where discovery has moved: its old address may fall silent.
-pub(super) const MOVE_SPREAD: Nanos = 600 * MS;
-/// Wait after a failed discovery call, give or take a half.
+/// The first call to discovery falls within this part of the time after which changes count as
+/// known.
+const WATCH_SPREAD: Nanos = NOTIFIED_WITHIN / 5 * 2;
+/// The same after discovery's address has changed: the old one may fall silent.
+const ADDRESS_CHANGE_SPREAD: Nanos = 600 * MS;
+/// Delay after a failed call, give or take a half.
 const WATCH_RETRY: Nanos = NOTIFIED_WITHIN / 5;
 
 impl Balancer {
-    /// Danger: instances that start or move together must not all call at once.
-    pub(super) fn call_discovery(&mut self, spread: Nanos, out: Out<'_>) {
-        if self.set.must_poll {
+    pub(crate) fn on_start(&mut self) {
+        let own_weight = 1.0 / RATE_MEMORY_SECONDS;
+        self.traffic.tenant_weight.add(self.now, RATE_HALF_LIFE, own_weight);
+        self.schedule_discovery(self.settings.poll_within.min(WATCH_SPREAD));
+    }
+
+    /// Schedules a call at a random time within `spread`: instances that start together, or
+    /// learn of a new address together, must not call all at once.
+    pub(super) fn schedule_discovery(&mut self, spread: Nanos) {
+        if self.settings.must_poll {
             let after = (self.rng.draw() * spread as f64) as Nanos;
-            self.wakes.set(after, Wake::Discovery, out);
+            self.set_timer(after, Timer::DiscoveryDue);
         }
     }
 
-    pub(super) fn on_list(&mut self, now: Nanos, kind: ListKind, list: &[ListedServer], out: Out) {
+    pub(crate) fn call_discovery(&mut self) {
+        if self.discovery.begin_call() {
+            self.actions.push(Action::Watch { on: true });
+        }
+    }
+
+    pub(crate) fn on_discovery_address_changed(&mut self) {
+        self.discovery = DiscoveryCall::default();
+        self.schedule_discovery(ADDRESS_CHANGE_SPREAD);
+    }
+
+    fn on_discovery_failed(&mut self) {
+        self.discovery = DiscoveryCall::default();
+        let after = WATCH_RETRY as f64 * (0.5 + self.rng.draw());
+        self.set_timer(after as Nanos, Timer::DiscoveryDue);
+    }
+
+    pub(crate) fn on_list(&mut self, kind: ListKind, entries: &[ListedServer]) {
         if kind == ListKind::Failed {
-            (self.watching, self.call_out) = (false, false);
-            let after = WATCH_RETRY as f64 * (0.5 + self.rng.draw());
-            self.wakes.set(after as Nanos, Wake::Discovery, out);
-            return;
+            return self.on_discovery_failed();
         }
-        if kind != ListKind::Cached && self.call_out {
-            (self.watching, self.call_out) = (true, false);
+        if kind != ListKind::Cached {
+            self.discovery.establish_watch();
         }
         if kind != ListKind::Changes {
-            // What a complete list leaves out is gone.
-            self.servers.iter_mut().for_each(|s| s.listed.state = EndpointState::Removed);
+            // A server that a complete list lacks has been removed.
+            self.servers.mark_all_removed();
         }
-        for entry in list {
-            self.on_entry(now, entry);
+        for entry in entries {
+            self.apply_entry(entry);
         }
-        let here = |s: &usize| self.servers[*s].listed.state != EndpointState::Removed;
-        self.order = (0..self.servers.len()).filter(here).collect();
-        // Its idle connections are of no use, and cost both sides descriptors.
-        let leaving = list.iter().filter(|entry| entry.state != EndpointState::Live);
-        out.extend(leaving.map(|entry| Action::CloseIdle { server: entry.id }));
-        self.order.sort_by_key(|s| (self.servers[*s].rank, self.servers[*s].listed.id));
-        self.line_stale = true;
+        // Idle connections to these are of no use, and cost both sides file descriptors.
+        let out_of_service = entries.iter().filter(|entry| entry.state != EndpointState::Live);
+        self.actions.extend(out_of_service.map(|entry| Action::CloseIdle { server: entry.id }));
+        self.servers.sort();
+        self.orders.is_stale = true;
     }
 
-    fn on_entry(&mut self, now: Nanos, entry: &ListedServer) {
-        let recent = |at: &Nanos| *at > 0 && now.saturating_sub(*at) < self.set.warm_up;
-        let started = Some(entry.started_at).filter(recent);
-        let hash = mix(mix(u64::from(entry.id)) ^ mix(u64::from(self.set.self_index) + 1));
-        // A line that is cut short holds more of the own zone, by its price.
-        let rank = (-(hash as f64 / 1.9e19).ln() * self.away(entry.zone).sqrt() * 1e12) as u64;
-        let (cold_credit, credit_at, listed) = (self.rng.draw(), now, entry.clone());
-        let fresh = Server { listed, rank, started, cold_credit, credit_at, ..Server::default() };
-        if let Some(&s) = self.index.get(&entry.id) {
-            let server = &mut self.servers[s];
-            if entry.started_at > server.listed.started_at {
-                // A new process: nothing learned of the old one holds.
-                let (in_flight, overdue) = (server.in_flight, server.overdue);
-                *server = Server { in_flight, overdue, ..fresh };
-            } else {
-                server.listed = entry.clone();
-            }
-            return;
+    fn apply_entry(&mut self, entry: &ListedServer) {
+        let fresh = self.fresh_server(entry);
+        if self.servers.index_of(entry.id).is_some() {
+            self.servers.update(fresh);
+        } else {
+            // A server that a later list adds has just started, unless it states when.
+            let is_added = !self.servers.order.is_empty() && entry.started_at == 0;
+            let started_at = fresh.started_at.or(is_added.then_some(self.now));
+            self.servers.insert(ServerState { started_at, ..fresh });
         }
-        // A server that is new to a list already held has just started, whatever it says.
-        let started = started.or((!self.order.is_empty() && entry.started_at == 0).then_some(now));
-        // Danger: ids are ever new; the place of one gone serves the next.
-        let gone = |s: &Server| s.listed.state == EndpointState::Removed;
-        let place = self.servers.iter().position(gone);
-        self.index.insert(entry.id, place.unwrap_or(self.servers.len()));
-        self.servers.push(Server { started, ..fresh });
-        if let Some(place) = place {
-            self.index.remove(&self.servers.swap_remove(place).listed.id);
+    }
+
+    /// The state of a server of which nothing but its entry is known.
+    fn fresh_server(&mut self, entry: &ListedServer) -> ServerState {
+        let is_recent = |started_at: &Nanos| {
+            *started_at > 0 && self.now.saturating_sub(*started_at) < self.settings.warm_up
+        };
+        ServerState {
+            started_at: Some(entry.started_at).filter(is_recent),
+            order_rank: self.order_rank(entry),
+            warm_up_credit: self.rng.draw(),
+            credit_updated_at: self.now,
+            listed: entry.clone(),
+            ..ServerState::default()
         }
     }
+
+    /// A random rank, the same at each list. An order that is cut short then has more servers
+    /// of the own zone, according to the price of crossing zones.
+    fn order_rank(&self, entry: &ListedServer) -> u64 {
+        let own = hash(u64::from(self.settings.self_index) + 1);
+        let uniform = hash(hash(u64::from(entry.id)) ^ own) as f64 / 1.9e19;
+        (-uniform.ln() * self.zone_penalty(entry.zone).sqrt() * 1e12) as u64
+    }
 }
--- a/crates/balancer/src/decide/speed.rs
+++ b/crates/balancer/src/decide/speed.rs
@@ -1,171 +1,110 @@
-//! How fast servers are: what their answers teach, and what peers say.
+//! How fast servers are, learned from the latencies of their responses.
 
-use super::*;
+use super::{health, Balancer, MS, SECOND};
+use crate::api::{Nanos, SizeKind};
+use crate::state::{Gains, LatencySample, Request, ServerState, SpeedMemory};
 
 /// Weight of one new sample in a class's typical latency.
 const TYPICAL_GAIN: f64 = 0.05;
-/// Samples that a server's own latency needs to outweigh the prior.
-const SPEED_PRIOR: f64 = 3.0;
-/// Power of the latency ratio in a server's weight: above 1, load leaves a jam.
+/// Typical latency as a part of the latency objective, until one was observed.
+const UNKNOWN_TYPICAL: f64 = 0.3;
+/// Power of the latency ratio in a server's speed: above 1, load leaves an overloaded server.
 const SPEED_POWER: f64 = 1.5;
-/// The same for its kind, with no sizes listed: waiting elsewhere hides speed.
+/// The same for its kind where no sizes are listed: waiting elsewhere hides speed.
 const KIND_POWER: f64 = 2.5;
-/// A server's samples lose half their weight in this time.
-const SPEED_HALF_LIFE: Nanos = 12 * SECOND;
-/// The same two where peers pool what they see.
-const POOLED_PRIOR: f64 = 0.5;
-const POOLED_HALF_LIFE: Nanos = 6 * SECOND;
-/// An instance gives half its evidence to one peer this often, if it has traffic.
-const TELL_EVERY: Nanos = SECOND;
-/// Memory of how late all servers' answers are.
-const LAG_HALF_LIFE: Nanos = 700 * MS;
-/// One sample says at most this much (log of a latency ratio): work is heavy-tailed.
+/// Memory of a server's samples where each instance has only its own.
+const OWN_MEMORY: SpeedMemory = SpeedMemory { prior_samples: 3.0, half_life: 12 * SECOND };
+/// The same where peers share theirs.
+const SHARED_MEMORY: SpeedMemory = SpeedMemory { prior_samples: 0.5, half_life: 6 * SECOND };
+/// Half-life of the recent latency ratio over all servers.
+const RECENT_RATIO_HALF_LIFE: Nanos = 700 * MS;
+/// Bound of one sample (log of a latency ratio): work is heavy-tailed.
 const SAMPLE_CLIP: f64 = 2.5;
 /// Bounds of the learned factor on a server's listed size.
 const FACTOR_MIN: f64 = 0.03;
 const FACTOR_MAX: f64 = 1.5;
-/// Price of crossing zones (points per request) at which an away server counts half.
-const CROSS_HALF: f64 = 0.01;
+/// Price of crossing zones (weight per request) at which a server of another zone counts half.
+const CROSS_ZONE_HALF: f64 = 0.01;
 
 impl Balancer {
-    pub(super) fn away(&self, zone: u32) -> f64 {
-        1.0 + f64::from(u8::from(zone != self.set.zone)) * self.set.prices.cross_zone / CROSS_HALF
+    /// Divisor of the speed of a server in a zone: 1 in the own one.
+    pub(super) fn zone_penalty(&self, zone: u32) -> f64 {
+        let is_other = f64::from(u8::from(zone != self.settings.zone));
+        1.0 + is_other * self.settings.prices.cross_zone / CROSS_ZONE_HALF
     }
 
-    pub(super) fn speed(&self, server: &Server, now: Nanos) -> f64 {
-        let fails = server.fails.get(now, health::FAIL_HALF_LIFE);
-        let away = self.away(server.listed.zone);
-        let slow = SPEED_POWER * self.slowness(server, now);
-        let factor = (-slow).exp().clamp(FACTOR_MIN, FACTOR_MAX);
-        server.listed.size.max(1e-6) * self.warmth(server, now) * factor / away / (1.0 + fails)
+    pub(super) fn speed(&self, server: &ServerState) -> f64 {
+        let failures = server.failures.get(self.now, health::FAILURE_HALF_LIFE);
+        let penalty = self.zone_penalty(server.listed.zone);
+        let slowness = SPEED_POWER * self.slowness(server);
+        let factor = (-slowness).exp().clamp(FACTOR_MIN, FACTOR_MAX);
+        let size = server.listed.size.max(1e-6);
+        size * self.warmth(server) * factor / penalty / (1.0 + failures)
     }
 
-    /// Speed for a class: how its kind suits it, against how it suits all.
-    pub(super) fn speed_for(&self, class: usize, s: usize, now: Nanos) -> f64 {
-        let kind = self.kind_of(s);
-        let all: f64 = self.kind_offset.iter().map(|by_kind| by_kind[kind]).sum();
-        let fit = match self.set.size_kind {
-            // Danger: with no sizes listed, slow kinds would get as much as quick ones.
-            SizeKind::Absent => -KIND_POWER * self.kind_offset[class][kind],
-            _ => all / self.kind_offset.len() as f64 - self.kind_offset[class][kind],
+    /// Speed for a class: how its kind suits this class, against how it suits all.
+    pub(super) fn speed_for(&self, class: usize, index: usize) -> f64 {
+        let kind = self.kind_of(index);
+        let offsets = &self.latency.kind_offset;
+        let sum: f64 = offsets.iter().map(|by_kind| by_kind[kind]).sum();
+        let fit = match self.settings.size_kind {
+            // Slow kinds would get as much as fast ones, since no size tells them apart.
+            SizeKind::Absent => -KIND_POWER * offsets[class][kind],
+            _ => sum / offsets.len() as f64 - offsets[class][kind],
         };
-        self.speed(&self.servers[s], now) * fit.exp()
+        self.speed(&self.servers[index]) * fit.exp()
     }
 
-    /// Learns from an attempt's time: answers teach what is typical, a time-out says "at
-    /// least this slow", an error nothing, since a quick one must never look like speed.
-    pub(super) fn learn(&mut self, now: Nanos, s: usize, sample: Sample, ok: bool) {
-        let (class, cost, took) = sample;
-        let log = (took.max(1) as f64).ln();
-        let kind = self.kind_of(s);
-        let clip = |gap: f64| gap.clamp(-SAMPLE_CLIP, SAMPLE_CLIP);
-        // Danger: a first sample would stand for long; the first ones are averaged.
-        let gain = if ok { TYPICAL_GAIN.max(1.0 / (self.taught[class] + 1.0)) } else { 0.0 };
-        self.taught[class] += f64::from(u8::from(ok));
-        let typical = self.typical[class].get_or_insert(log);
-        let mut gap = clip(log - *typical - self.kind_offset[class][kind]);
-        *typical += gain * gap;
-        if let Some(cost) = cost {
-            // With the work known, the rest of the time is the server's doing.
-            let pace = self.pace[class].get_or_insert(log - cost);
-            gap = clip(log - cost - *pace - self.kind_offset[class][kind]);
-            *pace += gain * gap;
+    /// Learns from an attempt's latency. A served one shows what is typical and a timed-out
+    /// one is a lower bound; an error is no sample, since a quick one would look like speed.
+    pub(super) fn learn(&mut self, index: usize, sample: LatencySample) {
+        let kind = self.kind_of(index);
+        // The first samples are averaged: a single first one would dominate for long.
+        let average = 1.0 / (self.latency.samples[sample.class] + 1.0);
+        let gain = if sample.is_served { TYPICAL_GAIN.max(average) } else { 0.0 };
+        let gains = Gains { gain, kind_gain: gain.min(2.0 * TYPICAL_GAIN), clip: SAMPLE_CLIP };
+        self.latency.samples[sample.class] += f64::from(u8::from(sample.is_served));
+        let ratio = self.latency.update(sample, kind, gains);
+        if sample.is_served || ratio >= 0.0 {
+            self.latency.recent_ratio.add(self.now, RECENT_RATIO_HALF_LIFE, ratio, 1.0);
+            self.add_latency_samples(index, ratio, 1.0);
         }
-        self.kind_offset[class][kind] += gain.min(2.0 * TYPICAL_GAIN) * gap;
-        if !ok && gap < 0.0 {
-            return;
-        }
-        self.lag.add(now, LAG_HALF_LIFE, gap, 1.0);
-        self.add_evidence(now, s, gap, 1.0);
-    }
-
-    pub(super) fn kind_of(&self, s: usize) -> usize {
-        (self.servers[s].listed.kind).min(self.set.kinds.max(1) - 1) as usize
     }
 
-    /// Usual time of a hinted request on a server's kind; 0 if nothing is known.
-    pub(super) fn usual(&self, s: usize, request: &Request) -> f64 {
-        let known = request.cost.zip(self.pace[request.class]);
-        let offset = self.kind_offset[request.class][self.kind_of(s)];
-        known.map_or(0.0, |(cost, pace)| (cost + pace + offset).exp())
-    }
-
-    /// Expected time of a hinted request at a server; 0 if nothing is known.
-    pub(super) fn expected(&self, now: Nanos, s: usize, request: &Request) -> f64 {
-        self.usual(s, request) * self.slowness(&self.servers[s], now).exp()
+    /// Expected latency of a request of known work at a server; 0 if unknown.
+    pub(super) fn expected_latency(&self, index: usize, request: &Request) -> f64 {
+        let slowness = self.slowness(&self.servers[index]);
+        self.latency.for_work(request, self.kind_of(index)) * slowness.exp()
     }
 
     /// Mean log latency ratio of a server's samples, drawn to 0 by the prior.
-    fn slowness(&self, server: &Server, now: Nanos) -> f64 {
-        let (prior, half_life) = self.speed_memory();
-        server.slow.get(now, half_life, prior)
-    }
-
-    fn speed_memory(&self) -> (f64, Nanos) {
-        let pooled = self.set.has_peers;
-        [(SPEED_PRIOR, SPEED_HALF_LIFE), (POOLED_PRIOR, POOLED_HALF_LIFE)][usize::from(pooled)]
+    fn slowness(&self, server: &ServerState) -> f64 {
+        let SpeedMemory { prior_samples, half_life } = self.speed_memory();
+        server.log_latency_ratio.get(self.now, half_life, prior_samples)
     }
 
-    fn add_evidence(&mut self, now: Nanos, s: usize, sum: f64, count: f64) {
-        let half_life = self.speed_memory().1;
-        self.servers[s].slow.add(now, half_life, sum, count);
-    }
-
-    /// Gives half of what this instance knows to a random peer. Danger: a trickle shows no
-    /// instance which server is slow; by halves nothing counts twice and all hold the mean.
-    pub(super) fn tell_peer(&mut self, now: Nanos, out: Out<'_>) {
-        let others = self.set.instances.saturating_sub(1);
-        if !self.set.has_peers || others == 0 || now.saturating_sub(self.told_at) < TELL_EVERY {
-            return;
-        }
-        self.told_at = now;
-        let half_life = self.speed_memory().1;
-        let n = self.order.len();
-        let from = (self.rng.draw() * n as f64) as usize;
-        let halve = |seen: &mut DecayingCounter| {
-            seen.sum /= 2.0;
-            seen.get(now, RATE_HALF_LIFE)
-        };
-        let weight = halve(&mut self.tenant_weight);
-        let tenants: Vec<f64> = self.tenant_seen.iter_mut().map(halve).collect();
-        let room = GossipMessage::room(tenants.len());
-        let mut told = GossipMessage { weight, tenants, servers: Vec::new() };
-        for i in 0..n {
-            let at = self.order[(from + i) % n];
-            let server = &self.servers[at];
-            let halves = [server.slow.sum, server.slow.count].map(|f| f.get(now, half_life) / 2.0);
-            let ([sum, count], id, leaving) = (halves, server.listed.id, server.leaving());
-            if count > 0.05 && !leaving && told.servers.len() < room {
-                told.servers.push((id, sum, count));
-                self.add_evidence(now, at, -sum, -count);
-            }
+    pub(super) fn speed_memory(&self) -> SpeedMemory {
+        match self.settings.has_peers {
+            true => SHARED_MEMORY,
+            false => OWN_MEMORY,
         }
-        let peer = (self.rng.draw() * f64::from(others)) as u32;
-        let peer = Some(peer + u32::from(peer >= self.set.self_index));
-        out.push(Action::SendGossip { peer, payload: told.encode() });
     }
 
-    pub(super) fn on_peer(&mut self, now: Nanos, payload: &[u8]) {
-        let Some(told) = GossipMessage::decode(payload) else { return };
-        self.tenant_weight.fill(now, RATE_HALF_LIFE);
-        self.tenant_weight.add(now, RATE_HALF_LIFE, told.weight);
-        for (seen, sum) in self.tenant_seen.iter_mut().zip(told.tenants) {
-            seen.add(now, RATE_HALF_LIFE, sum);
-        }
-        for (id, sum, count) in told.servers {
-            if let Some(&s) = self.index.get(&id) {
-                self.add_evidence(now, s, sum, count);
-            }
-        }
+    pub(super) fn add_latency_samples(&mut self, index: usize, sum: f64, count: f64) {
+        let half_life = self.speed_memory().half_life;
+        self.servers[index].log_latency_ratio.add(self.now, half_life, sum, count);
     }
 
-    /// What half of a class's answers take now: its typical latency by how late all are.
-    pub(super) fn typical_now(&self, now: Nanos, class: usize) -> f64 {
-        self.typical_of(class) * self.lag.get(now, LAG_HALF_LIFE, SPEED_PRIOR).exp()
+    /// Present median latency of a class: its typical one times the recent ratio of all.
+    pub(super) fn present_latency(&self, class: usize) -> f64 {
+        let prior = OWN_MEMORY.prior_samples;
+        let ratio = self.latency.recent_ratio.get(self.now, RECENT_RATIO_HALF_LIFE, prior);
+        self.typical_latency(class) * ratio.exp()
     }
 
-    /// Typical latency of a class; a part of its aim until one was seen.
-    pub(super) fn typical_of(&self, class: usize) -> f64 {
-        self.typical[class].map_or(self.set.classes[class].latency_objective as f64 * 0.3, f64::exp)
+    /// Typical latency of a class; a part of its objective until one was observed.
+    pub(super) fn typical_latency(&self, class: usize) -> f64 {
+        let unknown = self.settings.classes[class].latency_objective as f64 * UNKNOWN_TYPICAL;
+        self.latency.typical[class].map_or(unknown, f64::exp)
     }
 }
--- a/crates/balancer/src/gossip.rs
+++ b/crates/balancer/src/gossip.rs
@@ -1,71 +1,103 @@
-//! The bytes of a message between instances, and nothing of what they mean
-//! for a decision.
+//! Encoding of the messages between instances.
 //!
-//! Layout: version, number of tenants, the weight and each tenant's sum as
-//! little-endian f32, then seven bytes a server: number
-//! (u32), mean (i8 of fortieths), count (u16 of 64ths).
+//! Layout: version (u8), number of tenants (u8), the weight and each tenant's sum as
+//! little-endian f32, then seven bytes a server: number (u32), mean (i8 of fortieths),
+//! count (u16 of 64ths).
 
 use crate::api::ServerId;
 
 const VERSION: u8 = 1;
-/// Longest message the transport carries.
-const LONGEST: usize = 256;
+/// Longest message that the transport carries, in bytes.
+const MAX_BYTES: usize = 256;
+/// Bytes of the version, the number of tenants and the weight.
+const HEADER_BYTES: usize = 6;
+const SUM_BYTES: usize = 4;
+const SERVER_BYTES: usize = 7;
+/// Unit of an encoded mean.
+const MEAN_STEPS: f64 = 40.0;
+/// Unit of an encoded count.
+const COUNT_STEPS: f64 = 64.0;
 
-/// What one instance tells another.
+/// Observations that one instance hands to another.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct GossipMessage {
-    /// How many instances' worth of tenants' traffic this is.
+    /// How many instances the tenants' traffic in this message is of.
     pub weight: f64,
     /// Traffic of each tenant.
     pub tenants: Vec<f64>,
-    /// Server, sum and count of what was seen of it.
-    pub servers: Vec<(ServerId, f64, f64)>,
+    /// Latencies of servers.
+    pub servers: Vec<ServerObservation>,
+}
+
+/// Latency samples of one server.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct ServerObservation {
+    /// The server.
+    pub server: ServerId,
+    /// Sum of the log latency ratios.
+    pub sum: f64,
+    /// Number of samples.
+    pub count: f64,
 }
 
 impl GossipMessage {
-    /// How many servers fit beside so many tenants.
-    pub fn room(tenants: usize) -> usize {
-        LONGEST.saturating_sub(6 + 4 * tenants) / 7
+    /// How many servers fit into a message beside this many tenants.
+    #[must_use]
+    pub fn max_servers(tenants: usize) -> usize {
+        MAX_BYTES.saturating_sub(HEADER_BYTES + SUM_BYTES * tenants) / SERVER_BYTES
     }
 
-    /// Writes it down, as far as it fits.
+    /// Encodes the message; tenants and servers that don't fit are left out.
+    #[must_use]
     pub fn encode(&self) -> Vec<u8> {
-        let tenants = self.tenants.len().min((LONGEST - 6) / 4);
+        let tenants = self.tenants.len().min((MAX_BYTES - HEADER_BYTES) / SUM_BYTES);
         let mut bytes = vec![VERSION, tenants as u8];
         for sum in std::iter::once(&self.weight).chain(&self.tenants[..tenants]) {
             bytes.extend((*sum as f32).to_le_bytes());
         }
-        for (id, sum, count) in self.servers.iter().take(Self::room(tenants)) {
-            bytes.extend(id.to_le_bytes());
-            bytes.push((sum / count.max(1e-9) * 40.0).round() as i8 as u8);
-            bytes.extend(((count * 64.0).round() as u16).to_le_bytes());
+        for observation in self.servers.iter().take(Self::max_servers(tenants)) {
+            bytes.extend(observation.encode());
         }
         bytes
     }
 
-    /// Reads it; `None` for anything malformed.
+    /// Decodes a message; `None` if it is malformed.
+    #[must_use]
     pub fn decode(bytes: &[u8]) -> Option<Self> {
-        let [VERSION, tenants, rest @ ..] = bytes else { return None };
-        let split = 4 + 4 * usize::from(*tenants);
-        if rest.len() < split || (rest.len() - split) % 7 != 0 {
-            return None;
-        }
-        let (sums, servers) = rest.split_at(split);
-        let sums: Vec<f64> = sums
-            .chunks_exact(4)
-            .map(|b| f64::from(f32::from_le_bytes([b[0], b[1], b[2], b[3]])))
-            .collect();
-        if sums.iter().any(|sum| !sum.is_finite() || *sum < 0.0) {
+        let [VERSION, tenants, body @ ..] = bytes else { return None };
+        let sums_bytes = SUM_BYTES + SUM_BYTES * usize::from(*tenants);
+        if body.len() < sums_bytes || !(body.len() - sums_bytes).is_multiple_of(SERVER_BYTES) {
             return None;
         }
-        let servers = servers
-            .chunks_exact(7)
-            .map(|b| {
-                let count = f64::from(u16::from_le_bytes([b[5], b[6]])) / 64.0;
-                let mean = f64::from(b[4] as i8) / 40.0;
-                (u32::from_le_bytes([b[0], b[1], b[2], b[3]]), mean * count, count)
-            })
-            .collect();
-        Some(GossipMessage { weight: sums[0], tenants: sums[1..].to_vec(), servers })
+        let (sums, servers) = body.split_at(sums_bytes);
+        let mut sums = sums.chunks_exact(SUM_BYTES).map(decode_sum);
+        let weight = sums.next()??;
+        let tenants = sums.collect::<Option<Vec<f64>>>()?;
+        let servers = servers.chunks_exact(SERVER_BYTES).map(ServerObservation::decode);
+        Some(GossipMessage { weight, tenants, servers: servers.collect::<Option<Vec<_>>>()? })
+    }
+}
+
+/// Decodes a weight or a tenant's sum; `None` unless it is finite and not negative.
+fn decode_sum(bytes: &[u8]) -> Option<f64> {
+    let sum = f64::from(f32::from_le_bytes(bytes.try_into().ok()?));
+    (sum.is_finite() && sum >= 0.0).then_some(sum)
+}
+
+impl ServerObservation {
+    fn encode(&self) -> [u8; SERVER_BYTES] {
+        let mean = (self.sum / self.count.max(1e-9) * MEAN_STEPS).round() as i8 as u8;
+        let count = ((self.count * COUNT_STEPS).round() as u16).to_le_bytes();
+        let id = self.server.to_le_bytes();
+        [id[0], id[1], id[2], id[3], mean, count[0], count[1]]
+    }
+
+    fn decode(bytes: &[u8]) -> Option<Self> {
+        let bytes: [u8; SERVER_BYTES] = bytes.try_into().ok()?;
+        let [id0, id1, id2, id3, mean, count0, count1] = bytes;
+        let count = f64::from(u16::from_le_bytes([count0, count1])) / COUNT_STEPS;
+        let mean = f64::from(mean as i8) / MEAN_STEPS;
+        let server = u32::from_le_bytes([id0, id1, id2, id3]);
+        Some(ServerObservation { server, sum: mean * count, count })
     }
 }
--- a/crates/balancer/src/rng.rs
+++ b/crates/balancer/src/rng.rs
@@ -8,7 +8,7 @@
 pub struct Rng(Pcg64Mcg);
 
 impl Rng {
-    /// A source that gives the same numbers for the same seed.
+    /// Creates a source that gives the same numbers for the same seed.
     pub fn new(seed: u64) -> Self {
         Rng(Pcg64Mcg::seed_from_u64(seed))
     }
@@ -25,9 +25,9 @@
     }
 }
 
-/// Scrambles a number, the same way everywhere.
-pub fn mix(mut x: u64) -> u64 {
-    x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    x ^ (x >> 31)
+/// Hashes a number, the same way at every instance (the finalizer of `SplitMix64`).
+pub fn hash(value: u64) -> u64 {
+    let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    let value = (value ^ (value >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+    value ^ (value >> 31)
 }
--- /dev/null
+++ b/crates/balancer/src/server_order.rs
@@ -0,0 +1,142 @@
+//! The line of servers of He and Down's limited-choice paper (section 4): servers of unequal
+//! speed in an order, of which each request compares two adjacent ones.
+
+/// Share of requests that go to a server without a comparison (the paper's p).
+const DEDICATED_SHARE: f64 = 0.05;
+/// ε as a fraction of its upper bound in (4.1).
+const EPSILON_FRACTION: f64 = 0.5;
+/// Minimum speed, in place of speeds that are not positive numbers.
+const MIN_SPEED: f64 = 1e-9;
+
+/// An order of servers with their shares, pairs and tie probabilities.
+#[derive(Debug, Clone, Default)]
+pub struct ServerOrder {
+    members: Vec<usize>,
+    speeds: Vec<f64>,
+    cumulative_speeds: Vec<f64>,
+    cumulative_pair_weights: Vec<f64>,
+    epsilon: f64,
+}
+
+impl ServerOrder {
+    /// Takes servers (any index with a positive speed) in the given order.
+    pub fn new(servers: impl IntoIterator<Item = (usize, f64)>) -> Self {
+        let mut order = ServerOrder::default();
+        let mut sum = 0.0;
+        for (member, speed) in servers {
+            let speed = if speed.is_finite() { speed.max(MIN_SPEED) } else { MIN_SPEED };
+            sum += speed;
+            order.members.push(member);
+            order.speeds.push(speed);
+            order.cumulative_speeds.push(sum);
+        }
+        order.epsilon = order.choose_epsilon();
+        let mut pair_weights = 0.0;
+        for position in 1..order.members.len() {
+            pair_weights += order.pair_weight(position);
+            order.cumulative_pair_weights.push(pair_weights);
+        }
+        order
+    }
+
+    /// Chooses ε below the bounds of (4.2) and the second one of (4.1); 0 for under 3 servers.
+    fn choose_epsilon(&self) -> f64 {
+        let count = self.members.len();
+        if count < 3 {
+            return 0.0;
+        }
+        let bound = (2..count).fold(f64::INFINITY, |least, position| {
+            least.min(self.speeds[position - 1] / (position - 1) as f64)
+        });
+        let last = (self.speeds[count - 1] + self.speeds[count - 2]) / (count - 2) as f64;
+        EPSILON_FRACTION * bound.min(last)
+    }
+
+    /// The servers, in order.
+    pub(crate) fn members(&self) -> &[usize] {
+        &self.members
+    }
+
+    /// Mean speed of the servers; `None` if there are none.
+    pub(crate) fn mean_speed(&self) -> Option<f64> {
+        Some(self.cumulative_speeds.last()? / self.members.len() as f64)
+    }
+
+    /// ε of (4.1).
+    #[must_use]
+    pub fn epsilon(&self) -> f64 {
+        self.epsilon
+    }
+
+    /// Weight `μ_j + ε_j` of the pair (j, j+1). Panics unless j, the `position`, is in 1 to N−1.
+    #[must_use]
+    pub fn pair_weight(&self, position: usize) -> f64 {
+        let count = self.members.len();
+        let epsilon = if position + 1 < count {
+            self.epsilon
+        } else {
+            self.speeds[count - 1] - (count - 2) as f64 * self.epsilon
+        };
+        self.speeds[position - 1] + epsilon
+    }
+
+    /// Probability that a tie in the pair (j, j+1) goes to j: the left part of (4.4). Panics
+    /// as [`Self::pair_weight`] does.
+    #[must_use]
+    pub fn left_share(&self, position: usize) -> f64 {
+        let left = self.speeds[position - 1] - (position - 1) as f64 * self.epsilon;
+        left / self.pair_weight(position)
+    }
+
+    /// Draws the dedicated server or the adjacent pair of one request; `None` if there are no
+    /// servers. `draw` returns uniform numbers in [0, 1).
+    pub fn draw(&self, mut draw: impl FnMut() -> f64) -> Option<Candidates> {
+        let count = self.members.len();
+        if count <= 1 {
+            return self.members.first().map(|server| Candidates::One(*server));
+        }
+        if draw() < DEDICATED_SHARE {
+            let target = draw() * self.cumulative_speeds[count - 1];
+            let position = self.cumulative_speeds.partition_point(|sum| *sum <= target);
+            return Some(Candidates::One(self.members[position.min(count - 1)]));
+        }
+        let target = draw() * self.cumulative_pair_weights[count - 2];
+        let left = self.cumulative_pair_weights.partition_point(|sum| *sum <= target);
+        let left = left.min(count - 2);
+        Some(Candidates::AdjacentPair(AdjacentPair {
+            servers: [self.members[left], self.members[left + 1]],
+            speeds: [self.speeds[left], self.speeds[left + 1]],
+            left_share: self.left_share(left + 1),
+        }))
+    }
+}
+
+/// The servers among which one request chooses.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub enum Candidates {
+    /// Its dedicated server.
+    One(usize),
+    /// Two adjacent servers to compare.
+    AdjacentPair(AdjacentPair),
+}
+
+/// Two adjacent servers of an order, left and right.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct AdjacentPair {
+    /// The servers.
+    pub servers: [usize; 2],
+    /// Their speeds.
+    pub speeds: [f64; 2],
+    /// Probability that a tie goes to the left one.
+    pub left_share: f64,
+}
+
+impl AdjacentPair {
+    /// Chooses the server with the shorter expected wait, queue over speed; ties are split by
+    /// (4.4). `draw` returns uniform numbers in [0, 1).
+    pub fn join(&self, mut draw: impl FnMut() -> f64, queues: [f64; 2]) -> usize {
+        let [left, right] = [queues[0] / self.speeds[0], queues[1] / self.speeds[1]];
+        let is_left = if left == right { draw() < self.left_share } else { left < right };
+        self.servers[usize::from(!is_left)]
+    }
+}
--- a/crates/balancer/tests/cold.rs
+++ b/crates/balancer/tests/cold.rs
@@ -3,8 +3,10 @@
 
 mod common;
 
-use common::*;
-use mintshelf_balancer::api::*;
+use common::{class, ended, ended_after, list, request, sends, server, settings, MS, S};
+use mintshelf_balancer::api::{
+    Effect, EndpointState, Group, ListKind, ListedServer, Nanos, Outcome, ServerId, Settings,
+};
 use mintshelf_balancer::decide::Balancer;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -1,7 +1,10 @@
 //! Settings, servers and requests for the tests.
 #![allow(dead_code)]
 
-use mintshelf_balancer::api::*;
+use mintshelf_balancer::api::{
+    Action, Backoff, Class, Effect, Event, Group, ListKind, ListedServer, Nanos, Objective,
+    Outcome, Prices, ReportMode, ServerId, Settings, SizeKind,
+};
 use mintshelf_balancer::decide::Balancer;
 use std::sync::Arc;
 
--- a/crates/balancer/tests/failures.rs
+++ b/crates/balancer/tests/failures.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use common::*;
-use mintshelf_balancer::api::*;
+use common::{ended, request, sends, settings, Rig, MS, S};
+use mintshelf_balancer::api::{Action, Event, Nanos, Outcome, ServerId, Settings};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 
--- a/crates/balancer/tests/gossip.rs
+++ b/crates/balancer/tests/gossip.rs
@@ -1,9 +1,13 @@
 //! Messages between instances: bytes, and that they change what is known.
 
 mod common;
-use common::*;
-use mintshelf_balancer::api::*;
-use mintshelf_balancer::gossip::GossipMessage;
+use common::{ended, request, sends, settings, Rig, MS, S};
+use mintshelf_balancer::api::{Action, Event, Outcome, ServerId, Settings};
+use mintshelf_balancer::gossip::{GossipMessage, ServerObservation};
+
+fn observation(server: ServerId, sum: f64, count: f64) -> ServerObservation {
+    ServerObservation { server, sum, count }
+}
 
 #[test]
 fn evidence_survives_its_bytes() {
@@ -11,7 +15,7 @@
     let told = GossipMessage {
         weight: 0.5,
         tenants: vec![12.5, 0.0],
-        servers: vec![(u32::MAX, 1.0, 2.0), (7, -0.5, 1.0)],
+        servers: vec![observation(u32::MAX, 1.0, 2.0), observation(7, -0.5, 1.0)],
     };
     let bytes = told.encode();
     assert!(bytes.len() <= 256);
@@ -23,7 +27,7 @@
     let told = GossipMessage {
         weight: 1.0,
         tenants: vec![1.0; 200],
-        servers: (0..500).map(|id| (id, 0.0, 1.0)).collect(),
+        servers: (0..500).map(|id| observation(id, 0.0, 1.0)).collect(),
     };
     assert!(told.encode().len() <= 256);
     assert_eq!(GossipMessage::decode(&told.encode()).unwrap().tenants.len(), 62);
@@ -31,7 +35,9 @@
 
 #[test]
 fn malformed_messages_are_dropped() {
-    let good = GossipMessage { servers: vec![(1, 0.5, 1.0)], ..GossipMessage::default() }.encode();
+    let good =
+        GossipMessage { servers: vec![observation(1, 0.5, 1.0)], ..GossipMessage::default() }
+            .encode();
     assert!(GossipMessage::decode(&good).is_some());
     assert!(GossipMessage::decode(&[]).is_none());
     assert!(GossipMessage::decode(&good[..good.len() - 1]).is_none());
@@ -45,7 +51,8 @@
 #[test]
 fn a_peer_tells_which_server_is_slow() {
     let mut rig = Rig::with(Settings { has_peers: true, ..settings() }, 1..=4);
-    let told = GossipMessage { weight: 1.0, tenants: vec![], servers: vec![(2, 60.0, 30.0)] };
+    let told =
+        GossipMessage { weight: 1.0, tenants: vec![], servers: vec![observation(2, 60.0, 30.0)] };
     let (from, payload) = (9, told.encode());
     rig.feed(S, Event::Gossip { from, payload });
     let mut to_slow = 0;
--- a/crates/balancer/tests/jams.rs
+++ b/crates/balancer/tests/jams.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use common::*;
-use mintshelf_balancer::api::*;
+use common::{ended_after, refused, request, sends, settings, Rig, MS, S};
+use mintshelf_balancer::api::{Nanos, Outcome, ServerId};
 
 /// Sends a safe request; how it ends, after `took`, if it is sent at all.
 fn one(
--- a/crates/balancer/tests/rules.rs
+++ b/crates/balancer/tests/rules.rs
@@ -2,8 +2,11 @@
 
 mod common;
 
-use common::*;
-use mintshelf_balancer::api::*;
+use common::{ended, failed, list, refused, request, sends, server, settings, Rig, MS, S};
+use mintshelf_balancer::api::{
+    Action, Effect, EndpointState, Event, Group, ListKind, ListedServer, Nanos, Outcome, Prices,
+    ReportField, ReportMode, RequestId, ServerId, Settings, SizeKind, Tenant,
+};
 use std::collections::HashMap;
 
 #[test]
--- a/crates/balancer/tests/tries.rs
+++ b/crates/balancer/tests/tries.rs
@@ -2,8 +2,8 @@
 //! legal is not sent.
 
 mod common;
-use common::*;
-use mintshelf_balancer::api::*;
+use common::{ended, failed, refused, request, sends, settings, Rig, MS, S};
+use mintshelf_balancer::api::{Action, Backoff, Event, Nanos, Outcome, Settings};
 
 /// Classes with pauses far over their windows, and copies allowed.
 fn careless() -> Settings {
