--- a/crates/proxy/src/websocket/eviction.rs
+++ b/crates/proxy/src/websocket/eviction.rs
@@ -4,7 +4,8 @@
 use super::entry::{ServerLocation, SocketCommand, SocketEntry};
 use super::registry::SocketRegistry;
 use mintshelf_balancer::api::{Nanos, ServerId};
-use mintshelf_websocket::close;
+use mintshelf_websocket::close::reason_with_retry;
+use mintshelf_websocket::close_code;
 use mintshelf_websocket::migration::MigrationSchedule;
 use mintshelf_websocket::session::EvictionRequest;
 use std::collections::{HashMap, HashSet};
@@ -24,7 +25,7 @@
     /// in a cluster without a schedule.
     fn next(&mut self, now: Nanos, location: ServerLocation, remaining: usize) -> Nanos {
         let schedule = self.0.get_mut(&location.cluster);
-        schedule.map_or(now, |schedule| schedule.slot(now, location.server, remaining))
+        schedule.map_or(now, |schedule| schedule.next_slot(now, location.server, remaining))
     }
 }
 
@@ -107,7 +108,7 @@
             let at_ns = self.migration_times.borrow_mut().next(now, location, *left);
             *left = left.saturating_sub(1);
             let reason = reason.to_string();
-            let close_code = close::RESTART;
+            let close_code = close_code::RESTART;
             entry.evict(at_ns, EvictionRequest { close_code, reason, may_migrate: true });
         }
     }
@@ -128,8 +129,8 @@
             // Clients are asked to come back as evenly as they were closed, and no sooner than
             // a restart takes.
             let retry_after_s = 1 + position % 10;
-            let reason = close::reason_with_retry("this sidecar ends", retry_after_s);
-            let close_code = close::GOING_AWAY;
+            let reason = reason_with_retry("this sidecar ends", retry_after_s);
+            let close_code = close_code::GOING_AWAY;
             let request = EvictionRequest { close_code, reason, may_migrate: false };
             entry.evict(now.saturating_add(step_ns * position), request);
         }
@@ -142,8 +143,8 @@
             entries.values().filter(|entry| *entry.owner.tenant == *tenant && !entry.is_evicted());
         if let Some(entry) = candidates.min_by_key(|entry| entry.last_message_at_ns()) {
             let reason = "others want their share of the sockets";
-            let reason = close::reason_with_retry(reason, RECLAIM_RETRY_AFTER_S);
-            let close_code = close::TRY_LATER;
+            let reason = reason_with_retry(reason, RECLAIM_RETRY_AFTER_S);
+            let close_code = close_code::TRY_LATER;
             entry.evict(now, EvictionRequest { close_code, reason, may_migrate: false });
         }
     }
--- a/crates/proxy/src/websocket/relay.rs
+++ b/crates/proxy/src/websocket/relay.rs
@@ -8,7 +8,7 @@
 use crate::upstream::ServerSocket;
 use bytes::Bytes;
 use mintshelf_balancer::api::Nanos;
-use mintshelf_websocket::frame::Peer;
+use mintshelf_websocket::peer::Peer;
 use mintshelf_websocket::session::{ClosedBy, Session, SessionAction, SessionEnd};
 use std::future::{poll_fn, Future};
 use std::pin::Pin;
--- a/crates/proxy/src/websocket/stats.rs
+++ b/crates/proxy/src/websocket/stats.rs
@@ -1,7 +1,7 @@
 //! Figures about open and closed sockets for the metrics.
 
 use mintshelf_balancer::api::ServerId;
-use mintshelf_websocket::frame::Peer;
+use mintshelf_websocket::peer::Peer;
 use mintshelf_websocket::session::{ClosedBy, Session, Traffic};
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- /dev/null
+++ b/crates/websocket/src/control.rs
@@ -0,0 +1,41 @@
+//! Writes control frames of the proxy's own (RFC 6455 5.5), and masks payloads (5.3).
+
+use crate::peer::Peer;
+
+/// Longest payload of a control frame, in bytes (RFC 6455 5.5).
+pub const MAX_CONTROL_PAYLOAD_BYTES: usize = 125;
+
+/// Opcode of a close frame (RFC 6455 5.2).
+pub const OPCODE_CLOSE: u8 = 8;
+/// Opcode of a ping (RFC 6455 5.2).
+pub const OPCODE_PING: u8 = 9;
+/// Opcode of a pong (RFC 6455 5.2).
+pub const OPCODE_PONG: u8 = 10;
+
+/// Appends a control frame to `out` as `sender` would send it: a client masks with `mask_key`.
+/// A payload over [`MAX_CONTROL_PAYLOAD_BYTES`] is truncated.
+pub fn write_control_frame(
+    sender: Peer,
+    opcode: u8,
+    payload: &[u8],
+    mask_key: [u8; 4],
+    out: &mut Vec<u8>,
+) {
+    let payload = &payload[..payload.len().min(MAX_CONTROL_PAYLOAD_BYTES)];
+    let is_masked = sender == Peer::Client;
+    out.push(0x80 | opcode & 0x0f);
+    out.push(payload.len() as u8 | if is_masked { 0x80 } else { 0 });
+    if is_masked {
+        out.extend_from_slice(&mask_key);
+    }
+    let payload_start = out.len();
+    out.extend_from_slice(payload);
+    if is_masked {
+        apply_mask(&mut out[payload_start..], mask_key);
+    }
+}
+
+/// Masks or unmasks a payload (RFC 6455 5.3).
+pub(crate) fn apply_mask(payload: &mut [u8], mask_key: [u8; 4]) {
+    payload.iter_mut().zip(mask_key.iter().cycle()).for_each(|(byte, key)| *byte ^= key);
+}
--- /dev/null
+++ b/crates/websocket/src/header.rs
@@ -0,0 +1,92 @@
+//! Frame headers (RFC 6455 5.2).
+
+use crate::peer::Peer;
+use crate::violation::Violation;
+
+/// Longest header: two bytes, eight of the length, four of the mask.
+pub(crate) const MAX_HEADER_BYTES: usize = 14;
+/// Bytes that tell how long the header is.
+const PREFIX_BYTES: usize = 2;
+/// Length field of a payload whose length follows in two bytes.
+const LENGTH_16: u8 = 126;
+/// Length field of a payload whose length follows in eight bytes.
+const LENGTH_64: u8 = 127;
+
+const FINAL_BIT: u8 = 0x80;
+const RESERVED_BITS: u8 = 0x70;
+/// The first reserved bit, which marks a compressed message (RFC 7692 6).
+const COMPRESSED_BIT: u8 = 0x40;
+const OPCODE_BITS: u8 = 0x0f;
+const MASK_BIT: u8 = 0x80;
+const LENGTH_BITS: u8 = 0x7f;
+
+/// What a header states.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) struct FrameHeader {
+    pub(crate) is_final: bool,
+    pub(crate) opcode: u8,
+    pub(crate) payload_bytes: u64,
+}
+
+impl FrameHeader {
+    /// Whether the frame begins a message: text or binary.
+    pub(crate) fn starts_message(&self) -> bool {
+        starts_message(self.opcode)
+    }
+
+    /// Parses a complete header.
+    pub(crate) fn parse(
+        bytes: &[u8],
+        sender: Peer,
+        allows_compression: bool,
+    ) -> Result<Self, Violation> {
+        let opcode = bytes[0] & OPCODE_BITS;
+        let may_be_compressed = allows_compression && starts_message(opcode);
+        let allowed_bits = if may_be_compressed { COMPRESSED_BIT } else { 0 };
+        if bytes[0] & RESERVED_BITS & !allowed_bits != 0 {
+            return Err(Violation::ReservedBits);
+        }
+        if is_masked(bytes) != (sender == Peer::Client) {
+            return Err(Violation::Masking);
+        }
+        let payload_bytes = payload_bytes(bytes)?;
+        Ok(FrameHeader { is_final: bytes[0] & FINAL_BIT != 0, opcode, payload_bytes })
+    }
+}
+
+fn starts_message(opcode: u8) -> bool {
+    matches!(opcode, 1 | 2)
+}
+
+/// Whether the payload is masked.
+pub(crate) fn is_masked(header: &[u8]) -> bool {
+    header[1] & MASK_BIT != 0
+}
+
+/// Length of a header in bytes, as far as its first bytes tell.
+pub(crate) fn header_bytes(prefix: &[u8]) -> usize {
+    if prefix.len() < PREFIX_BYTES {
+        return PREFIX_BYTES;
+    }
+    let length_bytes = match prefix[1] & LENGTH_BITS {
+        LENGTH_16 => 2,
+        LENGTH_64 => 8,
+        _ => 0,
+    };
+    PREFIX_BYTES + length_bytes + if is_masked(prefix) { 4 } else { 0 }
+}
+
+/// The length of the payload, which must be in the fewest bytes.
+fn payload_bytes(header: &[u8]) -> Result<u64, Violation> {
+    let big_endian =
+        |bytes: &[u8]| bytes.iter().fold(0u64, |number, byte| number << 8 | u64::from(*byte));
+    let (length, minimum) = match header[1] & LENGTH_BITS {
+        LENGTH_16 => (big_endian(&header[2..4]), u64::from(LENGTH_16)),
+        LENGTH_64 => (big_endian(&header[2..10]), 1 << 16),
+        short => (u64::from(short), 0),
+    };
+    if length < minimum || length >> 63 != 0 {
+        return Err(Violation::Length);
+    }
+    Ok(length)
+}
--- /dev/null
+++ b/crates/websocket/src/peer.rs
@@ -0,0 +1,20 @@
+//! The two ends of a socket.
+
+/// One end of a socket.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Peer {
+    /// The client, which masks its frames (RFC 6455 5.3).
+    Client,
+    /// The server, which does not.
+    Server,
+}
+
+impl Peer {
+    /// The other end.
+    pub fn other(self) -> Peer {
+        match self {
+            Peer::Client => Peer::Server,
+            Peer::Server => Peer::Client,
+        }
+    }
+}
--- /dev/null
+++ b/crates/websocket/src/session/migration.rs
@@ -0,0 +1,165 @@
+//! Leaves a server that is lost or evicted from, and goes on at another where that is allowed.
+
+use super::closing::GOING_AWAY;
+use super::side::Side;
+use super::{client_decoder, EvictionRequest, Session, SessionAction, State};
+use crate::close::reason_with_retry;
+use crate::close_code;
+use crate::frame::{ControlAction, FrameDecoder};
+use crate::peer::Peer;
+use mintshelf_balancer::api::Nanos;
+
+/// Longest first message that is kept for other servers, in bytes.
+pub const MAX_FIRST_MESSAGE_BYTES: usize = 16 << 10;
+
+/// The first message of a client, as far as it came.
+#[derive(Debug)]
+pub(super) struct FirstMessage {
+    decoder: FrameDecoder,
+    bytes: Vec<u8>,
+}
+
+impl FirstMessage {
+    pub(super) fn new(is_compressed: bool) -> Self {
+        FirstMessage { decoder: client_decoder(is_compressed), bytes: Vec::new() }
+    }
+}
+
+impl Session {
+    /// Keeps the client's first message, from the server's output behind `output_start`. A
+    /// socket whose first message is too long for that does not migrate.
+    pub(super) fn keep_first_message(&mut self, output_start: usize) {
+        let Some(first_message) = &mut self.first_message else { return };
+        let bytes = &self.server.output.bytes[output_start..];
+        let decoded = first_message.decoder.forward_first_message(bytes, &mut first_message.bytes);
+        if decoded.is_err() || first_message.bytes.len() > MAX_FIRST_MESSAGE_BYTES {
+            self.first_message = None;
+            self.written_to_server = None;
+        }
+    }
+
+    /// Decodes the next `count` bytes of the server's output, which were written to it.
+    pub(super) fn decode_written(&mut self, count: usize) {
+        let Some(decoder) = &mut self.written_to_server else { return };
+        let pending = self.server.output.pending();
+        let written = &pending[..count.min(pending.len())];
+        let mut unused = Vec::new();
+        if decoder.forward(written, &mut unused, |_| ControlAction::Discard).is_err() {
+            self.written_to_server = None;
+        }
+    }
+
+    /// Records that the server has disconnected. The socket waits for its migration slot.
+    pub(super) fn lose_server(&mut self, reason: &str, now: Nanos) {
+        // In the other states the server is lost already, or left anyway.
+        if !matches!(self.state, State::Open | State::Evicting { .. }) {
+            return;
+        }
+        self.timers.stop_peer(Peer::Server);
+        self.timers.set_read_paused(Peer::Client, true, now);
+        // Its pending output can still go to another server.
+        self.server.is_disconnected = true;
+        self.state = State::ServerLost { reason: reason.to_string() };
+        self.action = Some(SessionAction::ServerLost);
+    }
+
+    /// Leaves a server that is still connected, because it is drained or removed or the proxy
+    /// shuts down. The socket leaves between two messages if that comes within the close timeout.
+    pub fn evict(&mut self, request: EvictionRequest, now: Nanos) {
+        if self.state == State::Open {
+            let deadline_ns = now.saturating_add(self.config.timers.close_timeout_ns);
+            self.state = State::Evicting { deadline_ns, request };
+            self.continue_eviction(now);
+        }
+    }
+
+    /// Leaves the server if the socket is to be evicted and can leave now.
+    pub(super) fn continue_eviction(&mut self, now: Nanos) {
+        let State::Evicting { deadline_ns, request } = &self.state else { return };
+        let is_due = *deadline_ns <= now;
+        let request = request.clone();
+        let is_between_messages = self.is_between_messages();
+        let may_migrate = request.may_migrate && self.written_to_server.is_some();
+        let is_flushed = self.pending_output(Peer::Server).is_empty();
+        if may_migrate && is_between_messages && is_flushed && self.can_migrate() {
+            self.begin_migration(request.reason);
+        } else if is_due || is_between_messages && !may_migrate {
+            self.close(request.close_code, &request.reason, now);
+        }
+    }
+
+    /// Whether another server can take over: the client has received complete messages only,
+    /// and so has the old server.
+    fn can_migrate(&self) -> bool {
+        let server_is_at_boundary =
+            self.written_to_server.as_ref().is_some_and(FrameDecoder::is_at_message_boundary);
+        server_is_at_boundary && self.server.decoder.is_between_messages() && self.end.is_none()
+    }
+
+    fn begin_migration(&mut self, reason: String) {
+        self.state = State::Migrating { reason };
+        self.action = Some(SessionAction::Migrate);
+    }
+
+    /// Goes on after [`SessionAction::ServerLost`] once the migration slot has come: migrates if
+    /// that is possible, else closes the socket. `retry_after_s`: seconds after which the client
+    /// may come back.
+    pub fn migrate_or_close(&mut self, retry_after_s: u64, now: Nanos) {
+        let State::ServerLost { reason } = &self.state else { return };
+        let reason = reason.clone();
+        if self.can_migrate() {
+            self.begin_migration(reason);
+        } else {
+            self.close(close_code::RESTART, &reason_with_retry(&reason, retry_after_s), now);
+        }
+    }
+
+    /// Goes on at another server after [`SessionAction::Migrate`]. Returns what the old server
+    /// is to be sent; nothing if it has disconnected.
+    pub fn complete_migration(&mut self, now: Nanos) -> Vec<u8> {
+        let mut farewell = Vec::new();
+        let State::Migrating { .. } = self.state else { return farewell };
+        let mask_key = self.next_mask_key();
+        if !self.server.is_disconnected && !self.server.close_sent {
+            GOING_AWAY.write(Peer::Client, mask_key, &mut farewell);
+        }
+        self.replace_server();
+        self.state = State::Open;
+        self.timers.restart_peer(Peer::Server, now);
+        self.timers.set_read_paused(Peer::Client, false, now);
+        if !self.pending_output(Peer::Server).is_empty() {
+            self.timers.record_queued(Peer::Server, now);
+        }
+        let unforwarded = std::mem::take(&mut self.client.unforwarded);
+        if !unforwarded.is_empty() {
+            self.forward(Peer::Client, &unforwarded, now);
+        }
+        farewell
+    }
+
+    /// Replaces the server's side by a new one, with the first message if the old server had
+    /// received that, and with the output that it had not taken. What the old server sent and
+    /// was not forwarded is lost.
+    fn replace_server(&mut self) {
+        let max_message_bytes = self.config.max_message_bytes;
+        let mut server = Side::new(Peer::Server, self.is_compressed, max_message_bytes);
+        let has_received_message =
+            self.written_to_server.as_ref().is_some_and(|decoder| decoder.completed_messages() > 0);
+        if let Some(first_message) = self.first_message.as_ref().filter(|_| has_received_message) {
+            server.output.bytes.clone_from(&first_message.bytes);
+        }
+        server.output.bytes.extend_from_slice(self.server.output.pending());
+        server.received_bytes = self.server.received_bytes;
+        self.server = server;
+        self.written_to_server = self.config.resume.map(|_| client_decoder(self.is_compressed));
+    }
+
+    /// Closes the socket after [`SessionAction::Migrate`], as no other server takes it.
+    /// `retry_after_s`: seconds after which the client may come back.
+    pub fn fail_migration(&mut self, retry_after_s: u64, now: Nanos) {
+        if let State::Migrating { reason } = &self.state {
+            let reason = reason_with_retry(reason, retry_after_s);
+            self.close(close_code::RESTART, &reason, now);
+        }
+    }
+}
--- /dev/null
+++ b/crates/websocket/src/session/mod.rs
@@ -0,0 +1,184 @@
+//! One socket from its 101 to its end: bytes and times go in, bytes for both peers and actions
+//! come out.
+//!
+//! Frames are forwarded as they come. A frame of the proxy's own goes between two of them or not
+//! at all, and each peer is sent at most one close frame.
+
+mod closing;
+mod forwarding;
+mod migration;
+mod side;
+mod timeouts;
+mod types;
+
+pub use types::{
+    ClosedBy, EvictionRequest, Resume, SessionAction, SessionConfig, SessionEnd, Traffic,
+};
+
+use crate::frame::FrameDecoder;
+use crate::peer::Peer;
+use crate::timers::SocketTimers;
+use migration::FirstMessage;
+use mintshelf_balancer::api::Nanos;
+use rand_core::{RngCore, SeedableRng};
+use rand_pcg::Pcg32;
+use side::Side;
+use std::rc::Rc;
+
+#[derive(Debug, Clone, PartialEq, Eq)]
+enum State {
+    /// Messages pass.
+    Open,
+    /// Leaves its server once no message is in progress, at the latest at the deadline.
+    Evicting { deadline_ns: Nanos, request: EvictionRequest },
+    /// The server has disconnected, and the socket waits for its migration slot.
+    ServerLost { reason: String },
+    /// The caller connects to another server.
+    Migrating { reason: String },
+    /// Close frames are pending or unanswered, at the latest until the deadline.
+    Closing { deadline_ns: Nanos },
+}
+
+/// The protocol state of one socket.
+#[derive(Debug)]
+pub struct Session {
+    config: Rc<SessionConfig>,
+    is_compressed: bool,
+    timers: SocketTimers,
+    client: Side,
+    server: Side,
+    state: State,
+    action: Option<SessionAction>,
+    end: Option<SessionEnd>,
+    /// Decodes what was written to the server, to tell whether that ends with a message. Absent
+    /// where the socket can't migrate.
+    written_to_server: Option<FrameDecoder>,
+    /// The client's first message, where other servers need it.
+    first_message: Option<FirstMessage>,
+    /// Payload of the session's own pings.
+    ping_token: [u8; 8],
+    random: Pcg32,
+}
+
+impl Session {
+    /// A socket that opens now. `is_compressed`: its ends negotiated compression; `seed` for
+    /// mask keys and the jitter of its lifetime.
+    pub fn new(config: Rc<SessionConfig>, is_compressed: bool, seed: u64, now: Nanos) -> Self {
+        let mut random = Pcg32::seed_from_u64(seed);
+        let mut ping_token = [0; 8];
+        random.fill_bytes(&mut ping_token);
+        let jitter = f64::from(random.next_u32()) / f64::from(u32::MAX);
+        let max_message_bytes = config.max_message_bytes;
+        let replays_first_message = config.resume == Some(Resume::FirstMessage);
+        Session {
+            timers: SocketTimers::new(config.timers, now, jitter),
+            is_compressed,
+            client: Side::new(Peer::Client, is_compressed, max_message_bytes),
+            server: Side::new(Peer::Server, is_compressed, max_message_bytes),
+            state: State::Open,
+            action: None,
+            end: None,
+            written_to_server: config.resume.map(|_| client_decoder(is_compressed)),
+            first_message: replays_first_message.then(|| FirstMessage::new(is_compressed)),
+            config,
+            ping_token,
+            random,
+        }
+    }
+
+    fn side(&self, peer: Peer) -> &Side {
+        match peer {
+            Peer::Client => &self.client,
+            Peer::Server => &self.server,
+        }
+    }
+
+    fn side_mut(&mut self, peer: Peer) -> &mut Side {
+        match peer {
+            Peer::Client => &mut self.client,
+            Peer::Server => &mut self.server,
+        }
+    }
+
+    /// Bytes that wait to be written to a peer.
+    pub fn pending_output(&self, peer: Peer) -> &[u8] {
+        self.side(peer).output.pending()
+    }
+
+    /// How many bytes are buffered for both peers.
+    pub fn buffered_bytes(&self) -> usize {
+        [&self.client, &self.server].into_iter().map(Side::buffered_bytes).sum()
+    }
+
+    /// What a peer has sent.
+    pub fn traffic(&self, peer: Peer) -> Traffic {
+        let side = self.side(peer);
+        Traffic { messages: side.decoder.completed_messages(), bytes: side.received_bytes }
+    }
+
+    /// Whether a peer is to be read now: not while the other does not take its output.
+    pub fn wants_read(&self, peer: Peer) -> bool {
+        let side = self.side(peer);
+        if side.is_disconnected || self.end().is_some() {
+            return false;
+        }
+        let pending_bytes = self.pending_output(peer.other()).len();
+        let has_capacity = pending_bytes < self.config.buffer_bytes;
+        match &self.state {
+            State::Open => has_capacity,
+            State::Evicting { .. } => side.unforwarded.is_empty() && has_capacity,
+            State::ServerLost { .. } | State::Migrating { .. } => false,
+            // The answer to the close frame is awaited.
+            State::Closing { .. } => !(side.close_received && side.close_sent) && has_capacity,
+        }
+    }
+
+    /// When [`Session::handle_timers`] is due.
+    pub fn next_deadline(&self) -> Nanos {
+        match &self.state {
+            State::Open => self.timers.next_deadline(),
+            State::Evicting { deadline_ns, .. } => self.timers.next_deadline().min(*deadline_ns),
+            State::Closing { deadline_ns } => *deadline_ns,
+            State::ServerLost { .. } | State::Migrating { .. } => Nanos::MAX,
+        }
+    }
+
+    /// Whether messages pass, and the socket is not about to leave its server.
+    pub fn is_open(&self) -> bool {
+        self.state == State::Open
+    }
+
+    /// Takes the action that the caller has to perform, if any.
+    pub fn take_action(&mut self) -> Option<SessionAction> {
+        self.action.take()
+    }
+
+    /// How the socket ended, once nothing more has to pass.
+    pub fn end(&self) -> Option<SessionEnd> {
+        let is_finished = self.client.is_finished() && self.server.is_finished();
+        self.end.filter(|_| is_finished)
+    }
+
+    /// Whether a peer has sent and received its close frame, so that its connection can be
+    /// closed gently.
+    pub fn closed_cleanly(&self, peer: Peer) -> bool {
+        let side = self.side(peer);
+        side.close_received && side.close_sent && !side.is_disconnected
+    }
+
+    /// Whether no message is in progress either way.
+    pub fn is_between_messages(&self) -> bool {
+        [&self.client, &self.server]
+            .into_iter()
+            .all(|side| side.is_disconnected || side.decoder.is_between_messages())
+    }
+
+    fn next_mask_key(&mut self) -> [u8; 4] {
+        self.random.next_u32().to_be_bytes()
+    }
+}
+
+/// Decodes what was checked before, so without a limit of its own.
+fn client_decoder(is_compressed: bool) -> FrameDecoder {
+    FrameDecoder::new(Peer::Client, is_compressed, u64::MAX)
+}
--- /dev/null
+++ b/crates/websocket/src/session/side.rs
@@ -0,0 +1,82 @@
+//! The state of one peer within a session: what it sends, and what waits for it.
+
+use crate::frame::FrameDecoder;
+use crate::peer::Peer;
+
+/// An empty queue keeps no more memory than this.
+const RETAINED_BYTES: usize = 1 << 10;
+
+/// Bytes that wait to be written to a peer.
+#[derive(Debug, Default)]
+pub(super) struct OutputQueue {
+    pub(super) bytes: Vec<u8>,
+    written: usize,
+}
+
+impl OutputQueue {
+    pub(super) fn pending(&self) -> &[u8] {
+        &self.bytes[self.written..]
+    }
+
+    /// Drops `count` written bytes; whether none are pending any more.
+    pub(super) fn advance(&mut self, count: usize) -> bool {
+        self.written = (self.written + count).min(self.bytes.len());
+        let is_drained = self.written == self.bytes.len();
+        if is_drained {
+            self.bytes.clear();
+            self.written = 0;
+            if self.bytes.capacity() > RETAINED_BYTES {
+                self.bytes = Vec::new();
+            }
+        }
+        is_drained
+    }
+}
+
+/// One peer.
+#[derive(Debug)]
+pub(super) struct Side {
+    /// Decodes what the peer sends.
+    pub(super) decoder: FrameDecoder,
+    /// Received behind the end of a message, and not forwarded while the socket is evicted.
+    pub(super) unforwarded: Vec<u8>,
+    pub(super) output: OutputQueue,
+    /// Whether it sent a close frame.
+    pub(super) close_received: bool,
+    /// Whether it was sent one.
+    pub(super) close_sent: bool,
+    pub(super) is_disconnected: bool,
+    pub(super) received_bytes: u64,
+}
+
+impl Side {
+    pub(super) fn new(peer: Peer, is_compressed: bool, max_message_bytes: u64) -> Self {
+        Side {
+            decoder: FrameDecoder::new(peer, is_compressed, max_message_bytes),
+            unforwarded: Vec::new(),
+            output: OutputQueue::default(),
+            close_received: false,
+            close_sent: false,
+            is_disconnected: false,
+            received_bytes: 0,
+        }
+    }
+
+    pub(super) fn buffered_bytes(&self) -> usize {
+        self.output.pending().len() + self.unforwarded.len()
+    }
+
+    /// Whether nothing more has to pass to or from the peer.
+    pub(super) fn is_finished(&self) -> bool {
+        let handshake_done =
+            self.close_received && self.close_sent && self.output.pending().is_empty();
+        self.is_disconnected || handshake_done
+    }
+
+    /// Drops what waits for the peer: nothing more passes to or from it.
+    pub(super) fn disconnect(&mut self) {
+        self.is_disconnected = true;
+        self.output = OutputQueue::default();
+        self.unforwarded = Vec::new();
+    }
+}
--- a/crates/websocket/src/timers.rs
+++ b/crates/websocket/src/timers.rs
@@ -1,279 +1,247 @@
-//! How long a socket may live, be idle, say nothing, or leave what it is sent unread.
+//! Timeouts of one socket: idle time, lifetime, unanswered pings, slow messages, stalled writes.
 
-use crate::frame::Peer;
+use crate::peer::Peer;
 use mintshelf_balancer::api::Nanos;
 
-/// When a ping that found no place is due again.
-const POSTPONED: Nanos = 1_000_000_000;
+/// After this a ping that could not be sent is due again.
+const PING_RETRY_NS: Nanos = 1_000_000_000;
+/// The greatest part of the lifetime by which that of a single socket may be shorter.
+const LIFETIME_JITTER: f64 = 0.1;
 
-/// The bounds of a socket's life.
+/// The timeouts of a socket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TimerConfig {
-    /// Closed when no message has passed for so long.
+    /// The socket is closed when no message has passed for so long.
     pub idle_timeout_ns: Nanos,
-    /// Closed when so old.
+    /// The socket is closed when it is so old.
     pub max_lifetime_ns: Nanos,
-    /// An end that has said nothing for so long is pinged.
+    /// A peer that has sent nothing for so long is pinged.
     pub ping_interval_ns: Nanos,
-    /// An end that says nothing for so long after a ping is gone.
+    /// A peer that sends nothing for so long after a ping is disconnected.
     pub pong_timeout_ns: Nanos,
-    /// An end that takes nothing of what waits for it for so long is cut off.
+    /// A peer that takes none of its pending output for so long is disconnected.
     pub write_stall_timeout_ns: Nanos,
-    /// A message that has begun must be whole within this.
+    /// A message has to be complete within this.
     pub message_timeout_ns: Nanos,
-    /// How long a close frame may go unanswered.
+    /// How long a close frame may remain unanswered.
     pub close_timeout_ns: Nanos,
 }
 
-/// What a socket's time has come for.
+/// What is due.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TimerEvent {
-    /// No message has passed for long.
-    Idle,
-    /// It has lived long enough.
-    Old,
-    /// An end is to be pinged.
-    Ping(Peer),
-    /// An end has left a ping unanswered.
-    Silent(Peer),
-    /// An end takes nothing.
-    Stalled(Peer),
-    /// An end does not come to the end of its message.
-    Dribble(Peer),
+    /// No message has passed for the idle timeout.
+    IdleTimeout,
+    /// The socket has reached its lifetime.
+    LifetimeExceeded,
+    /// A peer is to be pinged.
+    PingDue(Peer),
+    /// A peer has not answered a ping.
+    PongTimeout(Peer),
+    /// A peer takes none of its pending output.
+    WriteStalled(Peer),
+    /// A peer does not complete its message.
+    MessageTimeout(Peer),
 }
 
-#[derive(Debug, Clone, Copy, Default)]
-struct Watch {
-    /// Bytes last came from it; as long as it is not read it is not expected to say anything.
-    heard: Nanos,
-    paused: bool,
-    pinged: Option<Nanos>,
-    /// Since when bytes wait for it and none go.
-    blocked: Option<Nanos>,
-    /// When its message began.
-    message: Option<Nanos>,
-    /// It has left, and nothing is expected of it.
-    gone: bool,
+#[derive(Debug, Clone, Copy)]
+struct Deadline {
+    at_ns: Nanos,
+    event: TimerEvent,
 }
 
-/// The times of one socket.
-#[derive(Debug, Clone)]
-pub struct SocketTimers {
-    set: TimerConfig,
-    old_at: Nanos,
-    active: Nanos,
-    ends: [Watch; 2],
+/// The times of one peer.
+#[derive(Debug, Clone, Copy, Default)]
+struct PeerTimers {
+    /// When it last sent bytes, or reading from it was resumed.
+    last_received_ns: Nanos,
+    /// Whether it is not read now, so that nothing can be expected of it.
+    is_read_paused: bool,
+    pinged_at_ns: Option<Nanos>,
+    /// Since when it has taken none of its pending output.
+    output_blocked_since_ns: Option<Nanos>,
+    /// When its current message began.
+    message_started_ns: Option<Nanos>,
+    is_disconnected: bool,
 }
 
-const ENDS: [Peer; 2] = [Peer::Client, Peer::Server];
-
-impl SocketTimers {
-    /// Of a socket that opens now. `part`, 0 to 1, shortens its life by up to a tenth: those
-    /// that open together do not end together.
-    pub fn new(set: TimerConfig, now: Nanos, part: f64) -> Self {
-        let less = (set.max_lifetime_ns as f64 * 0.1 * part.clamp(0.0, 1.0)) as Nanos;
-        let old_at = now.saturating_add(set.max_lifetime_ns - less);
-        let watch = Watch { heard: now, ..Watch::default() };
-        SocketTimers { set, old_at, active: now, ends: [watch; 2] }
+impl PeerTimers {
+    fn connected_at(now: Nanos) -> Self {
+        PeerTimers { last_received_ns: now, ..PeerTimers::default() }
     }
 
-    /// What it was made of.
-    pub fn set(&self) -> &TimerConfig {
-        &self.set
+    fn deadlines(&self, peer: Peer, config: &TimerConfig) -> impl Iterator<Item = Deadline> {
+        let is_expected_to_send = !self.is_disconnected && !self.is_read_paused;
+        let liveness = Some(self.liveness_deadline(peer, config));
+        let message = self.message_started_ns.map(|started| Deadline {
+            at_ns: started.saturating_add(config.message_timeout_ns),
+            event: TimerEvent::MessageTimeout(peer),
+        });
+        let stall = self.output_blocked_since_ns.map(|since| Deadline {
+            at_ns: since.saturating_add(config.write_stall_timeout_ns),
+            event: TimerEvent::WriteStalled(peer),
+        });
+        let deadlines = [
+            liveness.filter(|_| is_expected_to_send),
+            message.filter(|_| is_expected_to_send),
+            stall.filter(|_| !self.is_disconnected),
+        ];
+        deadlines.into_iter().flatten()
+    }
+
+    /// The next ping, or the timeout of the one that is not answered yet.
+    fn liveness_deadline(&self, peer: Peer, config: &TimerConfig) -> Deadline {
+        match self.pinged_at_ns {
+            None => Deadline {
+                at_ns: self.last_received_ns.saturating_add(config.ping_interval_ns),
+                event: TimerEvent::PingDue(peer),
+            },
+            Some(pinged_at) => Deadline {
+                at_ns: pinged_at.saturating_add(config.pong_timeout_ns),
+                event: TimerEvent::PongTimeout(peer),
+            },
+        }
     }
+}
 
-    fn of(&mut self, end: Peer) -> &mut Watch {
-        &mut self.ends[end as usize]
-    }
+/// The timers of one socket.
+#[derive(Debug, Clone)]
+pub struct SocketTimers {
+    config: TimerConfig,
+    lifetime_ends_ns: Nanos,
+    last_message_ns: Nanos,
+    client: PeerTimers,
+    server: PeerTimers,
+}
 
-    /// Bytes came from an end; `message`: whether it is within a message now.
-    pub fn heard(&mut self, end: Peer, now: Nanos, message: bool) {
-        let watch = self.of(end);
-        watch.heard = now;
-        watch.pinged = None;
-        match (message, watch.message) {
-            (true, None) => watch.message = Some(now),
-            (false, _) => watch.message = None,
-            _ => {}
+impl SocketTimers {
+    /// Timers of a socket that opens now. `jitter`, from 0 to 1, shortens its lifetime by up to
+    /// a tenth, so that sockets that open together do not close together.
+    pub fn new(config: TimerConfig, now: Nanos, jitter: f64) -> Self {
+        let shortened_by =
+            (config.max_lifetime_ns as f64 * LIFETIME_JITTER * jitter.clamp(0.0, 1.0)) as Nanos;
+        SocketTimers {
+            config,
+            lifetime_ends_ns: now.saturating_add(config.max_lifetime_ns - shortened_by),
+            last_message_ns: now,
+            client: PeerTimers::connected_at(now),
+            server: PeerTimers::connected_at(now),
         }
     }
 
-    /// A whole message passed.
-    pub fn active(&mut self, end: Peer, now: Nanos) {
-        self.active = now;
-        // What comes now is another message.
-        let watch = self.of(end);
-        watch.message = watch.message.map(|_| now);
+    fn peer(&self, peer: Peer) -> &PeerTimers {
+        match peer {
+            Peer::Client => &self.client,
+            Peer::Server => &self.server,
+        }
     }
 
-    /// An end is read, or is not since the other takes nothing.
-    pub fn paused(&mut self, end: Peer, paused: bool, now: Nanos) {
-        let watch = self.of(end);
-        if watch.paused && !paused {
-            watch.heard = now;
-            watch.pinged = None;
-            watch.message = watch.message.map(|_| now);
+    fn peer_mut(&mut self, peer: Peer) -> &mut PeerTimers {
+        match peer {
+            Peer::Client => &mut self.client,
+            Peer::Server => &mut self.server,
         }
-        watch.paused = paused;
     }
 
-    /// Bytes wait for an end.
-    pub fn waits(&mut self, end: Peer, now: Nanos) {
-        self.of(end).blocked.get_or_insert(now);
+    /// Records that a peer sent bytes, and whether it is within a message now.
+    pub fn record_received(&mut self, peer: Peer, now: Nanos, is_within_message: bool) {
+        let timers = self.peer_mut(peer);
+        timers.last_received_ns = now;
+        timers.pinged_at_ns = None;
+        if is_within_message {
+            timers.message_started_ns.get_or_insert(now);
+        } else {
+            timers.message_started_ns = None;
+        }
     }
 
-    /// An end took bytes; `all` of those that waited.
-    pub fn took(&mut self, end: Peer, now: Nanos, all: bool) {
-        self.of(end).blocked = (!all).then_some(now);
+    /// Records that a peer completed a message.
+    pub fn record_message(&mut self, peer: Peer, now: Nanos) {
+        self.last_message_ns = now;
+        self.restart_message(peer, now);
     }
 
-    /// An end was pinged.
-    pub fn pinged(&mut self, end: Peer, now: Nanos) {
-        self.of(end).pinged.get_or_insert(now);
+    /// Records whether a peer is read, or not because the other takes no output.
+    pub fn set_read_paused(&mut self, peer: Peer, is_paused: bool, now: Nanos) {
+        let timers = self.peer_mut(peer);
+        let has_resumed = timers.is_read_paused && !is_paused;
+        timers.is_read_paused = is_paused;
+        if has_resumed {
+            timers.last_received_ns = now;
+            timers.pinged_at_ns = None;
+            self.restart_message(peer, now);
+        }
     }
 
-    /// Whether an answer to a ping is awaited from an end.
-    pub fn is_pinged(&self, end: Peer) -> bool {
-        self.ends[end as usize].pinged.is_some()
+    /// Measures the message that a peer is within, if any, from now on.
+    fn restart_message(&mut self, peer: Peer, now: Nanos) {
+        let timers = self.peer_mut(peer);
+        timers.message_started_ns = timers.message_started_ns.map(|_| now);
     }
 
-    /// There is no place for a ping now: it is due again a little later.
-    pub fn postponed(&mut self, end: Peer, now: Nanos) {
-        let again = now.saturating_add(POSTPONED);
-        self.of(end).heard = again.saturating_sub(self.set.ping_interval_ns);
+    /// Records that a peer has pending output.
+    pub fn record_queued(&mut self, peer: Peer, now: Nanos) {
+        self.peer_mut(peer).output_blocked_since_ns.get_or_insert(now);
     }
 
-    /// It has been told that it has lived long enough.
-    pub fn ending(&mut self) {
-        self.old_at = Nanos::MAX;
+    /// Records that a peer took output, and whether that was all of it.
+    pub fn record_written(&mut self, peer: Peer, now: Nanos, is_drained: bool) {
+        self.peer_mut(peer).output_blocked_since_ns = (!is_drained).then_some(now);
     }
 
-    /// An end has left.
-    pub fn gone(&mut self, end: Peer) {
-        *self.of(end) = Watch { gone: true, ..Watch::default() };
+    /// Records that a peer was pinged.
+    pub fn record_ping(&mut self, peer: Peer, now: Nanos) {
+        self.peer_mut(peer).pinged_at_ns.get_or_insert(now);
     }
 
-    /// Another server has taken the place of the one that left.
-    pub fn renewed(&mut self, end: Peer, now: Nanos) {
-        *self.of(end) = Watch { heard: now, ..Watch::default() };
-        self.active = now;
+    /// Whether a peer has a ping to answer.
+    pub fn awaits_pong(&self, peer: Peer) -> bool {
+        self.peer(peer).pinged_at_ns.is_some()
     }
 
-    fn dues(&self) -> impl Iterator<Item = (Nanos, TimerEvent)> + '_ {
-        let set = &self.set;
-        let whole = [
-            (self.old_at, TimerEvent::Old),
-            (self.active.saturating_add(set.idle_timeout_ns), TimerEvent::Idle),
-        ];
-        let each = ENDS.into_iter().flat_map(move |end| {
-            let watch = &self.ends[end as usize];
-            let expected = !watch.gone && !watch.paused;
-            let silence = match watch.pinged {
-                None => (watch.heard.saturating_add(set.ping_interval_ns), TimerEvent::Ping(end)),
-                Some(at) => (at.saturating_add(set.pong_timeout_ns), TimerEvent::Silent(end)),
-            };
-            let dribble = watch
-                .message
-                .map(|at| (at.saturating_add(set.message_timeout_ns), TimerEvent::Dribble(end)));
-            let stalled = watch.blocked.map(|at| {
-                (at.saturating_add(set.write_stall_timeout_ns), TimerEvent::Stalled(end))
-            });
-            [Some(silence), dribble]
-                .into_iter()
-                .map(move |due| due.filter(|_| expected))
-                .chain([stalled.filter(|_| !watch.gone)])
-                .flatten()
-        });
-        whole.into_iter().chain(each)
+    /// Makes a ping that can't be sent now due again a second later.
+    pub fn postpone_ping(&mut self, peer: Peer, now: Nanos) {
+        let due_ns = now.saturating_add(PING_RETRY_NS);
+        self.peer_mut(peer).last_received_ns = due_ns.saturating_sub(self.config.ping_interval_ns);
     }
 
-    /// What is due now, the longest overdue first.
-    pub fn due(&self, now: Nanos) -> Option<TimerEvent> {
-        let due = self.dues().filter(|(at, _)| *at <= now);
-        due.min_by_key(|(at, _)| *at).map(|(_, due)| due)
+    /// Stops the timer of the lifetime, once its event has been handled.
+    pub fn stop_lifetime(&mut self) {
+        self.lifetime_ends_ns = Nanos::MAX;
     }
 
-    /// When something is due next.
-    pub fn next(&self) -> Nanos {
-        self.dues().map(|(at, _)| at).min().unwrap_or(Nanos::MAX)
+    /// Stops all timers of a peer that has disconnected.
+    pub fn stop_peer(&mut self, peer: Peer) {
+        *self.peer_mut(peer) = PeerTimers { is_disconnected: true, ..PeerTimers::default() };
     }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
 
-    const S: Nanos = 1_000_000_000;
+    /// Starts the timers of a peer that has taken the place of a disconnected one.
+    pub fn restart_peer(&mut self, peer: Peer, now: Nanos) {
+        *self.peer_mut(peer) = PeerTimers::connected_at(now);
+        self.last_message_ns = now;
+    }
 
-    fn life() -> SocketTimers {
-        let set = TimerConfig {
-            idle_timeout_ns: 300 * S,
-            max_lifetime_ns: 1000 * S,
-            ping_interval_ns: 30 * S,
-            pong_timeout_ns: 10 * S,
-            write_stall_timeout_ns: 5 * S,
-            message_timeout_ns: 60 * S,
-            close_timeout_ns: 5 * S,
+    fn deadlines(&self) -> impl Iterator<Item = Deadline> + '_ {
+        let lifetime =
+            Deadline { at_ns: self.lifetime_ends_ns, event: TimerEvent::LifetimeExceeded };
+        let idle = Deadline {
+            at_ns: self.last_message_ns.saturating_add(self.config.idle_timeout_ns),
+            event: TimerEvent::IdleTimeout,
         };
-        SocketTimers::new(set, 0, 0.5)
+        [lifetime, idle]
+            .into_iter()
+            .chain(self.client.deadlines(Peer::Client, &self.config))
+            .chain(self.server.deadlines(Peer::Server, &self.config))
     }
 
-    #[test]
-    fn a_quiet_end_is_pinged_and_then_taken_for_gone() {
-        let mut life = life();
-        life.heard(Peer::Server, 20 * S, false);
-        assert_eq!((life.next(), life.due(29 * S)), (30 * S, None));
-        assert_eq!(life.due(30 * S), Some(TimerEvent::Ping(Peer::Client)));
-        life.pinged(Peer::Client, 30 * S);
-        life.pinged(Peer::Client, 35 * S);
-        assert_eq!(life.due(39 * S), None);
-        assert_eq!(life.due(40 * S), Some(TimerEvent::Silent(Peer::Client)));
-        life.heard(Peer::Client, 39 * S, false);
-        assert_eq!(life.due(40 * S), None);
-        // One that is not read can't be heard.
-        life.paused(Peer::Client, true, 40 * S);
-        assert_eq!(life.due(48 * S), None);
-        life.paused(Peer::Client, false, 90 * S);
-        life.heard(Peer::Server, 90 * S, false);
-        assert_eq!(life.due(119 * S), None);
-        assert_eq!(life.due(120 * S), Some(TimerEvent::Ping(Peer::Client)));
-        life.gone(Peer::Client);
-        life.gone(Peer::Server);
-        assert_eq!(life.next(), 300 * S);
+    /// The event that is due now; of several, that with the earliest deadline.
+    pub fn due_event(&self, now: Nanos) -> Option<TimerEvent> {
+        let due = self.deadlines().filter(|deadline| deadline.at_ns <= now);
+        due.min_by_key(|deadline| deadline.at_ns).map(|deadline| deadline.event)
     }
 
-    #[test]
-    fn idle_old_stalled_and_dribbling_sockets_come_due() {
-        let mut life = life();
-        let quiet = |life: &mut SocketTimers, now| {
-            life.heard(Peer::Client, now, false);
-            life.heard(Peer::Server, now, false);
-        };
-        quiet(&mut life, 299 * S);
-        assert_eq!(life.due(300 * S), Some(TimerEvent::Idle));
-        life.active(Peer::Server, 299 * S);
-        assert_eq!(life.due(300 * S), None);
-        life.waits(Peer::Client, 300 * S);
-        life.waits(Peer::Client, 304 * S);
-        assert_eq!(life.due(305 * S), Some(TimerEvent::Stalled(Peer::Client)));
-        life.took(Peer::Client, 304 * S, false);
-        assert_eq!(life.due(305 * S), None);
-        life.took(Peer::Client, 306 * S, true);
-        assert_eq!(life.due(328 * S), None);
-        for at in 0..60 {
-            quiet(&mut life, (310 + at) * S);
-            life.heard(Peer::Client, (310 + at) * S, true);
-        }
-        assert_eq!(life.due(369 * S), None);
-        quiet(&mut life, 369 * S);
-        assert_eq!(life.due(371 * S), None, "it was whole in time");
-        life.heard(Peer::Client, 371 * S, true);
-        life.heard(Peer::Client, 430 * S, true);
-        life.heard(Peer::Server, 430 * S, true);
-        assert_eq!(life.due(431 * S), Some(TimerEvent::Dribble(Peer::Client)));
-        // Between 0.9 and 1 of its longest life, as it was drawn.
-        quiet(&mut life, 949 * S);
-        life.active(Peer::Client, 949 * S);
-        assert_eq!(life.due(950 * S), Some(TimerEvent::Old));
+    /// When the next event is due.
+    pub fn next_deadline(&self) -> Nanos {
+        self.deadlines().map(|deadline| deadline.at_ns).min().unwrap_or(Nanos::MAX)
     }
 }
--- a/crates/websocket/tests/session.rs
+++ b/crates/websocket/tests/session.rs
@@ -1,7 +1,8 @@
 //! Sessions under drawn traffic, splits, failures and orders, read by an implementation of the
 //! protocol that shares nothing with this one.
 
-use mintshelf_websocket::frame::{FrameDecoder, Peer};
+use mintshelf_websocket::frame::{ControlAction, ControlFrame, FrameDecoder};
+use mintshelf_websocket::peer::Peer;
 use mintshelf_websocket::session::{
     ClosedBy, EvictionRequest, Resume, Session, SessionAction, SessionConfig,
 };
@@ -354,9 +355,9 @@
         let mut last = false;
         for byte in &client_read {
             prop_assert!(!last, "bytes behind a close frame");
-            follower.follow(&[*byte], &mut Vec::new(), |control| {
-                behind = matches!(control, mintshelf_websocket::frame::Control::Close(_));
-                mintshelf_websocket::frame::Fate::Swallow
+            follower.forward(&[*byte], &mut Vec::new(), |control| {
+                behind = matches!(control, ControlFrame::Close(_));
+                ControlAction::Discard
             }).map_err(|e| TestCaseError::fail(format!("{e:?}")))?;
             last = behind;
         }
