--- a/crates/admission/benches/cost.rs
+++ b/crates/admission/benches/cost.rs
@@ -59,7 +59,7 @@
     println!("cost of one request, ns");
     for tenants in [1, 4, 64] {
         let (mut admission, names) = admission(tenants);
-        // Every tenant is active, as on a busy day.
+        // Every tenant is active, as under load.
         let through = cost(|n| {
             let (now, tenant) = (n * 10_000, &names[n as usize % tenants]);
             let _ = black_box(admission.begin_request(now, tenant, "r"));
@@ -111,85 +111,155 @@
     );
 }
 
-/// Places of the queue, and how long an answer takes.
+/// Concurrency of the queue.
 const PLACES: u32 = 20;
+/// Mean latency of a response.
 const SERVICE: Nanos = 10 * MS;
 const MEMBERS: usize = 4;
+/// Simulated time.
 const DURATION: Nanos = 60 * SECOND;
 
-struct Day {
-    /// Served in a second, by member.
+/// What a simulation came to.
+struct Outcome {
+    /// Requests served in a second, by member.
     served: [f64; MEMBERS],
-    /// Wait before its place, of the members that keep to their share.
+    /// Wait in the queue, of the members that stay within their share.
     p99: Nanos,
 }
 
-/// The first member asks `times` its share, the others 0.9 of theirs. `apart`: the queue
-/// knows them apart.
-fn day(times: f64, apart: bool) -> Day {
-    let mut rng = Pcg32::seed_from_u64(7);
-    let mut draw = || -(1.0 - f64::from(rng.next_u32()) / 4_294_967_296.0).ln();
-    let share = f64::from(PLACES) * SECOND as f64 / SERVICE as f64 / MEMBERS as f64;
-    let rates = [times, 0.9, 0.9, 0.9].map(|part| part * share);
-    let names: Vec<Rc<str>> =
-        (0..MEMBERS).map(|n| if apart { format!("m{n}").into() } else { "all".into() }).collect();
-    let shares = names.iter().map(|name| (name.clone(), 1.0)).collect();
-    let mut queue =
-        FairQueue::new(FairQueueConfig { max_concurrency: PLACES, max_queued: 400, shares });
-    // What happens when: a request of a member, or the end of one.
-    let mut events = BinaryHeap::new();
-    let mut number = 0u64;
-    for (n, rate) in rates.iter().enumerate() {
-        events.push(Reverse(((draw() / rate * SECOND as f64) as Nanos, 0, n, true)));
+/// A request of a member comes, or one that was admitted ends. Ordered by time, then by number.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Event {
+    at: Nanos,
+    number: u64,
+    member: usize,
+    is_arrival: bool,
+}
+
+/// A request that waits.
+struct Waiting {
+    member: usize,
+    since: Nanos,
+}
+
+struct Simulation {
+    rng: Pcg32,
+    queue: FairQueue,
+    names: Vec<Rc<str>>,
+    /// Requests in a second, by member.
+    rates: [f64; MEMBERS],
+    events: BinaryHeap<Reverse<Event>>,
+    last_number: u64,
+    waiting: HashMap<QueueTicket, Waiting>,
+    served: [u64; MEMBERS],
+    /// Waits of the members that stay within their share.
+    waits: Vec<Nanos>,
+}
+
+/// What a member can claim in a second.
+fn share_per_second() -> f64 {
+    f64::from(PLACES) * SECOND as f64 / SERVICE as f64 / MEMBERS as f64
+}
+
+impl Simulation {
+    /// The first member sends `multiple` of its share, the others 0.9 of theirs. With
+    /// `has_tenants` the queue tells them apart.
+    fn new(multiple: f64, has_tenants: bool) -> Self {
+        let name = |member| match has_tenants {
+            true => format!("m{member}").into(),
+            false => "all".into(),
+        };
+        let names: Vec<Rc<str>> = (0..MEMBERS).map(name).collect();
+        let shares = names.iter().map(|name| (name.clone(), 1.0)).collect();
+        let config = FairQueueConfig { max_concurrency: PLACES, max_queued: 400, shares };
+        Simulation {
+            rng: Pcg32::seed_from_u64(7),
+            queue: FairQueue::new(config),
+            names,
+            rates: [multiple, 0.9, 0.9, 0.9].map(|part| part * share_per_second()),
+            events: BinaryHeap::new(),
+            last_number: 0,
+            waiting: HashMap::new(),
+            served: [0; MEMBERS],
+            waits: Vec::new(),
+        }
+    }
+
+    /// Exponentially distributed with mean 1.
+    fn draw(&mut self) -> f64 {
+        -(1.0 - f64::from(self.rng.next_u32()) / 4_294_967_296.0).ln()
+    }
+
+    fn schedule_arrival(&mut self, now: Nanos, number: u64, member: usize) {
+        let at = now + (self.draw() / self.rates[member] * SECOND as f64) as Nanos;
+        self.events.push(Reverse(Event { at, number, member, is_arrival: true }));
     }
-    let mut waiting: HashMap<QueueTicket, (usize, Nanos)> = HashMap::new();
-    let (mut served, mut waits) = ([0u64; MEMBERS], Vec::new());
-    while let Some(Reverse((now, _, member, comes))) = events.pop() {
-        if now > DURATION {
-            break;
+
+    fn run(mut self) -> Outcome {
+        for member in 0..MEMBERS {
+            self.schedule_arrival(0, 0, member);
         }
-        number += 1;
-        let mut go = Vec::new();
-        let transitions = if comes {
-            let next = now + (draw() / rates[member] * SECOND as f64) as Nanos;
-            events.push(Reverse((next, number, member, true)));
-            let entry = QueueEntry {
-                tenant: names[member].clone(),
-                is_repeat: false,
-                priority_weight: 1.0,
-                deadline: now + SECOND,
-                expected_latency: SERVICE,
-            };
-            let (decision, transitions) = queue.enqueue(now, entry);
+        while let Some(Reverse(event)) = self.events.pop() {
+            if event.at > DURATION {
+                break;
+            }
+            self.last_number += 1;
+            self.step(event);
+        }
+        self.waits.sort_unstable();
+        let seconds = DURATION as f64 / SECOND as f64;
+        let p99 = self.waits.get(self.waits.len() * 99 / 100).copied().unwrap_or(0);
+        Outcome { served: self.served.map(|served| served as f64 / seconds), p99 }
+    }
+
+    fn step(&mut self, event: Event) {
+        let Event { at: now, member, .. } = event;
+        let mut admitted = Vec::new();
+        let transitions = if event.is_arrival {
+            self.schedule_arrival(now, self.last_number, member);
+            let (decision, transitions) = self.queue.enqueue(now, self.entry(now, member));
             match decision {
-                QueueDecision::Admit => go.push((member, now)),
+                QueueDecision::Admit => admitted.push(Waiting { member, since: now }),
                 QueueDecision::Wait(ticket) => {
-                    waiting.insert(ticket, (member, now));
+                    self.waiting.insert(ticket, Waiting { member, since: now });
                 }
                 QueueDecision::Reject(_) => {}
             }
             transitions
         } else {
-            served[member] += 1;
-            queue.complete(now, &names[member])
+            self.served[member] += 1;
+            self.queue.complete(now, &self.names[member])
         };
-        go.extend(transitions.admitted.iter().filter_map(|ticket| waiting.remove(ticket)));
+        let tickets = transitions.admitted.iter();
+        admitted.extend(tickets.filter_map(|ticket| self.waiting.remove(ticket)));
         for rejected in &transitions.rejected {
-            waiting.remove(&rejected.ticket);
+            self.waiting.remove(&rejected.ticket);
         }
-        for (member, came) in go {
-            number += 1;
-            let end = now + (draw() * SERVICE as f64) as Nanos;
-            events.push(Reverse((end, number, member, false)));
-            if member > 0 {
-                waits.push(now - came);
-            }
+        for request in admitted {
+            self.admit(now, &request);
+        }
+    }
+
+    fn entry(&self, now: Nanos, member: usize) -> QueueEntry {
+        QueueEntry {
+            tenant: self.names[member].clone(),
+            is_repeat: false,
+            priority_weight: 1.0,
+            deadline: now + SECOND,
+            expected_latency: SERVICE,
+        }
+    }
+
+    fn admit(&mut self, now: Nanos, request: &Waiting) {
+        self.last_number += 1;
+        let at = now + (self.draw() * SERVICE as f64) as Nanos;
+        let number = self.last_number;
+        let member = request.member;
+        self.events.push(Reverse(Event { at, number, member, is_arrival: false }));
+        if member > 0 {
+            self.waits.push(now - request.since);
         }
     }
-    waits.sort_unstable();
-    let seconds = DURATION as f64 / SECOND as f64;
-    let p99 = waits.get(waits.len() * 99 / 100).copied().unwrap_or(0);
-    Day { served: served.map(|n| n as f64 / seconds), p99 }
 }
 
 /// Jain's index of what each was served for what it could claim: its demand, or its share of
@@ -207,19 +277,19 @@
         "{:>9} | {:>6} {:>7} {:>7} {:>7} | {:>6} {:>7} {:>7} {:>7}",
         "multiple", "Jain", "first/s", "other/s", "p99 ms", "Jain", "first/s", "other/s", "p99 ms"
     );
-    for times in [1.0, 3.0, 10.0] {
-        let half = |apart| {
-            let day = day(times, apart);
-            let share = f64::from(PLACES) * SECOND as f64 / SERVICE as f64 / MEMBERS as f64;
+    for multiple in [1.0, 3.0, 10.0] {
+        let half = |has_tenants| {
+            let outcome = Simulation::new(multiple, has_tenants).run();
+            let share = share_per_second();
             // What the others leave of theirs is there for the first.
-            let first = (times * share).min(1.3 * share);
+            let first = (multiple * share).min(1.3 * share);
             let claims = [first, 0.9 * share, 0.9 * share, 0.9 * share];
-            let others = day.served[1..].iter().sum::<f64>() / 3.0;
-            let index = jain(&day.served, &claims);
-            let p99 = day.p99 as f64 / MS as f64;
-            format!("{index:>6.3} {:>7.0} {others:>7.0} {p99:>7.1}", day.served[0])
+            let others = outcome.served[1..].iter().sum::<f64>() / 3.0;
+            let index = jain(&outcome.served, &claims);
+            let p99 = outcome.p99 as f64 / MS as f64;
+            format!("{index:>6.3} {:>7.0} {others:>7.0} {p99:>7.1}", outcome.served[0])
         };
-        println!("{times:>9} | {} | {}", half(false), half(true));
+        println!("{multiple:>9} | {} | {}", half(false), half(true));
     }
 }
 
--- a/crates/admission/src/limit.rs
+++ b/crates/admission/src/limit.rs
@@ -12,7 +12,7 @@
     pub max_concurrency: Option<u32>,
     /// Bytes of request bodies in memory at one time.
     pub max_body_bytes: Option<u64>,
-    /// Open WebSockets at one time.
+    /// Open WebSocket connections at one time.
     pub max_sockets: Option<u32>,
 }
 
--- a/crates/admission/tests/queue.rs
+++ b/crates/admission/tests/queue.rs
@@ -14,7 +14,7 @@
 use std::rc::Rc;
 
 const MS: Nanos = 1_000_000;
-const S: Nanos = 1_000 * MS;
+const SECOND: Nanos = 1_000 * MS;
 
 fn config(max_concurrency: u32, max_queued: u32, shares: &[(&str, f64)]) -> FairQueueConfig {
     let shares = shares.iter().map(|(name, share)| ((*name).into(), *share)).collect();
@@ -26,7 +26,7 @@
         tenant: tenant.into(),
         is_repeat: false,
         priority_weight: 1.0,
-        deadline: 100 * S,
+        deadline: 100 * SECOND,
         expected_latency: 0,
     }
 }
@@ -51,11 +51,11 @@
         deadline,
         ..entry("a")
     };
-    assert_eq!(queue.enqueue(0, of(1.0, false, S)).0, QueueDecision::Admit);
-    let cheap = waits(queue.enqueue(0, of(1.0, false, S)).0);
-    let again = waits(queue.enqueue(0, of(9.0, true, S)).0);
+    assert_eq!(queue.enqueue(0, of(1.0, false, SECOND)).0, QueueDecision::Admit);
+    let cheap = waits(queue.enqueue(0, of(1.0, false, SECOND)).0);
+    let again = waits(queue.enqueue(0, of(9.0, true, SECOND)).0);
     // A first try comes before a repeat, whatever that is worth.
-    let (decision, transitions) = queue.enqueue(1, of(2.0, false, 2 * S));
+    let (decision, transitions) = queue.enqueue(1, of(2.0, false, 2 * SECOND));
     let dear = waits(decision);
     assert_eq!(
         transitions.rejected,
@@ -63,19 +63,19 @@
     );
     // The same worth, and more time: it is the one to go, at once.
     assert_eq!(
-        queue.enqueue(2, of(1.0, false, 3 * S)).0,
+        queue.enqueue(2, of(1.0, false, 3 * SECOND)).0,
         QueueDecision::Reject(RejectReason::QueueFull)
     );
-    let (decision, transitions) = queue.enqueue(2, of(1.0, false, S / 2));
+    let (decision, transitions) = queue.enqueue(2, of(1.0, false, SECOND / 2));
     let urgent = waits(decision);
     assert_eq!(
         transitions.rejected,
         [RejectedTicket { ticket: cheap, reason: RejectReason::QueueFull }]
     );
-    let a: Rc<str> = "a".into();
-    assert_eq!(queue.complete(3, &a).admitted, [dear]);
-    assert_eq!(queue.complete(4, &a).admitted, [urgent]);
-    assert_eq!(queue.complete(5, &a), QueueTransitions::default());
+    let tenant: Rc<str> = "a".into();
+    assert_eq!(queue.complete(3, &tenant).admitted, [dear]);
+    assert_eq!(queue.complete(4, &tenant).admitted, [urgent]);
+    assert_eq!(queue.complete(5, &tenant), QueueTransitions::default());
     assert_eq!(queue.usage(), usage(0, 0));
 }
 
@@ -83,10 +83,13 @@
 fn what_can_no_longer_be_answered_is_not_sent() {
     let mut queue = FairQueue::new(config(1, 9, &[]));
     let of = |deadline, expected_latency| QueueEntry { deadline, expected_latency, ..entry("a") };
-    assert_eq!(queue.enqueue(0, of(S, 2 * S)).0, QueueDecision::Reject(RejectReason::TooLate));
-    assert_eq!(queue.enqueue(0, of(S, 0)).0, QueueDecision::Admit);
-    let late = waits(queue.enqueue(0, of(S, 300 * MS)).0);
-    let fits = waits(queue.enqueue(0, of(2 * S, 300 * MS)).0);
+    assert_eq!(
+        queue.enqueue(0, of(SECOND, 2 * SECOND)).0,
+        QueueDecision::Reject(RejectReason::TooLate)
+    );
+    assert_eq!(queue.enqueue(0, of(SECOND, 0)).0, QueueDecision::Admit);
+    let late = waits(queue.enqueue(0, of(SECOND, 300 * MS)).0);
+    let fits = waits(queue.enqueue(0, of(2 * SECOND, 300 * MS)).0);
     let transitions = queue.complete(800 * MS, &"a".into());
     assert_eq!(
         transitions,
@@ -118,8 +121,8 @@
     for _ in 0..8 {
         let _ = queue.complete(3 * MS, &calm);
     }
-    let _ = queue.complete(5 * S, &greedy);
-    let _ = queue.complete(5 * S, &greedy);
+    let _ = queue.complete(5 * SECOND, &greedy);
+    let _ = queue.complete(5 * SECOND, &greedy);
     assert_eq!(queue.usage().in_flight, 16);
 }
 
@@ -231,7 +234,7 @@
         }
         // When all that is in it ends, all that waits has its turn or is too late.
         while let Some(tenant) = inside.pop() {
-            now += 2 * S;
+            now += 2 * SECOND;
             let transitions = queue.complete(now, &tenant);
             carry(transitions, &mut waiting, &mut inside);
         }
--- a/crates/admission/tests/slots.rs
+++ b/crates/admission/tests/slots.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-const S: Nanos = 1_000_000_000;
+const SECOND: Nanos = 1_000_000_000;
 
 fn owner(tenant: &str) -> SlotOwner {
     SlotOwner { tenant: tenant.into(), route: "r".into(), cluster: "c".into() }
@@ -30,16 +30,16 @@
     assert_eq!(rejected.reclaim_from.as_deref(), Some("early"));
     // The slot that is freed is reserved for it, and not given back.
     slots.release(&owner("early"));
-    let again = slots.acquire(S, &owner("early")).unwrap_err();
+    let again = slots.acquire(SECOND, &owner("early")).unwrap_err();
     assert_eq!(again, SlotRejected { reason: SlotUnavailable::Full, reclaim_from: None });
-    slots.acquire(S, &owner("late")).unwrap();
+    slots.acquire(SECOND, &owner("late")).unwrap();
     for _ in 0..4 {
-        let rejected = slots.acquire(2 * S, &owner("late")).unwrap_err();
+        let rejected = slots.acquire(2 * SECOND, &owner("late")).unwrap_err();
         assert!(rejected.reclaim_from.is_some());
         slots.release(&owner("early"));
-        slots.acquire(2 * S, &owner("late")).unwrap();
+        slots.acquire(2 * SECOND, &owner("late")).unwrap();
     }
-    let enough = slots.acquire(3 * S, &owner("late")).unwrap_err();
+    let enough = slots.acquire(3 * SECOND, &owner("late")).unwrap_err();
     assert_eq!(enough.reclaim_from, None, "both have their halves");
     // A claim that nobody comes for is let go.
     let mut slots = table(2);
@@ -87,7 +87,7 @@
         let mut open = [0u32; 4];
         let mut now = 0;
         for (who, what) in steps {
-            now += S / 10;
+            now += SECOND / 10;
             if what == 0 && open[who] > 0 {
                 slots.release(&owner(names[who]));
                 open[who] -= 1;
@@ -100,7 +100,7 @@
         // All four want as many as they can get, and go when they are asked.
         for _ in 0..200 {
             for who in 0..4 {
-                now += S / 10;
+                now += SECOND / 10;
                 match slots.acquire(now, &owner(names[who])) {
                     Ok(()) => open[who] += 1,
                     Err(SlotRejected { reclaim_from: Some(from), .. }) => {
--- a/crates/retry/src/attempts.rs
+++ b/crates/retry/src/attempts.rs
@@ -109,7 +109,8 @@
         let is_idempotent = self.policy.effect == Effect::Idempotent;
         let has_target = conditions.has_other_endpoint
             || self.policy.attempt_timeout != AttemptTimeout::Adaptive;
-        if !is_idempotent && !(conditions.has_budget && has_target) {
+        let can_retry = conditions.has_budget && has_target;
+        if !is_idempotent && !can_retry {
             return TimeoutAction::RecheckAfter((timeout / RECHECK_DIVISOR).max(MIN_RECHECK_DELAY));
         }
         self.counts.timed_out += 1;
--- a/crates/routing/tests/matching.rs
+++ b/crates/routing/tests/matching.rs
@@ -1,7 +1,11 @@
-//! The table against a plain matcher, and the rules of precedence one by one.
+//! The table against a scan of all rules, and the rules of precedence one by one.
 
 use http::{HeaderMap, HeaderName, Method};
-use mintshelf_routing::*;
+use mintshelf_routing::path::has_dot_segments;
+use mintshelf_routing::{
+    ClusterSplit, FieldMatch, HostMatch, PathMatch, Pattern, RequestView, RouteRule, RouteTable,
+    ValueMatch,
+};
 use proptest::prelude::*;
 use std::sync::Arc;
 
@@ -31,39 +35,39 @@
 
 #[test]
 fn the_more_specific_host_wins() {
-    let t = table(vec![
+    let table = table(vec![
         rule("*", prefix("/")),
         rule("*.example", prefix("/")),
         rule("*.lab.example", prefix("/")),
         rule("a.lab.example", prefix("/only")),
     ]);
-    assert_eq!(find(&t, "other", "/"), Some(0));
-    assert_eq!(find(&t, "", "/"), Some(0));
-    assert_eq!(find(&t, "x.example:8080", "/"), Some(1));
+    assert_eq!(find(&table, "other", "/"), Some(0));
+    assert_eq!(find(&table, "", "/"), Some(0));
+    assert_eq!(find(&table, "x.example:8080", "/"), Some(1));
     // A wildcard stands for a label at least.
-    assert_eq!(find(&t, "example", "/"), Some(0));
-    assert_eq!(find(&t, "lab.example", "/"), Some(1));
-    assert_eq!(find(&t, "b.c.LAB.example", "/"), Some(2));
-    assert_eq!(find(&t, "a.lab.example", "/only/this"), Some(3));
+    assert_eq!(find(&table, "example", "/"), Some(0));
+    assert_eq!(find(&table, "lab.example", "/"), Some(1));
+    assert_eq!(find(&table, "b.c.LAB.example", "/"), Some(2));
+    assert_eq!(find(&table, "a.lab.example", "/only/this"), Some(3));
     // The exact host has no route for it, so the next one is asked.
-    assert_eq!(find(&t, "a.lab.example", "/else"), Some(2));
+    assert_eq!(find(&table, "a.lab.example", "/else"), Some(2));
 }
 
 #[test]
 fn exact_before_regex_before_the_longest_prefix() {
-    let t = table(vec![
+    let table = table(vec![
         rule("*", prefix("/a")),
         rule("*", prefix("/a/b/")),
         rule("*", exact("/a/b")),
         rule("*", regex("/a/[0-9]+")),
     ]);
-    assert_eq!(find(&t, "h", "/a/b"), Some(2));
-    assert_eq!(find(&t, "h", "/a/b/c"), Some(1));
-    assert_eq!(find(&t, "h", "/a/b/"), Some(1));
-    assert_eq!(find(&t, "h", "/a/bc"), Some(0));
-    assert_eq!(find(&t, "h", "/a/17"), Some(3));
-    assert_eq!(find(&t, "h", "/a/17x"), Some(0));
-    assert_eq!(find(&t, "h", "/ab"), None);
+    assert_eq!(find(&table, "h", "/a/b"), Some(2));
+    assert_eq!(find(&table, "h", "/a/b/c"), Some(1));
+    assert_eq!(find(&table, "h", "/a/b/"), Some(1));
+    assert_eq!(find(&table, "h", "/a/bc"), Some(0));
+    assert_eq!(find(&table, "h", "/a/17"), Some(3));
+    assert_eq!(find(&table, "h", "/a/17x"), Some(0));
+    assert_eq!(find(&table, "h", "/ab"), None);
 }
 
 #[test]
@@ -80,7 +84,7 @@
             ..RouteRule::default()
         }
     };
-    let t = table(vec![
+    let table = table(vec![
         on(vec![], 0, 0),
         on(vec![], 0, 1),
         on(vec![], 1, 0),
@@ -89,7 +93,9 @@
         on(vec![Method::GET], 0, 0),
     ]);
     let mut headers = HeaderMap::new();
-    let get = |m: &Method, uri: &str, h: &HeaderMap| t.find(&RequestView::new("", uri, m, h));
+    let get = |method: &Method, uri: &str, headers: &HeaderMap| {
+        table.find(&RequestView::new("", uri, method, headers))
+    };
     assert_eq!(get(&Method::GET, "/?q0=1", &headers), Some(4));
     assert_eq!(get(&Method::PUT, "/", &headers), Some(0));
     assert_eq!(get(&Method::PUT, "/?q0", &headers), Some(1));
@@ -100,7 +106,7 @@
 }
 
 #[test]
-fn hosts_and_expressions_that_mean_nothing_are_refused() {
+fn hosts_and_expressions_that_mean_nothing_are_rejected() {
     for text in ["", "a b", "a.*", "*a", "http://a", "a:80", "a..b", "[::zz]", "*."] {
         assert!(HostMatch::parse(text).is_err(), "{text}");
     }
@@ -113,24 +119,25 @@
 }
 
 #[test]
-fn paths_that_climb_are_seen() {
+fn paths_with_dot_segments_are_found() {
     for path in ["/a/../b", "/..", "/a/.", "/%2e%2E/a", "/.%2e/"] {
-        assert!(mintshelf_routing::path::has_dot_segments(path), "{path}");
+        assert!(has_dot_segments(path), "{path}");
     }
     for path in ["/a..b", "/...", "/a/.b", "/"] {
-        assert!(!mintshelf_routing::path::has_dot_segments(path), "{path}");
+        assert!(!has_dot_segments(path), "{path}");
     }
 }
 
 #[test]
-fn a_split_goes_by_weight_and_sticks_to_its_key() {
-    let split = |b: u32| ClusterSplit::new([("a".to_string(), 1), ("b".to_string(), b)]).unwrap();
+fn a_split_follows_the_weights_and_the_same_key_stays() {
+    let split =
+        |weight: u32| ClusterSplit::new([("a".to_string(), 1), ("b".to_string(), weight)]).unwrap();
     let (three, four) = (split(3), split(4));
     let keys: Vec<[u8; 4]> = (0..20_000u32).map(u32::to_le_bytes).collect();
-    let to_b = keys.iter().filter(|k| three.pick(&k[..]) == "b").count();
+    let to_b = keys.iter().filter(|key| three.pick(&key[..]) == "b").count();
     assert!((14_500..15_500).contains(&to_b), "{to_b}");
     // With more weight on b no key leaves it.
-    assert!(keys.iter().all(|k| three.pick(&k[..]) == "a" || four.pick(&k[..]) == "b"));
+    assert!(keys.iter().all(|key| three.pick(&key[..]) == "a" || four.pick(&key[..]) == "b"));
     assert!(ClusterSplit::new([("a".to_string(), 0)]).is_none());
 }
 
@@ -185,23 +192,23 @@
     #![proptest_config(ProptestConfig { cases: 600, failure_persistence: None,
         rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
-    /// The look-ups find what asking every rule finds.
+    /// The look-ups find what a scan of all rules finds.
     #[test]
-    fn the_table_agrees_with_the_plain_matcher(
+    fn the_table_agrees_with_a_scan(
         rules in prop::collection::vec(rule_strategy(), 1..24),
-        asked in prop::collection::vec((host_strategy(), path_strategy(), 0usize..3,
+        requests in prop::collection::vec((host_strategy(), path_strategy(), 0usize..3,
             prop::sample::select(vec!["", "1", "x"]), prop::sample::select(vec!["", "?p=1", "?q&p=x"])), 12),
     ) {
         let table = table(rules);
-        for (host, path, method, header, query) in asked {
+        for (host, path, method, header, query) in requests {
             let method = [Method::GET, Method::PUT, Method::POST][method].clone();
             let mut headers = HeaderMap::new();
             if !header.is_empty() {
                 headers.insert(HeaderName::from_static("x-a"), header.parse().unwrap());
             }
             let uri = format!("{path}{query}");
-            let probe = RequestView::new(&host, &uri, &method, &headers);
-            prop_assert_eq!(table.find(&probe), table.find_by_scan(&probe), "{} {}", host, uri);
+            let request = RequestView::new(&host, &uri, &method, &headers);
+            prop_assert_eq!(table.find(&request), table.find_by_scan(&request), "{} {}", host, uri);
         }
     }
 }
