--- a/crates/config/src/admission.rs
+++ b/crates/config/src/admission.rs
@@ -70,7 +70,7 @@
     limited.collect()
 }
 
-/// The slots of WebSockets.
+/// The slots of WebSocket connections.
 pub fn slot_config(config: &OperatorConfig) -> SlotConfig {
     let tenants = config.tenants.iter().filter_map(|tenant| {
         let max_sockets = tenant.limit.max_sockets?;
--- a/crates/config/src/balancer.rs
+++ b/crates/config/src/balancer.rs
@@ -59,11 +59,11 @@
     pub servers: Vec<(ListedServer, SocketAddr)>,
     /// Upper bounds of the connections.
     pub connections: ConnectionLimits,
-    /// Upper bounds of the WebSockets.
+    /// Upper bounds of the WebSocket connections.
     pub sockets: ConnectionLimits,
     /// The load of an open WebSocket, where that of a request is 1.
     pub socket_weight: f64,
-    /// The time over which WebSockets leave an endpoint that has gone.
+    /// The time over which WebSocket connections leave an endpoint that has gone.
     pub socket_spread: Nanos,
     /// The time over which traffic returns after an outage of the whole cluster.
     pub recovery_ramp: Nanos,
--- a/crates/config/src/file/clusters.rs
+++ b/crates/config/src/file/clusters.rs
@@ -21,7 +21,7 @@
 const DEFAULT_ATTEMPTS: u32 = 3;
 /// Longest wait for a connection that a file may state.
 pub const MAX_CONNECT_TIMEOUT: Duration = Duration::from_secs(60);
-/// The longest time over which traffic returns or WebSockets leave.
+/// The longest time over which traffic returns or WebSocket connections leave.
 const MAX_RAMP: Duration = Duration::from_secs(600);
 /// The load of an open WebSocket: it keeps a server busy for a small part of the time that a
 /// request does.
--- a/crates/config/src/file/limits.rs
+++ b/crates/config/src/file/limits.rs
@@ -92,7 +92,7 @@
     ConnectionLimits { total: max("connections"), per_endpoint: max("endpoint-connections") }
 }
 
-/// Parses the upper bounds of a cluster's WebSockets.
+/// Parses the upper bounds of a cluster's WebSocket connections.
 pub fn sockets(table: &Table) -> ConnectionLimits {
     ConnectionLimits {
         total: max_sockets(table, "sockets", "connections"),
@@ -100,8 +100,8 @@
     }
 }
 
-/// The upper bound of WebSockets under one key. Where connections are limited, a quarter of them
-/// is left to requests.
+/// The upper bound of WebSocket connections under one key. Where connections are limited, a
+/// quarter of them is left to requests.
 fn max_sockets(table: &Table, key: &'static str, connections_key: &'static str) -> Option<u32> {
     let connections = table.optional_integer(connections_key, 1, 1..=MAX_LIMIT);
     let available = connections.map(|max| max.value - max.value.div_ceil(REQUEST_DIVISOR));
--- a/crates/config/src/file/sockets.rs
+++ b/crates/config/src/file/sockets.rs
@@ -1,4 +1,4 @@
-//! WebSockets: which routes forward handshakes, and the limits of their connections.
+//! WebSocket: which routes forward handshakes, and the limits of the connections.
 
 use super::error::FieldError;
 use super::parsed::{ParsedClasses, ParsedRoute};
@@ -18,11 +18,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Part of the connections to servers that WebSockets may take: the rest is for requests.
+/// Part of the connections to servers that may be WebSocket: the rest is for requests.
 const MAX_UPSTREAM_SHARE: f64 = 0.8;
-/// Part of the file descriptors that WebSockets take unless the file says otherwise.
+/// Part of the file descriptors that WebSocket connections take unless the file says otherwise.
 const DEFAULT_SHARE: f64 = 0.2;
-/// The time over which WebSockets are closed at the end, unless the file says otherwise.
+/// The time over which they are closed at the end, unless the file says otherwise.
 pub const DEFAULT_DRAIN: Duration = Duration::from_secs(5);
 const MAX_DRAIN: Duration = Duration::from_secs(600);
 
@@ -152,8 +152,8 @@
     }
 }
 
-/// Gives the WebSockets of each route the limits of its class, and checks that only safe
-/// requests are resumed: what restores a connection is sent again after it has run.
+/// Gives the WebSocket connections of each route the limits of its class, and checks that only
+/// safe requests are resumed: what restores a connection is sent again after it has run.
 pub fn apply_classes(top: &Table, routes: &mut [ParsedRoute], classes: &ParsedClasses) {
     for parsed in routes {
         let Some(place) = &parsed.websocket else { continue };
@@ -187,12 +187,12 @@
     }
 }
 
-/// Upper bound of the WebSockets of a process that states none.
+/// Upper bound of the WebSocket connections of a process that states none.
 pub fn default_max_websockets(file_descriptors: usize) -> u32 {
     (file_descriptors as f64 * DEFAULT_SHARE) as u32
 }
 
-/// Parses the upper bound of the WebSockets of a process.
+/// Parses the upper bound of the WebSocket connections of a process.
 pub fn max_websockets(limits: &Table, file_descriptors: usize) -> u32 {
     let default = default_max_websockets(file_descriptors);
     let stated = limits.integer("websockets", default, 0..=1 << 20);
@@ -210,7 +210,7 @@
     stated.value
 }
 
-/// Parses the time over which the WebSockets of a process are closed at its end.
+/// Parses the time over which the WebSocket connections of a process are closed at its end.
 pub fn drain(limits: &Table) -> Duration {
     limits.duration("websocket-drain", DEFAULT_DRAIN, ms(0)..=MAX_DRAIN).value
 }
--- a/crates/config/src/model/class.rs
+++ b/crates/config/src/model/class.rs
@@ -1,4 +1,5 @@
-//! Request classes: their effect and times, and the settings of their attempts and WebSockets.
+//! Request classes: their effect and times, and the settings of their attempts and of their
+//! WebSocket connections.
 
 use mintshelf_balancer::api::Effect;
 use mintshelf_retry::policy::HedgePolicy;
@@ -23,7 +24,7 @@
     pub late_weight: f64,
     /// What its attempts may do.
     pub attempts: AttemptSettings,
-    /// The limits of its WebSockets.
+    /// The limits of its WebSocket connections.
     pub sockets: SocketSettings,
 }
 
@@ -71,7 +72,7 @@
     On(HedgePolicy),
 }
 
-/// The limits of the WebSockets of a class.
+/// The limits of the WebSocket connections of a class.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SocketSettings {
     /// Their timers.
--- a/crates/config/src/model/cluster.rs
+++ b/crates/config/src/model/cluster.rs
@@ -33,11 +33,11 @@
     pub concurrency: Option<ConcurrencyLimit>,
     /// Upper bounds of the connections.
     pub connections: ConnectionLimits,
-    /// Upper bounds of the WebSockets.
+    /// Upper bounds of the WebSocket connections.
     pub sockets: ConnectionLimits,
     /// The load of an open WebSocket, where that of a request is 1.
     pub socket_weight: f64,
-    /// The time over which WebSockets leave an endpoint that has gone.
+    /// The time over which WebSocket connections leave an endpoint that has gone.
     pub socket_spread: Duration,
     /// Longest `Retry-After` that a client is given.
     pub max_retry_after: Duration,
@@ -64,7 +64,7 @@
     pub max_queued: u32,
 }
 
-/// Upper bounds of connections or WebSockets; no bound where absent.
+/// Upper bounds of the connections of one kind; no bound where absent.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ConnectionLimits {
     /// To all endpoints of a cluster.
--- a/crates/config/src/model/process.rs
+++ b/crates/config/src/model/process.rs
@@ -9,7 +9,7 @@
 /// Part of the file descriptors that is reserved for connections to servers. A client being
 /// served takes one of each; most clients are idle.
 pub const UPSTREAM_SHARE: f64 = 0.4;
-/// Part of the memory limit that the queues of WebSockets may fill.
+/// Part of the memory limit that the queues of WebSocket connections may fill.
 pub const SOCKET_QUEUE_SHARE: f64 = 0.2;
 /// Part of the memory limit that the bodies of requests may fill. The rest is for the
 /// libraries' buffers (32 KiB each way a connection at most) and for responses.
@@ -56,9 +56,9 @@
     pub stream_timeout: Duration,
     /// Whether a client that ends its sending before it has its response counts as gone.
     pub abort_on_close: bool,
-    /// Upper bound of the open WebSockets.
+    /// Upper bound of the open WebSocket connections.
     pub max_websockets: u32,
-    /// The time over which WebSockets are closed when the process or their listener ends.
+    /// The time over which they are closed when the process or their listener ends.
     pub websocket_drain: Duration,
 }
 
--- a/crates/config/src/model/route.rs
+++ b/crates/config/src/model/route.rs
@@ -66,7 +66,7 @@
 pub struct WebSocket {
     /// What of a handshake is forwarded.
     pub terms: Terms,
-    /// The limits of its WebSockets.
+    /// The limits of its WebSocket connections.
     pub session: Rc<SessionConfig>,
 }
 
