--- a/crates/mintshelf/tests/compatibility/bindings.rs
+++ b/crates/mintshelf/tests/compatibility/bindings.rs
@@ -4,7 +4,7 @@
 
 use super::fixtures::hex;
 use mintshelf_balancer::api::{Action, EndpointState};
-use mintshelf_balancer::gossip::GossipMessage;
+use mintshelf_balancer::gossip::{GossipMessage, ServerObservation};
 use mintshelf_config::platform::{Names, PlatformConfig};
 use mintshelf_consensus::persistent_state::PersistentState;
 use mintshelf_consensus::replica::{Replica, ReplicaStatus};
@@ -200,7 +200,8 @@
 
 /// A gossip datagram.
 pub fn encoded_gossip() -> Vec<u8> {
-    let servers = vec![(51, 2.5, 4.0), (70_000, -0.75, 0.5)];
+    let observation = |(server, sum, count)| ServerObservation { server, sum, count };
+    let servers = [(51, 2.5, 4.0), (70_000, -0.75, 0.5)].map(observation).to_vec();
     GossipMessage { weight: 0.5, tenants: vec![3.25, 0.0], servers }.encode()
 }
 
@@ -209,7 +210,9 @@
 
 /// What a datagram says: weight, traffic of each tenant, endpoints.
 pub fn decoded_gossip(bytes: &[u8]) -> Option<(f64, Vec<f64>, Vec<EndpointGossip>)> {
-    GossipMessage::decode(bytes).map(|said| (said.weight, said.tenants, said.servers))
+    let message = GossipMessage::decode(bytes)?;
+    let seen = message.servers.iter().map(|seen| (seen.server, seen.sum, seen.count)).collect();
+    Some((message.weight, message.tenants, seen))
 }
 
 /// What an endpoint list says, a line for the list and one for each endpoint.
