--- a/crates/mintshelf/tests/conformance/wire.rs
+++ b/crates/mintshelf/tests/conformance/wire.rs
@@ -19,10 +19,10 @@
         let batch = format!("clock {}\ntarget_instance sidecar_0\n{events}\nyour_turn", self.now);
         let mut ready = false;
         for line in batch.lines() {
-            ready = self.host.line(line).unwrap_or_else(|e| panic!("{e}: {line}"));
+            ready = self.host.read_line(line).unwrap_or_else(|e| panic!("{e}: {line}"));
         }
         assert!(ready, "no reply");
-        for line in self.host.reply().lines() {
+        for line in self.host.take_reply().lines() {
             let words: Vec<&str> = line.split(' ').collect();
             match words[..] {
                 ["forward", _, server, ..] => self.forwards.push(server.parse().unwrap()),
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,54 +1,40 @@
-//! Hosts instances of the decision module: lines in, a reply for each batch out.
+//! Hosts balancers: takes lines of input and writes one reply for each batch.
 
-use crate::wire::{write_action, Message, Reader, WireError};
-use mintshelf_balancer::api::{Action, Nanos};
+use crate::wire::{write_action, Message, Problem, Reader, WireError};
+use mintshelf_balancer::api::{Action, Event, Nanos, Settings};
 use mintshelf_balancer::decide::Balancer;
 use std::collections::HashMap;
 
-/// All instances of one process, and what they have said since the last reply.
+/// All balancers of one process, and the reply to the current batch.
 #[derive(Default)]
 pub struct Host {
     reader: Reader,
     instances: HashMap<u64, Balancer>,
     now: Nanos,
+    /// Instance that the events concern.
     target: u64,
-    said: Option<u64>,
+    /// Instance of the last actions in the reply.
+    reply_instance: Option<u64>,
     reply: String,
     actions: Vec<Action>,
 }
 
 impl Host {
-    fn bad(&self, field: &str, what: &str) -> WireError {
-        WireError { line: self.reader.lines(), field: field.into(), what: what.into() }
-    }
-
-    /// Takes one line; true when a reply is ready.
-    pub fn line(&mut self, text: &str) -> Result<bool, WireError> {
-        match self.reader.line(text)? {
+    /// Takes one line, without its end; returns whether a reply is ready.
+    ///
+    /// # Errors
+    ///
+    /// [`WireError`] if the line breaks the protocol.
+    pub fn read_line(&mut self, text: &str) -> Result<bool, WireError> {
+        match self.reader.read_line(text)? {
             None => {}
-            Some(Message::Clock(now)) => {
-                if now < self.now {
-                    return Err(self.bad("clock", "moves backwards"));
-                }
-                self.now = now;
-                self.said = None;
-            }
+            Some(Message::Clock(now)) => self.begin_batch(now)?,
             Some(Message::Target(number)) => self.target = number,
-            Some(Message::Attach { seed, settings }) => {
-                let balancer = Balancer::new(*settings, seed, self.now, &mut self.actions);
-                self.instances.insert(self.target, balancer);
-                self.flush_actions();
-            }
+            Some(Message::Attach { seed, settings }) => self.attach(seed, *settings),
             Some(Message::Killed) => {
                 self.instances.remove(&self.target);
             }
-            Some(Message::Event(event)) => {
-                let Some(instance) = self.instances.get_mut(&self.target) else {
-                    return Err(self.bad("target_instance", "names an instance not attached"));
-                };
-                instance.handle(self.now, event, &mut self.actions);
-                self.flush_actions();
-            }
+            Some(Message::Event(event)) => self.handle(event)?,
             Some(Message::YourTurn) => {
                 self.reply.push_str("done\n");
                 return Ok(true);
@@ -57,29 +43,64 @@
         Ok(false)
     }
 
-    /// The reply that is ready; the next one begins.
-    pub fn reply(&mut self) -> String {
+    /// Takes the reply that is ready; the next one begins empty.
+    #[must_use]
+    pub fn take_reply(&mut self) -> String {
         std::mem::take(&mut self.reply)
     }
 
-    /// How many lines have come.
+    /// Number of lines read.
+    #[must_use]
     pub fn lines(&self) -> u64 {
         self.reader.lines()
     }
 
-    /// The end of input, which may not come inside a message.
+    /// Checks that the input may end here.
+    ///
+    /// # Errors
+    ///
+    /// [`WireError`] inside a batch.
     pub fn finish(&self) -> Result<(), WireError> {
         self.reader.finish()
     }
 
-    fn flush_actions(&mut self) {
-        // The simulator's wire cannot take a timer back; it fires and does nothing.
+    fn begin_batch(&mut self, now: Nanos) -> Result<(), WireError> {
+        if now < self.now {
+            return Err(self.error("clock", Problem::ClockBackwards));
+        }
+        self.now = now;
+        self.reply_instance = None;
+        Ok(())
+    }
+
+    fn attach(&mut self, seed: u64, settings: Settings) {
+        let balancer = Balancer::new(settings, seed, self.now, &mut self.actions);
+        self.instances.insert(self.target, balancer);
+        self.write_actions();
+    }
+
+    fn handle(&mut self, event: Event) -> Result<(), WireError> {
+        let Some(instance) = self.instances.get_mut(&self.target) else {
+            return Err(self.error("target_instance", Problem::NotAttached));
+        };
+        instance.handle(self.now, event, &mut self.actions);
+        self.write_actions();
+        Ok(())
+    }
+
+    fn error(&self, field: &str, problem: Problem) -> WireError {
+        WireError { line: self.reader.lines(), field: field.into(), problem }
+    }
+
+    /// Moves the actions of the target into the reply.
+    fn write_actions(&mut self) {
+        // The simulator's wire cannot drop a timer; it fires and has no effect.
         self.actions.retain(|action| !matches!(action, Action::DropTimer { .. }));
-        if !self.actions.is_empty() && self.said != Some(self.target) {
+        if !self.actions.is_empty() && self.reply_instance != Some(self.target) {
             self.reply.push_str("from sidecar_");
             self.reply.push_str(&self.target.to_string());
             self.reply.push('\n');
-            self.said = Some(self.target);
+            self.reply_instance = Some(self.target);
         }
         for action in self.actions.drain(..) {
             write_action(&mut self.reply, &action);
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -1,4 +1,18 @@
-//! The decision module on the simulator's wire.
+//! Runs balancers on the simulator's line protocol.
+//!
+//! [`host::Host`] takes the lines of a batch and returns the reply; [`wire`] parses the lines
+//! into events and writes actions. No decisions are made here.
+//!
+//! ```
+//! use mintshelf_simulator_adapter::host::Host;
+//!
+//! let mut host = Host::default();
+//! assert!(!host.read_line("clock 5")?);
+//! assert!(host.read_line("your_turn")?);
+//! assert_eq!(host.take_reply(), "done\n");
+//! host.finish()?;
+//! # Ok::<(), mintshelf_simulator_adapter::wire::WireError>(())
+//! ```
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,30 +1,50 @@
-//! Hosts instances of the decision module on the line protocol: standard
-//! input to standard output, one reply for each batch.
+//! Hosts balancers on the line protocol: standard input to standard output, one reply for each
+//! batch.
 
 use mintshelf_simulator_adapter::host::Host;
+use mintshelf_simulator_adapter::wire::WireError;
 use std::io::{self, BufRead, BufReader, Write};
 use std::process::ExitCode;
+use std::str::Utf8Error;
+use thiserror::Error;
 
-fn run() -> Result<(), String> {
-    let mut input = BufReader::with_capacity(1 << 16, io::stdin().lock());
+/// Size of the buffer for standard input, in bytes; a batch can be far longer.
+const INPUT_BUFFER_BYTES: usize = 1 << 16;
+
+/// Why the adapter stopped.
+#[derive(Debug, Error)]
+enum AdapterError {
+    #[error("standard input: {0}")]
+    Input(io::Error),
+    #[error("standard output: {0}")]
+    Output(io::Error),
+    #[error("line {line}: text: {cause}")]
+    NotUtf8 { line: u64, cause: Utf8Error },
+    #[error(transparent)]
+    Wire(#[from] WireError),
+}
+
+/// Answers batches until the input ends.
+fn run() -> Result<(), AdapterError> {
+    let mut input = BufReader::with_capacity(INPUT_BUFFER_BYTES, io::stdin().lock());
     let mut output = io::stdout().lock();
     let mut host = Host::default();
-    let mut bytes = Vec::new();
+    let mut line = Vec::new();
     loop {
-        bytes.clear();
-        let read =
-            input.read_until(b'\n', &mut bytes).map_err(|e| format!("standard input: {e}"))?;
+        line.clear();
+        let read = input.read_until(b'\n', &mut line).map_err(AdapterError::Input)?;
         if read == 0 {
-            return host.finish().map_err(|e| e.to_string());
+            return Ok(host.finish()?);
         }
-        let end = bytes.strip_suffix(b"\n").map_or(bytes.len(), <[u8]>::len);
-        let text = std::str::from_utf8(&bytes[..end])
-            .map_err(|e| format!("line {}: text: {e}", host.lines() + 1))?;
-        if host.line(text).map_err(|e| e.to_string())? {
+        let text = line.strip_suffix(b"\n").unwrap_or(&line);
+        let text = std::str::from_utf8(text)
+            .map_err(|cause| AdapterError::NotUtf8 { line: host.lines() + 1, cause })?;
+        if host.read_line(text)? {
+            let reply = host.take_reply();
             output
-                .write_all(host.reply().as_bytes())
+                .write_all(reply.as_bytes())
                 .and_then(|()| output.flush())
-                .map_err(|e| format!("standard output: {e}"))?;
+                .map_err(AdapterError::Output)?;
         }
     }
 }
@@ -32,8 +52,8 @@
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(what) => {
-            eprintln!("mintshelf-simulator-adapter: {what}");
+        Err(error) => {
+            eprintln!("mintshelf-simulator-adapter: {error}");
             ExitCode::FAILURE
         }
     }
--- /dev/null
+++ b/crates/simulator-adapter/src/wire/fields.rs
@@ -0,0 +1,117 @@
+//! A cursor over the fields of one line.
+
+use super::{Problem, WireError};
+use std::str::FromStr;
+
+/// The fields of one line, taken in order. Each method takes the field's name for errors.
+pub(super) struct Fields<'a> {
+    line: u64,
+    remaining: Option<&'a str>,
+}
+
+impl<'a> Fields<'a> {
+    pub(super) fn new(line: u64, text: &'a str) -> Self {
+        Fields { line, remaining: Some(text) }
+    }
+
+    pub(super) fn error(&self, field: &str, problem: Problem) -> WireError {
+        WireError { line: self.line, field: field.to_string(), problem }
+    }
+
+    /// Takes all that remains of the line.
+    pub(super) fn text(&mut self, field: &str) -> Result<&'a str, WireError> {
+        self.remaining.take().ok_or_else(|| self.error(field, Problem::Missing))
+    }
+
+    /// Takes one field.
+    pub(super) fn word(&mut self, field: &str) -> Result<&'a str, WireError> {
+        let text = self.text(field)?;
+        let (word, remaining) = match text.split_once(' ') {
+            Some((word, remaining)) => (word, Some(remaining)),
+            None => (text, None),
+        };
+        self.remaining = remaining;
+        if word.is_empty() {
+            return Err(self.error(field, Problem::Empty));
+        }
+        Ok(word)
+    }
+
+    /// Takes one field, where `-` marks an absent value.
+    pub(super) fn optional(&mut self, field: &str) -> Result<Option<&'a str>, WireError> {
+        self.word(field).map(|word| (word != "-").then_some(word))
+    }
+
+    pub(super) fn parse<T: FromStr>(&self, field: &str, word: &str) -> Result<T, WireError> {
+        word.parse().map_err(|_| self.error(field, Problem::NotANumber(word.to_string())))
+    }
+
+    pub(super) fn number<T: FromStr>(&mut self, field: &str) -> Result<T, WireError> {
+        let word = self.word(field)?;
+        self.parse(field, word)
+    }
+
+    pub(super) fn number_or<T: FromStr>(&mut self, field: &str, absent: T) -> Result<T, WireError> {
+        match self.optional(field)? {
+            Some(word) => self.parse(field, word),
+            None => Ok(absent),
+        }
+    }
+
+    pub(super) fn finite(&mut self, field: &str) -> Result<f64, WireError> {
+        let word = self.word(field)?;
+        self.parse_finite(field, word)
+    }
+
+    fn parse_finite(&self, field: &str, word: &str) -> Result<f64, WireError> {
+        let value: f64 = self.parse(field, word)?;
+        if !value.is_finite() {
+            return Err(self.error(field, Problem::NotFinite(word.to_string())));
+        }
+        Ok(value)
+    }
+
+    /// Takes a field that is one of several names.
+    pub(super) fn choice<T: Copy>(
+        &mut self,
+        field: &str,
+        choices: &[(&str, T)],
+    ) -> Result<T, WireError> {
+        let word = self.word(field)?;
+        let chosen = choices.iter().find(|(name, _)| *name == word).map(|(_, value)| *value);
+        chosen.ok_or_else(|| self.error(field, Problem::UnknownChoice(word.to_string())))
+    }
+
+    /// Takes a load report: finite numbers with commas between them.
+    pub(super) fn load_report(&mut self, field: &str) -> Result<Option<Vec<f64>>, WireError> {
+        let Some(word) = self.optional(field)? else { return Ok(None) };
+        let values = word.split(',').map(|value| self.parse_finite(field, value));
+        values.collect::<Result<Vec<_>, _>>().map(Some)
+    }
+
+    /// Takes a key of hex digits.
+    pub(super) fn key(&mut self, field: &str) -> Result<Option<u64>, WireError> {
+        let Some(word) = self.optional(field)? else { return Ok(None) };
+        let key = u64::from_str_radix(word, 16);
+        key.map(Some).map_err(|_| self.error(field, Problem::NotAKey(word.to_string())))
+    }
+
+    /// Takes bytes as hex digits.
+    pub(super) fn bytes(&mut self, field: &str) -> Result<Vec<u8>, WireError> {
+        let Some(word) = self.optional(field)? else { return Ok(Vec::new()) };
+        if !word.is_ascii() || word.len() % 2 != 0 {
+            return Err(self.error(field, Problem::NotBytes));
+        }
+        let pairs = (0..word.len()).step_by(2).map(|start| &word[start..start + 2]);
+        let bytes = pairs.map(|digits| u8::from_str_radix(digits, 16));
+        bytes.collect::<Result<_, _>>().map_err(|_| self.error(field, Problem::NotHex))
+    }
+
+    /// Checks that nothing remains after the last field of a message.
+    pub(super) fn end(&self, message: &str) -> Result<(), WireError> {
+        match self.remaining {
+            None => Ok(()),
+            Some(extra) => Err(self.error(message, Problem::ExtraFields(extra.to_string()))),
+        }
+    }
+}
--- /dev/null
+++ b/crates/simulator-adapter/src/wire/mod.rs
@@ -0,0 +1,11 @@
+//! The simulator's line protocol: lines to messages, actions to lines.
+
+mod action;
+mod error;
+mod event;
+mod fields;
+mod reader;
+
+pub use action::write_action;
+pub use error::{Problem, WireError};
+pub use reader::{Message, Reader};
--- /dev/null
+++ b/crates/simulator-adapter/src/wire/reader.rs
@@ -0,0 +1,216 @@
+//! Reads the messages of batches line by line, and keeps the endpoint lists given so far.
+
+use super::event::{read_event, ENDPOINT_STATES, LIST_KINDS};
+use super::fields::Fields;
+use super::{Problem, WireError};
+use mintshelf_balancer::api::{Event, ListKind, ListedServer, Nanos, Settings};
+use mintshelf_balancer::settings::parse_settings;
+use std::collections::HashMap;
+use std::sync::Arc;
+
+/// Endpoint lists have numbers below this.
+const LIST_NUMBERS: u32 = 16;
+/// Messages that concern the target instance.
+const TARGET_MESSAGES: [&str; 10] = [
+    "attach",
+    "killed",
+    "update",
+    "submit",
+    "under_way",
+    "resolved",
+    "abandoned",
+    "timer",
+    "health",
+    "peer_data",
+];
+
+/// One message of a batch.
+#[derive(Debug, Clone, PartialEq)]
+pub enum Message {
+    /// A batch begins at this time.
+    Clock(Nanos),
+    /// The messages that follow are for this instance.
+    Target(u64),
+    /// The target starts.
+    Attach {
+        /// Seed of its random numbers.
+        seed: u64,
+        /// Its settings.
+        settings: Box<Settings>,
+    },
+    /// The target is killed.
+    Killed,
+    /// An event of the target.
+    Event(Event),
+    /// The batch ends.
+    YourTurn,
+}
+
+/// An endpoint list of which entries are missing.
+#[derive(Debug)]
+struct IncompleteList {
+    number: u32,
+    length: usize,
+    entries: Vec<ListedServer>,
+}
+
+/// Reads messages line by line, and keeps the numbered endpoint lists.
+#[derive(Debug, Default)]
+pub struct Reader {
+    line: u64,
+    lists: HashMap<u32, Arc<[ListedServer]>>,
+    incomplete_list: Option<IncompleteList>,
+    is_in_batch: bool,
+    has_target: bool,
+}
+
+impl Reader {
+    /// Number of lines read.
+    #[must_use]
+    pub fn lines(&self) -> u64 {
+        self.line
+    }
+
+    /// Takes one line, without its end; `None` if it completes no message yet.
+    ///
+    /// # Errors
+    ///
+    /// [`WireError`] if the line breaks the protocol.
+    pub fn read_line(&mut self, text: &str) -> Result<Option<Message>, WireError> {
+        self.line += 1;
+        let mut fields = Fields::new(self.line, text);
+        let name = fields.word("message name")?;
+        self.check_order(name, &fields)?;
+        let message = self.read_message(name, &mut fields)?;
+        fields.end(name)?;
+        Ok(message)
+    }
+
+    /// Checks that the input may end here.
+    ///
+    /// # Errors
+    ///
+    /// [`WireError`] inside a batch.
+    pub fn finish(&self) -> Result<(), WireError> {
+        if self.is_in_batch {
+            let problem = Problem::UnfinishedBatch;
+            return Err(WireError { line: self.line + 1, field: "your_turn".into(), problem });
+        }
+        Ok(())
+    }
+
+    /// Checks that a message may come at this point.
+    fn check_order(&self, name: &str, fields: &Fields) -> Result<(), WireError> {
+        if self.incomplete_list.is_some() && name != "server" {
+            return Err(fields.error(name, Problem::ListIncomplete));
+        }
+        if !self.is_in_batch && name != "clock" {
+            return Err(fields.error(name, Problem::BeforeClock));
+        }
+        if TARGET_MESSAGES.contains(&name) && !self.has_target {
+            return Err(fields.error(name, Problem::BeforeTarget));
+        }
+        Ok(())
+    }
+
+    fn read_message(
+        &mut self,
+        name: &str,
+        fields: &mut Fields,
+    ) -> Result<Option<Message>, WireError> {
+        Ok(Some(match name {
+            "clock" => self.read_clock(fields)?,
+            "your_turn" => {
+                self.is_in_batch = false;
+                Message::YourTurn
+            }
+            "target_instance" => self.read_target(fields)?,
+            "attach" => read_attach(fields)?,
+            "killed" => Message::Killed,
+            "census" => return self.read_list_header(fields).map(|()| None),
+            "server" => return self.read_server(fields).map(|()| None),
+            "update" => Message::Event(self.read_update(fields)?),
+            _ => Message::Event(read_event(name, fields)?),
+        }))
+    }
+
+    fn read_clock(&mut self, fields: &mut Fields) -> Result<Message, WireError> {
+        if self.is_in_batch {
+            return Err(fields.error("clock", Problem::InsideBatch));
+        }
+        let now = fields.number("clock")?;
+        self.is_in_batch = true;
+        self.has_target = false;
+        Ok(Message::Clock(now))
+    }
+
+    fn read_target(&mut self, fields: &mut Fields) -> Result<Message, WireError> {
+        let word = fields.word("i")?;
+        let number = word.strip_prefix("sidecar_").and_then(|number| number.parse().ok());
+        let number =
+            number.ok_or_else(|| fields.error("i", Problem::NotAnInstance(word.to_string())))?;
+        self.has_target = true;
+        Ok(Message::Target(number))
+    }
+
+    fn read_list_header(&mut self, fields: &mut Fields) -> Result<(), WireError> {
+        let number: u32 = fields.number("set-id")?;
+        if number >= LIST_NUMBERS {
+            return Err(fields.error("set-id", Problem::ListNumberTooLarge(number)));
+        }
+        let length: usize = fields.number("hosts")?;
+        if length == 0 {
+            self.lists.insert(number, Arc::from(Vec::new()));
+        } else {
+            let entries = Vec::new();
+            self.incomplete_list = Some(IncompleteList { number, length, entries });
+        }
+        Ok(())
+    }
+
+    fn read_server(&mut self, fields: &mut Fields) -> Result<(), WireError> {
+        let Some(mut list) = self.incomplete_list.take() else {
+            return Err(fields.error("server", Problem::OutsideList));
+        };
+        list.entries.push(ListedServer {
+            id: fields.number("server")?,
+            zone: fields.number_or("rack-zone", 0)?,
+            kind: fields.number_or("shape", 0)?,
+            cell: fields.number_or("stripe", 0)?,
+            state: fields.choice("condition", ENDPOINT_STATES)?,
+            size: fields.finite("size")?,
+            started_at: fields.number_or("boot-time", 0)?,
+        });
+        if list.entries.len() == list.length {
+            self.lists.insert(list.number, list.entries.into());
+        } else {
+            self.incomplete_list = Some(list);
+        }
+        Ok(())
+    }
+
+    fn read_update(&self, fields: &mut Fields) -> Result<Event, WireError> {
+        let kind = fields.choice("how", LIST_KINDS)?;
+        let version = fields.number_or("index", 0)?;
+        let list = fields.optional("set-id")?;
+        let entries = match kind {
+            ListKind::Failed => Arc::from(Vec::new()),
+            _ => self.list(fields, list)?,
+        };
+        Ok(Event::Servers { kind, version, entries })
+    }
+
+    fn list(&self, fields: &Fields, word: Option<&str>) -> Result<Arc<[ListedServer]>, WireError> {
+        let word = word.ok_or_else(|| fields.error("set-id", Problem::Missing))?;
+        let number: u32 = fields.parse("set-id", word)?;
+        let list = self.lists.get(&number).cloned();
+        list.ok_or_else(|| fields.error("set-id", Problem::UnknownList(number)))
+    }
+}
+
+fn read_attach(fields: &mut Fields) -> Result<Message, WireError> {
+    let seed = fields.number("prng")?;
+    let settings = parse_settings(fields.text("profile-data")?)
+        .map_err(|cause| fields.error("profile-data", cause.into()))?;
+    Ok(Message::Attach { seed, settings: Box::new(settings) })
+}
--- a/crates/simulator-adapter/tests/simulator_adapter.rs
+++ b/crates/simulator-adapter/tests/simulator_adapter.rs
@@ -33,7 +33,7 @@
     let out = run(&input);
     assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
     let text = String::from_utf8(out.stdout).unwrap();
-    assert_eq!(text.lines().filter(|l| *l == "done").count(), 3);
+    assert_eq!(text.lines().filter(|line| *line == "done").count(), 3);
     assert!(text.contains("from sidecar_7\nforward t/a 51 900000006\n"), "{text}");
 }
 
