--- a/crates/recovery/tests/retry_after.rs
+++ b/crates/recovery/tests/retry_after.rs
@@ -1,114 +1,118 @@
-//! The rules of the calendar: bounded, spread, longer as more wait.
+//! Retry-after advice: bounded, spread, and longer as more clients wait.
 
 use mintshelf_recovery::{RetryAfterSchedule, MAX_RETRY_AFTER_SECONDS};
 use proptest::prelude::*;
 
 const SECOND: u64 = 1_000_000_000;
 
-/// A calendar that has seen `rate` answers a second for a minute, and the time then.
-fn after_a_minute(rate: u64, most: u64) -> (RetryAfterSchedule, u64) {
-    let mut calendar = RetryAfterSchedule::new(7, most * SECOND);
+/// A schedule after a minute in which `rate` requests a second were served, and the time then.
+fn after_a_minute(rate: u64, max_seconds: u64) -> (RetryAfterSchedule, u64) {
+    let mut schedule = RetryAfterSchedule::new(7, max_seconds * SECOND);
     for second in 0..60 {
-        (0..rate).for_each(|n| calendar.record_served(second * SECOND + n * (SECOND / rate)));
+        (0..rate).for_each(|n| schedule.record_served(second * SECOND + n * (SECOND / rate)));
     }
-    (calendar, 60 * SECOND)
+    (schedule, 60 * SECOND)
 }
 
-/// How many come back in each second after `refused` clients were told in one instant.
-fn come_backs(rate: u64, most: u64, refused: usize) -> Vec<u32> {
-    let (mut calendar, now) = after_a_minute(rate, most);
-    let mut seconds = vec![0; most as usize + 1];
-    (0..refused).for_each(|_| seconds[calendar.advise_seconds(now, None) as usize] += 1);
+/// How many return in each second after `rejected` clients got advice at one moment.
+fn returns_by_second(rate: u64, max_seconds: u64, rejected: usize) -> Vec<u32> {
+    let (mut schedule, now) = after_a_minute(rate, max_seconds);
+    let mut seconds = vec![0; max_seconds as usize + 1];
+    (0..rejected).for_each(|_| seconds[schedule.advise_seconds(now, None) as usize] += 1);
     seconds
 }
 
 #[test]
-fn a_crowd_comes_back_as_a_fifth_of_the_usual_rate() {
-    for (rate, refused) in [(340, 680), (340, 3_400), (1_500, 15_000), (20, 200)] {
-        let seconds = come_backs(rate, MAX_RETRY_AFTER_SECONDS, refused);
+fn many_clients_return_at_a_fifth_of_the_baseline_rate() {
+    for (rate, rejected) in [(340, 680), (340, 3_400), (1_500, 15_000), (20, 200)] {
+        let seconds = returns_by_second(rate, MAX_RETRY_AFTER_SECONDS, rejected);
         let peak = *seconds.iter().max().unwrap();
         let share = f64::from(peak) / rate as f64;
-        assert!(share < 0.3, "{refused} refused at {rate}/s: {share} of the usual in one second");
+        assert!(
+            share < 0.3,
+            "{rejected} rejected at {rate}/s: {share} of the baseline in one second"
+        );
         let last = seconds.iter().rposition(|n| *n > 0).unwrap();
-        let least = refused as f64 / (rate as f64 * 0.2);
-        assert!((last as f64) < 1.5 * least + 2.0, "{last} s where {least} would do");
+        let min_seconds = rejected as f64 / (rate as f64 * 0.2);
+        assert!((last as f64) < 1.5 * min_seconds + 2.0, "{last} s where {min_seconds} would do");
     }
 }
 
 #[test]
-fn the_more_wait_the_longer_they_are_told_to() {
-    let mean = |refused| {
-        let seconds = come_backs(340, 60, refused);
-        let sum: usize = seconds.iter().enumerate().map(|(s, n)| s * *n as usize).sum();
-        sum as f64 / refused as f64
+fn the_more_clients_wait_the_longer_the_advice() {
+    let mean = |rejected| {
+        let seconds = returns_by_second(340, 60, rejected);
+        let sum: usize =
+            seconds.iter().enumerate().map(|(second, count)| second * *count as usize).sum();
+        sum as f64 / rejected as f64
     };
     let means = [10, 300, 1_000, 3_000].map(mean);
     assert!(means.windows(2).all(|pair| pair[0] < pair[1]), "{means:?}");
-    assert!(means[0] < 1.5, "few are told to come soon: {means:?}");
+    assert!(means[0] < 1.5, "few are advised to return soon: {means:?}");
 }
 
 #[test]
-fn an_outage_is_not_taken_for_the_usual_rate() {
-    let (mut calendar, now) = after_a_minute(340, 60);
-    let before = calendar.baseline_per_second();
+fn an_outage_does_not_lower_the_baseline() {
+    let (mut schedule, now) = after_a_minute(340, 60);
+    let before = schedule.baseline_per_second();
     // A minute with nothing served.
-    let _ = calendar.advise_seconds(now + 60 * SECOND, None);
+    let _ = schedule.advise_seconds(now + 60 * SECOND, None);
     assert!(
-        calendar.baseline_per_second() > 0.5 * before,
+        schedule.baseline_per_second() > 0.5 * before,
         "{} after {before}",
-        calendar.baseline_per_second()
+        schedule.baseline_per_second()
     );
 }
 
 #[test]
 fn two_sidecars_fill_different_seconds() {
-    let told = |seed| {
-        let mut calendar = RetryAfterSchedule::new(seed, 60 * SECOND);
-        (0..200).map(|_| calendar.advise_seconds(SECOND, None)).collect::<Vec<_>>()
+    let advised = |seed| {
+        let mut schedule = RetryAfterSchedule::new(seed, 60 * SECOND);
+        (0..200).map(|_| schedule.advise_seconds(SECOND, None)).collect::<Vec<_>>()
     };
-    assert_ne!(told(1), told(2));
-    assert_eq!(told(1), told(1));
+    assert_ne!(advised(1), advised(2));
+    assert_eq!(advised(1), advised(1));
 }
 
 #[test]
-fn a_keyed_request_is_told_to_come_well_within_its_window() {
-    let (mut calendar, now) = after_a_minute(340, 60);
-    let told: Vec<u64> =
-        (0..5_000).map(|_| calendar.advise_seconds(now, Some(20 * SECOND))).collect();
-    assert_eq!(told.iter().max(), Some(&5));
-    assert!(calendar.advise_seconds(now, None) > 5, "others make room for them");
+fn an_idempotent_request_is_advised_to_return_well_within_its_window() {
+    let (mut schedule, now) = after_a_minute(340, 60);
+    let advised: Vec<u64> =
+        (0..5_000).map(|_| schedule.advise_seconds(now, Some(20 * SECOND))).collect();
+    assert_eq!(advised.iter().max(), Some(&5));
+    assert!(schedule.advise_seconds(now, None) > 5, "others return later");
 }
 
 proptest! {
     /// Whatever comes in whatever order: advice is whole seconds within its bounds, and the
-    /// ledger holds just those whose time is still ahead.
+    /// schedule has just those whose time is still ahead.
     #[test]
-    fn advice_is_bounded_and_the_ledger_adds_up(
+    fn advice_is_bounded_and_the_schedule_adds_up(
         seed: u64,
-        most in 0u64..2_000,
+        max_seconds in 0u64..2_000,
         steps in proptest::collection::vec((0u64..5_000_000_000, 0u8..4), 1..400),
     ) {
-        let mut calendar = RetryAfterSchedule::new(seed, most * SECOND);
-        let most = most.clamp(1, MAX_RETRY_AFTER_SECONDS);
+        let mut schedule = RetryAfterSchedule::new(seed, max_seconds * SECOND);
+        let max_seconds = max_seconds.clamp(1, MAX_RETRY_AFTER_SECONDS);
         let (mut now, mut due) = (0, Vec::new());
         for (passed, what) in steps {
             now += passed;
             match what {
-                0 => calendar.record_served(now),
+                0 => schedule.record_served(now),
                 // The clock stands still, or jumps.
                 1 => now += passed * 500,
                 _ => {
-                    let told = calendar.advise_seconds(now, None);
-                    prop_assert!((1..=most).contains(&told));
-                    due.push(now / SECOND + told);
+                    let advised = schedule.advise_seconds(now, None);
+                    prop_assert!((1..=max_seconds).contains(&advised));
+                    due.push(now / SECOND + advised);
                 }
             }
-            calendar.record_served(now);
+            schedule.record_served(now);
             due.retain(|second| *second >= now / SECOND);
-            prop_assert_eq!(calendar.expected_clients(), due.len() as u64);
+            prop_assert_eq!(schedule.expected_clients(), due.len() as u64);
         }
         // Time that goes back changes nothing.
-        calendar.record_served(0);
-        prop_assert_eq!(calendar.expected_clients(), due.len() as u64);
+        schedule.record_served(0);
+        prop_assert_eq!(schedule.expected_clients(), due.len() as u64);
     }
 }
--- a/crates/simulator-adapter/src/wire/reader.rs
+++ b/crates/simulator-adapter/src/wire/reader.rs
@@ -58,7 +58,7 @@
 #[derive(Debug, Default)]
 pub struct Reader {
     line: u64,
-    lists: HashMap<u32, Arc<[ListedServer]>>,
+    endpoint_lists: HashMap<u32, Arc<[ListedServer]>>,
     incomplete_list: Option<IncompleteList>,
     is_in_batch: bool,
     has_target: bool,
@@ -160,7 +160,7 @@
         }
         let length: usize = fields.number("hosts")?;
         if length == 0 {
-            self.lists.insert(number, Arc::from(Vec::new()));
+            self.endpoint_lists.insert(number, Arc::from(Vec::new()));
         } else {
             let entries = Vec::new();
             self.incomplete_list = Some(IncompleteList { number, length, entries });
@@ -182,7 +182,7 @@
             started_at: fields.number_or("boot-time", 0)?,
         });
         if list.entries.len() == list.length {
-            self.lists.insert(list.number, list.entries.into());
+            self.endpoint_lists.insert(list.number, list.entries.into());
         } else {
             self.incomplete_list = Some(list);
         }
@@ -203,7 +203,7 @@
     fn list(&self, fields: &Fields, word: Option<&str>) -> Result<Arc<[ListedServer]>, WireError> {
         let word = word.ok_or_else(|| fields.error("set-id", Problem::Missing))?;
         let number: u32 = fields.parse("set-id", word)?;
-        let list = self.lists.get(&number).cloned();
+        let list = self.endpoint_lists.get(&number).cloned();
         list.ok_or_else(|| fields.error("set-id", Problem::UnknownList(number)))
     }
 }
