--- a/crates/proxy/src/websocket/upgrade.rs
+++ b/crates/proxy/src/websocket/upgrade.rs
@@ -45,9 +45,13 @@
         owner: SlotOwner,
         is_draining: bool,
     ) -> Result<Self, Refusal> {
-        let (method, version, headers) = (request.method(), request.version(), request.headers());
-        let handshake = ClientHandshake::parse(method, version, headers, &config.terms)
-            .map_err(handshake_rejected)?;
+        let handshake = ClientHandshake::parse(
+            request.method(),
+            request.version(),
+            request.headers(),
+            &config.terms,
+        )
+        .map_err(handshake_rejected)?;
         if is_draining {
             return Err(draining());
         }
