--- a/crates/consensus-node/src/clock.rs
+++ b/crates/consensus-node/src/clock.rs
@@ -1,11 +1,11 @@
-//! The steady clock that spans are counted on.
+//! The monotonic clock that durations are counted on.
 
 use mintshelf_lease::timing::{Nanos, SECOND};
 use rustix::time::{clock_gettime, ClockId};
 
-/// Nanoseconds since the machine started, sleep included: a machine that was put to sleep must not
-/// take its leases for young. No setting of the wall clock moves it.
+/// Nanoseconds since the machine started, including the time in which it was suspended: a machine
+/// that was suspended must not take its leases for young. Setting the wall clock has no effect.
 pub fn now() -> Nanos {
-    let at = clock_gettime(ClockId::Boottime);
-    (at.tv_sec.max(0) as u64) * SECOND + at.tv_nsec.max(0) as u64
+    let time = clock_gettime(ClockId::Boottime);
+    (time.tv_sec.max(0) as u64) * SECOND + time.tv_nsec.max(0) as u64
 }
--- a/crates/consensus-node/src/frame.rs
+++ b/crates/consensus-node/src/frame.rs
@@ -1,149 +1,142 @@
-//! What goes over a link between two processes of a fleet: frames behind a length, the first of
-//! which says who speaks, in which version, for which fleet.
+//! The frames between two processes of a fleet, and their encoding: postcard after a length.
+//!
+//! The order of variants and fields is part of the format of [`VERSION`].
 
 use mintshelf_consensus::message::MESSAGE_BYTES_MAX;
 use mintshelf_consensus::replica::ReplicaStatus;
 use mintshelf_lease::command::{Command, Owner, Response};
 use mintshelf_lease::lease::Lease;
 use serde::{Deserialize, Serialize};
+use std::fmt;
 use thiserror::Error;
 use tokio_util::bytes::Bytes;
 use tokio_util::codec::LengthDelimitedCodec;
 
-/// Both ends of a link speak the same.
+/// Version of the protocol; both ends of a connection must have the same.
 pub const VERSION: u32 = 1;
-/// The first frame of who is not known yet is no longer than this.
-pub const HELLO_MAX: usize = 1_024;
+/// Longest first frame of a peer, in bytes.
+pub const HELLO_BYTES_MAX: usize = 1_024;
 
-/// Who speaks.
+/// Who is at the other end of a connection.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Speaker {
-    /// A voter, by its number.
-    Voter(u64),
-    /// A member that asks.
+pub enum PeerIdentity {
+    /// A replica, by its number.
+    Replica(u64),
+    /// A member, which requests leases.
     Member(Owner),
 }
 
-/// The first frame each way.
+impl fmt::Display for PeerIdentity {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            PeerIdentity::Replica(id) => write!(formatter, "voter {id}"),
+            PeerIdentity::Member(owner) => write!(formatter, "member {:?}", owner.member),
+        }
+    }
+}
+
+/// The first frame in each direction.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
     /// See [`VERSION`].
     pub version: u32,
-    /// The fleet's name.
+    /// Name of the fleet.
     pub fleet: String,
-    /// Who speaks.
-    pub speaker: Speaker,
+    /// Who sends it.
+    pub sender: PeerIdentity,
 }
 
-/// All that follow.
+/// All frames that follow.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Frame {
-    /// Of one voter to another.
+    /// A raft message of one replica to another.
     Raft(Vec<u8>),
-    /// A member's question.
-    Ask {
-        /// Its number, the member's own.
-        number: u64,
-        /// The question.
+    /// A member's request.
+    Request {
+        /// Number of the request, chosen by the member.
+        request_id: u64,
+        /// The command to propose.
         command: Command,
     },
-    /// What was agreed.
-    Answer {
-        /// The question's number.
-        number: u64,
-        /// What came of it.
-        answer: Response,
+    /// The response to a request that was committed.
+    Response {
+        /// Number of the request.
+        request_id: u64,
+        /// What the state machine responded.
+        response: Response,
     },
-    /// A member asks a voter how it is.
-    Tell,
-    /// How it is.
-    Told(Box<Report>),
-    /// Nobody leads that this voter knows of, or too much is on its way: ask another, or later.
-    NotNow {
-        /// The question's number.
-        number: u64,
+    /// A member's request for the replica's status.
+    StatusRequest,
+    /// The response to [`Frame::StatusRequest`].
+    StatusResponse(Box<StatusReport>),
+    /// The replica knows no leader, or too many proposals are in flight: another replica may
+    /// know one.
+    Unavailable {
+        /// Number of the request.
+        request_id: u64,
     },
 }
 
-/// What a voter says of itself and of what it has applied.
+/// What a replica reports of itself and of the log that it has applied.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Report {
-    /// Its place among the others.
+pub struct StatusReport {
+    /// Its role, term and indexes.
     pub status: ReplicaStatus,
     /// How often its store was opened.
-    pub life: u64,
-    /// Members that have a link to it.
+    pub incarnation: u64,
+    /// Number of members that are connected to it.
     pub members: u32,
-    /// The leases, by name.
-    pub leases: Vec<(String, Lease)>,
+    /// The leases, in order of their names.
+    pub leases: Vec<NamedLease>,
 }
 
-/// Why a link is shut.
-#[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum LinkError {
-    /// Not a frame of this version.
-    #[error("not a frame of a fleet: {0}")]
-    Garbled(String),
-    /// Another version's.
-    #[error("speaks version {theirs}, this process {VERSION}")]
-    Version {
-        /// What it speaks.
-        theirs: u32,
-    },
-    /// Another fleet's.
-    #[error("belongs to fleet {theirs:?}, this process to {own:?}")]
-    Fleet {
-        /// Its fleet.
-        theirs: String,
-        /// The own.
-        own: String,
-    },
-    /// Nobody that the file names.
-    #[error("says it is {0}, whom the file does not name here")]
-    Stranger(String),
+/// A lease and its name.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
+pub struct NamedLease {
+    /// Name of the lease.
+    pub name: String,
+    /// Its holder and queue.
+    pub lease: Lease,
 }
 
-impl Hello {
-    /// Whether who says this may go on.
-    ///
-    /// # Errors
-    /// Another version or another fleet.
-    pub fn check(&self, fleet: &str) -> Result<(), LinkError> {
-        if self.version != VERSION {
-            return Err(LinkError::Version { theirs: self.version });
-        }
-        if self.fleet != fleet {
-            let (theirs, own) = (self.fleet.clone(), fleet.to_owned());
-            return Err(LinkError::Fleet { theirs, own });
-        }
-        Ok(())
-    }
+/// Why bytes are not a frame of this version.
+#[derive(Debug, Clone, PartialEq, Eq, Error)]
+pub enum FrameError {
+    /// They can't be decoded.
+    #[error(transparent)]
+    Malformed(#[from] postcard::Error),
+    /// There is more than one frame.
+    #[error("{bytes} bytes too many")]
+    TrailingBytes {
+        /// Number of bytes after the frame.
+        bytes: usize,
+    },
 }
 
-/// A frame's bytes, without its length.
-pub fn pack(value: &impl Serialize) -> Bytes {
-    // Plain values of our own: none fails to be written.
-    postcard::to_allocvec(value).unwrap_or_default().into()
+/// Encodes a frame, without its length.
+pub fn encode(frame: &impl Serialize) -> Bytes {
+    // Plain values of our own: none fails to be encoded.
+    postcard::to_allocvec(frame).unwrap_or_default().into()
 }
 
-/// A frame from its bytes.
+/// Decodes a frame, without its length.
 ///
 /// # Errors
-/// They are none, or more than one.
-pub fn unpack<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Result<T, LinkError> {
-    match postcard::take_from_bytes(bytes) {
-        Ok((value, [])) => Ok(value),
-        Ok((_, rest)) => Err(LinkError::Garbled(format!("{} bytes too many", rest.len()))),
-        Err(error) => Err(LinkError::Garbled(error.to_string())),
+/// The bytes are no frame, or more than one.
+pub fn decode<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Result<T, FrameError> {
+    match postcard::take_from_bytes(bytes)? {
+        (frame, []) => Ok(frame),
+        (_, rest) => Err(FrameError::TrailingBytes { bytes: rest.len() }),
     }
 }
 
-/// Lengths of four bytes; at first for a [`Hello`] only.
-pub fn codec() -> LengthDelimitedCodec {
-    LengthDelimitedCodec::builder().max_frame_length(HELLO_MAX).new_codec()
+/// The codec for a peer that has not identified itself: four bytes of length, at most a
+/// [`Hello`].
+pub fn hello_codec() -> LengthDelimitedCodec {
+    LengthDelimitedCodec::builder().max_frame_length(HELLO_BYTES_MAX).new_codec()
 }
 
-/// What may come once the other end is known.
-pub fn open_up(codec: &mut LengthDelimitedCodec) {
-    codec.set_max_frame_length(MESSAGE_BYTES_MAX + HELLO_MAX);
+/// Allows all frames, once the peer has identified itself.
+pub fn allow_all_frames(codec: &mut LengthDelimitedCodec) {
+    codec.set_max_frame_length(MESSAGE_BYTES_MAX + HELLO_BYTES_MAX);
 }
--- /dev/null
+++ b/crates/consensus-node/src/lease_keeper.rs
@@ -0,0 +1,178 @@
+//! Keeps one lease: requests it of one replica, renews it, and goes on to another replica when
+//! that one does not respond.
+
+use crate::client::{connect, NEXT_REPLICA_BACKOFF, RESPONSE_TIMEOUT};
+use crate::clock;
+use crate::frame::{decode, encode, Frame};
+use crate::handshake::Connection;
+use futures_util::{SinkExt, StreamExt};
+use mintshelf_lease::client::{ActiveGrant, HolderAction, LeaseClient, LeaseConfig};
+use mintshelf_lease::command::Rejection;
+use mintshelf_lease::timing::{Nanos, MS};
+use std::future::Future;
+use std::net::SocketAddr;
+use std::time::Duration;
+use tokio::sync::watch;
+use tokio::time::{sleep, timeout};
+
+/// Shortest time for which a frame is waited for.
+const WAIT_MIN: Nanos = MS;
+/// Longest time for which a frame is waited for before the clock is read again.
+const WAIT_MAX: Nanos = 1_000 * MS;
+
+/// Which lease to keep, and where to request it.
+#[derive(Debug, Clone)]
+pub struct LeaseRequest {
+    /// Name of the fleet.
+    pub fleet: String,
+    /// Addresses of its replicas.
+    pub replicas: Vec<SocketAddr>,
+    /// The lease, its owner and its duration.
+    pub config: LeaseConfig,
+}
+
+/// State of a lease that is kept.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
+pub struct LeaseStatus {
+    /// The current grant, which is good until it expires by [`clock::now`], no longer.
+    pub grant: Option<ActiveGrant>,
+    /// Why the last request was rejected.
+    pub rejection: Option<Rejection>,
+}
+
+/// Requests a lease and keeps it, publishing its status, until `stop` is complete; then releases
+/// it, as far as a replica responds within one lease duration.
+pub async fn keep_lease(
+    request: LeaseRequest,
+    status: watch::Sender<LeaseStatus>,
+    stop: impl Future<Output = ()>,
+) {
+    let mut client = LeaseClient::new(request.config.clone());
+    let mut replica_index = 0usize;
+    let mut release_deadline: Option<Nanos> = None;
+    tokio::pin!(stop);
+    loop {
+        if request.replicas.is_empty() || client.is_released() {
+            return;
+        }
+        let replica = request.replicas[replica_index % request.replicas.len()];
+        let session = run_session(&request, replica, &mut client, &status);
+        tokio::select! {
+            () = session => replica_index += 1,
+            () = &mut stop, if release_deadline.is_none() => {
+                client.release();
+                // Without a response in time the lease expires.
+                release_deadline = Some(clock::now() + request.config.duration);
+                status.send_replace(LeaseStatus::default());
+                continue;
+            }
+        }
+        if release_deadline.is_some_and(|deadline| clock::now() >= deadline) {
+            return;
+        }
+        // The lease expires also while no replica responds.
+        publish(&client, &status, None);
+        sleep(NEXT_REPLICA_BACKOFF).await;
+    }
+}
+
+fn publish(
+    client: &LeaseClient,
+    status: &watch::Sender<LeaseStatus>,
+    rejection: Option<Rejection>,
+) {
+    let grant = client.active_grant(clock::now());
+    status.send_if_modified(|published| {
+        let last_rejection = published.rejection.filter(|_| grant.is_none());
+        let current = LeaseStatus { grant, rejection: rejection.or(last_rejection) };
+        let is_modified = *published != current;
+        *published = current;
+        is_modified
+    });
+}
+
+/// Sends requests to one replica until it does not respond or the lease is released.
+async fn run_session(
+    request: &LeaseRequest,
+    replica: SocketAddr,
+    client: &mut LeaseClient,
+    status: &watch::Sender<LeaseStatus>,
+) {
+    let owner = request.config.owner.clone();
+    let Some(connection) = connect(&request.fleet, owner, replica).await else { return };
+    client.handle_no_response(clock::now());
+    let mut session = Session { connection, client, status, waiting_since: None };
+    while session.advance().await == SessionState::Open {}
+}
+
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum SessionState {
+    Open,
+    Over,
+}
+
+/// A connection to one replica.
+struct Session<'a> {
+    connection: Connection,
+    client: &'a mut LeaseClient,
+    status: &'a watch::Sender<LeaseStatus>,
+    /// When the first request without a response so far was sent.
+    waiting_since: Option<Nanos>,
+}
+
+impl Session<'_> {
+    /// Sends the requests that are due, and handles the next frame or time-out.
+    async fn advance(&mut self) -> SessionState {
+        if self.send_due_requests().await == SessionState::Over || self.client.is_released() {
+            return SessionState::Over;
+        }
+        let now = clock::now();
+        let response_timeout = RESPONSE_TIMEOUT.as_nanos() as Nanos;
+        let deadline = self.waiting_since.map_or(Nanos::MAX, |since| since + response_timeout);
+        if deadline <= now {
+            return SessionState::Over;
+        }
+        let wait = deadline.min(self.client.next_tick_at()).saturating_sub(now);
+        let wait = Duration::from_nanos(wait.clamp(WAIT_MIN, WAIT_MAX));
+        match timeout(wait, self.connection.next()).await {
+            Err(_) => SessionState::Open,
+            Ok(Some(Ok(bytes))) => self.handle_frame(&bytes),
+            Ok(_) => SessionState::Over,
+        }
+    }
+
+    async fn send_due_requests(&mut self) -> SessionState {
+        let mut actions = Vec::new();
+        self.client.tick(clock::now(), &mut actions);
+        publish(self.client, self.status, None);
+        for action in actions {
+            let HolderAction::Send { request_id, command } = action else { continue };
+            let frame = encode(&Frame::Request { request_id, command });
+            let sent = timeout(RESPONSE_TIMEOUT, self.connection.send(frame)).await;
+            if !matches!(sent, Ok(Ok(()))) {
+                return SessionState::Over;
+            }
+            self.waiting_since.get_or_insert_with(clock::now);
+        }
+        SessionState::Open
+    }
+
+    fn handle_frame(&mut self, bytes: &[u8]) -> SessionState {
+        match decode(bytes) {
+            Ok(Frame::Response { request_id, response }) => {
+                self.waiting_since = None;
+                let mut actions = Vec::new();
+                self.client.handle_response(clock::now(), request_id, &response, &mut actions);
+                let rejection = actions.iter().find_map(|action| match action {
+                    HolderAction::Rejected(rejection) => Some(*rejection),
+                    _ => None,
+                });
+                publish(self.client, self.status, rejection);
+                SessionState::Open
+            }
+            // Another replica may know the leader.
+            Ok(Frame::Unavailable { .. }) | Err(_) => SessionState::Over,
+            Ok(_) => SessionState::Open,
+        }
+    }
+}
--- a/crates/consensus-node/src/lib.rs
+++ b/crates/consensus-node/src/lib.rs
@@ -1,10 +1,40 @@
-//! What stands between the fleet's decisions and the machine: a voter's store, the links between
-//! processes, the clock, and a member that holds a lease.
+//! A replica as it runs: its store, its connections to the other replicas and to members, the
+//! clock that leases are counted on, and the client that keeps a lease.
+//!
+//! ```no_run
+//! use mintshelf_consensus_node::lease_keeper::{keep_lease, LeaseRequest, LeaseStatus};
+//! use mintshelf_lease::client::LeaseConfig;
+//! use mintshelf_lease::command::Owner;
+//! use mintshelf_lease::timing::{ClockError, SECOND};
+//! use tokio::sync::watch;
+//!
+//! # async fn example() {
+//! let request = LeaseRequest {
+//!     fleet: "edge".into(),
+//!     replicas: vec!["10.0.0.1:7001".parse().expect("an address")],
+//!     config: LeaseConfig {
+//!         lease: "nightly-report".into(),
+//!         owner: Owner { member: "worker-1".into(), incarnation: 1 },
+//!         duration: 10 * SECOND,
+//!         clock_error: ClockError::default(),
+//!         wait: true,
+//!     },
+//! };
+//! let (status, mut changes) = watch::channel(LeaseStatus::default());
+//! let acquired = async { drop(changes.wait_for(|status| status.grant.is_some()).await) };
+//! keep_lease(request, status, acquired).await;
+//! # }
+//! ```
 
 #![forbid(unsafe_code)]
 
 pub mod client;
 pub mod clock;
 pub mod frame;
+pub mod handshake;
+pub mod lease_keeper;
 pub mod node;
 pub mod store;
+mod store_codec;
+pub mod store_error;
+mod transport;
--- a/crates/consensus-node/src/node.rs
+++ b/crates/consensus-node/src/node.rs
@@ -1,370 +1,268 @@
-//! A voter as it runs: its store, its links to the other voters, and the members that ask it.
+//! A replica as it runs: it drives the replica by the clock, by frames and by its store.
 //!
-//! It wants a thread of its own: each write is synced in place, and nothing else waits for it.
+//! It wants a thread of its own: each write is synced in place, and nothing else may wait for it.
 
 use crate::clock;
-use crate::frame::{
-    codec, open_up, pack, unpack, Frame, Hello, LinkError, Report, Speaker, VERSION,
-};
-use crate::store::{Store, StoreError};
-use futures_util::{SinkExt, StreamExt};
+use crate::frame::{encode, Frame, NamedLease, PeerIdentity, StatusReport};
+use crate::store::Store;
+use crate::store_error::StoreError;
+use crate::transport::{self, ConnectionEvent, ConnectionId};
 use mintshelf_consensus::error::ReplicaError;
-use mintshelf_consensus::message::encode;
+use mintshelf_consensus::message;
 use mintshelf_consensus::persistent_state::PersistentState;
 use mintshelf_consensus::replica::{Replica, ReplicaStatus};
 use mintshelf_consensus::write_batch::{ProposalId, ProposalResponse};
-use mintshelf_lease::timing::{Nanos, Timing, MS, SECOND};
-use rand_core::{RngCore, SeedableRng};
-use rand_pcg::Pcg32;
+use mintshelf_lease::command::Command;
+use mintshelf_lease::timing::Timing;
 use std::collections::{BTreeMap, HashMap};
 use std::future::Future;
 use std::net::SocketAddr;
 use std::time::Duration;
 use thiserror::Error;
-use tokio::net::{TcpListener, TcpStream};
+use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch};
-use tokio::task::JoinSet;
-use tokio::time::{interval, sleep, timeout, MissedTickBehavior};
+use tokio::time::{interval, MissedTickBehavior};
 use tokio_util::bytes::Bytes;
-use tokio_util::codec::Framed;
 
-/// Frames that wait for one link; more are dropped, and asked for again by their protocol.
-const LINK_QUEUE: usize = 256;
-/// Frames that wait for the voter; links wait when it is full.
-const INBOX: usize = 1_024;
-/// Links at one time: every other voter's and its members'.
-const LINKS_MAX: usize = 2_100;
-/// Who has not said who it is by then is shut out.
-const HELLO_WITHIN: Duration = Duration::from_secs(2);
-/// A write that does not go through by then ends its link.
-const WRITE_WITHIN: Duration = Duration::from_secs(5);
-/// First and longest pause between two tries to reach a voter.
-const REDIAL: [Nanos; 2] = [50 * MS, SECOND];
-/// Questions whose answers are awaited; the oldest go first.
-const ASKED_MAX: usize = 8_192;
+/// Events that wait for the replica; connections wait when the queue is full.
+const EVENT_QUEUE_MAX: usize = 1_024;
+/// Requests whose responses are pending; the oldest are dropped.
+const PENDING_REQUESTS_MAX: usize = 8_192;
 
-/// What a voter needs to run.
+/// The configuration of a node.
 #[derive(Debug, Clone)]
-pub struct Plan {
-    /// The fleet's name.
+pub struct NodeConfig {
+    /// Name of the fleet.
     pub fleet: String,
-    /// This voter's number.
+    /// Number of this replica, from 1.
     pub id: u64,
-    /// Where the others listen, by number; who has the higher number dials.
-    pub others: BTreeMap<u64, SocketAddr>,
-    /// The fleet's spans.
-    pub spans: Timing,
+    /// Addresses of the other replicas, by number; of two replicas the one with the higher number
+    /// dials.
+    pub peers: BTreeMap<u64, SocketAddr>,
+    /// Timeouts of the fleet.
+    pub timing: Timing,
 }
 
-/// Why a voter stopped.
+/// Why a node stopped.
 #[derive(Debug, Error)]
 pub enum NodeError {
-    /// Its store.
+    /// Its store failed.
     #[error(transparent)]
     Store(#[from] StoreError),
-    /// What it holds or was told.
+    /// Its replica can't go on.
     #[error(transparent)]
-    Voter(#[from] ReplicaError),
+    Replica(#[from] ReplicaError),
 }
 
-/// One link, as the voter knows it.
-struct Link {
-    speaker: Speaker,
-    out: mpsc::Sender<Bytes>,
+/// What a node runs with.
+#[derive(Debug)]
+pub struct Node {
+    /// Its configuration.
+    pub config: NodeConfig,
+    /// Its open store.
+    pub store: Store,
+    /// What the store held when it was opened.
+    pub state: PersistentState,
+    /// Listens on the address that the other replicas know.
+    pub listener: TcpListener,
+    /// Where the replica's status is published.
+    pub status: watch::Sender<Option<ReplicaStatus>>,
 }
 
-enum Inbox {
-    Up { link: u64, speaker: Speaker, out: mpsc::Sender<Bytes> },
-    Frame { link: u64, frame: Frame },
-    Down { link: u64 },
-}
-
-/// Runs a voter until `stop` is done, or it can't go on. `status` is told what it says of itself.
-///
-/// # Errors
-/// Its store fails or is behind what it has promised: it must not go on.
-pub async fn run(
-    plan: Plan,
-    store: Store,
-    stored: PersistentState,
-    listener: TcpListener,
-    status: watch::Sender<Option<ReplicaStatus>>,
-    stop: impl Future<Output = ()>,
-) -> Result<(), NodeError> {
-    let life = store.opened();
-    let voter: Replica = Replica::new(plan.id, &stored, &plan.spans, life)?;
-    let (inbox, mut frames) = mpsc::channel(INBOX);
-    let mut tasks = JoinSet::new();
-    tasks.spawn(accept(plan.clone(), listener, inbox.clone()));
-    for (id, at) in plan.others.iter().filter(|(id, _)| **id < plan.id) {
-        tasks.spawn(dial(plan.clone(), *id, *at, inbox.clone()));
-    }
-    drop(inbox);
-    let mut ticks = interval(Duration::from_nanos(voter.tick_interval()));
-    ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let (links, peers, asked) = (HashMap::new(), BTreeMap::new(), BTreeMap::new());
-    let mut node = Node { voter, store, links, peers, asked };
-    tokio::pin!(stop);
-    loop {
-        tokio::select! {
-            () = &mut stop => return Ok(()),
-            _ = ticks.tick() => node.voter.tick(clock::now()),
-            Some(event) = frames.recv() => {
-                node.take(event)?;
-                // What has come meanwhile shares one write.
-                while let Ok(event) = frames.try_recv() {
-                    node.take(event)?;
+impl Node {
+    /// Runs the replica until `stop` is complete.
+    ///
+    /// # Errors
+    /// The store fails, or is behind what the replica has acknowledged: the replica must not go
+    /// on.
+    pub async fn run(self, stop: impl Future<Output = ()>) -> Result<(), NodeError> {
+        let Node { config, store, state, listener, status } = self;
+        let replica: Replica = Replica::new(config.id, &state, &config.timing, store.opened())?;
+        let (event_sender, mut events) = mpsc::channel(EVENT_QUEUE_MAX);
+        let _connection_tasks = transport::spawn(&config, listener, &event_sender);
+        drop(event_sender);
+        let mut ticks = interval(Duration::from_nanos(replica.tick_interval()));
+        ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut driver = Driver::new(replica, store);
+        tokio::pin!(stop);
+        loop {
+            tokio::select! {
+                () = &mut stop => return Ok(()),
+                _ = ticks.tick() => driver.replica.tick(clock::now()),
+                Some(event) = events.recv() => {
+                    driver.handle_event(event)?;
+                    // Events that have arrived meanwhile share one write.
+                    while let Ok(event) = events.try_recv() {
+                        driver.handle_event(event)?;
+                    }
                 }
             }
+            driver.write_batches()?;
+            publish(&status, driver.replica.status());
         }
-        node.drive()?;
-        status.send_if_modified(|said| {
-            let now = Some(node.voter.status());
-            let differs = *said != now;
-            *said = now;
-            differs
-        });
     }
 }
 
-struct Node {
-    voter: Replica,
+fn publish(status: &watch::Sender<Option<ReplicaStatus>>, current: ReplicaStatus) {
+    status.send_if_modified(|published| {
+        let is_modified = *published != Some(current);
+        *published = Some(current);
+        is_modified
+    });
+}
+
+/// An open connection.
+struct OpenConnection {
+    peer: PeerIdentity,
+    outgoing: mpsc::Sender<Bytes>,
+}
+
+/// Where a response is to go.
+struct Requester {
+    connection: ConnectionId,
+    request_id: u64,
+}
+
+/// Drives a replica by events, and by its store.
+struct Driver {
+    replica: Replica,
     store: Store,
-    links: HashMap<u64, Link>,
-    /// The last link of each other voter; it may be down.
-    peers: BTreeMap<u64, u64>,
-    asked: BTreeMap<ProposalId, (u64, u64)>,
+    connections: HashMap<ConnectionId, OpenConnection>,
+    /// The last connection of each other replica; it may be closed.
+    replica_connections: BTreeMap<u64, ConnectionId>,
+    pending_requests: BTreeMap<ProposalId, Requester>,
 }
 
-impl Node {
-    fn take(&mut self, event: Inbox) -> Result<(), NodeError> {
+impl Driver {
+    fn new(replica: Replica, store: Store) -> Self {
+        Driver {
+            replica,
+            store,
+            connections: HashMap::new(),
+            replica_connections: BTreeMap::new(),
+            pending_requests: BTreeMap::new(),
+        }
+    }
+
+    fn handle_event(&mut self, event: ConnectionEvent) -> Result<(), NodeError> {
         match event {
-            Inbox::Up { link, speaker, out } => {
-                // A voter has one link: what came before is gone at the other end.
-                if let Speaker::Voter(id) = speaker {
-                    let before = self.peers.insert(id, link);
-                    before.into_iter().for_each(|before| drop(self.links.remove(&before)));
-                }
-                self.links.insert(link, Link { speaker, out });
+            ConnectionEvent::Opened { connection, peer, outgoing } => {
+                self.open(connection, OpenConnection { peer, outgoing });
+            }
+            ConnectionEvent::Closed { connection } => {
+                self.connections.remove(&connection);
             }
-            Inbox::Down { link } => {
-                self.links.remove(&link);
+            ConnectionEvent::Received { connection, frame } => {
+                self.handle_frame(connection, frame)?;
             }
-            Inbox::Frame { link, frame } => self.frame(link, frame)?,
         }
         Ok(())
     }
 
-    fn frame(&mut self, link: u64, frame: Frame) -> Result<(), NodeError> {
-        let Some(Link { speaker, .. }) = self.links.get(&link) else { return Ok(()) };
-        match (speaker, frame) {
-            (Speaker::Voter(_), Frame::Raft(bytes)) => {
-                match self.voter.handle_message(clock::now(), &bytes) {
-                    Ok(()) => {}
-                    Err(error @ ReplicaError::StoreBehind { .. }) => return Err(error.into()),
-                    Err(error) => self.shut(link, &error.to_string()),
-                }
+    fn open(&mut self, id: ConnectionId, connection: OpenConnection) {
+        // A replica has one connection: its former one is closed at the other end.
+        if let PeerIdentity::Replica(replica) = connection.peer {
+            if let Some(former) = self.replica_connections.insert(replica, id) {
+                self.connections.remove(&former);
             }
-            (Speaker::Member(_), Frame::Ask { number, command }) => {
-                match self.voter.propose(&command) {
-                    Ok(ticket) => {
-                        self.asked.insert(ticket, (link, number));
-                        while self.asked.len() > ASKED_MAX {
-                            self.asked.pop_first();
-                        }
-                    }
-                    Err(_) => self.say(link, &Frame::NotNow { number }),
-                }
+        }
+        self.connections.insert(id, connection);
+    }
+
+    fn handle_frame(&mut self, id: ConnectionId, frame: Frame) -> Result<(), NodeError> {
+        let Some(connection) = self.connections.get(&id) else { return Ok(()) };
+        match (&connection.peer, frame) {
+            (PeerIdentity::Replica(_), Frame::Raft(bytes)) => self.handle_raft(id, &bytes)?,
+            (PeerIdentity::Member(_), Frame::Request { request_id, command }) => {
+                self.propose(Requester { connection: id, request_id }, &command);
             }
-            (Speaker::Member(_), Frame::Tell) => {
-                let report = self.report();
-                self.say(link, &Frame::Told(Box::new(report)));
+            (PeerIdentity::Member(_), Frame::StatusRequest) => {
+                let report = self.status_report();
+                self.send(id, &Frame::StatusResponse(Box::new(report)));
             }
-            _ => self.shut(link, "a frame that is not its speaker's to send"),
+            _ => self.close(id, "a frame that its sender may not send"),
         }
         Ok(())
     }
 
-    fn report(&self) -> Report {
-        let member = |link: &&Link| matches!(link.speaker, Speaker::Member(_));
-        let leases = self.voter.leases().iter();
-        Report {
-            status: self.voter.status(),
-            life: self.store.opened(),
-            members: self.links.values().filter(member).count() as u32,
-            leases: leases.map(|(name, lease)| (name.to_owned(), lease.clone())).collect(),
+    fn handle_raft(&mut self, id: ConnectionId, bytes: &[u8]) -> Result<(), NodeError> {
+        match self.replica.handle_message(clock::now(), bytes) {
+            Ok(()) => {}
+            Err(error @ ReplicaError::StoreBehind { .. }) => return Err(error.into()),
+            Err(error) => self.close(id, &error.to_string()),
+        }
+        Ok(())
+    }
+
+    fn propose(&mut self, requester: Requester, command: &Command) {
+        let Ok(proposal) = self.replica.propose(command) else {
+            let Requester { connection, request_id } = requester;
+            self.send(connection, &Frame::Unavailable { request_id });
+            return;
+        };
+        self.pending_requests.insert(proposal, requester);
+        while self.pending_requests.len() > PENDING_REQUESTS_MAX {
+            self.pending_requests.pop_first();
+        }
+    }
+
+    fn status_report(&self) -> StatusReport {
+        let is_member =
+            |connection: &&OpenConnection| matches!(connection.peer, PeerIdentity::Member(_));
+        let leases = self.replica.leases().iter();
+        StatusReport {
+            status: self.replica.status(),
+            incarnation: self.store.opened(),
+            members: self.connections.values().filter(is_member).count() as u32,
+            leases: leases
+                .map(|(name, lease)| NamedLease { name: name.to_owned(), lease: lease.clone() })
+                .collect(),
         }
     }
 
-    fn shut(&mut self, link: u64, why: &str) {
-        if let Some(Link { speaker, .. }) = self.links.remove(&link) {
-            tracing::warn!(?speaker, why, "a link of the fleet is shut");
+    fn close(&mut self, id: ConnectionId, reason: &str) {
+        if let Some(OpenConnection { peer, .. }) = self.connections.remove(&id) {
+            tracing::warn!(%peer, reason, "connection closed");
         }
     }
 
-    fn say(&self, link: u64, frame: &Frame) {
-        if let Some(link) = self.links.get(&link) {
-            // Full: its protocol asks again.
-            let _ = link.out.try_send(pack(frame));
+    fn send(&self, id: ConnectionId, frame: &Frame) {
+        if let Some(connection) = self.connections.get(&id) {
+            // A frame for a full queue is dropped: its protocol repeats it.
+            let _ = connection.outgoing.try_send(encode(frame));
         }
     }
 
-    fn post(&self, messages: Vec<raft::eraftpb::Message>) -> Result<(), NodeError> {
+    fn send_raft(&self, messages: Vec<raft::eraftpb::Message>) -> Result<(), NodeError> {
         for message in messages {
-            if let Some(link) = self.peers.get(&message.to) {
-                self.say(*link, &Frame::Raft(encode(&message)?));
+            if let Some(connection) = self.replica_connections.get(&message.to) {
+                self.send(*connection, &Frame::Raft(message::encode(&message)?));
             }
         }
         Ok(())
     }
 
     /// Writes, syncs and sends until there is nothing more to do.
-    fn drive(&mut self) -> Result<(), NodeError> {
-        while let Some(mut batch) = self.voter.next_batch(clock::now())? {
-            self.post(std::mem::take(&mut batch.immediate_messages))?;
-            for ProposalResponse { proposal, response: answer } in
-                std::mem::take(&mut batch.responses)
-            {
-                if let Some((link, number)) = self.asked.remove(&proposal) {
-                    self.say(link, &Frame::Answer { number, answer });
-                }
+    fn write_batches(&mut self) -> Result<(), NodeError> {
+        while let Some(mut batch) = self.replica.next_batch(clock::now())? {
+            self.send_raft(std::mem::take(&mut batch.immediate_messages))?;
+            for response in std::mem::take(&mut batch.responses) {
+                self.respond(response);
             }
             if !batch.is_empty() {
                 self.store.write(&batch)?;
             }
-            let messages = self.voter.batch_synced(clock::now());
-            self.post(messages)?;
+            let messages = self.replica.batch_synced(clock::now());
+            self.send_raft(messages)?;
         }
         Ok(())
     }
-}
-
-fn hello(plan: &Plan) -> Bytes {
-    let speaker = Speaker::Voter(plan.id);
-    pack(&Hello { version: VERSION, fleet: plan.fleet.clone(), speaker })
-}
-
-pub(crate) type Wire = Framed<TcpStream, tokio_util::codec::LengthDelimitedCodec>;
-
-/// Says who this is and hears who that is.
-pub(crate) async fn greet(
-    stream: TcpStream,
-    own: Bytes,
-    fleet: &str,
-) -> Result<(Wire, Speaker), LinkError> {
-    let garbled = |why: &str| LinkError::Garbled(why.to_owned());
-    let _ = stream.set_nodelay(true);
-    let mut wire = Framed::new(stream, codec());
-    let met = async {
-        wire.send(own).await.map_err(|error| garbled(&error.to_string()))?;
-        match wire.next().await {
-            Some(Ok(bytes)) => unpack::<Hello>(&bytes),
-            Some(Err(error)) => Err(garbled(&error.to_string())),
-            None => Err(garbled("closed before it said who it is")),
-        }
-    };
-    let theirs = timeout(HELLO_WITHIN, met).await.map_err(|_| garbled("says nothing"))??;
-    theirs.check(fleet)?;
-    open_up(wire.codec_mut());
-    Ok((wire, theirs.speaker))
-}
-
-async fn accept(plan: Plan, listener: TcpListener, inbox: mpsc::Sender<Inbox>) {
-    let (mut links, mut number) = (JoinSet::new(), 0u64);
-    loop {
-        let accepted = tokio::select! {
-            accepted = listener.accept() => accepted,
-            Some(_) = links.join_next() => continue,
-        };
-        let Ok((stream, from)) = accepted else {
-            // Out of descriptors: those that close make room.
-            sleep(Duration::from_millis(50)).await;
-            continue;
-        };
-        if links.len() >= LINKS_MAX {
-            continue;
-        }
-        number += 1;
-        let (plan, inbox, link) = (plan.clone(), inbox.clone(), number << 1);
-        links.spawn(async move {
-            let met =
-                greet(stream, hello(&plan), &plan.fleet).await.and_then(|(wire, who)| match who {
-                    Speaker::Voter(id) if id <= plan.id || !plan.others.contains_key(&id) => {
-                        Err(LinkError::Stranger(format!("voter {id}")))
-                    }
-                    who => Ok((wire, who)),
-                });
-            match met {
-                Ok((wire, who)) => serve(link, wire, who, inbox).await,
-                Err(error) => tracing::warn!(%from, %error, "shut out of the fleet"),
-            }
-        });
-    }
-}
 
-async fn dial(plan: Plan, id: u64, at: SocketAddr, inbox: mpsc::Sender<Inbox>) {
-    let mut rng = Pcg32::seed_from_u64(clock::now() ^ plan.id << 32 ^ id);
-    let (mut pause, mut number, mut said) = (REDIAL[0], 0u64, None);
-    loop {
-        let stream = timeout(HELLO_WITHIN, TcpStream::connect(at)).await;
-        if let Ok(Ok(stream)) = stream {
-            number += 1;
-            let link = (id << 40 | number) << 1 | 1;
-            let met = greet(stream, hello(&plan), &plan.fleet).await.and_then(|(wire, who)| {
-                let right = who == Speaker::Voter(id);
-                right.then_some(wire).ok_or_else(|| LinkError::Stranger(format!("{who:?}")))
-            });
-            match met {
-                Ok(wire) => {
-                    (pause, said) = (REDIAL[0], None);
-                    serve(link, wire, Speaker::Voter(id), inbox.clone()).await;
-                }
-                Err(error) => {
-                    // One line for each cause, not for each try.
-                    if said.replace(error.clone()).as_ref() != Some(&error) {
-                        tracing::warn!(voter = id, %at, %error, "not the voter that the file names");
-                    }
-                }
-            }
-        }
-        let drawn = pause / 2 + rng.next_u64() % (pause / 2);
-        sleep(Duration::from_nanos(drawn)).await;
-        pause = (pause * 2).min(REDIAL[1]);
-    }
-}
-
-/// Carries frames both ways until one side ends.
-async fn serve(link: u64, wire: Wire, speaker: Speaker, inbox: mpsc::Sender<Inbox>) {
-    let (out, mut queue) = mpsc::channel(LINK_QUEUE);
-    let (mut sink, mut stream) = wire.split();
-    if inbox.send(Inbox::Up { link, speaker: speaker.clone(), out }).await.is_err() {
-        return;
-    }
-    let write = async {
-        while let Some(bytes) = queue.recv().await {
-            if !matches!(timeout(WRITE_WITHIN, sink.send(bytes)).await, Ok(Ok(()))) {
-                return;
-            }
-        }
-    };
-    let read = async {
-        while let Some(Ok(bytes)) = stream.next().await {
-            match unpack::<Frame>(&bytes) {
-                Ok(frame) => {
-                    if inbox.send(Inbox::Frame { link, frame }).await.is_err() {
-                        return;
-                    }
-                }
-                Err(error) => {
-                    tracing::warn!(?speaker, %error, "a link of the fleet is shut");
-                    return;
-                }
-            }
+    fn respond(&mut self, response: ProposalResponse<mintshelf_lease::command::Response>) {
+        let ProposalResponse { proposal, response } = response;
+        if let Some(Requester { connection, request_id }) = self.pending_requests.remove(&proposal)
+        {
+            self.send(connection, &Frame::Response { request_id, response });
         }
-    };
-    tokio::select! {
-        () = write => {}
-        () = read => {}
     }
-    let _ = inbox.send(Inbox::Down { link }).await;
 }
--- a/crates/consensus-node/src/store.rs
+++ b/crates/consensus-node/src/store.rs
@@ -1,97 +1,62 @@
-//! A voter's store: one file of an embedded database that writes each batch whole or not at all.
+//! A replica's store: one file of an embedded database that writes each batch completely or not
+//! at all.
 //!
-//! A batch is synced before [`Store::write`] returns; what it promises may leave after that. The
-//! file says whose it is: fleet, voter and how often it was opened.
+//! A batch is synced before [`Store::write`] returns; what depends on it may be sent after that.
+//! The file says whose it is: fleet, replica and how often it was opened.
 
-use mintshelf_consensus::error::StoredStateError;
+use crate::store_codec::{EncodedBatch, EncodedState, ENTRIES, STATE};
+use crate::store_error::{Damage, StoreError};
 use mintshelf_consensus::persistent_state::PersistentState;
 use mintshelf_consensus::write_batch::WriteBatch;
-use protobuf::Message as _;
-use raft::eraftpb::{Entry, HardState, Snapshot};
 use redb::{
-    Builder, Database, DatabaseError, Durability, ReadableDatabase, ReadableTable, StorageBackend,
-    TableDefinition,
+    Builder, Database, Durability, ReadableDatabase, ReadableTable, StorageBackend,
+    TableDefinition, WriteTransaction,
 };
 use std::fs::{self, File, OpenOptions};
 use std::path::{Path, PathBuf};
-use thiserror::Error;
 
-/// The file in a voter's directory.
+/// Name of the file in a replica's directory.
 pub const FILE: &str = "voter.redb";
-/// What the file holds has this form.
-const FORMAT: u64 = 1;
-/// Memory for pages.
-const CACHE: usize = 4 << 20;
+/// Version of what the file holds.
+pub(crate) const FORMAT: u64 = 1;
+/// Memory for pages, in bytes.
+const CACHE_BYTES: usize = 4 << 20;
 
-const ENTRIES: TableDefinition<u64, &[u8]> = TableDefinition::new("entries");
-const STATE: TableDefinition<&str, &[u8]> = TableDefinition::new("state");
 const NUMBERS: TableDefinition<&str, u64> = TableDefinition::new("numbers");
 
-/// Why a store can't be used.
-#[derive(Debug, Error)]
-pub enum StoreError {
-    /// Another process has it.
-    #[error("{path}: another process uses this directory; end it, or give this voter its own")]
-    InUse {
-        /// The file.
-        path: PathBuf,
-    },
-    /// Another voter's or another fleet's.
-    #[error("{path}: belongs to voter {voter} of fleet {fleet:?}; correct directory or name")]
-    Foreign {
-        /// The file.
-        path: PathBuf,
-        /// Whose it is.
-        fleet: String,
-        /// Whose it is.
-        voter: u64,
-    },
-    /// A newer or an older version's.
-    #[error("{path}: written in form {form}, this version reads {FORMAT}")]
-    Format {
-        /// The file.
-        path: PathBuf,
-        /// What it says.
-        form: u64,
-    },
-    /// Cut, overwritten or otherwise no store.
-    #[error(
-        "{path}: damaged ({why}); this voter must not go on from it: move it away, and let the \
-         voter join anew"
-    )]
-    Damaged {
-        /// The file.
-        path: PathBuf,
-        /// What the database says.
-        why: String,
-    },
-    /// The disk does not do what it is told.
-    #[error("{path}: {why}")]
-    Disk {
-        /// The file or directory.
-        path: PathBuf,
-        /// What it says.
-        why: String,
-    },
-}
+/// Key of [`STATE`].
+const FLEET: &str = "fleet";
+/// Keys of [`NUMBERS`].
+const FORMAT_KEY: &str = "form";
+const REPLICA: &str = "voter";
+const OPENED: &str = "opened";
 
 /// Whose store it is.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Identity {
-    /// The fleet's name.
+    /// Name of the fleet.
     pub fleet: String,
-    /// The voter's number.
-    pub voter: u64,
+    /// Number of the replica.
+    pub replica: u64,
 }
 
 /// What a store held when it was opened.
 #[derive(Debug)]
-pub enum Opened {
-    /// Nothing: a new directory, or one that was emptied. Which of both, only the other voters
+pub enum StoreContent {
+    /// Nothing: a new directory, or one that was emptied. Which of both, only the other replicas
     /// know; see the design note.
     Empty,
-    /// What the voter goes on from.
-    Stored(Box<PersistentState>),
+    /// What the replica goes on from.
+    State(Box<PersistentState>),
+}
+
+/// A store that was opened, and what it held.
+#[derive(Debug)]
+pub struct OpenedStore {
+    /// The open store.
+    pub store: Store,
+    /// What it held.
+    pub content: StoreContent,
 }
 
 /// An open store. One process at a time has it.
@@ -102,42 +67,42 @@
     opened: u64,
 }
 
+/// What a store says of itself; all absent in a new one.
+struct Header {
+    format: Option<u64>,
+    replica: Option<u64>,
+    opened: Option<u64>,
+    fleet: Option<Vec<u8>>,
+}
+
 impl Store {
-    /// Opens a voter's directory, makes it if there is none, and counts the opening.
+    /// Opens a replica's directory, creates it if there is none, and counts the opening.
     ///
     /// # Errors
     /// See [`StoreError`]: in use, another's, damaged, or the disk fails. Nothing is changed then.
-    pub fn open(directory: &Path, identity: &Identity) -> Result<(Self, Opened), StoreError> {
+    pub fn open(directory: &Path, identity: &Identity) -> Result<OpenedStore, StoreError> {
         let path = directory.join(FILE);
-        let disk = |at: &Path, error: std::io::Error| StoreError::Disk {
-            path: at.to_owned(),
-            why: error.to_string(),
-        };
-        fs::create_dir_all(directory).map_err(|error| disk(directory, error))?;
-        let new = !path.exists();
-        let file = OpenOptions::new()
-            .read(true)
-            .write(true)
-            .create(true)
-            .truncate(false)
-            .open(&path)
-            .map_err(|error| disk(&path, error))?;
-        // A file that was cut to nothing is no new one: the database would begin anew in it.
-        if !new && file.metadata().map_err(|error| disk(&path, error))?.len() == 0 {
-            return Err(StoreError::Damaged { path, why: "empty".into() });
+        fs::create_dir_all(directory).map_err(|error| StoreError::io(directory, error))?;
+        let is_new = !path.exists();
+        let file = open_file(&path).map_err(|error| StoreError::io(&path, error))?;
+        let metadata = file.metadata().map_err(|error| StoreError::io(&path, error))?;
+        // A file that was truncated to nothing is not new: the database would begin anew in it.
+        if !is_new && metadata.len() == 0 {
+            return Err(StoreError::damaged(&path, Damage::Empty));
         }
-        let backend = redb::backends::FileBackend::new(file).map_err(|e| open_error(&path, e))?;
-        let store = Self::on(path, backend, identity)?;
-        if new {
-            // The name in the directory is part of what is promised.
+        let backend = redb::backends::FileBackend::new(file)
+            .map_err(|error| StoreError::opening(&path, error))?;
+        let opened = Self::on(path, backend, identity)?;
+        if is_new {
+            // The name in the directory must survive a crash like the file itself.
             File::open(directory)
                 .and_then(|directory| directory.sync_all())
-                .map_err(|error| disk(directory, error))?;
+                .map_err(|error| StoreError::io(directory, error))?;
         }
-        Ok(store)
+        Ok(opened)
     }
 
-    /// Opens a store on a file of the caller's.
+    /// Opens a store on a storage backend of the caller's.
     ///
     /// # Errors
     /// As [`Store::open`].
@@ -145,176 +110,123 @@
         path: PathBuf,
         backend: impl StorageBackend,
         identity: &Identity,
-    ) -> Result<(Self, Opened), StoreError> {
+    ) -> Result<OpenedStore, StoreError> {
         let mut builder = Builder::new();
-        builder.set_cache_size(CACHE);
-        let database =
-            builder.create_with_backend(backend).map_err(|error| open_error(&path, error))?;
+        builder.set_cache_size(CACHE_BYTES);
+        let database = builder
+            .create_with_backend(backend)
+            .map_err(|error| StoreError::opening(&path, error))?;
         let mut store = Store { path, database, opened: 0 };
-        let opened = store.begin(identity)?;
-        Ok((store, opened))
+        let header = store.read_header()?;
+        store.check_identity(&header, identity)?;
+        store.opened = header.opened.unwrap_or(0) + 1;
+        store.write_header(identity)?;
+        let content = store.read_content()?;
+        Ok(OpenedStore { store, content })
+    }
+
+    /// How often this store was opened, this time included: an incarnation that no former start
+    /// from this directory had.
+    pub fn opened(&self) -> u64 {
+        self.opened
     }
 
-    fn begin(&mut self, identity: &Identity) -> Result<Opened, StoreError> {
+    fn read_header(&self) -> Result<Header, StoreError> {
+        self.transact(|transaction| {
+            let numbers = transaction.open_table(NUMBERS)?;
+            let number = |key: &str| -> Result<Option<u64>, redb::Error> {
+                Ok(numbers.get(key)?.map(|value| value.value()))
+            };
+            let state = transaction.open_table(STATE)?;
+            let fleet = state.get(FLEET)?.map(|fleet| fleet.value().to_vec());
+            // Created here, so that reading finds all tables.
+            transaction.open_table(ENTRIES)?;
+            Ok(Header {
+                format: number(FORMAT_KEY)?,
+                replica: number(REPLICA)?,
+                opened: number(OPENED)?,
+                fleet,
+            })
+        })
+    }
+
+    fn check_identity(&self, header: &Header, identity: &Identity) -> Result<(), StoreError> {
         let path = self.path.clone();
-        let (form, voter, opened, fleet) = self.run(|write| {
-            let numbers = write.open_table(NUMBERS)?;
-            let get = |name: &str| Ok::<_, redb::Error>(numbers.get(name)?.map(|n| n.value()));
-            let (form, voter, opened) = (get("form")?, get("voter")?, get("opened")?);
-            let state = write.open_table(STATE)?;
-            let fleet = state.get("fleet")?.map(|fleet| fleet.value().to_vec());
-            write.open_table(ENTRIES)?;
-            Ok((form, voter, opened, fleet))
-        })?;
-        match (form, voter, fleet) {
-            (None, None, None) => {}
-            (Some(form), _, _) if form != FORMAT => return Err(StoreError::Format { path, form }),
-            (Some(_), Some(voter), Some(fleet)) => {
-                let fleet = String::from_utf8_lossy(&fleet).into_owned();
-                if (fleet.as_str(), voter) != (identity.fleet.as_str(), identity.voter) {
-                    return Err(StoreError::Foreign { path, fleet, voter });
+        match (header.format, header.replica, &header.fleet) {
+            (None, None, None) => Ok(()),
+            (Some(format), _, _) if format != FORMAT => Err(StoreError::Format { path, format }),
+            (Some(_), Some(replica), Some(fleet)) => {
+                let fleet = String::from_utf8_lossy(fleet).into_owned();
+                if fleet != identity.fleet || replica != identity.replica {
+                    return Err(StoreError::Foreign { path, fleet, replica });
                 }
+                Ok(())
             }
-            _ => return Err(self.damaged("it does not say whose it is")),
+            _ => Err(self.damaged(Damage::NoIdentity)),
         }
-        self.opened = opened.unwrap_or(0) + 1;
-        let opened = self.opened;
-        self.run(|write| {
-            let mut numbers = write.open_table(NUMBERS)?;
-            numbers.insert("form", FORMAT)?;
-            numbers.insert("voter", identity.voter)?;
-            numbers.insert("opened", opened)?;
-            let mut state = write.open_table(STATE)?;
-            state.insert("fleet", identity.fleet.as_bytes())?;
-            Ok(())
-        })?;
-        self.read()
     }
 
-    /// How often this store was opened, this time included: a life's number that no former life
-    /// of this directory had.
-    pub fn opened(&self) -> u64 {
-        self.opened
+    fn write_header(&self, identity: &Identity) -> Result<(), StoreError> {
+        self.transact(|transaction| {
+            let mut numbers = transaction.open_table(NUMBERS)?;
+            numbers.insert(FORMAT_KEY, FORMAT)?;
+            numbers.insert(REPLICA, identity.replica)?;
+            numbers.insert(OPENED, self.opened)?;
+            let mut state = transaction.open_table(STATE)?;
+            state.insert(FLEET, identity.fleet.as_bytes())?;
+            Ok(())
+        })
     }
 
-    fn damaged(&self, why: impl ToString) -> StoreError {
-        StoreError::Damaged { path: self.path.clone(), why: why.to_string() }
+    fn damaged(&self, damage: impl Into<Damage>) -> StoreError {
+        StoreError::damaged(&self.path, damage)
     }
 
-    fn failed(&self, error: redb::Error) -> StoreError {
-        match error {
-            redb::Error::Corrupted(why) => self.damaged(why),
-            error => StoreError::Disk { path: self.path.clone(), why: error.to_string() },
-        }
-    }
-
-    fn run<T>(
+    /// Runs one write transaction and syncs it.
+    fn transact<T>(
         &self,
-        work: impl FnOnce(&redb::WriteTransaction) -> Result<T, redb::Error>,
+        work: impl FnOnce(&WriteTransaction) -> Result<T, redb::Error>,
     ) -> Result<T, StoreError> {
-        let run = || {
-            let mut write = self.database.begin_write().map_err(redb::Error::from)?;
-            write.set_durability(Durability::Immediate).map_err(redb::Error::from)?;
-            let done = work(&write)?;
-            write.commit().map_err(redb::Error::from)?;
-            Ok(done)
+        let run = || -> Result<T, redb::Error> {
+            let mut transaction = self.database.begin_write()?;
+            transaction.set_durability(Durability::Immediate)?;
+            let result = work(&transaction)?;
+            transaction.commit()?;
+            Ok(result)
         };
-        run().map_err(|error| self.failed(error))
+        run().map_err(|error| StoreError::using(&self.path, error))
     }
 
-    /// Writes a batch whole and syncs it.
+    /// Writes a batch completely and syncs it.
     ///
     /// # Errors
-    /// The disk fails: nothing of the batch may be promised, and the voter must stop. What is
-    /// stored is the batch before it, or this one.
+    /// The disk fails: nothing of the batch may be acknowledged, and the replica must stop. What
+    /// is stored is the batch before it, or this one.
     pub fn write(&self, batch: &WriteBatch) -> Result<(), StoreError> {
-        let bytes = |message: &dyn protobuf::Message| {
-            message.write_to_bytes().map_err(|error| self.damaged(error))
-        };
-        let snapshot = batch.snapshot.as_ref().map(|s| bytes(s)).transpose()?;
-        let hard = batch.hard_state.as_ref().map(|hard| bytes(hard)).transpose()?;
-        let entries: Vec<(u64, Vec<u8>)> = batch
-            .entries
-            .iter()
-            .map(|entry| Ok((entry.index, bytes(entry)?)))
-            .collect::<Result<_, StoreError>>()?;
-        let compacted = batch.compacted.as_ref().map(|s| bytes(s)).transpose()?;
-        self.run(|write| {
-            let mut log = write.open_table(ENTRIES)?;
-            let mut state = write.open_table(STATE)?;
-            if let Some(snapshot) = &snapshot {
-                log.retain(|_, _| false)?;
-                state.insert("snapshot", snapshot.as_slice())?;
-            }
-            if let Some((first, _)) = entries.first() {
-                log.retain_in(*first.., |_, _| false)?;
-            }
-            for (index, entry) in &entries {
-                log.insert(index, entry.as_slice())?;
-            }
-            if let Some(hard) = &hard {
-                state.insert("hard", hard.as_slice())?;
-            }
-            if let (Some(snapshot), Some(bytes)) = (&batch.compacted, &compacted) {
-                log.retain_in(..=snapshot.get_metadata().index, |_, _| false)?;
-                state.insert("snapshot", bytes.as_slice())?;
-            }
-            Ok(())
-        })
+        let encoded = EncodedBatch::new(batch).map_err(|error| self.damaged(error))?;
+        self.transact(|transaction| encoded.write_to(transaction))
     }
 
-    /// Writes the beginning of a new fleet into an empty store.
+    /// Writes the state of a new fleet into an empty store.
     ///
     /// # Errors
     /// The disk fails.
-    pub fn begin_fleet(&self, stored: &PersistentState) -> Result<(), StoreError> {
+    pub fn initialize(&self, state: &PersistentState) -> Result<(), StoreError> {
         self.write(&WriteBatch {
-            snapshot: Some(stored.snapshot().clone()),
-            hard_state: Some(stored.hard_state().clone()),
+            snapshot: Some(state.snapshot().clone()),
+            hard_state: Some(state.hard_state().clone()),
             ..WriteBatch::default()
         })
     }
 
-    fn read(&self) -> Result<Opened, StoreError> {
-        let read = || {
-            let read = self.database.begin_read().map_err(redb::Error::from)?;
-            let state = read.open_table(STATE)?;
-            let bytes = |name: &str| {
-                Ok::<_, redb::Error>(state.get(name)?.map(|bytes| bytes.value().to_vec()))
-            };
-            let (hard, snapshot) = (bytes("hard")?, bytes("snapshot")?);
-            let mut entries = Vec::new();
-            for entry in read.open_table(ENTRIES)?.iter()? {
-                entries.push(entry?.1.value().to_vec());
-            }
-            Ok((hard, snapshot, entries))
-        };
-        let (hard, snapshot, entries) = read().map_err(|error| self.failed(error))?;
-        let (hard, snapshot) = match (hard, snapshot) {
-            (None, None) if entries.is_empty() => return Ok(Opened::Empty),
-            (Some(hard), Some(snapshot)) => (hard, snapshot),
-            _ => return Err(self.damaged("a part of the state is missing")),
-        };
-        let wrong = |error: protobuf::ProtobufError| self.damaged(error);
-        let hard = HardState::parse_from_bytes(&hard).map_err(wrong)?;
-        let snapshot = Snapshot::parse_from_bytes(&snapshot).map_err(wrong)?;
-        let entries: Result<Vec<Entry>, _> =
-            entries.iter().map(|entry| Entry::parse_from_bytes(entry)).collect();
-        let stored = PersistentState::from_parts(hard, snapshot, entries.map_err(wrong)?);
-        let stored = stored.map_err(|error: StoredStateError| self.damaged(error))?;
-        Ok(Opened::Stored(Box::new(stored)))
+    fn read_content(&self) -> Result<StoreContent, StoreError> {
+        let read = || EncodedState::read_from(&self.database.begin_read()?);
+        let encoded = read().map_err(|error| StoreError::using(&self.path, error))?;
+        let state = encoded.decode().map_err(|damage| self.damaged(damage))?;
+        Ok(state.map_or(StoreContent::Empty, |state| StoreContent::State(Box::new(state))))
     }
 }
 
-fn open_error(path: &Path, error: DatabaseError) -> StoreError {
-    let path = path.to_owned();
-    match error {
-        DatabaseError::DatabaseAlreadyOpen => StoreError::InUse { path },
-        DatabaseError::Storage(redb::StorageError::Io(error))
-            if error.kind() != std::io::ErrorKind::InvalidData =>
-        {
-            StoreError::Disk { path, why: error.to_string() }
-        }
-        error => StoreError::Damaged { path, why: error.to_string() },
-    }
+fn open_file(path: &Path) -> std::io::Result<File> {
+    OpenOptions::new().read(true).write(true).create(true).truncate(false).open(path)
 }
--- /dev/null
+++ b/crates/consensus-node/src/store_codec.rs
@@ -0,0 +1,113 @@
+//! The tables of a store, and the encoding of what they hold.
+
+use crate::store_error::Damage;
+use mintshelf_consensus::persistent_state::PersistentState;
+use mintshelf_consensus::write_batch::WriteBatch;
+use protobuf::{Message, ProtobufError};
+use raft::eraftpb::{Entry, HardState, Snapshot};
+use redb::{ReadTransaction, ReadableTable, TableDefinition, WriteTransaction};
+
+pub(crate) const ENTRIES: TableDefinition<u64, &[u8]> = TableDefinition::new("entries");
+pub(crate) const STATE: TableDefinition<&str, &[u8]> = TableDefinition::new("state");
+
+/// Keys of [`STATE`].
+const SNAPSHOT: &str = "snapshot";
+const HARD_STATE: &str = "hard";
+
+/// An entry of the log.
+struct EncodedEntry {
+    index: u64,
+    bytes: Vec<u8>,
+}
+
+/// A snapshot that takes the place of the entries up to its index.
+struct EncodedCompaction {
+    index: u64,
+    snapshot: Vec<u8>,
+}
+
+/// A batch, ready to be written.
+pub(crate) struct EncodedBatch {
+    snapshot: Option<Vec<u8>>,
+    entries: Vec<EncodedEntry>,
+    hard_state: Option<Vec<u8>>,
+    compaction: Option<EncodedCompaction>,
+}
+
+impl EncodedBatch {
+    pub(crate) fn new(batch: &WriteBatch) -> Result<Self, ProtobufError> {
+        let encode_entry = |entry: &Entry| -> Result<EncodedEntry, ProtobufError> {
+            Ok(EncodedEntry { index: entry.index, bytes: entry.write_to_bytes()? })
+        };
+        let encode_compaction = |snapshot: &Snapshot| -> Result<EncodedCompaction, ProtobufError> {
+            let index = snapshot.get_metadata().index;
+            Ok(EncodedCompaction { index, snapshot: snapshot.write_to_bytes()? })
+        };
+        Ok(EncodedBatch {
+            snapshot: batch.snapshot.as_ref().map(Snapshot::write_to_bytes).transpose()?,
+            entries: batch.entries.iter().map(encode_entry).collect::<Result<_, _>>()?,
+            hard_state: batch.hard_state.as_ref().map(HardState::write_to_bytes).transpose()?,
+            compaction: batch.compacted.as_ref().map(encode_compaction).transpose()?,
+        })
+    }
+
+    /// Writes the batch, in the order of its fields.
+    pub(crate) fn write_to(&self, transaction: &WriteTransaction) -> Result<(), redb::Error> {
+        let mut log = transaction.open_table(ENTRIES)?;
+        let mut state = transaction.open_table(STATE)?;
+        if let Some(snapshot) = &self.snapshot {
+            log.retain(|_, _| false)?;
+            state.insert(SNAPSHOT, snapshot.as_slice())?;
+        }
+        if let Some(first) = self.entries.first() {
+            log.retain_in(first.index.., |_, _| false)?;
+        }
+        for entry in &self.entries {
+            log.insert(entry.index, entry.bytes.as_slice())?;
+        }
+        if let Some(hard_state) = &self.hard_state {
+            state.insert(HARD_STATE, hard_state.as_slice())?;
+        }
+        if let Some(EncodedCompaction { index, snapshot }) = &self.compaction {
+            log.retain_in(..=*index, |_, _| false)?;
+            state.insert(SNAPSHOT, snapshot.as_slice())?;
+        }
+        Ok(())
+    }
+}
+
+/// The state of a store, as it was read.
+pub(crate) struct EncodedState {
+    hard_state: Option<Vec<u8>>,
+    snapshot: Option<Vec<u8>>,
+    entries: Vec<Vec<u8>>,
+}
+
+impl EncodedState {
+    pub(crate) fn read_from(transaction: &ReadTransaction) -> Result<Self, redb::Error> {
+        let state = transaction.open_table(STATE)?;
+        let read = |key: &str| -> Result<Option<Vec<u8>>, redb::Error> {
+            Ok(state.get(key)?.map(|bytes| bytes.value().to_vec()))
+        };
+        let mut entries = Vec::new();
+        for item in transaction.open_table(ENTRIES)?.iter()? {
+            let (_, entry) = item?;
+            entries.push(entry.value().to_vec());
+        }
+        Ok(EncodedState { hard_state: read(HARD_STATE)?, snapshot: read(SNAPSHOT)?, entries })
+    }
+
+    /// Decodes the state; `None` if there is none.
+    pub(crate) fn decode(&self) -> Result<Option<PersistentState>, Damage> {
+        let (hard_state, snapshot) = match (&self.hard_state, &self.snapshot) {
+            (None, None) if self.entries.is_empty() => return Ok(None),
+            (Some(hard_state), Some(snapshot)) => (hard_state, snapshot),
+            _ => return Err(Damage::MissingState),
+        };
+        let hard_state = HardState::parse_from_bytes(hard_state)?;
+        let snapshot = Snapshot::parse_from_bytes(snapshot)?;
+        let decode_entry = |bytes: &Vec<u8>| Entry::parse_from_bytes(bytes);
+        let entries = self.entries.iter().map(decode_entry).collect::<Result<_, _>>()?;
+        Ok(Some(PersistentState::from_parts(hard_state, snapshot, entries)?))
+    }
+}
--- /dev/null
+++ b/crates/mintshelf/src/fleet/init.rs
@@ -0,0 +1,22 @@
+//! `mintshelf fleet init`: writes the state of a new fleet into this replica's store.
+
+use super::error::CommandError;
+use super::query::{load_fleet, store_identity};
+use mintshelf_consensus::persistent_state::PersistentState;
+use mintshelf_consensus_node::store::{OpenedStore, Store, StoreContent};
+use std::path::Path;
+
+/// Runs the command.
+pub fn run(config: &Path) -> Result<(), CommandError> {
+    let fleet = load_fleet(config)?;
+    let id = fleet.id.ok_or_else(|| CommandError::NotReplica { name: fleet.name.clone() })?;
+    let directory = fleet.directory.as_deref().ok_or(CommandError::NoDirectory)?;
+    let OpenedStore { store, content } = Store::open(directory, &store_identity(&fleet, id))?;
+    if !matches!(content, StoreContent::Empty) {
+        return Err(CommandError::AlreadyInitialized { directory: directory.to_owned() });
+    }
+    let replica_ids: Vec<u64> = (1..=fleet.voters.len() as u64).collect();
+    store.initialize(&PersistentState::new_fleet(&replica_ids))?;
+    println!("voter '{}' of fleet '{}' begins in {}", fleet.name, fleet.fleet, directory.display());
+    Ok(())
+}
--- /dev/null
+++ b/crates/mintshelf/src/fleet/lease_run.rs
@@ -0,0 +1,172 @@
+//! `mintshelf lease run`: a command that runs while a lease is held, and not after.
+//!
+//! Three processes: the holder requests the lease and renews it; the guard beside it
+//! ([`super::lease_guard`]) ends the command's process group when the last renewal that it was
+//! notified of expires, or when the holder is gone; the command dies with the guard. So a holder
+//! that is stopped or killed leaves no command behind, and neither does a guard.
+
+use super::error::CommandError;
+use super::lease_guard::{exit_code_of, EXIT_NOT_ACQUIRED};
+use super::query::{command_owner, load_fleet, replica_addresses};
+use crate::runtime;
+use mintshelf_config::model::Fleet;
+use mintshelf_consensus_node::lease_keeper::{keep_lease, LeaseRequest, LeaseStatus};
+use mintshelf_lease::client::{ActiveGrant, LeaseConfig};
+use mintshelf_lease::command::{Owner, DURATION_MAX};
+use mintshelf_lease::timing::{Nanos, MS};
+use std::ffi::OsString;
+use std::io::Write;
+use std::os::unix::process::CommandExt;
+use std::path::Path;
+use std::process::{Child, ChildStdin, Command, ExitCode, Stdio};
+use std::time::Duration;
+use tokio::sync::{oneshot, watch};
+use tokio::time::{sleep, timeout};
+
+/// Shortest lease duration under which a command can be ended in time on a busy machine.
+const DURATION_MIN: Nanos = 1_000 * MS;
+/// Shortest time for which a lease is waited for: even without a queue a response takes time.
+const ACQUIRE_TIMEOUT_MIN: Duration = Duration::from_secs(3);
+/// Longest time that the release may take.
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(2);
+/// How often the guard and the lease are checked.
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
+
+/// The options of the command.
+pub struct RunOptions {
+    /// Name of the lease.
+    pub lease: String,
+    /// How long to wait for the lease.
+    pub wait: Duration,
+    /// Lease duration; the file's unless given.
+    pub duration: Option<Duration>,
+    /// The command and its arguments.
+    pub command: Vec<OsString>,
+}
+
+/// What is run under which lease.
+struct GuardedCommand {
+    lease: String,
+    duration: Nanos,
+    wait: Duration,
+    command: Vec<OsString>,
+}
+
+/// Runs the command; returns the exit code.
+///
+/// # Errors
+/// The options can't be used, or the guard can't be started.
+pub fn run(config: &Path, options: RunOptions) -> Result<ExitCode, CommandError> {
+    let fleet = load_fleet(config)?;
+    let RunOptions { lease, wait, duration, command } = options;
+    let duration =
+        duration.map_or(fleet.spans.lease_duration, |duration| duration.as_nanos() as Nanos);
+    if !(DURATION_MIN..=DURATION_MAX).contains(&duration) {
+        return Err(CommandError::InvalidDuration);
+    }
+    let guarded = GuardedCommand { lease, duration, wait, command };
+    let runtime = runtime().map_err(CommandError::Runtime)?;
+    runtime.block_on(run_under_lease(&fleet, guarded)).map(ExitCode::from)
+}
+
+/// The owner of this run's lease: two runs at one time are two members.
+fn run_owner(fleet: &Fleet) -> Owner {
+    let owner = command_owner(fleet);
+    let member = format!("{}#{}", owner.member, std::process::id());
+    Owner { member, ..owner }
+}
+
+async fn run_under_lease(fleet: &Fleet, guarded: GuardedCommand) -> Result<u8, CommandError> {
+    let request = LeaseRequest {
+        fleet: fleet.fleet.clone(),
+        replicas: replica_addresses(fleet),
+        config: LeaseConfig {
+            lease: guarded.lease.clone(),
+            owner: run_owner(fleet),
+            duration: guarded.duration,
+            clock_error: fleet.spans.clock_error,
+            wait: !guarded.wait.is_zero(),
+        },
+    };
+    let (publisher, mut status) = watch::channel(LeaseStatus::default());
+    let (stop, stopped) = oneshot::channel::<()>();
+    let keeper = tokio::spawn(keep_lease(request, publisher, async { drop(stopped.await) }));
+    let acquire_timeout = guarded.wait.max(ACQUIRE_TIMEOUT_MIN);
+    let outcome = timeout(acquire_timeout, wait_for_outcome(&mut status)).await.unwrap_or_default();
+    let exit_code = match outcome.grant {
+        Some(grant) => {
+            let mut guard = spawn_guard(&guarded, grant)?;
+            watch_guard(&mut guard, &mut status, grant).await
+        }
+        None => {
+            let reason = outcome
+                .rejection
+                .map_or("not got in time".into(), |rejection| rejection.to_string());
+            eprintln!("mintshelf: lease '{}': {reason}", guarded.lease);
+            Ok(EXIT_NOT_ACQUIRED)
+        }
+    };
+    // Released only now: the command and its process group have ended.
+    drop(stop);
+    let _ = timeout(RELEASE_TIMEOUT, keeper).await;
+    exit_code
+}
+
+/// Waits until the lease is granted or rejected.
+async fn wait_for_outcome(status: &mut watch::Receiver<LeaseStatus>) -> LeaseStatus {
+    loop {
+        let current = *status.borrow_and_update();
+        let is_decided = current.grant.is_some() || current.rejection.is_some();
+        if is_decided || status.changed().await.is_err() {
+            return current;
+        }
+    }
+}
+
+/// Starts the guard, which starts the command.
+fn spawn_guard(guarded: &GuardedCommand, grant: ActiveGrant) -> Result<Child, CommandError> {
+    let program = std::env::current_exe().map_err(CommandError::OwnProgram)?;
+    let mut guard = Command::new(program)
+        .args(["lease", "guard", "--span-ns", &guarded.duration.to_string()])
+        .args(["--until-ns", &grant.expires_at.to_string(), "--"])
+        .args(&guarded.command)
+        .env("MINTSHELF_LEASE_TOKEN", grant.token.to_string())
+        .stdin(Stdio::piped())
+        // A signal for the holder's process group must not end the guard first.
+        .process_group(0)
+        .spawn()
+        .map_err(CommandError::Guard)?;
+    if guard.stdin.is_none() {
+        let _ = guard.kill();
+        return Err(CommandError::GuardInput);
+    }
+    Ok(guard)
+}
+
+/// Notifies the guard of each renewal until the command has ended; returns its exit code.
+async fn watch_guard(
+    guard: &mut Child,
+    status: &mut watch::Receiver<LeaseStatus>,
+    mut grant: ActiveGrant,
+) -> Result<u8, CommandError> {
+    let mut guard_input: Option<ChildStdin> = guard.stdin.take();
+    loop {
+        if let Some(exit_status) = guard.try_wait().map_err(CommandError::GuardStatus)? {
+            return Ok(exit_code_of(exit_status));
+        }
+        match status.borrow_and_update().grant {
+            // Under another grant, another holder may have acted in between.
+            Some(current) if current.token != grant.token => guard_input = None,
+            Some(current) if current.expires_at > grant.expires_at => {
+                grant = current;
+                let sent =
+                    guard_input.as_mut().map(|input| writeln!(input, "{}", grant.expires_at));
+                if !matches!(sent, Some(Ok(()))) {
+                    guard_input = None;
+                }
+            }
+            _ => {}
+        }
+        sleep(CHECK_INTERVAL).await;
+    }
+}
--- /dev/null
+++ b/crates/mintshelf/src/fleet/replica_thread.rs
@@ -0,0 +1,141 @@
+//! This process's replica, on a thread of its own.
+
+use super::query::store_identity;
+use crate::runtime;
+use mintshelf_config::model::Fleet;
+use mintshelf_consensus_node::node::{Node, NodeConfig, NodeError};
+use mintshelf_consensus_node::store::{OpenedStore, Store, StoreContent};
+use mintshelf_consensus_node::store_error::StoreError;
+use std::collections::BTreeMap;
+use std::io;
+use std::net::{SocketAddr, TcpListener};
+use std::path::PathBuf;
+use std::thread::{self, JoinHandle};
+use thiserror::Error;
+use tokio::runtime::Runtime;
+use tokio::sync::{oneshot, watch};
+
+/// Why a replica can't be started.
+#[derive(Debug, Error)]
+pub enum StartError {
+    /// A replica without a directory, which the check of the file rules out.
+    #[error("a voter without a directory")]
+    NoDirectory,
+    /// The store can't be used.
+    #[error(transparent)]
+    Store(#[from] StoreError),
+    /// The store is empty.
+    #[error(
+        "{}: the store is empty. In a new fleet, run mintshelf fleet init --config FILE at \
+         each voter, once. If this voter has voted before, its store is lost: do not do that, \
+         it would vote against what it has promised",
+        directory.display()
+    )]
+    EmptyStore {
+        /// Directory of the store.
+        directory: PathBuf,
+    },
+    /// A replica without an address, which the check of the file rules out.
+    #[error("a voter that the file does not name")]
+    NoAddress,
+    /// The address can't be listened on.
+    #[error("fleet {address}: {source}")]
+    Listen {
+        /// The address.
+        address: SocketAddr,
+        /// What the system reports.
+        source: io::Error,
+    },
+    /// The asynchronous runtime can't be started.
+    #[error("runtime: {0}")]
+    Runtime(#[source] io::Error),
+    /// The thread can't be started.
+    #[error("thread: {0}")]
+    Thread(#[source] io::Error),
+}
+
+/// Why a replica has stopped.
+#[derive(Debug, Error)]
+enum StopError {
+    /// The listener can't be used.
+    #[error(transparent)]
+    Listener(#[from] io::Error),
+    /// The node can't go on.
+    #[error(transparent)]
+    Node(#[from] NodeError),
+}
+
+/// The thread of a replica: no request waits for it. Dropped, it stops the replica and waits for
+/// the thread.
+#[must_use = "dropped, it stops the replica"]
+pub struct ReplicaThread {
+    stop: Option<oneshot::Sender<()>>,
+    thread: Option<JoinHandle<()>>,
+}
+
+impl Drop for ReplicaThread {
+    fn drop(&mut self) {
+        drop(self.stop.take());
+        if let Some(thread) = self.thread.take() {
+            // A panic of the replica was reported by its thread.
+            let _ = thread.join();
+        }
+    }
+}
+
+/// Starts this process's replica, if it is one.
+///
+/// # Errors
+/// Its store is in use, another's, damaged or empty, or its address is in use.
+pub fn start(fleet: &Fleet) -> Result<Option<ReplicaThread>, StartError> {
+    let Some(id) = fleet.id else { return Ok(None) };
+    let directory = fleet.directory.as_deref().ok_or(StartError::NoDirectory)?;
+    let OpenedStore { store, content } = Store::open(directory, &store_identity(fleet, id))?;
+    let StoreContent::State(state) = content else {
+        return Err(StartError::EmptyStore { directory: directory.to_owned() });
+    };
+    let mut peers = replicas_by_id(fleet);
+    let address = peers.remove(&id).ok_or(StartError::NoAddress)?;
+    let listener = listen(address).map_err(|source| StartError::Listen { address, source })?;
+    let config = NodeConfig { fleet: fleet.fleet.clone(), id, peers, timing: fleet.spans };
+    let runtime = runtime().map_err(StartError::Runtime)?;
+    let (stop, stopped) = oneshot::channel::<()>();
+    let name = fleet.name.clone();
+    let run = move || {
+        let (status, _) = watch::channel(None);
+        let node = |listener| Node { config, store, state: *state, listener, status };
+        match run_node(&runtime, node, listener, stopped) {
+            Ok(()) => tracing::info!(replica = name, "replica stopped"),
+            // Traffic goes on: no request needs the fleet.
+            Err(error) => tracing::error!(replica = name, %error, "replica stopped"),
+        }
+    };
+    let thread = thread::Builder::new().name("fleet".into()).spawn(run);
+    let thread = thread.map_err(StartError::Thread)?;
+    tracing::info!(fleet = fleet.fleet, replica = fleet.name, %address, "replica started");
+    Ok(Some(ReplicaThread { stop: Some(stop), thread: Some(thread) }))
+}
+
+/// Addresses of all replicas, which are numbered from 1 in the order of the file.
+fn replicas_by_id(fleet: &Fleet) -> BTreeMap<u64, SocketAddr> {
+    (1..).zip(fleet.voters.iter().map(|voter| voter.address)).collect()
+}
+
+fn listen(address: SocketAddr) -> io::Result<TcpListener> {
+    let listener = TcpListener::bind(address)?;
+    listener.set_nonblocking(true)?;
+    Ok(listener)
+}
+
+fn run_node(
+    runtime: &Runtime,
+    node: impl FnOnce(tokio::net::TcpListener) -> Node,
+    listener: TcpListener,
+    stopped: oneshot::Receiver<()>,
+) -> Result<(), StopError> {
+    runtime.block_on(async {
+        let listener = tokio::net::TcpListener::from_std(listener)?;
+        let stop = async { drop(stopped.await) };
+        Ok(node(listener).run(stop).await?)
+    })
+}
--- /dev/null
+++ b/crates/mintshelf/src/fleet/status.rs
@@ -0,0 +1,111 @@
+//! `mintshelf fleet status`: the leader, and how far each replica is.
+
+use super::error::CommandError;
+use super::query::{load_fleet, FleetStatus};
+use mintshelf_config::model::{Fleet, FleetVoter};
+use mintshelf_consensus_node::frame::StatusReport;
+use serde::Serialize;
+use serde_json::json;
+use std::path::Path;
+
+/// A replica in the JSON output.
+#[derive(Serialize)]
+struct ReplicaOutput<'a> {
+    name: &'a str,
+    address: String,
+    #[serde(rename = "answers")]
+    responds: bool,
+    #[serde(flatten)]
+    state: Option<ReplicaState>,
+}
+
+/// What the JSON output says of a replica that responds.
+#[derive(Serialize)]
+struct ReplicaState {
+    #[serde(rename = "leads")]
+    is_leader: bool,
+    term: u64,
+    applied: u64,
+    lag: u64,
+    #[serde(rename = "lives")]
+    incarnation: u64,
+    members: u32,
+}
+
+/// Runs the command.
+pub fn run(config: &Path, as_json: bool) -> Result<(), CommandError> {
+    let fleet = load_fleet(config)?;
+    let status = FleetStatus::fetch(&fleet)?;
+    if as_json {
+        print_json(&fleet, &status);
+    } else {
+        print_table(&fleet, &status);
+    }
+    status.leader().map(drop)
+}
+
+/// Number of leases, as the leader has applied them.
+fn lease_count(status: &FleetStatus) -> usize {
+    status.leader().map_or(0, |leader| leader.leases.len())
+}
+
+/// Entries that a replica has not applied and another knows to be committed.
+fn lag(status: &FleetStatus, report: &StatusReport) -> u64 {
+    let committed = status.responding().map(|report| report.status.committed_index).max();
+    committed.unwrap_or(0).saturating_sub(report.status.applied_index)
+}
+
+fn leader_name<'a>(fleet: &'a Fleet, status: &FleetStatus) -> Option<&'a str> {
+    let leader = status.leader().ok()?;
+    let index = (leader.status.id as usize).checked_sub(1)?;
+    fleet.voters.get(index).map(|voter| voter.name.as_str())
+}
+
+fn print_json(fleet: &Fleet, status: &FleetStatus) {
+    let replica_output = |voter: &'_ FleetVoter, report: &Option<StatusReport>| {
+        let state = report.as_ref().map(|report| ReplicaState {
+            is_leader: report.status.is_leader,
+            term: report.status.term,
+            applied: report.status.applied_index,
+            lag: lag(status, report),
+            incarnation: report.incarnation,
+            members: report.members,
+        });
+        let address = voter.address.to_string();
+        json!(ReplicaOutput { name: &voter.name, address, responds: report.is_some(), state })
+    };
+    let voters = fleet.voters.iter().zip(&status.reports);
+    let voters: Vec<_> = voters.map(|(voter, report)| replica_output(voter, report)).collect();
+    let output = json!({
+        "fleet": fleet.fleet,
+        "leader": leader_name(fleet, status),
+        "voters": voters,
+        "leases": lease_count(status),
+    });
+    println!("{output:#}");
+}
+
+fn print_table(fleet: &Fleet, status: &FleetStatus) {
+    println!("fleet {}, {} leases", fleet.fleet, lease_count(status));
+    println!(
+        "{:<16} {:<22} {:<9} {:>6} {:>9} {:>5} {:>6} {:>8}",
+        "voter", "address", "role", "term", "applied", "lag", "lives", "members"
+    );
+    for (voter, report) in fleet.voters.iter().zip(&status.reports) {
+        let address = voter.address.to_string();
+        let Some(report) = report else {
+            println!("{:<16} {address:<22} no answer", voter.name);
+            continue;
+        };
+        println!(
+            "{:<16} {address:<22} {:<9} {:>6} {:>9} {:>5} {:>6} {:>8}",
+            voter.name,
+            if report.status.is_leader { "leader" } else { "follower" },
+            report.status.term,
+            report.status.applied_index,
+            lag(status, report),
+            report.incarnation,
+            report.members,
+        );
+    }
+}
--- a/crates/mintshelf/src/main.rs
+++ b/crates/mintshelf/src/main.rs
@@ -7,7 +7,6 @@
 mod demo;
 mod explain;
 mod fleet;
-mod lease_run;
 mod log;
 mod platform;
 mod service;
@@ -95,14 +94,14 @@
 }
 
 /// What runs futures on one thread.
-fn runtime() -> Result<Runtime, String> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    runtime.map_err(|error| format!("runtime: {error}"))
+fn runtime() -> std::io::Result<Runtime> {
+    tokio::runtime::Builder::new_current_thread().enable_all().build()
 }
 
 /// Runs a future that stays on this thread.
 fn block_on(future: impl Future<Output = Result<(), String>>) -> ExitCode {
-    let result = runtime().and_then(|runtime| LocalSet::new().block_on(&runtime, future));
+    let runtime = runtime().map_err(|error| format!("runtime: {error}"));
+    let result = runtime.and_then(|runtime| LocalSet::new().block_on(&runtime, future));
     match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(what) => {
--- a/crates/mintshelf/src/service.rs
+++ b/crates/mintshelf/src/service.rs
@@ -36,7 +36,8 @@
         let listener = listen(address).map_err(|e| format!("admin {address}: {e}"))?;
         daemon.also(Rc::new(Admin { daemon: daemon.clone() }), listener);
     }
-    let _voting = fleet.as_ref().map(fleet::start).transpose()?;
+    let replica = fleet.as_ref().map(fleet::start).transpose();
+    let _replica_thread = replica.map_err(|error| error.to_string())?;
     tracing::info!("listens on {}", addresses.join(", "));
     let reloads = async {
         while hung_up.recv().await.is_some() {
