--- a/crates/mintshelf/src/daemon.rs
+++ b/crates/mintshelf/src/daemon.rs
@@ -315,11 +315,11 @@
         let count = &self.reloads[usize::from(result.is_err())];
         count.set(count.get() + 1);
         match result {
-            Ok(()) => tracing::info!(file = %self.path.display(), "the file is in force"),
+            Ok(()) => tracing::info!(file = %self.path.display(), "configuration applied"),
             Err(lines) => {
                 lines.iter().for_each(|line| tracing::error!("{line}"));
                 let (file, errors) = (self.path.display(), lines.len());
-                tracing::error!(%file, errors, "the file is refused, and nothing changes");
+                tracing::error!(%file, errors, "configuration rejected");
             }
         }
     }
--- a/crates/mintshelf/tests/clients.rs
+++ b/crates/mintshelf/tests/clients.rs
@@ -1,6 +1,9 @@
 //! Clients that misbehave, and what the rest see of them.
 
-use mintshelf_test_support::*;
+use mintshelf_test_support::{
+    config, connect, ok_response, read_to_close, request, wait_until, Discovery, Message,
+    Process as _, Server, Sidecar,
+};
 use std::io::Write;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_mintshelf");
@@ -25,7 +28,7 @@
 
 #[test]
 fn a_request_framed_twice_goes_no_further() {
-    let (server, _discovery, sidecar) = stand(|_, _| Some(answer("served")));
+    let (server, _discovery, sidecar) = stand(|_, _| Some(ok_response("served")));
     let hidden = String::from_utf8(request("safe", "hidden")).unwrap();
     let body = format!("0\r\n\r\n{hidden}");
     let length = format!("Content-Length: {}", body.len());
@@ -41,8 +44,8 @@
     }
     // One framing alone is served.
     let whole = post("chunks", "Transfer-Encoding: chunked", "3\r\nabc\r\n0\r\n\r\n");
-    assert_eq!(sidecar.ask(&whole).unwrap().status(), 200);
-    let seen = server.seen();
+    assert_eq!(sidecar.send_request(&whole).unwrap().status(), 200);
+    let seen = server.requests();
     assert_eq!(seen.len(), 1, "{seen:?}");
     assert_eq!(seen[0].body, b"abc");
 }
@@ -50,18 +53,19 @@
 #[test]
 fn an_id_still_open_is_not_sent_twice() {
     // The first request waits at the server for good.
-    let (server, _discovery, sidecar) = stand(|_, number| (number > 1).then(|| answer("served")));
+    let (server, _discovery, sidecar) =
+        stand(|_, number| (number > 1).then(|| ok_response("served")));
     let mut first = connect(sidecar.at).unwrap();
     first.write_all(&request("safe", "same")).unwrap();
-    wait_until("the first is at the server", || server.seen().len() == 1);
-    assert_eq!(sidecar.ask(&request("safe", "same")).unwrap().status(), 409);
-    assert_eq!(sidecar.ask(&request("safe", "other")).unwrap().status(), 200);
-    assert_eq!(server.seen().len(), 2);
+    wait_until("the first is at the server", || server.requests().len() == 1);
+    assert_eq!(sidecar.send_request(&request("safe", "same")).unwrap().status(), 409);
+    assert_eq!(sidecar.send_request(&request("safe", "other")).unwrap().status(), 200);
+    assert_eq!(server.requests().len(), 2);
 }
 
 #[test]
 fn long_bodies_are_turned_away_and_not_held() {
-    let (server, _discovery, sidecar) = stand(|_, _| Some(answer("served")));
+    let (server, _discovery, sidecar) = stand(|_, _| Some(ok_response("served")));
     let before = sidecar.peak_memory();
     let chunk = vec![b'x'; 1 << 20];
     for (id, framing) in [("a", "Content-Length: 60000000"), ("b", "Transfer-Encoding: chunked")] {
@@ -77,15 +81,15 @@
             assert!(text.is_empty() || text.starts_with(b"HTTP/1.1 413 "));
         }
     }
-    assert_eq!(server.seen().len(), 0);
+    assert_eq!(server.requests().len(), 0);
     let grown = sidecar.peak_memory() - before;
     assert!(grown < 8 << 20, "{grown} bytes for bodies that are turned away");
-    assert_eq!(sidecar.ask(&request("safe", "after")).unwrap().status(), 200);
+    assert_eq!(sidecar.send_request(&request("safe", "after")).unwrap().status(), 200);
 }
 
 #[test]
 fn half_a_request_and_silence_are_closed() {
-    let (_server, _discovery, sidecar) = stand(|_, _| Some(answer("served")));
+    let (_server, _discovery, sidecar) = stand(|_, _| Some(ok_response("served")));
     for begun in [
         Vec::new(),
         b"GET /api HTTP/1.1\r\nX-Pad: ".to_vec(),
@@ -108,10 +112,10 @@
 
 #[test]
 fn a_crowd_that_says_nothing_does_not_shut_out_the_rest() {
-    let (_server, _discovery, sidecar) = stand(|_, _| Some(answer("served")));
+    let (_server, _discovery, sidecar) = stand(|_, _| Some(ok_response("served")));
     let crowd: Vec<_> = (0..400).filter_map(|_| connect(sidecar.at)).collect();
     for number in 0..20 {
-        let answer = sidecar.ask(&request("safe", &format!("r{number}"))).unwrap();
+        let answer = sidecar.send_request(&request("safe", &format!("r{number}"))).unwrap();
         assert_eq!(answer.status(), 200);
         assert!(sidecar.descriptors() <= 128);
     }
@@ -120,7 +124,7 @@
 
 #[test]
 fn unfit_requests_are_named_and_closed() {
-    let (server, _discovery, sidecar) = stand(|_, _| Some(answer("served")));
+    let (server, _discovery, sidecar) = stand(|_, _| Some(ok_response("served")));
     let good = String::from_utf8(request("safe", "id")).unwrap();
     for (from, to) in [
         ("X-Txn: id\r\n", ""),
@@ -136,5 +140,5 @@
         let text = String::from_utf8(read_to_close(&mut stream)).unwrap();
         assert!(text.starts_with("HTTP/1.1 400 "), "{to}: {text}");
     }
-    assert_eq!(server.seen().len(), 0);
+    assert_eq!(server.requests().len(), 0);
 }
--- a/crates/mintshelf/tests/confined.rs
+++ b/crates/mintshelf/tests/confined.rs
@@ -3,7 +3,8 @@
 //! UDP over IPv4; what only /proc shows is read there.
 
 use mintshelf_test_support::{
-    ask, config, request, wait_until, Discovery, Process as _, Server, Sidecar,
+    config, ok_response, request, send_request, wait_until, Discovery, Process as _, Server,
+    Sidecar,
 };
 use seccompiler::{
     apply_filter, BpfProgram, SeccompAction, SeccompCmpArgLen, SeccompCmpOp, SeccompCondition,
@@ -88,8 +89,8 @@
 
 #[test]
 fn the_platforms_sidecar_runs_in_one_process_on_ipv4_sockets_alone() {
-    let first = Server::start(|_, _| Some(mintshelf_test_support::answer("first")));
-    let second = Server::start(|_, _| Some(mintshelf_test_support::answer("second")));
+    let first = Server::start(|_, _| Some(ok_response("first")));
+    let second = Server::start(|_, _| Some(ok_response("second")));
     let discovery = Discovery::start(1, vec![first.entry("s-1"), second.entry("s-2")]);
     let moved = Discovery::start(2, vec![second.entry("s-2")]);
     let file = config(discovery.at, vec![first.entry("s-1")]);
@@ -97,7 +98,7 @@
     let mut sidecar = confined(|| Sidecar::start(program, file));
     for round in 0..50 {
         for class in ["safe", "keyed", "unsafe"] {
-            let answer = sidecar.ask(&request(class, &format!("{class}-{round}")));
+            let answer = sidecar.send_request(&request(class, &format!("{class}-{round}")));
             assert_eq!(answer.map(|answer| answer.status()), Some(200), "{class} {round}");
         }
     }
@@ -108,7 +109,7 @@
     let mut round = 0;
     wait_until("the list of the new discovery is in force", || {
         round += 1;
-        let answer = sidecar.ask(&request("safe", &format!("moved-{round}"))).unwrap();
+        let answer = sidecar.send_request(&request("safe", &format!("moved-{round}"))).unwrap();
         answer.status() == 200 && answer.body == b"second" && round > 20
     });
     let pid = sidecar.pid();
@@ -133,8 +134,8 @@
     let maps = std::fs::read_to_string(format!("/proc/{pid}/maps")).unwrap();
     assert!(maps.lines().any(|line| line.contains("libc.so") || line.contains("libc-")));
     sidecar.signal("TERM");
-    wait_until("it ends", || !sidecar.running());
+    wait_until("it ends", || !sidecar.is_running());
     let ended = sidecar.child.wait().unwrap();
     assert!(ended.success(), "{ended}");
-    assert!(ask(sidecar.at, &request("safe", "late")).is_none());
+    assert!(send_request(sidecar.at, &request("safe", "late")).is_none());
 }
--- a/crates/mintshelf/tests/conformance/sidecar.rs
+++ b/crates/mintshelf/tests/conformance/sidecar.rs
@@ -1,7 +1,11 @@
 //! Rows played at the real sidecar, between stand-ins on loopback sockets.
 
 use super::{ClockRow, End, EndingRow, Given, MembersRow, Met, Seen, State, Trouble};
-use mintshelf_test_support::*;
+use mintshelf_test_support::{
+    config, connect, ok_response, read_to_close, request, request_with_timeout, reset_connection,
+    set_deadlines, wait_until, Discovery, Message, Peer, Process as _, Server, Sidecar,
+    TEST_TIMEOUT,
+};
 use serde_json::{json, Value};
 use std::io::Write;
 use std::net::TcpStream;
@@ -25,14 +29,14 @@
             let number = count.fetch_add(1, Ordering::SeqCst);
             let empty = "Content-Length: 0\r\n\r\n";
             let written = match met.get(number) {
-                None => stream.write_all(&answer("served")),
+                None => stream.write_all(&ok_response("served")),
                 Some(Met::Error) => write!(stream, "HTTP/1.1 500 Oops\r\n{empty}"),
                 Some(Met::TurnedAway) => {
                     write!(stream, "HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\n{empty}")
                 }
                 Some(Met::Spoilt) => write!(stream, "HTTP/1.1 2x0 OK\r\nContent-Le"),
                 Some(Met::Silence) => Ok(()),
-                Some(Met::Reset | Met::NoConnection) => return socket_reset(stream),
+                Some(Met::Reset | Met::NoConnection) => return reset_connection(stream),
             };
             if written.is_err() {
                 return;
@@ -59,7 +63,7 @@
     let discovery = Discovery::start(1, servers.clone());
     let sidecar = Sidecar::start(PROGRAM, config(discovery.at, servers));
     let waits = if given.met.contains(&Met::Silence) { 600 } else { 8_000 };
-    let got = sidecar.ask(&patient(&given.class, "a", waits)).unwrap();
+    let got = sidecar.send_request(&request_with_timeout(&given.class, "a", waits)).unwrap();
     let end = match got.status() {
         200 if got.body == b"served" => End::Served,
         429 | 503 => End::Refused,
@@ -71,7 +75,7 @@
 /// How many of 300 requests, one after another, go to each server.
 pub fn members(row: &MembersRow) -> Vec<usize> {
     let servers: Vec<_> =
-        row.servers.iter().map(|_| Server::start(|_, _| Some(answer("")))).collect();
+        row.servers.iter().map(|_| Server::start(|_, _| Some(ok_response("")))).collect();
     let entries: Vec<_> = (0..servers.len())
         .map(|n| entry(servers[n].at, &format!("s{n}"), row.servers[n]))
         .collect();
@@ -85,7 +89,7 @@
         stream.write_all(&request("safe", &number.to_string())).unwrap();
         assert_eq!(Message::read(&mut stream).unwrap().status(), 200);
     }
-    servers.iter().map(|server| server.seen().len()).collect()
+    servers.iter().map(|server| server.requests().len()).collect()
 }
 
 /// Discovery that falls into trouble: what it does with its calls from then on.
@@ -116,7 +120,9 @@
                 let now_broken = out.load(Ordering::SeqCst);
                 match trouble {
                     // A watch that has fallen silent stays so; a new connection is sound.
-                    Trouble::Silent if now_broken && !begun_broken => return thread::sleep(LONG),
+                    Trouble::Silent if now_broken && !begun_broken => {
+                        return thread::sleep(TEST_TIMEOUT)
+                    }
                     Trouble::Fails if now_broken => {
                         let fails = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
                         let _ = stream.write_all(fails.as_bytes());
@@ -131,7 +137,7 @@
                 }
                 let (rev, entries) = news.lock().unwrap().clone();
                 let text = json!({"rev": rev, "all": true, "targets": entries}).to_string();
-                if stream.write_all(&answer(&text)).is_err() {
+                if stream.write_all(&ok_response(&text)).is_err() {
                     return;
                 }
             }
@@ -147,7 +153,7 @@
 
 /// How many requests went to a draining server after it had to be known.
 pub fn told(row: &ClockRow) -> usize {
-    let servers = [0, 1].map(|_| Server::start(|_, _| Some(answer(""))));
+    let servers = [0, 1].map(|_| Server::start(|_, _| Some(ok_response(""))));
     let entries =
         |second| vec![entry(servers[0].at, "a", State::Ready), entry(servers[1].at, "b", second)];
     let discovery = Troubled::start(row.trouble, entries(State::Ready));
@@ -158,14 +164,14 @@
     }
     let mut sidecar = Sidecar::start(PROGRAM, config.clone());
     let mut asked = 0;
-    let mut ask = || {
+    let mut send_one = || {
         asked += 1;
-        let got = sidecar.ask(&request("safe", &asked.to_string())).unwrap();
+        let got = sidecar.send_request(&request("safe", &asked.to_string())).unwrap();
         assert_eq!(got.status(), 200);
     };
     wait_until("both serve", || {
-        ask();
-        servers.iter().all(|server| !server.seen().is_empty())
+        send_one();
+        servers.iter().all(|server| !server.requests().is_empty())
     });
     wait_until("discovery is called", || !discovery.open.lock().unwrap().is_empty());
     // A watch is open by now.
@@ -174,7 +180,7 @@
     discovery.set(entries(State::Draining));
     match row.trouble {
         Trouble::Reset => {
-            discovery.open.lock().unwrap().drain(..).for_each(socket_reset);
+            discovery.open.lock().unwrap().drain(..).for_each(reset_connection);
         }
         Trouble::Sighup => {
             let mut new = sidecar.config.clone();
@@ -189,12 +195,12 @@
         Trouble::None | Trouble::Silent => {}
     }
     thread::sleep(Duration::from_millis(row.told_ms) + DRAIN_GRACE);
-    let before = servers[1].seen().len();
+    let before = servers[1].requests().len();
     for number in 0..60 {
-        let got = sidecar.ask(&request("safe", &format!("late-{number}"))).unwrap();
+        let got = sidecar.send_request(&request("safe", &format!("late-{number}"))).unwrap();
         assert_eq!(got.status(), 200);
     }
-    servers[1].seen().len() - before
+    servers[1].requests().len() - before
 }
 
 /// Sends a request round SIGTERM and looks at its answer.
@@ -206,7 +212,7 @@
             count.fetch_add(1, Ordering::SeqCst);
             let Some(ms) = serves else { continue };
             thread::sleep(Duration::from_millis(ms));
-            if stream.write_all(&answer("served")).is_err() {
+            if stream.write_all(&ok_response("served")).is_err() {
                 return;
             }
         }
@@ -216,14 +222,14 @@
     let mut config = config(discovery.at, servers);
     set_deadlines(&mut config, Duration::from_millis(1_500));
     let sidecar = Sidecar::start(PROGRAM, config);
-    let ask = |delay: i64| {
+    let send_after = |delay: i64| {
         thread::sleep(Duration::from_millis(delay.max(0) as u64));
         let mut stream = connect(sidecar.at).unwrap();
-        stream.write_all(&patient(&row.class, "a", 60_000)).unwrap();
+        stream.write_all(&request_with_timeout(&row.class, "a", 60_000)).unwrap();
         stream
     };
     let (mut stream, told) = if row.sent_ms < 0 {
-        let stream = ask(0);
+        let stream = send_after(0);
         wait_until("it is at the server", || seen.load(Ordering::SeqCst) == 1);
         let told = Instant::now();
         sidecar.signal("TERM");
@@ -231,7 +237,7 @@
     } else {
         let told = Instant::now();
         sidecar.signal("TERM");
-        (ask(row.sent_ms), told)
+        (send_after(row.sent_ms), told)
     };
     let got = Message::read(&mut stream).ok_or("no answer")?;
     let took = told.elapsed();
--- a/crates/mintshelf/tests/crossings/attempts.rs
+++ b/crates/mintshelf/tests/crossings/attempts.rs
@@ -1,7 +1,10 @@
 //! Attempts: a keyed window that ends while a connection comes up, connections that die at rest.
 
-use crate::stage::*;
-use mintshelf_test_support::*;
+use crate::stage::{ids, slow_connects, while_stopped, Unreached, PROGRAM};
+use mintshelf_test_support::{
+    config, connect, entry, ok_response, request, send_request, wait_until, Discovery, Latch,
+    Message, Peer, Server, Sidecar,
+};
 use serde_json::json;
 use std::io::Write;
 use std::thread;
@@ -12,11 +15,11 @@
 
 #[test]
 fn a_keyed_request_is_not_sent_again_when_its_connection_comes_up_after_the_window() {
-    // The first server takes the request and breaks off at the gate.
-    let gate = Gate::shut();
-    let wait = gate.clone();
+    // The first server takes the request and breaks off at the latch.
+    let latch = Latch::closed();
+    let wait = latch.clone();
     let first = Server::start(move |_, _| {
-        wait.pass();
+        wait.wait();
         Some(b"nonsense\r\n\r\n".to_vec())
     });
     let late = Unreached::start();
@@ -36,10 +39,10 @@
     gone["state"] = json!("DRAINING");
     discovery.set(vec![gone, late.entry("b")]);
     wait_until("the other server is told", || *discovery.calls.lock().unwrap() > calls);
-    gate.set(false);
+    latch.open();
     // Its connection is on the way now, and comes up a second after it was begun.
     thread::sleep(Duration::from_millis(200));
-    let seen = late.accept(|_| answer("served"));
+    let seen = late.accept(|_| ok_response("served"));
     let got = Message::read(&mut client).unwrap();
     let took = ran.elapsed();
     thread::sleep(Duration::from_millis(1_500).saturating_sub(took));
@@ -58,10 +61,10 @@
     let sidecar = Sidecar::start(PROGRAM, slow_connects(discovery.at, known));
     let asked = thread::spawn({
         let at = sidecar.at;
-        move || ask(at, &request("keyed", "k")).unwrap()
+        move || send_request(at, &request("keyed", "k")).unwrap()
     });
     thread::sleep(Duration::from_millis(200));
-    let seen = late.accept(|_| answer("served"));
+    let seen = late.accept(|_| ok_response("served"));
     // At either server first: the other's answer, or that it may not be resent, comes whole.
     assert_eq!(asked.join().unwrap().status(), 200);
     assert_eq!(seen.ids(), ["k"]);
@@ -76,14 +79,14 @@
     let peer = Peer::start(move |mut stream| {
         while let Some(request) = Message::read(&mut stream) {
             ids.lock().unwrap().push(request.header("x-txn").unwrap().to_string());
-            stream.write_all(&answer("served")).unwrap();
+            stream.write_all(&ok_response("served")).unwrap();
             noted.lock().unwrap().push(stream.try_clone().unwrap());
         }
     });
     let entries = vec![entry("a", peer.at)];
     let discovery = Discovery::start(1, entries.clone());
     let sidecar = Sidecar::start(PROGRAM, config(discovery.at, entries));
-    assert_eq!(sidecar.ask(&request("unsafe", "first")).unwrap().status(), 200);
+    assert_eq!(sidecar.send_request(&request("unsafe", "first")).unwrap().status(), 200);
     // The next request and what its server does come to the sidecar at one moment.
     let mut client = connect(sidecar.at).unwrap();
     while_stopped(&sidecar, || {
@@ -115,5 +118,5 @@
 
 #[test]
 fn nor_one_on_which_a_second_answer_stands() {
-    at_rest(|mut stream| stream.write_all(&answer("surplus")).unwrap());
+    at_rest(|mut stream| stream.write_all(&ok_response("surplus")).unwrap());
 }
--- a/crates/mintshelf/tests/crossings/clients.rs
+++ b/crates/mintshelf/tests/crossings/clients.rs
@@ -1,7 +1,9 @@
 //! Clients that leave: no attempt begins for one that has gone.
 
-use crate::stage::*;
-use mintshelf_test_support::*;
+use crate::stage::{ids, settle, slow_connects, while_stopped, Unreached, PROGRAM};
+use mintshelf_test_support::{
+    config, connect, ok_response, request, wait_until, Discovery, Latch, Server, Sidecar,
+};
 use serde_json::json;
 use std::io::Write;
 use std::net::TcpStream;
@@ -9,23 +11,23 @@
 
 /// A server that holds its answer to `held` until the gate is open, and gives this one then; a
 /// sidecar in front.
-fn stand_with(held: Vec<u8>) -> (Gate, Server, Discovery, Sidecar) {
-    let gate = Gate::shut();
-    let wait = gate.clone();
+fn stand_with(held: Vec<u8>) -> (Latch, Server, Discovery, Sidecar) {
+    let latch = Latch::closed();
+    let wait = latch.clone();
     let server = Server::start(move |request, _| {
         if request.header("x-txn") == Some("held") {
-            wait.pass();
+            wait.wait();
             return Some(held.clone());
         }
-        Some(answer("served"))
+        Some(ok_response("served"))
     });
     let discovery = Discovery::start(1, vec![server.entry("a")]);
     let sidecar = Sidecar::start(PROGRAM, config(discovery.at, vec![server.entry("a")]));
-    (gate, server, discovery, sidecar)
+    (latch, server, discovery, sidecar)
 }
 
-fn stand() -> (Gate, Server, Discovery, Sidecar) {
-    stand_with(answer("served"))
+fn stand() -> (Latch, Server, Discovery, Sidecar) {
+    stand_with(ok_response("served"))
 }
 
 fn send(sidecar: &Sidecar, requests: &[Vec<u8>]) -> TcpStream {
@@ -36,12 +38,12 @@
 
 #[test]
 fn a_request_behind_another_is_not_sent_once_its_client_has_gone() {
-    let (gate, server, _discovery, sidecar) = stand();
+    let (latch, server, _discovery, sidecar) = stand();
     let client = send(&sidecar, &[request("safe", "held"), request("safe", "behind")]);
     wait_until("the first is at the server", || ids(&server) == ["held"]);
     drop(client);
     settle(&sidecar, "after the close");
-    gate.set(false);
+    latch.open();
     settle(&sidecar, "after the answer");
     assert_eq!(ids(&server), ["held"]);
 }
@@ -53,9 +55,9 @@
         while_stopped(&sidecar, || drop(send(&sidecar, &[request("unsafe", "gone")])));
         settle(&sidecar, &format!("round {round}"));
     }
-    assert!(server.seen().is_empty(), "{:?}", ids(&server));
+    assert!(server.requests().is_empty(), "{:?}", ids(&server));
     // One that stays is served.
-    assert_eq!(sidecar.ask(&request("unsafe", "stays")).unwrap().status(), 200);
+    assert_eq!(sidecar.send_request(&request("unsafe", "stays")).unwrap().status(), 200);
 }
 
 #[test]
@@ -68,8 +70,8 @@
         }
     });
     settle(&sidecar, "after the flood");
-    assert!(server.seen().is_empty(), "{:?}", ids(&server));
-    assert_eq!(sidecar.ask(&request("safe", "stays")).unwrap().status(), 200);
+    assert!(server.requests().is_empty(), "{:?}", ids(&server));
+    assert_eq!(sidecar.send_request(&request("safe", "stays")).unwrap().status(), 200);
 }
 
 /// One request whose only server's connection comes up a second late; its client leaves
@@ -83,9 +85,9 @@
     settle(&sidecar, "it connects");
     drop(client);
     settle(&sidecar, "its client has gone");
-    let seen = server.accept(|_| answer("served"));
+    let seen = server.accept(|_| ok_response("served"));
     // Another request finds the server up: the first one's connection has had its time.
-    assert_eq!(sidecar.ask(&request("safe", "stays")).unwrap().status(), 200);
+    assert_eq!(sidecar.send_request(&request("safe", "stays")).unwrap().status(), 200);
     std::thread::sleep(Duration::from_millis(1_500));
     assert_eq!(seen.ids(), ["stays"]);
 }
@@ -103,20 +105,20 @@
 #[test]
 fn a_further_attempt_is_not_begun_for_a_client_that_has_gone() {
     let broken = b"HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n";
-    let (gate, server, _discovery, sidecar) = stand_with(broken.to_vec());
+    let (latch, server, _discovery, sidecar) = stand_with(broken.to_vec());
     // The library does not look for an end behind bytes that it has read.
     let client = send(&sidecar, &[request("safe", "held"), request("safe", "behind")]);
     wait_until("the first attempt is there", || ids(&server) == ["held"]);
     drop(client);
     settle(&sidecar, "its client has gone");
-    gate.set(false);
+    latch.open();
     settle(&sidecar, "the attempt has ended");
     assert_eq!(ids(&server), ["held"]);
 }
 
 #[test]
 fn a_request_that_waits_for_a_server_is_dropped_with_its_client() {
-    let server = Server::start(|_, _| Some(answer("served")));
+    let server = Server::start(|_, _| Some(ok_response("served")));
     let discovery = Discovery::start(1, vec![]);
     let mut config = config(discovery.at, vec![]);
     for class in config["settings"]["classes"].as_array_mut().unwrap() {
@@ -129,7 +131,7 @@
     settle(&sidecar, "its client has gone");
     discovery.set(vec![server.entry("a")]);
     wait_until("the list is told", || {
-        sidecar.ask(&request("safe", "stays")).unwrap().status() == 200
+        sidecar.send_request(&request("safe", "stays")).unwrap().status() == 200
     });
     settle(&sidecar, "all that waited has been looked at");
     assert!(ids(&server).iter().all(|id| id == "stays"), "{:?}", ids(&server));
--- a/crates/mintshelf/tests/crossings/closes.rs
+++ b/crates/mintshelf/tests/crossings/closes.rs
@@ -1,14 +1,17 @@
 //! Closes of clients' connections, and the planned end.
 
-use crate::stage::*;
-use mintshelf_test_support::*;
+use crate::stage::{ids, while_stopped, PROGRAM};
+use mintshelf_test_support::{
+    config, connect, free_address, ok_response, request, wait_until, Discovery, Message,
+    Process as _, Server, Sidecar,
+};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::thread;
 use std::time::Duration;
 
 fn stand() -> (Server, Discovery, Sidecar) {
-    let server = Server::start(|_, _| Some(answer("served")));
+    let server = Server::start(|_, _| Some(ok_response("served")));
     let discovery = Discovery::start(1, vec![server.entry("a")]);
     let sidecar = Sidecar::start(PROGRAM, config(discovery.at, vec![server.entry("a")]));
     (server, discovery, sidecar)
@@ -93,13 +96,13 @@
     let crowd: Vec<_> = (0..200).filter_map(|_| connect(sidecar.at)).collect();
     assert_eq!(resting.read(&mut [0; 16]).unwrap(), 0, "closed in good order");
     drop(crowd);
-    assert_eq!(sidecar.ask(&request("safe", "after")).unwrap().status(), 200);
+    assert_eq!(sidecar.send_request(&request("safe", "after")).unwrap().status(), 200);
     assert_eq!(ids(&server), ["first", "after"]);
 }
 
 #[test]
 fn idle_clients_do_not_shut_out_discovery() {
-    let server = Server::start(|_, _| Some(answer("served")));
+    let server = Server::start(|_, _| Some(ok_response("served")));
     // Discovery is down while clients take every place that there is.
     let at = free_address();
     let sidecar = Sidecar::start(PROGRAM, config(at, vec![]));
@@ -112,7 +115,7 @@
     assert!(sidecar.descriptors() <= 128, "{}", sidecar.descriptors());
     let discovery = Discovery::start_at(at, 2, vec![server.entry("a")]);
     wait_until("discovery is asked", || *discovery.calls.lock().unwrap() > 0);
-    let got = sidecar.ask(&request("safe", "served")).unwrap();
+    let got = sidecar.send_request(&request("safe", "served")).unwrap();
     assert_eq!(got.status(), 200, "{}", got.head);
     drop(crowd);
 }
--- a/crates/mintshelf/tests/crossings/customers.rs
+++ b/crates/mintshelf/tests/crossings/customers.rs
@@ -1,7 +1,9 @@
 //! Other customers: names in any script, extreme settings, settings that contradict themselves.
 
-use crate::stage::*;
-use mintshelf_test_support::*;
+use crate::stage::PROGRAM;
+use mintshelf_test_support::{
+    config, free_address, get, ok_response, request, Discovery, Server, Sidecar,
+};
 use serde_json::{json, Value};
 use std::process::Command;
 
@@ -14,7 +16,7 @@
 
 impl Stand {
     fn start() -> Self {
-        let server = Server::start(|_, _| Some(answer("served")));
+        let server = Server::start(|_, _| Some(ok_response("served")));
         let discovery = Discovery::start(1, vec![server.entry("a")]);
         let config = config(discovery.at, vec![server.entry("a")]);
         Stand { config, _server: server, _discovery: discovery }
@@ -25,9 +27,9 @@
         let mut config = self.config.clone();
         change(&mut config["settings"]);
         let sidecar = Sidecar::start(PROGRAM, config);
-        let status = sidecar.ask(&request(class, "one")).unwrap().status();
+        let status = sidecar.send_request(&request(class, "one")).unwrap().status();
         // Another client still gets an answer: the process has not ended.
-        assert_eq!(sidecar.ask(&get("/-/ready")).unwrap().status(), 200);
+        assert_eq!(sidecar.send_request(&get("/-/ready")).unwrap().status(), 200);
         status
     }
 }
@@ -44,7 +46,7 @@
         assert_eq!(status, 200, "{name}");
     }
     let tenant = "корзина";
-    let server = Server::start(|_, _| Some(answer("served")));
+    let server = Server::start(|_, _| Some(ok_response("served")));
     let discovery = Discovery::start(1, vec![server.entry("a")]);
     let mut config = config(discovery.at, vec![server.entry("a")]);
     config["settings"]["tenants"][0]["name"] = json!(tenant);
@@ -52,7 +54,7 @@
     let of = |org: &str| {
         let text = String::from_utf8(request("safe", &format!("id-{}", org.len()))).unwrap();
         let text = text.replace("X-Org: acme", &format!("X-Org: {org}"));
-        sidecar.ask(text.as_bytes()).unwrap().status()
+        sidecar.send_request(text.as_bytes()).unwrap().status()
     };
     assert_eq!([of(tenant), of("acme"), of("корзин")], [200, 400, 400]);
 }
--- a/crates/mintshelf/tests/crossings/discovery.rs
+++ b/crates/mintshelf/tests/crossings/discovery.rs
@@ -1,7 +1,9 @@
 //! Lists that go quiet, come late, or are older than the one held.
 
-use crate::stage::*;
-use mintshelf_test_support::*;
+use crate::stage::PROGRAM;
+use mintshelf_test_support::{
+    config, ok_response, request, wait_until, Message, Peer, Server, Sidecar, TEST_TIMEOUT,
+};
 use serde_json::{json, Value};
 use std::io::Write;
 use std::net::TcpStream;
@@ -70,7 +72,7 @@
                 thread::sleep(NO_NEWS);
             }
             let text = json!({"rev": rev, "all": true, "targets": list(rev)}).to_string();
-            to.write_all(&answer(&text)).is_ok()
+            to.write_all(&ok_response(&text)).is_ok()
         }
         Met::Silence => {
             // Until the other side gives up.
@@ -99,7 +101,7 @@
 /// A sidecar whose discovery answers, meets `faults`, and has a new list by then; how long it
 /// takes from the first fault's call to the list's.
 fn heard_after(faults: &[Met]) -> Duration {
-    let server = Server::start(|_, _| Some(answer("served")));
+    let server = Server::start(|_, _| Some(ok_response("served")));
     let entry = server.entry("a");
     let script = [&[Met::List(1), Met::List(1)][..], faults, &[Met::List(2)]].concat();
     let listed = entry.clone();
@@ -138,7 +140,7 @@
 
 #[test]
 fn after_many_failures_calls_are_no_further_apart_than_news_may_be_late() {
-    let server = Server::start(|_, _| Some(answer("served")));
+    let server = Server::start(|_, _| Some(ok_response("served")));
     let entry = server.entry("a");
     let discovery = Scripted::start(&[Met::Error], |_| vec![]);
     let _sidecar = Sidecar::start(PROGRAM, patient_config(discovery.peer.at, vec![entry]));
@@ -149,7 +151,7 @@
 
 #[test]
 fn a_new_process_asks_in_time_however_long_the_settings_allow() {
-    let server = Server::start(|_, _| Some(answer("served")));
+    let server = Server::start(|_, _| Some(ok_response("served")));
     let discovery = Scripted::start(&[Met::List(1)], |_| vec![]);
     let begun = Instant::now();
     let sidecars: Vec<_> = (1..9u64)
@@ -167,8 +169,10 @@
 /// Whether a server is sent anything while the newest list held says that it drains, and the
 /// service says for `lag` that an older one is in force.
 fn drain_is_undone(older: &[Met], last: Met) -> (bool, usize) {
-    let (drained, other) =
-        (Server::start(|_, _| Some(answer("a"))), Server::start(|_, _| Some(answer("b"))));
+    let (drained, other) = (
+        Server::start(|_, _| Some(ok_response("a"))),
+        Server::start(|_, _| Some(ok_response("b"))),
+    );
     let entries = [drained.entry("a"), other.entry("b")];
     let listed = entries.clone();
     let script = [&[Met::List(5)][..], older, &[last]].concat();
@@ -184,23 +188,26 @@
     let sidecar = Sidecar::start(PROGRAM, config);
     wait_until("the drain is told", || discovery.calls().len() >= 2);
     thread::sleep(Duration::from_millis(300));
-    let before = drained.seen().len();
+    let before = drained.requests().len();
     let mut number = 0;
-    let mut ask = || {
+    let mut send_one = || {
         number += 1;
-        assert_eq!(sidecar.ask(&request("safe", &number.to_string())).unwrap().status(), 200);
+        assert_eq!(
+            sidecar.send_request(&request("safe", &number.to_string())).unwrap().status(),
+            200
+        );
     };
     // While the script goes on, and for a while after it.
-    let end = Instant::now() + LONG;
+    let end = Instant::now() + TEST_TIMEOUT;
     while discovery.script.lock().unwrap().len() > 1 && Instant::now() < end {
-        ask();
+        send_one();
     }
     let calls = discovery.calls().len();
     wait_until("it goes on", || {
-        ask();
+        send_one();
         discovery.calls().len() > calls + 1
     });
-    (drained.seen().len() > before, number)
+    (drained.requests().len() > before, number)
 }
 
 #[test]
@@ -219,8 +226,10 @@
 
 #[test]
 fn an_agent_that_was_silent_is_heard_soon_after_its_return() {
-    let (old, new) =
-        (Server::start(|_, _| Some(answer("old"))), Server::start(|_, _| Some(answer("new"))));
+    let (old, new) = (
+        Server::start(|_, _| Some(ok_response("old"))),
+        Server::start(|_, _| Some(ok_response("new"))),
+    );
     let entries = [old.entry("a"), new.entry("b")];
     let listed = entries.clone();
     let script = [Met::List(1), Met::Silence];
@@ -235,7 +244,7 @@
     let mut number = 0;
     wait_until("its list is in force", || {
         number += 1;
-        let got = sidecar.ask(&request("safe", &number.to_string())).unwrap();
+        let got = sidecar.send_request(&request("safe", &number.to_string())).unwrap();
         got.body == b"new"
     });
     assert!(back.elapsed() < Duration::from_secs(3), "{:?}", back.elapsed());
@@ -243,8 +252,10 @@
 
 #[test]
 fn a_silent_agent_is_left_for_a_new_address_in_time() {
-    let (old, new) =
-        (Server::start(|_, _| Some(answer("old"))), Server::start(|_, _| Some(answer("new"))));
+    let (old, new) = (
+        Server::start(|_, _| Some(ok_response("old"))),
+        Server::start(|_, _| Some(ok_response("new"))),
+    );
     let entries = [old.entry("a"), new.entry("b")];
     let (first, second) = (entries[0].clone(), entries[1].clone());
     let silent = Scripted::start(&[Met::List(1), Met::Silence], move |_| vec![first.clone()]);
--- a/crates/mintshelf/tests/crossings/stage.rs
+++ b/crates/mintshelf/tests/crossings/stage.rs
@@ -1,6 +1,8 @@
 //! Barriers between the sidecar and its stand-ins.
 
-use mintshelf_test_support::*;
+use mintshelf_test_support::{
+    config, entry, full_listener, get, wait_until, Message, Process as _, Server, Sidecar,
+};
 use serde_json::{json, Value};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex};
@@ -61,7 +63,7 @@
 
 /// Ids of what a server has seen.
 pub fn ids(server: &Server) -> Vec<String> {
-    ids_of(&server.seen())
+    ids_of(&server.requests())
 }
 
 fn ids_of(requests: &[Message]) -> Vec<String> {
@@ -95,7 +97,7 @@
 pub fn settle(sidecar: &Sidecar, name: &str) {
     for number in 0..2 {
         thread::sleep(Duration::from_millis(150));
-        let got = sidecar.ask(&get("/-/ready")).unwrap();
+        let got = sidecar.send_request(&get("/-/ready")).unwrap();
         assert_eq!(got.status(), 200, "{name} {number}");
     }
 }
--- a/crates/mintshelf/tests/ending.rs
+++ b/crates/mintshelf/tests/ending.rs
@@ -1,7 +1,10 @@
 //! The planned end of the platform's sidecar: clients go on sending on whatever stays open, some
 //! servers say nothing, and a supervisor kills the process as soon as it may.
 
-use mintshelf_test_support::*;
+use mintshelf_test_support::{
+    config, connect, ok_response, request_with_timeout, set_deadlines, wait_until, Discovery,
+    Message, Process as _, Server, Sidecar,
+};
 use serde_json::json;
 use std::collections::HashMap;
 use std::io::Write;
@@ -47,7 +50,7 @@
         let id = format!("{name}-{number}");
         let sent = Instant::now();
         if over.load(Ordering::Relaxed)
-            || stream.write_all(&patient("safe", &id, PATIENCE)).is_err()
+            || stream.write_all(&request_with_timeout("safe", &id, PATIENCE)).is_err()
         {
             return;
         }
@@ -73,7 +76,7 @@
             return None;
         }
         thread::sleep(Duration::from_millis(40));
-        Some(answer("served"))
+        Some(ok_response("served"))
     });
     let discovery = Discovery::start(1, vec![server.entry("a")]);
     let mut sidecar = Sidecar::start(PROGRAM, short(discovery.at, vec![server.entry("a")]));
@@ -125,8 +128,9 @@
     set_deadlines(&mut config, Duration::from_secs(30));
     let mut sidecar = Sidecar::start(PROGRAM, config);
     let classes = ["safe", "keyed", "unsafe"];
-    let mut streams = classes.map(|class| send(sidecar.at, &patient(class, class, PATIENCE)));
-    wait_until("all are at the server", || server.seen().len() == 3);
+    let mut streams =
+        classes.map(|class| send(sidecar.at, &request_with_timeout(class, class, PATIENCE)));
+    wait_until("all are at the server", || server.requests().len() == 3);
     // This one's end never comes: it is not taken.
     let half = send(sidecar.at, b"GET /api HTTP/1.1\r\nHost: a\r\n");
     let told = Instant::now();
@@ -138,13 +142,13 @@
     assert_eq!(got.each_ref().map(Message::status), [503, 502, 502]);
     assert!(got[0].header("retry-after").is_some(), "{}", got[0].head);
     // Nothing was sent twice on the way.
-    assert_eq!(server.seen().len(), 3);
+    assert_eq!(server.requests().len(), 3);
     // No time is left for more: refused at once, and sent to nobody.
     let asked = Instant::now();
-    let late = sidecar.ask(&patient("unsafe", "late", PATIENCE)).unwrap();
+    let late = sidecar.send_request(&request_with_timeout("unsafe", "late", PATIENCE)).unwrap();
     assert_eq!(late.status(), 503, "{}", late.head);
     assert!(asked.elapsed() < Duration::from_secs(1));
-    assert_eq!(server.seen().len(), 3);
+    assert_eq!(server.requests().len(), 3);
     drop(half);
-    assert!(sidecar.running(), "it goes on until its clients have had time to leave");
+    assert!(sidecar.is_running(), "it goes on until its clients have had time to leave");
 }
--- a/crates/mintshelf/tests/fleet.rs
+++ b/crates/mintshelf/tests/fleet.rs
@@ -6,7 +6,7 @@
 use mintshelf_lease::fence::Fence;
 use mintshelf_lease::lease::Owner;
 use mintshelf_lease::timing::{ClockError, MS, SECOND};
-use mintshelf_test_support::relay::{Relay, Way};
+use mintshelf_test_support::relay::{Direction, Relay};
 use mintshelf_test_support::{answer, free_address, get, wait_until, Daemon, Process, Server};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
@@ -193,7 +193,7 @@
     std::fs::remove_dir_all(fleet.directory.join(gone.to_string())).unwrap();
     assert!(fleet.command(gone, &["fleet", "init"]).status.success());
     fleet.start(gone);
-    let said = || fleet.processes[gone].as_ref().map(Daemon::said).unwrap_or_default();
+    let said = || fleet.processes[gone].as_ref().map(Daemon::log_output).unwrap_or_default();
     wait_until("it says that its store is behind", || said().contains("this voter must stop"));
     let at = fleet.processes[gone].as_ref().unwrap();
     assert_eq!(at.ask(&get("/")).map(|answer| answer.status()), Some(200), "traffic goes on");
@@ -336,7 +336,7 @@
             }
             2 => {
                 // One way: it hears and is not heard, or the reverse.
-                let way = [Way::There, Way::Back][below(2)];
+                let way = [Direction::Forward, Direction::Backward][below(2)];
                 fleet.links.iter().filter(|((a, b), _)| *a == n || *b == n).for_each(
                     |(_, link)| {
                         link.hold(way);
@@ -346,11 +346,11 @@
             3 => fleet.links.values().nth(below(links)).unwrap().cut(),
             4 => {
                 let link = fleet.links.values().nth(below(links)).unwrap();
-                link.delay(Way::There, Duration::from_millis(below(900) as u64));
+                link.delay(Direction::Forward, Duration::from_millis(below(900) as u64));
             }
             5 => {
                 let link = fleet.links.values().nth(below(links)).unwrap();
-                link.break_after(Way::Back, below(400) as u64);
+                link.break_after(Direction::Backward, below(400) as u64);
             }
             _ => {
                 fleet.links.values().for_each(Relay::heal);
--- a/crates/mintshelf/tests/limits.rs
+++ b/crates/mintshelf/tests/limits.rs
@@ -1,6 +1,9 @@
 //! Limits of tenants, routes, clusters and endpoints over real sockets.
 
-use mintshelf_test_support::*;
+use mintshelf_test_support::{
+    connect, free_address, get, metric, ok_response, reset_connection, send_request, wait_until,
+    Daemon, Latch, Message, Server, CONFIGURATION_REJECTED,
+};
 use std::io::Write;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -10,11 +13,11 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_mintshelf");
 
 /// Its answers are held back while the gate is shut.
-fn server(gate: &Gate) -> Server {
-    let gate = gate.clone();
+fn server(latch: &Latch) -> Server {
+    let latch = latch.clone();
     Server::start(move |_, _| {
-        gate.pass();
-        Some(answer("good"))
+        latch.wait();
+        Some(ok_response("good"))
     })
 }
 
@@ -58,10 +61,12 @@
 
 #[test]
 fn a_tenant_over_its_rate_is_told_so_and_the_others_are_served() {
-    let server = server(&Arc::default());
+    let server = server(&Latch::default());
     let (daemon, admin) = daemon(&[server.at], TENANTS, "");
-    let greedy: Vec<Message> = (0..200).map(|_| daemon.ask(&of("a", "/")).unwrap()).collect();
-    let calm: Vec<Message> = (0..200).map(|_| daemon.ask(&of("b", "/")).unwrap()).collect();
+    let greedy: Vec<Message> =
+        (0..200).map(|_| daemon.send_request(&of("a", "/")).unwrap()).collect();
+    let calm: Vec<Message> =
+        (0..200).map(|_| daemon.send_request(&of("b", "/")).unwrap()).collect();
     assert!(calm.iter().all(|got| got.status() == 200));
     let over: Vec<_> = greedy.iter().filter(|got| got.status() == 429).collect();
     let served = greedy.iter().filter(|got| got.status() == 200).count();
@@ -72,24 +77,25 @@
         let told: u64 = got.header("retry-after").unwrap().parse().unwrap();
         assert!((1..=60).contains(&told), "{}", got.head);
     }
-    assert_eq!(server.seen().len(), 200 + served, "what is refused is not sent on");
-    assert_eq!(figure(admin, "mintshelf_tenant_requests"), 0.0);
+    assert_eq!(server.requests().len(), 200 + served, "what is refused is not sent on");
+    assert_eq!(metric(admin, "mintshelf_tenant_requests"), 0.0);
 }
 
 #[test]
 fn a_header_does_not_take_a_client_out_of_its_network() {
-    let server = server(&Arc::default());
+    let server = server(&Latch::default());
     let more = TENANTS.replace("192.0.2.0/24", "127.0.0.0/8") + "\nrate = \"1/m\"\nburst = 5";
     let (daemon, _) = daemon(&[server.at], &more, "");
-    let statuses: Vec<u16> =
-        (0..20).map(|n| daemon.ask(&of(["b", "c"][n % 2], "/")).unwrap().status()).collect();
+    let statuses: Vec<u16> = (0..20)
+        .map(|n| daemon.send_request(&of(["b", "c"][n % 2], "/")).unwrap().status())
+        .collect();
     let served = statuses.iter().filter(|status| **status == 200).count();
     assert!((5..8).contains(&served), "{statuses:?}");
 }
 
 #[test]
 fn slow_uploads_of_one_tenant_leave_the_others_their_room() {
-    let server = server(&Arc::default());
+    let server = server(&Latch::default());
     let (daemon, admin) = daemon(&[server.at], TENANTS, "");
     let mut uploads = Vec::new();
     let mut refused = 0;
@@ -100,40 +106,40 @@
         uploads.push(stream);
         // One after the other, so that the last are over the bound for sure.
         wait_until("it is counted or refused", || {
-            figure(admin, "mintshelf_tenant_requests{tenant=\"b\"}")
-                + figure(admin, "mintshelf_refusals_total")
+            metric(admin, "mintshelf_tenant_requests{tenant=\"b\"}")
+                + metric(admin, "mintshelf_refusals_total")
                 >= uploads.len() as f64
         });
     }
-    refused += figure(admin, "mintshelf_refusals_total") as usize;
-    let held = figure(admin, "mintshelf_tenant_requests{tenant=\"b\"}") as usize;
+    refused += metric(admin, "mintshelf_refusals_total") as usize;
+    let held = metric(admin, "mintshelf_tenant_requests{tenant=\"b\"}") as usize;
     assert!(refused >= 20 && held >= 10 && held + refused == 60, "{held} {refused}");
     let got = Message::read(uploads.last_mut().unwrap()).unwrap();
     assert_eq!(got.status(), 429, "{}", got.head);
     assert!(got.header("retry-after").is_some());
     for _ in 0..50 {
         let post = "POST /up HTTP/1.1\r\nHost: h\r\nX-Member: c\r\nContent-Length: 2\r\n\r\nxx";
-        assert_eq!(daemon.ask(post.as_bytes()).unwrap().status(), 200);
+        assert_eq!(daemon.send_request(post.as_bytes()).unwrap().status(), 200);
     }
     drop(uploads);
-    wait_until("all is given back", || figure(admin, "mintshelf_tenant_requests") == 0.0);
-    assert_eq!(daemon.ask(&of("b", "/")).unwrap().status(), 200);
+    wait_until("all is given back", || metric(admin, "mintshelf_tenant_requests") == 0.0);
+    assert_eq!(daemon.send_request(&of("b", "/")).unwrap().status(), 200);
 }
 
 #[test]
 fn a_full_queue_refuses_the_least_worth_at_once_and_serves_the_rest() {
-    let gate = Gate::default();
-    let server = server(&gate);
+    let latch = Latch::default();
+    let server = server(&latch);
     let (daemon, admin) = daemon(&[server.at], "", "concurrency = 2\nqueue = 2");
     let at = daemon.at;
-    let send = |path: &'static str| thread::spawn(move || ask(at, &get(path)).unwrap());
+    let send = |path: &'static str| thread::spawn(move || send_request(at, &get(path)).unwrap());
     let levels = |inside: f64, waiting: f64| {
         wait_until("the gate stands so", || {
-            figure(admin, "mintshelf_gate_requests") == inside
-                && figure(admin, "mintshelf_gate_waiting") == waiting
+            metric(admin, "mintshelf_gate_requests") == inside
+                && metric(admin, "mintshelf_gate_waiting") == waiting
         });
     };
-    gate.set(true);
+    latch.close();
     let inside = [send("/1"), send("/2")];
     levels(2.0, 0.0);
     let cheap = [send("/3"), send("/4")];
@@ -145,43 +151,43 @@
         assert!(got.header("retry-after").is_some());
     }
     // One more of them is the least itself.
-    assert_eq!(code(&ask(at, &get("/5")).unwrap()), "queue-full");
+    assert_eq!(code(&send_request(at, &get("/5")).unwrap()), "queue-full");
     // Who leaves the queue leaves no trace.
     let mut gone = connect(at).unwrap();
     gone.write_all(&get("/dear/3")).unwrap();
     drop(gone);
     levels(2.0, 2.0);
-    gate.set(false);
+    latch.open();
     for got in inside.into_iter().chain(dear).map(|one| one.join().unwrap()) {
         assert_eq!(got.status(), 200);
     }
     levels(0.0, 0.0);
-    assert_eq!(ask(at, &get("/6")).unwrap().status(), 200);
+    assert_eq!(send_request(at, &get("/6")).unwrap().status(), 200);
 }
 
 #[test]
 fn who_leaves_the_queue_frees_its_place() {
-    let gate = Gate::default();
-    let server = server(&gate);
+    let latch = Latch::default();
+    let server = server(&latch);
     let (daemon, admin) = daemon(&[server.at], "", "concurrency = 1\nqueue = 1");
-    gate.set(true);
+    latch.close();
     let at = daemon.at;
-    let first = thread::spawn(move || ask(at, &get("/1")).unwrap());
-    wait_until("one is in", || figure(admin, "mintshelf_gate_requests") == 1.0);
+    let first = thread::spawn(move || send_request(at, &get("/1")).unwrap());
+    wait_until("one is in", || metric(admin, "mintshelf_gate_requests") == 1.0);
     let mut gone = connect(at).unwrap();
     gone.write_all(&get("/2")).unwrap();
-    wait_until("one waits", || figure(admin, "mintshelf_gate_waiting") == 1.0);
+    wait_until("one waits", || metric(admin, "mintshelf_gate_waiting") == 1.0);
     // A reset, as of a client that has died.
-    socket_reset(gone);
-    wait_until("none waits", || figure(admin, "mintshelf_gate_waiting") == 0.0);
-    gate.set(false);
+    reset_connection(gone);
+    wait_until("none waits", || metric(admin, "mintshelf_gate_waiting") == 0.0);
+    latch.open();
     assert_eq!(first.join().unwrap().status(), 200);
-    assert_eq!(server.seen().len(), 1, "it never went on");
+    assert_eq!(server.requests().len(), 1, "it never went on");
 }
 
 #[test]
 fn limits_that_change_under_load_lose_nothing_and_count_once() {
-    let server = server(&Arc::default());
+    let server = server(&Latch::default());
     let (daemon, admin) = daemon(&[server.at], TENANTS, "concurrency = 4\nqueue = 1000");
     let (over, done) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
     let at = daemon.at;
@@ -206,32 +212,32 @@
         let cluster = ["concurrency = 2\nqueue = 1000", "", "concurrency = 9\nqueue = 1000"][n % 3];
         let tenants = [TENANTS, "[limits]\nsockets = 256"][n % 2];
         daemon.reload(&file(at, admin, &[server.at], tenants, cluster));
-        assert!(figure(admin, "mintshelf_gate_requests") <= 16.0);
+        assert!(metric(admin, "mintshelf_gate_requests") <= 16.0);
     }
     daemon.reload(&file(at, admin, &[server.at], TENANTS, "concurrency = 4\nqueue = 1000"));
     over.store(true, Ordering::SeqCst);
     let statuses: Vec<u16> = clients.into_iter().flat_map(|c| c.join().unwrap()).collect();
     assert!(statuses.iter().all(|status| *status == 200), "{statuses:?}");
-    assert_eq!(server.seen().len(), statuses.len(), "each went once");
+    assert_eq!(server.requests().len(), statuses.len(), "each went once");
     for name in ["mintshelf_gate_requests", "mintshelf_gate_waiting", "mintshelf_tenant_requests"] {
-        wait_until("nothing is left", || figure(admin, name) == 0.0);
+        wait_until("nothing is left", || metric(admin, name) == 0.0);
     }
 }
 
 #[test]
 fn an_endpoint_gets_no_more_connections_than_it_may() {
-    let gate = Gate::default();
-    let servers = [server(&gate), server(&gate)];
+    let latch = Latch::default();
+    let servers = [server(&latch), server(&latch)];
     let at = servers.each_ref().map(|server| server.at);
     let (daemon, _) = daemon(&at, "", "endpoint-connections = 3");
-    gate.set(true);
+    latch.close();
     let at = daemon.at;
     let clients: Vec<_> =
-        (0..20).map(|_| thread::spawn(move || ask(at, &get("/")).unwrap())).collect();
-    wait_until("all places are taken", || servers.iter().all(|s| s.seen().len() == 3));
+        (0..20).map(|_| thread::spawn(move || send_request(at, &get("/")).unwrap())).collect();
+    wait_until("all places are taken", || servers.iter().all(|s| s.requests().len() == 3));
     // The rest is refused while they wait.
     wait_until("the rest is refused", || clients.iter().filter(|c| c.is_finished()).count() == 14);
-    gate.set(false);
+    latch.open();
     let statuses: Vec<u16> = clients.into_iter().map(|c| c.join().unwrap().status()).collect();
     assert_eq!(statuses.iter().filter(|s| **s == 200).count(), 6, "{statuses:?}");
     assert!(statuses.iter().all(|s| [200, 503].contains(s)));
@@ -240,15 +246,15 @@
 
 #[test]
 fn the_log_has_fields_and_a_bounded_rate() {
-    let server = server(&Arc::default());
+    let server = server(&Latch::default());
     let (at, admin) = (free_address(), free_address());
     let text = file(at, admin, &[server.at], TENANTS, "");
     let daemon = Daemon::start(PROGRAM, at, &text, &["--log-format", "json"]);
     for _ in 0..300 {
-        daemon.ask(&of("a", "/")).unwrap();
+        daemon.send_request(&of("a", "/")).unwrap();
     }
     daemon.reload(&text.replace("worth = 5", "worth = -5"));
-    let said = daemon.said();
+    let said = daemon.log_output();
     let lines: Vec<serde_json::Value> = said
         .lines()
         .map(|line| serde_json::from_str(line).unwrap_or_else(|e| panic!("{line}: {e}")))
@@ -261,7 +267,7 @@
     assert!(limits.iter().all(|f| f["tenant"] == "a" && f["limit"] == "tenant-rate"), "{limits:?}");
     // Ten at once and ten for each second that the requests took.
     assert!((10..200).contains(&limits.len()), "{}", limits.len());
-    let refused = fields("is refused");
+    let refused = fields(CONFIGURATION_REJECTED);
     assert!(refused[0]["file"].is_string() && refused[0]["errors"] == 1, "{refused:?}");
     assert!(!fields("-5 is not between").is_empty());
 }
--- a/crates/mintshelf/tests/outage.rs
+++ b/crates/mintshelf/tests/outage.rs
@@ -1,6 +1,8 @@
 //! A whole cluster that goes and comes back: who is sent what, and what clients are told.
 
-use mintshelf_test_support::*;
+use mintshelf_test_support::{
+    free_address, get, ok_response, send_request, wait_until, Daemon, Message, Peer,
+};
 use std::collections::{HashMap, HashSet};
 use std::io::Write;
 use std::net::SocketAddr;
@@ -29,7 +31,8 @@
                 if request.head.starts_with("POST") {
                     *noted.lock().unwrap().entry(request.path().to_string()).or_default() += 1;
                 }
-                if is_down.load(Ordering::SeqCst) || stream.write_all(&answer("good")).is_err() {
+                if is_down.load(Ordering::SeqCst) || stream.write_all(&ok_response("good")).is_err()
+                {
                     return;
                 }
             }
@@ -51,7 +54,7 @@
 }
 
 fn phase(admin: SocketAddr) -> String {
-    let got = ask(admin, &get("/-/metrics")).unwrap();
+    let got = send_request(admin, &get("/-/metrics")).unwrap();
     let text = String::from_utf8_lossy(&got.body).into_owned();
     let line = text.lines().find(|l| l.starts_with("mintshelf_recovery_phase{cluster=\"c\"}"));
     line.unwrap().rsplit(' ').next().unwrap().to_string()
@@ -72,7 +75,7 @@
     let site = Site::start();
     let (daemon, admin) = daemon(site.peer.at, "");
     for n in 0..300 {
-        assert_eq!(daemon.ask(&get(&format!("/{n}"))).unwrap().status(), 200);
+        assert_eq!(daemon.send_request(&get(&format!("/{n}"))).unwrap().status(), 200);
     }
     assert_eq!(phase(admin), "0");
     site.down.store(true, Ordering::SeqCst);
@@ -82,7 +85,7 @@
         posts += 1;
         let post = format!("POST /p{posts} HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\n\r\nx");
         let request = if posts % 3 == 0 { post.into_bytes() } else { get("/g") };
-        daemon.ask(&request).unwrap()
+        daemon.send_request(&request).unwrap()
     };
     wait_until("the outage is noticed", || is_paced(&one()));
     assert_eq!(phase(admin), "1");
@@ -99,7 +102,7 @@
     });
     assert!(statuses.contains(&200) && statuses.contains(&503), "{statuses:?}");
     for n in 0..300 {
-        assert_eq!(daemon.ask(&get(&format!("/{n}"))).unwrap().status(), 200);
+        assert_eq!(daemon.send_request(&get(&format!("/{n}"))).unwrap().status(), 200);
     }
     let posts = site.posts.lock().unwrap();
     assert!(posts.len() > 20 && posts.values().all(|times| *times == 1), "{posts:?}");
@@ -111,18 +114,18 @@
     let (daemon, admin) = daemon(site.peer.at, "return-ramp = \"0s\"");
     site.down.store(true, Ordering::SeqCst);
     for _ in 0..200 {
-        let got = daemon.ask(&get("/")).unwrap();
+        let got = daemon.send_request(&get("/")).unwrap();
         assert!(got.status() >= 500 && !is_paced(&got), "{}", got.head);
     }
     assert_eq!(phase(admin), "0");
     // A file that changes nothing but the ramp is in force as well.
     daemon.reload(&file(daemon.at, admin, site.peer.at, "return-ramp = \"1s\""));
-    wait_until("the outage is noticed", || is_paced(&daemon.ask(&get("/")).unwrap()));
+    wait_until("the outage is noticed", || is_paced(&daemon.send_request(&get("/")).unwrap()));
     assert_eq!(phase(admin), "1");
     daemon.reload(&file(daemon.at, admin, site.peer.at, "return-ramp = \"0s\""));
     assert_eq!(phase(admin), "0");
     site.down.store(false, Ordering::SeqCst);
-    wait_until("it is served", || daemon.ask(&get("/")).unwrap().status() == 200);
+    wait_until("it is served", || daemon.send_request(&get("/")).unwrap().status() == 200);
 }
 
 #[test]
@@ -131,14 +134,14 @@
     let (daemon, admin) = daemon(free_address(), "max-retry-after = \"60s\"");
     let mut told = HashSet::new();
     for n in 0..60 {
-        let got = daemon.ask(&get("/")).unwrap();
+        let got = daemon.send_request(&get("/")).unwrap();
         assert_eq!(got.status(), 503, "{n}: {}", got.head);
         let seconds: u64 = got.header("retry-after").unwrap().parse().unwrap();
         assert!((1..=60).contains(&seconds), "{}", got.head);
         told.insert(seconds);
     }
     assert!(told.len() > 10, "{told:?}");
-    let got = ask(admin, &get("/-/metrics")).unwrap();
+    let got = send_request(admin, &get("/-/metrics")).unwrap();
     let text = String::from_utf8_lossy(&got.body).into_owned();
     assert!(!text.contains("mintshelf_expected_back{cluster=\"c\"} 0"), "{text}");
 }
--- a/crates/mintshelf/tests/plain.rs
+++ b/crates/mintshelf/tests/plain.rs
@@ -1,6 +1,9 @@
 //! Ordinary HTTP/1.1 through the daemon: what is passed on, and what never is.
 
-use mintshelf_test_support::*;
+use mintshelf_test_support::{
+    connect, free_address, get, ok_response, read_to_close, send_request, wait_until, Daemon,
+    Message, Peer, Process as _, Server,
+};
 use std::io::{Read, Write};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -49,7 +52,7 @@
         assert_eq!(text.ends_with("\r\n\r\nbody"), !matches!(status, 204 | 304), "{text}");
     }
     // An unsafe request is sent once, whatever comes back.
-    assert_eq!(server.seen().len(), 15);
+    assert_eq!(server.requests().len(), 15);
 }
 
 #[test]
@@ -67,12 +70,12 @@
     };
     let text = with(99, 98);
     assert!(text.starts_with("HTTP/1.1 200 ") && text.contains("x-98: 1"), "{text}");
-    let before = server.seen().len();
+    let before = server.requests().len();
     assert!(with(0, 99).starts_with("HTTP/1.1 431 "));
-    assert_eq!(server.seen().len(), before, "none of it goes on");
+    assert_eq!(server.requests().len(), before, "none of it goes on");
     // It may have run, and is not sent again.
     assert!(with(100, 0).starts_with("HTTP/1.1 502 "));
-    assert_eq!(server.seen().len(), before + 1);
+    assert_eq!(server.requests().len(), before + 1);
 }
 
 #[test]
@@ -81,23 +84,24 @@
         Some(match request.path() {
             "/head" => b"HTTP/1.1 200 OK\r\nContent-Length: 12345\r\n\r\n".to_vec(),
             "/early" => {
-                [&b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"[..], &answer("late")].concat()
+                [&b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"[..], &ok_response("late")]
+                    .concat()
             }
             "/trailers" => {
                 b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n\
                 3\r\nabc\r\n0\r\nX-Sum: 7\r\n\r\n"
                     .to_vec()
             }
-            _ => answer(&String::from_utf8_lossy(&request.body)),
+            _ => ok_response(&String::from_utf8_lossy(&request.body)),
         })
     });
     let daemon = daemon(&[server.at], "");
-    let ask = |first: &str, more: &str| {
+    let send = |first: &str, more: &str| {
         all(daemon.at, &format!("{first} HTTP/1.1\r\nHost: h\r\nConnection: close\r\n{more}\r\n"))
     };
-    let head = ask("HEAD /head", "");
+    let head = send("HEAD /head", "");
     assert!(head.contains("content-length: 12345") && head.ends_with("\r\n\r\n"), "{head}");
-    assert!(ask("GET /early", "").ends_with("late"));
+    assert!(send("GET /early", "").ends_with("late"));
     let text = all(
         daemon.at,
         "GET /trailers HTTP/1.1\r\nHost: h\r\nTE: trailers\r\nConnection: TE, close\r\n\r\n",
@@ -111,7 +115,7 @@
     assert_eq!(Message::read(&mut stream).unwrap().status(), 100);
     stream.write_all(b"hello").unwrap();
     assert_eq!(Message::read(&mut stream).unwrap().body, b"hello");
-    assert!(ask("GET /", "Expect: miracles\r\n").starts_with("HTTP/1.1 417 "));
+    assert!(send("GET /", "Expect: miracles\r\n").starts_with("HTTP/1.1 417 "));
 }
 
 #[test]
@@ -126,16 +130,16 @@
     let broken = Peer::start(|mut stream| {
         let _ = Message::read(&mut stream);
     });
-    let good = Server::start(|_, _| Some(answer("good")));
+    let good = Server::start(|_, _| Some(ok_response("good")));
     let daemon = daemon(&[broken.at, good.at], "");
     for _ in 0..20 {
-        assert_eq!(daemon.ask(&get("/")).unwrap().body, b"good");
+        assert_eq!(daemon.send_request(&get("/")).unwrap().body, b"good");
     }
-    let before = good.seen().len();
+    let before = good.requests().len();
     let mut failed = 0;
     for _ in 0..20 {
         let post = b"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\n\r\nx";
-        let got = daemon.ask(post).unwrap();
+        let got = daemon.send_request(post).unwrap();
         match got.status() {
             200 => {}
             502 => {
@@ -148,7 +152,7 @@
         }
     }
     // Each went to one server only: either it failed, or the good one ran it.
-    assert_eq!(good.seen().len() - before, 20 - failed);
+    assert_eq!(good.requests().len() - before, 20 - failed);
     drop(dies);
     assert_eq!(ran.load(Ordering::Relaxed), 0);
 }
@@ -156,7 +160,7 @@
 #[test]
 fn nobody_there_is_an_answer_at_once_with_advice() {
     let daemon = daemon(&[free_address()], "");
-    let got = daemon.ask(&get("/")).unwrap();
+    let got = daemon.send_request(&get("/")).unwrap();
     assert_eq!(got.status(), 503, "{}", got.head);
     assert!(String::from_utf8_lossy(&got.body).contains("\"code\":\"overloaded\""));
     assert_eq!(got.header("retry-after"), Some("1"));
@@ -193,7 +197,7 @@
                 right &= buffer[..count].iter().enumerate().all(|(n, b)| *b == pattern(seen + n));
                 seen += count;
             }
-            stream.write_all(&answer(&format!("{seen} {right}"))).unwrap();
+            stream.write_all(&ok_response(&format!("{seen} {right}"))).unwrap();
         } else {
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {LARGE}\r\n\r\n");
             stream.write_all(head.as_bytes()).unwrap();
@@ -336,7 +340,7 @@
 
 #[test]
 fn what_can_be_read_in_two_ways_goes_no_further() {
-    let server = Server::start(|request, _| Some(answer(request.path())));
+    let server = Server::start(|request, _| Some(ok_response(request.path())));
     let daemon = daemon(&[server.at], "");
     let hidden = "GET /hidden HTTP/1.1\r\nHost: h\r\n\r\n";
     for (what, head, body) in [
@@ -382,14 +386,14 @@
         "GET http://h/abs?q HTTP/1.1\r\nHost: h\r\n\r\nGET /2 HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n",
     );
     assert!(text.contains("/abs?q") && text.ends_with("/2"), "{text}");
-    let paths: Vec<String> = server.seen().iter().map(|m| m.path().to_string()).collect();
+    let paths: Vec<String> = server.requests().iter().map(|m| m.path().to_string()).collect();
     assert_eq!(paths, ["/one", "/abs?q", "/2"]);
 }
 
 #[test]
 fn routes_edit_rewrite_redirect_and_answer() {
-    let one = Server::start(|r, _| Some(answer(&format!("one {}", r.head))));
-    let two = Server::start(|r, _| Some(answer(&format!("two {}", r.head))));
+    let one = Server::start(|r, _| Some(ok_response(&format!("one {}", r.head))));
+    let two = Server::start(|r, _| Some(ok_response(&format!("two {}", r.head))));
     let at = free_address();
     let text = format!(
         "listen = \"{at}\"\n\
@@ -406,22 +410,22 @@
         one.at, two.at
     );
     let daemon = Daemon::start(PROGRAM, at, &text, &[]);
-    let ask = |first: &str, host: &str, more: &str| {
+    let send = |first: &str, host: &str, more: &str| {
         all(at, &format!("{first} HTTP/1.1\r\nHost: {host}\r\nConnection: close\r\n{more}\r\n"))
     };
-    let text = ask("GET /v1/x?y", "API.example:80", "X-Secret: s\r\nVia: 1.0 a\r\n");
+    let text = send("GET /v1/x?y", "API.example:80", "X-Secret: s\r\nVia: 1.0 a\r\n");
     assert!(text.contains("one GET /x?y ") && text.contains("x-set: 1"), "{text}");
     assert!(!text.contains("x-secret") && text.contains("x-added: 2"), "{text}");
     assert!(text.contains("via: 1.0 a") && text.matches("via: 1.1 shelf").count() == 2, "{text}");
     let forwarded = "forwarded: for=127.0.0.1;host=\"API.example:80\";proto=http";
     assert!(text.contains(forwarded) && text.contains("x-request-id: "), "{text}");
-    assert!(ask("GET /v1/x", "h", "X-Request-Id: mine\r\n").starts_with("HTTP/1.1 418 "));
-    let text = ask("GET /old/a?b", "h", "");
+    assert!(send("GET /v1/x", "h", "X-Request-Id: mine\r\n").starts_with("HTTP/1.1 418 "));
+    let text = send("GET /old/a?b", "h", "");
     assert!(text.starts_with("HTTP/1.1 308 "), "{text}");
     assert!(text.contains("location: http://new.example/new/a?b\r\n"), "{text}");
-    assert!(ask("GET /q?to=two", "h", "").contains("two GET"));
-    assert!(ask("GET /q?to=one", "h", "").ends_with("tea\n"));
-    let of = |who: usize| ask("GET /split", "h", &format!("Cookie: a=b; who={who}\r\n"));
+    assert!(send("GET /q?to=two", "h", "").contains("two GET"));
+    assert!(send("GET /q?to=one", "h", "").ends_with("tea\n"));
+    let of = |who: usize| send("GET /split", "h", &format!("Cookie: a=b; who={who}\r\n"));
     let went: Vec<bool> = (0..24).map(|who| of(who).contains("two GET")).collect();
     assert!(went.contains(&true) && went.contains(&false), "{went:?}");
     assert!((0..24).all(|who| of(who).contains("two GET") == went[who]), "a key moved");
@@ -438,7 +442,7 @@
         if post && counted.fetch_add(1, Ordering::Relaxed).is_multiple_of(2) {
             return Some(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n".to_vec());
         }
-        Some(answer("done"))
+        Some(ok_response("done"))
     };
     let serve = Arc::new(serve);
     let start = || {
@@ -454,22 +458,22 @@
         text = text.replace(&format!("127.0.0.1:{port}"), &server.at.to_string());
     }
     let daemon = Daemon::start(PROGRAM, at, &text, &[]);
-    let ask = |first: &str, more: &str| {
+    let send = |first: &str, more: &str| {
         let text =
             all(at, &format!("{first} HTTP/1.1\r\nHost: h\r\nConnection: close\r\n{more}\r\n"));
         text.split(' ').nth(1).unwrap().to_string()
     };
-    assert_eq!(ask("GET /devices/7", ""), "200");
-    assert_eq!(ask("GET /runs/3/logs", ""), "200");
-    assert_eq!(ask("GET /nothing", ""), "404");
+    assert_eq!(send("GET /devices/7", ""), "200");
+    assert_eq!(send("GET /runs/3/logs", ""), "200");
+    assert_eq!(send("GET /nothing", ""), "404");
     // A keyed run is repeated within its window, by another try.
-    assert_eq!(ask("POST /runs", "Idempotency-Key: k1\r\n"), "200");
+    assert_eq!(send("POST /runs", "Idempotency-Key: k1\r\n"), "200");
     assert_eq!(tries.load(Ordering::Relaxed), 2);
     // A flash that may have run is not; nor is a run without a key.
-    assert_eq!(ask("POST /devices/7/flash", "Idempotency-Key: k2\r\n"), "500");
+    assert_eq!(send("POST /devices/7/flash", "Idempotency-Key: k2\r\n"), "500");
     assert_eq!(tries.load(Ordering::Relaxed), 3);
-    assert_eq!(ask("POST /runs", ""), "200");
-    assert_eq!(ask("POST /runs", ""), "500");
+    assert_eq!(send("POST /runs", ""), "200");
+    assert_eq!(send("POST /runs", ""), "500");
     assert_eq!(tries.load(Ordering::Relaxed), 5);
     let metrics = all(admin, "GET /-/metrics HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
     for line in [
@@ -494,7 +498,7 @@
         if request.path() == "/slow" {
             std::thread::sleep(std::time::Duration::from_millis(300));
         }
-        Some(answer("late"))
+        Some(ok_response("late"))
     });
     let daemon = daemon(&[server.at], "");
     for path in ["/", "/slow"] {
@@ -513,7 +517,7 @@
 
 #[test]
 fn a_client_that_ends_its_sending_counts_as_gone_where_the_file_says_so() {
-    let server = Server::start(|request, _| (request.path() == "/").then(|| answer("good")));
+    let server = Server::start(|request, _| (request.path() == "/").then(|| ok_response("good")));
     let (at, admin) = (free_address(), free_address());
     let text = file(at, &[server.at], "")
         .replace("sockets = 128\n", "sockets = 128\nabort-on-close = true\n")
@@ -521,21 +525,21 @@
     let daemon = Daemon::start(PROGRAM, at, &text, &[]);
     let mut stream = connect(daemon.at).unwrap();
     stream.write_all(&get("/never")).unwrap();
-    wait_until("it is sent on", || server.seen().len() == 1);
+    wait_until("it is sent on", || server.requests().len() == 1);
     stream.shutdown(std::net::Shutdown::Write).unwrap();
     // Its connection is gone long before its time is up; the asking one is left.
     let begun = std::time::Instant::now();
     wait_until("it is given up", || {
-        let got = ask(admin, &get("/-/metrics")).unwrap();
+        let got = send_request(admin, &get("/-/metrics")).unwrap();
         String::from_utf8_lossy(&got.body).contains("mintshelf_clients 1\n")
     });
     assert!(begun.elapsed() < std::time::Duration::from_secs(14));
-    assert_eq!(daemon.ask(&get("/")).unwrap().status(), 200);
+    assert_eq!(daemon.send_request(&get("/")).unwrap().status(), 200);
 }
 
 #[test]
 fn a_line_that_ends_in_a_bare_line_feed_is_refused() {
-    let server = Server::start(|_, _| Some(answer("good")));
+    let server = Server::start(|_, _| Some(ok_response("good")));
     let daemon = daemon(&[server.at], "");
     for request in [
         "POST / HTTP/1.1\r\nHost: h\r\nX: y\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
@@ -547,5 +551,5 @@
         let text = all(daemon.at, request);
         assert!(text.starts_with("HTTP/1.1 400 "), "{request:?}: {text}");
     }
-    assert!(server.seen().is_empty(), "none of it goes on");
+    assert!(server.requests().is_empty(), "none of it goes on");
 }
--- a/crates/mintshelf/tests/reload.rs
+++ b/crates/mintshelf/tests/reload.rs
@@ -1,14 +1,18 @@
 //! New configurations while the program runs.
 
-use mintshelf_test_support::*;
+use mintshelf_test_support::{
+    config, ok_response, request, wait_until, Discovery, Server, Sidecar,
+};
 use serde_json::json;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_mintshelf");
 
 #[test]
 fn discovery_moves_with_the_file() {
-    let (old, new) =
-        (Server::start(|_, _| Some(answer("old"))), Server::start(|_, _| Some(answer("new"))));
+    let (old, new) = (
+        Server::start(|_, _| Some(ok_response("old"))),
+        Server::start(|_, _| Some(ok_response("new"))),
+    );
     let first = Discovery::start(2, vec![old.entry("a")]);
     // The second counts its versions anew.
     let second = Discovery::start(1, vec![new.entry("b")]);
@@ -20,16 +24,16 @@
     let mut number = 0;
     wait_until("the new list is in force", || {
         number += 1;
-        let answer = sidecar.ask(&request("safe", &format!("r{number}"))).unwrap();
+        let answer = sidecar.send_request(&request("safe", &format!("r{number}"))).unwrap();
         assert_eq!(answer.status(), 200);
         answer.body == b"new"
     });
-    assert!(sidecar.running());
+    assert!(sidecar.is_running());
 }
 
 #[test]
 fn a_malformed_file_is_not_taken_over() {
-    let server = Server::start(|_, _| Some(answer("served")));
+    let server = Server::start(|_, _| Some(ok_response("served")));
     let discovery = Discovery::start(1, vec![server.entry("a")]);
     let mut sidecar = Sidecar::start(PROGRAM, config(discovery.at, vec![server.entry("a")]));
     for text in ["", "{", r#"{"name":"n0"}"#] {
@@ -39,8 +43,8 @@
     let calls = *discovery.calls.lock().unwrap();
     discovery.set(vec![server.entry("a"), server.entry("b")]);
     wait_until("the watch goes on", || *discovery.calls.lock().unwrap() > calls);
-    assert_eq!(sidecar.ask(&request("safe", "x")).unwrap().status(), 200);
-    assert!(sidecar.running());
+    assert_eq!(sidecar.send_request(&request("safe", "x")).unwrap().status(), 200);
+    assert!(sidecar.is_running());
 }
 
 #[test]
--- a/crates/mintshelf/tests/servers.rs
+++ b/crates/mintshelf/tests/servers.rs
@@ -1,6 +1,8 @@
 //! Servers that misbehave: what is tried again, and what is never passed on.
 
-use mintshelf_test_support::*;
+use mintshelf_test_support::{
+    config, ok_response, request, wait_until, Discovery, Process as _, Server, Sidecar,
+};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_mintshelf");
 
@@ -38,13 +40,13 @@
 fn a_spoilt_answer_is_a_failed_attempt_and_its_connection_is_not_used_again() {
     for (what, bytes) in spoilt() {
         let server = Server::start(move |_, number| {
-            Some(if number == 1 { bytes.clone() } else { answer("good") })
+            Some(if number == 1 { bytes.clone() } else { ok_response("good") })
         });
         let discovery = Discovery::start(1, vec![server.entry("a")]);
         let sidecar = Sidecar::start(PROGRAM, config(discovery.at, vec![server.entry("a")]));
-        let got = sidecar.ask(&request("safe", "s")).unwrap();
+        let got = sidecar.send_request(&request("safe", "s")).unwrap();
         assert_eq!((got.status(), &got.body[..]), (200, &b"good"[..]), "{what}");
-        assert_eq!(server.seen().len(), 2, "{what}");
+        assert_eq!(server.requests().len(), 2, "{what}");
         assert_eq!(*server.connections.lock().unwrap(), 2, "{what}");
     }
 }
@@ -55,31 +57,31 @@
         let server = Server::start(move |_, _| Some(bytes.clone()));
         let discovery = Discovery::start(1, vec![server.entry("a")]);
         let sidecar = Sidecar::start(PROGRAM, config(discovery.at, vec![server.entry("a")]));
-        assert_eq!(sidecar.ask(&request("unsafe", "u")).unwrap().status(), 502, "{what}");
-        assert_eq!(server.seen().len(), 1, "{what}");
+        assert_eq!(sidecar.send_request(&request("unsafe", "u")).unwrap().status(), 502, "{what}");
+        assert_eq!(server.requests().len(), 1, "{what}");
     }
 }
 
 #[test]
 fn what_comes_behind_an_answer_is_no_other_answer() {
-    let twice = [answer("one"), answer("surplus")].concat();
+    let twice = [ok_response("one"), ok_response("surplus")].concat();
     let server = Server::start(move |_, number| {
-        Some(if number == 1 { twice.clone() } else { answer("two") })
+        Some(if number == 1 { twice.clone() } else { ok_response("two") })
     });
     let discovery = Discovery::start(1, vec![server.entry("a")]);
     let sidecar = Sidecar::start(PROGRAM, config(discovery.at, vec![server.entry("a")]));
-    assert_eq!(sidecar.ask(&request("safe", "1")).unwrap().body, b"one");
-    assert_eq!(sidecar.ask(&request("safe", "2")).unwrap().body, b"two");
+    assert_eq!(sidecar.send_request(&request("safe", "1")).unwrap().body, b"one");
+    assert_eq!(sidecar.send_request(&request("safe", "2")).unwrap().body, b"two");
 }
 
 #[test]
 fn answers_ahead_of_the_answer_are_passed_over() {
     let ahead = b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n";
-    let server = Server::start(move |_, _| Some([&ahead[..], &answer("good")].concat()));
+    let server = Server::start(move |_, _| Some([&ahead[..], &ok_response("good")].concat()));
     let discovery = Discovery::start(1, vec![server.entry("a")]);
     let sidecar = Sidecar::start(PROGRAM, config(discovery.at, vec![server.entry("a")]));
-    assert_eq!(sidecar.ask(&request("safe", "s")).unwrap().body, b"good");
-    assert_eq!(server.seen().len(), 1);
+    assert_eq!(sidecar.send_request(&request("safe", "s")).unwrap().body, b"good");
+    assert_eq!(server.requests().len(), 1);
 }
 
 #[test]
@@ -88,13 +90,13 @@
     let server = Server::start(move |_, _| Some(unfit.to_vec()));
     let discovery = Discovery::start(1, vec![server.entry("a")]);
     let sidecar = Sidecar::start(PROGRAM, config(discovery.at, vec![server.entry("a")]));
-    assert_ne!(sidecar.ask(&request("safe", "s")).unwrap().status(), 200);
-    assert_eq!(server.seen().len(), 1);
+    assert_ne!(sidecar.send_request(&request("safe", "s")).unwrap().status(), 200);
+    assert_eq!(server.requests().len(), 1);
 }
 
 #[test]
 fn ever_new_servers_leave_nothing_behind() {
-    let server = Server::start(|_, _| Some(answer("good")));
+    let server = Server::start(|_, _| Some(ok_response("good")));
     let discovery = Discovery::start(1, vec![server.entry("s0")]);
     let sidecar = Sidecar::start(PROGRAM, config(discovery.at, vec![server.entry("s0")]));
     let mut asked = 0;
@@ -103,7 +105,7 @@
         let calls = *discovery.calls.lock().unwrap();
         wait_until("the list is told", || *discovery.calls.lock().unwrap() > calls);
         asked += 1;
-        let got = sidecar.ask(&request("safe", &format!("r{asked}"))).unwrap();
+        let got = sidecar.send_request(&request("safe", &format!("r{asked}"))).unwrap();
         assert_eq!(got.status(), 200);
     };
     (1..20).for_each(&mut turn);
@@ -115,17 +117,20 @@
 
 #[test]
 fn an_address_taken_over_is_a_new_server() {
-    let server = Server::start(|_, _| Some(answer("good")));
+    let server = Server::start(|_, _| Some(ok_response("good")));
     let discovery = Discovery::start(1, vec![server.entry("old")]);
     let sidecar = Sidecar::start(PROGRAM, config(discovery.at, vec![server.entry("old")]));
-    assert_eq!(sidecar.ask(&request("safe", "1")).unwrap().status(), 200);
+    assert_eq!(sidecar.send_request(&request("safe", "1")).unwrap().status(), 200);
     assert_eq!(*server.connections.lock().unwrap(), 1);
     discovery.set(vec![server.entry("new")]);
     // A request on a connection to the old one could be lost with its machine.
     let mut number = 1;
     wait_until("a connection of its own", || {
         number += 1;
-        assert_eq!(sidecar.ask(&request("safe", &number.to_string())).unwrap().status(), 200);
+        assert_eq!(
+            sidecar.send_request(&request("safe", &number.to_string())).unwrap().status(),
+            200
+        );
         *server.connections.lock().unwrap() > 1
     });
 }
--- a/crates/mintshelf/tests/sockets.rs
+++ b/crates/mintshelf/tests/sockets.rs
@@ -3,7 +3,10 @@
 // The errors of the implementation at the ends are large, and not of our making.
 #![allow(clippy::result_large_err)]
 
-use mintshelf_test_support::*;
+use mintshelf_test_support::{
+    connect, free_address, get, metric, ok_response, read_to_close, wait_until, Daemon, Message,
+    Peer, Process as _, Server,
+};
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -173,7 +176,7 @@
     open_with(at, &[]).expect("a socket")
 }
 
-fn ask(socket: &mut Socket, text: &str) -> String {
+fn send_and_receive(socket: &mut Socket, text: &str) -> String {
     socket.send(Said::text(text)).unwrap();
     loop {
         match socket.read().unwrap() {
@@ -207,16 +210,16 @@
     let setup = setup();
     let _daemon = setup.start(&[&node]);
     let mut socket = open(setup.at);
-    assert_eq!(ask(&mut socket, "hello"), "a: hello");
+    assert_eq!(send_and_receive(&mut socket, "hello"), "a: hello");
     let long = "x".repeat(300_000);
-    assert_eq!(ask(&mut socket, &long), format!("a: {long}"));
-    assert_eq!(figure(setup.admin, "mintshelf_sockets{cluster=\"c\"}"), 1.0);
+    assert_eq!(send_and_receive(&mut socket, &long), format!("a: {long}"));
+    assert_eq!(metric(setup.admin, "mintshelf_sockets{cluster=\"c\"}"), 1.0);
     socket.close(None).unwrap();
     assert_eq!(closed(&mut socket), (1005, String::new()));
     wait_until("the server's end", || node.open.load(Ordering::SeqCst) == 0);
-    wait_until("the figures", || figure(setup.admin, "mintshelf_sockets{cluster=\"c\"}") == 0.0);
+    wait_until("the figures", || metric(setup.admin, "mintshelf_sockets{cluster=\"c\"}") == 0.0);
     let ended = "mintshelf_sockets_closed_total{by=\"client\",code=\"1005\"}";
-    wait_until("who ended it", || figure(setup.admin, ended) == 1.0);
+    wait_until("who ended it", || metric(setup.admin, ended) == 1.0);
 }
 
 #[test]
@@ -225,7 +228,7 @@
     let setup = Setup { websocket: "{ resume = \"first-message\" }", ..setup() };
     let _daemon = setup.start(&[&a, &b]);
     let mut sockets: Vec<Socket> = (0..12).map(|_| open(setup.at)).collect();
-    let at: Vec<String> = sockets.iter_mut().map(|s| ask(s, "first")).collect();
+    let at: Vec<String> = sockets.iter_mut().map(|s| send_and_receive(s, "first")).collect();
     let at_a = at.iter().filter(|text| *text == "a: first").count();
     assert!(at_a > 0 && at_a < 12, "{at:?}");
     a.dead.store(true, Ordering::SeqCst);
@@ -236,10 +239,10 @@
             let Ok(Said::Text(text)) = socket.read() else { panic!("no text") };
             assert_eq!(text.as_str(), "b: first");
         }
-        assert_eq!(ask(socket, "second"), "b: second");
+        assert_eq!(send_and_receive(socket, "second"), "b: second");
     }
     wait_until("the figures", || {
-        figure(setup.admin, "mintshelf_sockets_moved_total{cluster=\"c\"}") == at_a as f64
+        metric(setup.admin, "mintshelf_sockets_moved_total{cluster=\"c\"}") == at_a as f64
     });
 }
 
@@ -250,7 +253,7 @@
     let setup = Setup { class, cluster: "socket-spread = \"500ms\"", ..setup() };
     let _daemon = setup.start(&[&a, &b]);
     let mut sockets: Vec<Socket> = (0..12).map(|_| open(setup.at)).collect();
-    let at: Vec<String> = sockets.iter_mut().map(|s| ask(s, "x")).collect();
+    let at: Vec<String> = sockets.iter_mut().map(|s| send_and_receive(s, "x")).collect();
     a.frozen.store(true, Ordering::SeqCst);
     // Each client goes on reading, so that it answers pings.
     let ends: Vec<_> = sockets.into_iter().map(reading).collect();
@@ -261,7 +264,7 @@
         assert!(reason.contains("come back in"), "{reason}");
     }
     wait_until("the figures", || {
-        figure(setup.admin, "mintshelf_sockets{cluster=\"c\"}") == b_has as f64
+        metric(setup.admin, "mintshelf_sockets{cluster=\"c\"}") == b_has as f64
     });
     assert_eq!(b.open.load(Ordering::SeqCst), b_has);
     a.frozen.store(false, Ordering::SeqCst);
@@ -380,7 +383,7 @@
     let eager = bad(|_| format!("{ACCEPTED}\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"));
     let setup = setup();
     let daemon = Daemon::start(PROGRAM, setup.at, &setup.text(&[eager.at]), &[]);
-    assert!((500..=504).contains(&daemon.ask(&get("/plain")).unwrap().status()));
+    assert!((500..=504).contains(&daemon.send_request(&get("/plain")).unwrap().status()));
 }
 
 #[test]
@@ -390,13 +393,13 @@
     let setup = setup();
     let _daemon = setup.start(&[&dead, &good]);
     let mut all: Vec<Socket> = (0..8).map(|_| open(setup.at)).collect();
-    assert!(all.iter_mut().all(|socket| ask(socket, "x") == "good: x"));
+    assert!(all.iter_mut().all(|socket| send_and_receive(socket, "x") == "good: x"));
 }
 
 #[test]
 fn with_all_sockets_taken_requests_go_on_and_handshakes_hear_when_to_come_back() {
     let node = Node::start("a");
-    let plain = Server::start(|_, _| Some(answer("plain")));
+    let plain = Server::start(|_, _| Some(ok_response("plain")));
     let more = format!(
         "[clusters.p]\nendpoints = [\"{}\"]\n[[routes]]\nprefix = \"/plain\"\ncluster = \"p\"\n",
         plain.at
@@ -408,10 +411,10 @@
     assert_eq!(refused.status(), 503);
     assert!(refused.header("retry-after").unwrap().parse::<u32>().unwrap() >= 1);
     assert!(String::from_utf8_lossy(&refused.body).contains("sockets-full"));
-    assert_eq!(daemon.ask(&get("/plain")).unwrap().status(), 200);
+    assert_eq!(daemon.send_request(&get("/plain")).unwrap().status(), 200);
     sockets.pop().unwrap().close(None).unwrap();
     wait_until("its place to be free", || open_with(setup.at, &[]).is_ok());
-    assert!(sockets.iter_mut().all(|socket| ask(socket, "on") == "a: on"));
+    assert!(sockets.iter_mut().all(|socket| send_and_receive(socket, "on") == "a: on"));
 }
 
 #[test]
@@ -433,8 +436,8 @@
     assert_eq!(of("late").err(), Some(503));
     assert_eq!(of("early").err(), Some(503));
     wait_until("the figures", || {
-        figure(setup.admin, "mintshelf_tenant_sockets{tenant=\"early\"}") == 4.0
-            && figure(setup.admin, "mintshelf_tenant_sockets{tenant=\"late\"}") == 4.0
+        metric(setup.admin, "mintshelf_tenant_sockets{tenant=\"early\"}") == 4.0
+            && metric(setup.admin, "mintshelf_tenant_sockets{tenant=\"late\"}") == 4.0
     });
     let left: Vec<_> = ends.into_iter().filter(|end| end.is_finished()).collect();
     assert_eq!(left.len(), 4);
@@ -451,10 +454,10 @@
     let setup = Setup { websocket: "{ resume = \"handshake\" }", cluster, ..setup() };
     let daemon = setup.start(&[&a, &b]);
     let mut sockets: Vec<Socket> = (0..10).map(|_| open(setup.at)).collect();
-    sockets.iter_mut().for_each(|socket| drop(ask(socket, "x")));
+    sockets.iter_mut().for_each(|socket| drop(send_and_receive(socket, "x")));
     daemon.reload(&setup.text(&[b.peer.at]));
     wait_until("a to be left", || a.open.load(Ordering::SeqCst) == 0);
-    assert!(sockets.iter_mut().all(|socket| ask(socket, "y") == "b: y"));
+    assert!(sockets.iter_mut().all(|socket| send_and_receive(socket, "y") == "b: y"));
     // A cluster that is set up anew is another to the module; its sockets go on there.
     let again = Setup {
         cluster: "socket-spread = \"200ms\"\nmax-attempts = 2",
@@ -464,7 +467,7 @@
     let before = b.opened.load(Ordering::SeqCst);
     daemon.reload(&again.text(&[b.peer.at]));
     wait_until("all to be opened again", || b.opened.load(Ordering::SeqCst) == before + 10);
-    assert!(sockets.iter_mut().all(|socket| ask(socket, "z") == "b: z"));
+    assert!(sockets.iter_mut().all(|socket| send_and_receive(socket, "z") == "b: z"));
     wait_until("the old ones to be left", || b.open.load(Ordering::SeqCst) == 10);
 }
 
@@ -499,7 +502,7 @@
         let mut socket = open(at);
         let thread = thread::spawn(move || {
             while !until.load(Ordering::SeqCst) {
-                assert!(ask(&mut socket, "on").ends_with(": on"));
+                assert!(send_and_receive(&mut socket, "on").ends_with(": on"));
                 count.fetch_add(1, Ordering::SeqCst);
                 thread::sleep(Duration::from_millis(10));
             }
@@ -610,9 +613,9 @@
             socket
         })
         .collect();
-    wait_until("floods", || figure(setup.admin, "mintshelf_socket_queued_bytes") > 1e5);
+    wait_until("floods", || metric(setup.admin, "mintshelf_socket_queued_bytes") > 1e5);
     // 50 queues of 16 KiB and a reading each.
-    assert!(figure(setup.admin, "mintshelf_socket_queued_bytes") <= 50.0 * 33_000.0);
+    assert!(metric(setup.admin, "mintshelf_socket_queued_bytes") <= 50.0 * 33_000.0);
     sound.goes_on();
     wait_until("their servers' ends", || node.open.load(Ordering::SeqCst) == 1);
     sound.goes_on();
@@ -666,7 +669,7 @@
             })
         });
         threads.collect::<Vec<_>>().into_iter().for_each(|t| t.join().unwrap());
-        wait_until("all to be over", || figure(setup.admin, "mintshelf_sockets{") == 0.0);
+        wait_until("all to be over", || metric(setup.admin, "mintshelf_sockets{") == 0.0);
     };
     run(2_000);
     let first = [daemon.descriptors(), daemon.memory("VmRSS:")];
@@ -675,6 +678,6 @@
     wait_until("the descriptors", || daemon.descriptors() <= first[0] + 2);
     let more = daemon.memory("VmRSS:").saturating_sub(first[1]);
     assert!(more < 2 << 20, "{more} bytes more");
-    assert_eq!(figure(setup.admin, "mintshelf_open_requests"), 0.0);
-    assert_eq!(figure(setup.admin, "mintshelf_timers"), 0.0);
+    assert_eq!(metric(setup.admin, "mintshelf_open_requests"), 0.0);
+    assert_eq!(metric(setup.admin, "mintshelf_timers"), 0.0);
 }
--- a/crates/mintshelf/tests/swap.rs
+++ b/crates/mintshelf/tests/swap.rs
@@ -1,6 +1,9 @@
 //! Files taken and refused while the daemon serves.
 
-use mintshelf_test_support::*;
+use mintshelf_test_support::{
+    connect, free_address, get, ok_response, send_request, wait_until, Daemon, Message, Peer,
+    Process as _, Server, CONFIGURATION_APPLIED, CONFIGURATION_REJECTED,
+};
 use std::collections::HashSet;
 use std::io::Write;
 use std::net::SocketAddr;
@@ -13,7 +16,7 @@
 /// A server that names itself, its path and the request's mark.
 fn server(name: &'static str) -> Server {
     Server::start(move |r, _| {
-        Some(answer(&format!("{name} {} {}", r.path(), r.header("x-mark").unwrap_or("-"))))
+        Some(ok_response(&format!("{name} {} {}", r.path(), r.header("x-mark").unwrap_or("-"))))
     })
 }
 
@@ -82,8 +85,8 @@
             assert!(["a /a/1 a", "b /b/1 b"].contains(&text.as_str()), "a mix: {text}");
         }
     }
-    assert_eq!(daemon.said().matches("the file is in force").count(), 50);
-    assert_eq!(daemon.said().matches("is refused").count(), 50);
+    assert_eq!(daemon.log_output().matches(CONFIGURATION_APPLIED).count(), 50);
+    assert_eq!(daemon.log_output().matches(CONFIGURATION_REJECTED).count(), 50);
     let most = |of: &[(usize, usize)]| *of.iter().map(|(d, _)| d).max().unwrap();
     let (first, last) = measured.split_at(measured.len() / 2);
     // Four clients may have a connection each to the old pool and to the new one at the moment of
@@ -102,16 +105,16 @@
     let good = file(at, "a", a.at, b.at);
     let daemon = Daemon::start(PROGRAM, at, &good, &[]);
     daemon.reload(&good.replace("cluster = \"stays\"", "cluster = \"stay\""));
-    let said = daemon.said();
+    let said = daemon.log_output();
     assert!(said.contains(":17:11: routes[1].cluster: 'stay' names nothing"), "{said}");
     assert!(said.contains("did you mean 'stays'?"), "{said}");
-    assert_eq!(body(&daemon.ask(&get("/stays")).unwrap()), "b /stays -");
+    assert_eq!(body(&daemon.send_request(&get("/stays")).unwrap()), "b /stays -");
     // An address that can't be had is no reason to drop the others.
     let taken = Peer::start(|_| {});
     let clash = good.replace(&format!("\"{at}\""), &format!("[\"{at}\", \"{}\"]", taken.at));
     daemon.reload(&clash);
-    assert!(daemon.said().contains("in use"), "{}", daemon.said());
-    assert_eq!(daemon.ask(&get("/stays")).unwrap().status(), 200);
+    assert!(daemon.log_output().contains("in use"), "{}", daemon.log_output());
+    assert_eq!(daemon.send_request(&get("/stays")).unwrap().status(), 200);
 }
 
 #[test]
@@ -122,7 +125,7 @@
         while number == 1 && held.load(Ordering::Relaxed) {
             thread::sleep(std::time::Duration::from_millis(5));
         }
-        Some(answer("slow"))
+        Some(ok_response("slow"))
     });
     let (quick, stays) = (server("quick"), server("stays"));
     let (at, second) = (free_address(), free_address());
@@ -133,9 +136,9 @@
     let daemon = Daemon::start(PROGRAM, at, &with_both("slow", slow.at), &[]);
     let mut open = connect(second).unwrap();
     open.write_all(&get("/x")).unwrap();
-    wait_until("it is at the server", || slow.seen().len() == 1);
+    wait_until("it is at the server", || slow.requests().len() == 1);
     daemon.reload(&file(at, "quick", quick.at, stays.at));
-    assert_eq!(body(&daemon.ask(&get("/x")).unwrap()), "quick /quick quick");
+    assert_eq!(body(&daemon.send_request(&get("/x")).unwrap()), "quick /quick quick");
     wait_until("the second listener is gone", || connect(second).is_none());
     // What was under way on it is answered by the server that took it.
     hold.store(false, Ordering::Relaxed);
@@ -150,10 +153,10 @@
     let (a, b, stays) = (server("a"), server("b"), server("stays"));
     let at = free_address();
     let daemon = Daemon::start(PROGRAM, at, &file(at, "a", a.at, stays.at), &["--watch"]);
-    assert_eq!(body(&daemon.ask(&get("/x")).unwrap()), "a /a a");
+    assert_eq!(body(&daemon.send_request(&get("/x")).unwrap()), "a /a a");
     std::fs::write(&daemon.file, file(at, "other", b.at, stays.at)).unwrap();
     wait_until("the new file is in force", || {
-        body(&daemon.ask(&get("/x")).unwrap()) == "b /other other"
+        body(&daemon.send_request(&get("/x")).unwrap()) == "b /other other"
     });
 }
 
@@ -165,7 +168,7 @@
         while held.load(Ordering::Relaxed) {
             thread::sleep(std::time::Duration::from_millis(5));
         }
-        Some(answer("slow"))
+        Some(ok_response("slow"))
     });
     let at = free_address();
     let admin = free_address();
@@ -173,11 +176,11 @@
     let mut daemon = Daemon::start(PROGRAM, at, &text, &[]);
     let mut open = connect(at).unwrap();
     open.write_all(&get("/x")).unwrap();
-    wait_until("it is at the server", || slow.seen().len() == 1);
-    assert_eq!(ask(admin, &get("/-/ready")).unwrap().status(), 200);
+    wait_until("it is at the server", || slow.requests().len() == 1);
+    assert_eq!(send_request(admin, &get("/-/ready")).unwrap().status(), 200);
     daemon.signal("TERM");
     wait_until("the end is told", || {
-        ask(admin, &get("/-/ready")).is_some_and(|answer| answer.status() == 503)
+        send_request(admin, &get("/-/ready")).is_some_and(|answer| answer.status() == 503)
     });
     hold.store(false, Ordering::Relaxed);
     assert_eq!(Message::read(&mut open).unwrap().body, b"slow");
@@ -194,21 +197,21 @@
         text.replace("[limits]", "[classes.default]\naim = \"10m\"\ndeadline = \"20m\"\n[limits]");
     let daemon = Daemon::start(PROGRAM, at, &text, &[]);
     let mut stream = connect(at).unwrap();
-    let mut ask = |count: usize| {
+    let mut send_many = |count: usize| {
         for _ in 0..count {
             stream.write_all(&get("/x")).unwrap();
             assert_eq!(Message::read(&mut stream).unwrap().status(), 200);
         }
     };
-    ask(1_000);
+    send_many(1_000);
     let before = daemon.memory("VmRSS:");
-    ask(12_000);
+    send_many(12_000);
     let grown = daemon.memory("VmRSS:").saturating_sub(before);
     assert!(grown < 1 << 20, "{grown} bytes for 12,000 ended requests");
-    let metrics = ask_text(admin, "/-/metrics");
+    let metrics = page(admin, "/-/metrics");
     assert!(metrics.contains("mintshelf_timers{cluster=\"a\"} 0"), "{metrics}");
 }
 
-fn ask_text(at: SocketAddr, path: &str) -> String {
-    body(&ask(at, &get(path)).unwrap())
+fn page(at: SocketAddr, path: &str) -> String {
+    body(&send_request(at, &get(path)).unwrap())
 }
--- a/crates/mintshelf/tests/tries.rs
+++ b/crates/mintshelf/tests/tries.rs
@@ -1,6 +1,9 @@
 //! Attempts under their own time-outs, second copies, and effects counted at the servers.
 
-use mintshelf_test_support::*;
+use mintshelf_test_support::{
+    connect, free_address, full_listener, get, metric, ok_response, read_to_close, send_request,
+    wait_until, Daemon, Message, Peer, Server,
+};
 use std::collections::HashMap;
 use std::io::Write;
 use std::net::SocketAddr;
@@ -27,7 +30,8 @@
                 while is_frozen.load(Ordering::SeqCst) {
                     thread::sleep(Duration::from_millis(5));
                 }
-                if is_dead.load(Ordering::SeqCst) || stream.write_all(&answer("good")).is_err() {
+                if is_dead.load(Ordering::SeqCst) || stream.write_all(&ok_response("good")).is_err()
+                {
                     return;
                 }
             }
@@ -112,7 +116,7 @@
         seen.iter().flat_map(|(s, _)| s).filter(|s| **s != 200).copied().collect();
     let longest = seen.iter().map(|(_, longest)| *longest).max().unwrap();
     assert!(other.is_empty() && longest < Duration::from_secs(19), "{other:?} {longest:?}");
-    assert!(figure(admin, "mintshelf_tries_cut_total") >= 1.0);
+    assert!(metric(admin, "mintshelf_tries_cut_total") >= 1.0);
 }
 
 /// What servers did for each request, by its id: when, since the test began.
@@ -147,7 +151,7 @@
                 let _ = read_to_close(&mut stream);
                 return;
             }
-            _ => stream.write_all(&answer("done")),
+            _ => stream.write_all(&ok_response("done")),
         };
         if sent.is_err() {
             return;
@@ -164,7 +168,8 @@
             let request = format!(
                 "POST /devices/7/flash HTTP/1.1\r\nHost: h\r\nX-Id: {n}\r\n{key}Content-Length: 4\r\n\r\nbody"
             );
-            let got = ask(at, request.as_bytes()).unwrap_or_else(|| panic!("{n} was lost"));
+            let got =
+                send_request(at, request.as_bytes()).unwrap_or_else(|| panic!("{n} was lost"));
             (n.to_string(), got.status())
         };
         (first..count).step_by(CLIENTS).map(one).collect::<Vec<_>>()
@@ -225,7 +230,7 @@
             let down = down.clone();
             Server::start(move |_, _| {
                 let bad = b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n".to_vec();
-                Some(if down.load(Ordering::SeqCst) { bad } else { answer("good") })
+                Some(if down.load(Ordering::SeqCst) { bad } else { ok_response("good") })
             })
         })
         .collect();
@@ -233,9 +238,9 @@
     let budget =
         "retry-budget = { ratio = 0.1, burst = 20 }\nmax-attempts = 6\nreturn-ramp = \"0s\"";
     let (daemon, _) = daemon(&at, "aim = \"5s\"\ndeadline = \"20s\"", budget);
-    let tried = || servers.iter().map(|server| server.seen().len()).sum::<usize>();
+    let tried = || servers.iter().map(|server| server.requests().len()).sum::<usize>();
     for _ in 0..1_000 {
-        let got = daemon.ask(&get("/")).unwrap();
+        let got = daemon.send_request(&get("/")).unwrap();
         assert!(got.status() == 500 || got.status() == 503, "{}", got.head);
     }
     let all = tried();
@@ -243,14 +248,14 @@
     assert!(all > 1_000, "some are tried again: {all}");
     // Back in service each is served at once, and credit comes again.
     down.store(false, Ordering::SeqCst);
-    wait_until("service returns", || daemon.ask(&get("/")).unwrap().status() == 200);
+    wait_until("service returns", || daemon.send_request(&get("/")).unwrap().status() == 200);
     for _ in 0..300 {
-        assert_eq!(daemon.ask(&get("/")).unwrap().status(), 200);
+        assert_eq!(daemon.send_request(&get("/")).unwrap().status(), 200);
     }
     down.store(true, Ordering::SeqCst);
     let before = tried();
     for _ in 0..3 {
-        daemon.ask(&get("/")).unwrap();
+        daemon.send_request(&get("/")).unwrap();
     }
     assert!(tried() - before > 3, "credit has come again");
 }
@@ -268,7 +273,7 @@
                 if n > 0 && slow.load(Ordering::SeqCst) && count.load(Ordering::SeqCst) % 10 == 0 {
                     thread::sleep(Duration::from_millis(400));
                 }
-                Some(answer("good"))
+                Some(ok_response("good"))
             })
         })
         .collect();
@@ -279,9 +284,9 @@
     slow.store(true, Ordering::SeqCst);
     const REQUESTS: usize = 600;
     for _ in 0..REQUESTS {
-        assert_eq!(daemon.ask(&get("/")).unwrap().status(), 200);
+        assert_eq!(daemon.send_request(&get("/")).unwrap().status(), 200);
     }
-    let copies = figure(admin, "mintshelf_second_copies_total");
+    let copies = metric(admin, "mintshelf_second_copies_total");
     assert!(copies >= 5.0, "{copies}");
     let bound = REQUESTS as f64 * 0.05 + 5.0;
     assert!(copies <= bound, "{copies}");
@@ -289,7 +294,7 @@
     wait_until("all attempts are seen", || {
         count.load(Ordering::SeqCst) <= REQUESTS + copies as usize
     });
-    assert_eq!(figure(admin, "mintshelf_open_requests"), 0.0);
+    assert_eq!(metric(admin, "mintshelf_open_requests"), 0.0);
 }
 
 #[test]
@@ -298,7 +303,9 @@
     let count = opened.clone();
     let node = Peer::start(move |mut stream| {
         count.fetch_add(1, Ordering::SeqCst);
-        while Message::read(&mut stream).is_some() && stream.write_all(&answer("good")).is_ok() {}
+        while Message::read(&mut stream).is_some() && stream.write_all(&ok_response("good")).is_ok()
+        {
+        }
     });
     let at = free_address();
     let text = format!(
@@ -308,15 +315,16 @@
         endpoints(&[node.at])
     );
     let daemon = Daemon::start(PROGRAM, at, &text, &[]);
-    let ask = |path: &str| assert_eq!(daemon.ask(&get(path)).unwrap().status(), 200);
-    ask("/a");
-    ask("/a");
+    let assert_served =
+        |path: &str| assert_eq!(daemon.send_request(&get(path)).unwrap().status(), 200);
+    assert_served("/a");
+    assert_served("/a");
     assert_eq!(opened.load(Ordering::SeqCst), 1, "an idle connection is used again");
-    ask("/flash");
+    assert_served("/flash");
     assert_eq!(opened.load(Ordering::SeqCst), 2, "but not by a class that wants a new one");
-    ask("/a");
+    assert_served("/a");
     assert_eq!(opened.load(Ordering::SeqCst), 2);
-    ask("/flash");
+    assert_served("/flash");
     assert_eq!(opened.load(Ordering::SeqCst), 3);
 }
 
@@ -336,7 +344,7 @@
     // The patient one is sent first, and answered last: that shows the order, not the time.
     let mut patient = connect(at).unwrap();
     patient.write_all(&get("/a")).unwrap();
-    let hasty = daemon.ask(&get("/hasty")).unwrap();
+    let hasty = daemon.send_request(&get("/hasty")).unwrap();
     assert_eq!(hasty.status(), 503);
     patient.set_nonblocking(true).unwrap();
     let early = std::io::Read::read(&mut patient, &mut [0; 1]);
--- /dev/null
+++ b/crates/test-support/src/process.rs
@@ -0,0 +1,59 @@
+//! What tests read about a process in `/proc`, and signals to it.
+
+use std::process::{Child, Command};
+
+/// A running process.
+pub trait Process {
+    /// Its id.
+    fn pid(&self) -> u32;
+
+    /// Sends a signal by its name, as in `TERM`.
+    ///
+    /// # Panics
+    /// `kill` fails.
+    fn signal(&self, name: &str) {
+        let pid = self.pid().to_string();
+        assert!(Command::new("kill").args(["-s", name, &pid]).status().unwrap().success());
+    }
+
+    /// Number of open file descriptors.
+    ///
+    /// # Panics
+    /// The process has ended.
+    fn descriptors(&self) -> usize {
+        std::fs::read_dir(format!("/proc/{}/fd", self.pid())).unwrap().count()
+    }
+
+    /// The number in the line of `/proc/PID/status` that begins with `field`.
+    ///
+    /// # Panics
+    /// The process has ended, or there is no such number.
+    fn status(&self, field: &str) -> usize {
+        let status = std::fs::read_to_string(format!("/proc/{}/status", self.pid())).unwrap();
+        let line = status.lines().find(|line| line.starts_with(field)).unwrap();
+        line.split_whitespace().nth(1).unwrap().parse().unwrap()
+    }
+
+    /// A field of `/proc/PID/status` that is a size, in bytes.
+    ///
+    /// # Panics
+    /// As [`Process::status`].
+    fn memory(&self, field: &str) -> usize {
+        self.status(field) << 10
+    }
+
+    /// Peak resident memory in bytes.
+    ///
+    /// # Panics
+    /// As [`Process::status`].
+    fn peak_memory(&self) -> usize {
+        self.memory("VmHWM:")
+    }
+}
+
+/// Kills a child process and reaps it.
+pub(crate) fn kill(child: &mut Child) {
+    // It may have ended by itself.
+    let _ = child.kill();
+    let _ = child.wait();
+}
