--- /dev/null
+++ b/crates/config/src/model/mod.rs
@@ -0,0 +1,51 @@
+//! The operator's file after all checks: nothing in it is text that still has to be parsed.
+
+mod class;
+mod cluster;
+mod fleet;
+mod process;
+mod route;
+
+pub use class::{AttemptSettings, Class, HedgeSetting, SocketSettings};
+pub use cluster::{Cluster, ConcurrencyLimit, ConnectionLimits, Endpoint, RetryBudgetConfig};
+pub use fleet::{FleetConfig, FleetVoter};
+pub use process::{
+    Forwarding, Listener, ProcessLimits, Tenant, BODY_SHARE, SOCKET_QUEUE_SHARE, UPSTREAM_SHARE,
+};
+pub use route::{Forward, HeaderEdits, Redirect, Respond, Route, RouteAction, Sticky, WebSocket};
+
+use http::HeaderName;
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+
+/// An operator's file.
+#[derive(Debug, Clone, PartialEq)]
+pub struct OperatorConfig {
+    /// The addresses that take clients.
+    pub listeners: Vec<Listener>,
+    /// The routes, in the order of the file.
+    pub routes: Vec<Route>,
+    /// The request classes by name. A route with overrides has a class of its own here, see
+    /// [`Route::policy`].
+    pub classes: BTreeMap<String, Class>,
+    /// The clusters by name.
+    pub clusters: BTreeMap<String, Cluster>,
+    /// What the process may use.
+    pub limits: ProcessLimits,
+    /// The tenants that share the installation, in the order of the file.
+    pub tenants: Vec<Tenant>,
+    /// The header that names a request's tenant.
+    pub tenant_header: Option<HeaderName>,
+    /// The header by which a client marks a request as a repeat.
+    pub repeat_header: Option<HeaderName>,
+    /// What is disclosed of this hop to the next one.
+    pub forwarding: Forwarding,
+    /// The address of the admin listener; off if absent.
+    pub admin: Option<SocketAddr>,
+    /// The fleet that this process belongs to; none if absent.
+    pub fleet: Option<FleetConfig>,
+    /// A hash of the text: the same file has the same hash.
+    pub hash: u64,
+    /// The line of every field that the file states, by its path; all others have defaults.
+    pub stated_lines: BTreeMap<String, usize>,
+}
--- a/crates/mintshelf/src/fleet.rs
+++ b/crates/mintshelf/src/fleet.rs
@@ -1,13 +1,13 @@
 //! The process as one of a fleet: a voter beside the traffic, and the commands that ask voters.
 
 use crate::{check, lease_run, runtime, UNUSABLE};
-use mintshelf_config::model::{Fleet, FleetVoter};
-use mintshelf_consensus::replica::Stored;
+use mintshelf_config::model::{FleetConfig, FleetVoter};
+use mintshelf_consensus::persistent_state::PersistentState;
 use mintshelf_consensus_node::client::{ask, tell};
 use mintshelf_consensus_node::frame::Report;
 use mintshelf_consensus_node::node::{run, Plan};
 use mintshelf_consensus_node::store::{Identity, Opened, Store};
-use mintshelf_lease::lease::{self, Answer, Command, Owner};
+use mintshelf_lease::command::{self, Command, Owner, Response};
 use serde_json::json;
 use std::ffi::OsString;
 use std::net::{SocketAddr, TcpListener};
@@ -33,11 +33,11 @@
     }
 }
 
-fn identity(fleet: &Fleet, id: u64) -> Identity {
+fn identity(fleet: &FleetConfig, id: u64) -> Identity {
     Identity { fleet: fleet.fleet.clone(), voter: id }
 }
 
-fn directory(fleet: &Fleet) -> Result<&Path, String> {
+fn directory(fleet: &FleetConfig) -> Result<&Path, String> {
     // The file was checked: a voter has one.
     fleet.directory.as_deref().ok_or_else(|| "a voter without a directory".into())
 }
@@ -46,7 +46,7 @@
 ///
 /// # Errors
 /// Its store is in use, another's, damaged or empty, or its address is taken.
-pub fn start(fleet: &Fleet) -> Result<Option<Voting>, String> {
+pub fn start(fleet: &FleetConfig) -> Result<Option<Voting>, String> {
     let Some(id) = fleet.id else { return Ok(None) };
     let directory = directory(fleet)?;
     let opened = Store::open(directory, &identity(fleet, id)).map_err(|error| error.to_string())?;
@@ -69,7 +69,7 @@
         fleet: fleet.fleet.clone(),
         id,
         others: all.into_iter().filter(|(other, _)| *other != id).collect(),
-        spans: fleet.spans,
+        spans: fleet.timing,
     };
     let runtime = runtime()?;
     let (stop, stopped) = oneshot::channel::<()>();
@@ -104,7 +104,7 @@
 }
 
 /// A file's fleet, or what is wrong, and the exit code.
-fn of(config: &Path) -> Result<Fleet, ExitCode> {
+fn of(config: &Path) -> Result<FleetConfig, ExitCode> {
     let file = check::read(config).map_err(|unusable| {
         unusable.lines().iter().for_each(|line| eprintln!("mintshelf: {line}"));
         unusable.code()
@@ -120,7 +120,7 @@
     Ok(())
 }
 
-fn begin(fleet: &Fleet) -> Result<String, String> {
+fn begin(fleet: &FleetConfig) -> Result<String, String> {
     let id = fleet.id.ok_or_else(|| format!("'{}' is no voter: it keeps nothing", fleet.name))?;
     let directory = directory(fleet)?;
     let opened = Store::open(directory, &identity(fleet, id)).map_err(|error| error.to_string())?;
@@ -131,7 +131,7 @@
         ));
     };
     let voters: Vec<u64> = (1..=fleet.voters.len() as u64).collect();
-    store.begin_fleet(&Stored::new_fleet(&voters)).map_err(|error| error.to_string())?;
+    store.begin_fleet(&PersistentState::new_fleet(&voters)).map_err(|error| error.to_string())?;
     Ok(format!(
         "voter '{}' of fleet '{}' begins in {}",
         fleet.name,
@@ -141,14 +141,14 @@
 }
 
 /// A life of this command's own.
-fn owner(fleet: &Fleet) -> Owner {
+fn owner(fleet: &FleetConfig) -> Owner {
     use std::hash::{BuildHasher, Hasher, RandomState};
     let drawn = RandomState::new().build_hasher().finish() >> 32;
     Owner { member: fleet.name.clone(), incarnation: drawn }
 }
 
 /// What each voter says of itself, in the order of the file; none where it does not answer.
-fn reports(fleet: &Fleet) -> Result<Vec<Option<Report>>, ExitCode> {
+fn reports(fleet: &FleetConfig) -> Result<Vec<Option<Report>>, ExitCode> {
     let runtime = runtime().map_err(failed)?;
     let owner = owner(fleet);
     let all = fleet.voters.iter().map(|voter| {
@@ -167,7 +167,7 @@
 
 /// Who leads by the newest election that any of them knows.
 fn leader(reports: &[Option<Report>]) -> Option<&Report> {
-    reports.iter().flatten().filter(|report| report.status.leads).max_by_key(|r| r.status.term)
+    reports.iter().flatten().filter(|report| report.status.is_leader).max_by_key(|r| r.status.term)
 }
 
 /// `mintshelf fleet status`.
@@ -175,8 +175,8 @@
     let fleet = of(config)?;
     let reports = reports(&fleet)?;
     let leads = leader(&reports);
-    let newest = reports.iter().flatten().map(|r| r.status.committed).max().unwrap_or(0);
-    let lag = |report: &Report| newest.saturating_sub(report.status.applied);
+    let newest = reports.iter().flatten().map(|r| r.status.committed_index).max().unwrap_or(0);
+    let lag = |report: &Report| newest.saturating_sub(report.status.applied_index);
     if as_json {
         let voters: Vec<_> = fleet
             .voters
@@ -187,7 +187,7 @@
                                "answers": false}),
                 Some(r) => json!({
                     "name": voter.name, "address": voter.address.to_string(), "answers": true,
-                    "leads": r.status.leads, "term": r.status.term, "applied": r.status.applied,
+                    "leads": r.status.is_leader, "term": r.status.term, "applied": r.status.applied_index,
                     "lag": lag(r), "lives": r.life, "members": r.members,
                 }),
             })
@@ -209,9 +209,9 @@
                 Some(r) => println!(
                     "{:<16} {at:<22} {:<9} {:>6} {:>9} {:>5} {:>6} {:>8}",
                     voter.name,
-                    if r.status.leads { "leader" } else { "follower" },
+                    if r.status.is_leader { "leader" } else { "follower" },
                     r.status.term,
-                    r.status.applied,
+                    r.status.applied_index,
                     lag(r),
                     r.life,
                     r.members,
@@ -223,7 +223,7 @@
 }
 
 /// Says that nothing is agreed now.
-fn nobody_leads(fleet: &Fleet, reports: &[Option<Report>]) -> ExitCode {
+fn nobody_leads(fleet: &FleetConfig, reports: &[Option<Report>]) -> ExitCode {
     let (all, here) = (fleet.voters.len(), reports.iter().flatten().count());
     let needed = all / 2 + 1;
     eprintln!("mintshelf: nobody leads: {here} of {all} voters answer, {needed} are needed");
@@ -242,10 +242,10 @@
     }
     if as_json {
         let of = |(name, lease): &&(String, mintshelf_lease::lease::Lease)| {
-            let held = lease.held.as_ref().map(|held| {
+            let held = lease.holder.as_ref().map(|held| {
                 json!({"member": held.owner.member, "incarnation": held.owner.incarnation,
-                       "token": held.token, "span_ms": held.span / 1_000_000,
-                       "renewals": held.renewal, "revoked": held.revoked})
+                       "token": held.token, "span_ms": held.duration / 1_000_000,
+                       "renewals": held.renewals, "revoked": held.is_revoked})
             });
             let queue = lease.queue.iter().map(|waiter| &waiter.owner.member);
             json!({"lease": name, "held": held, "waiting": queue.collect::<Vec<_>>()})
@@ -260,15 +260,15 @@
     for (name, lease) in chosen {
         let waiting: Vec<_> = lease.queue.iter().map(|w| w.owner.member.as_str()).collect();
         let waiting = waiting.join(", ");
-        match &lease.held {
+        match &lease.holder {
             None => println!("{name:<24} {:<16} {:>8} {:>9} {:>9}  {waiting}", "-", "-", "-", "-"),
             Some(held) => println!(
                 "{name:<24} {:<16} {:>8} {:>9} {:>9}  {waiting}{}",
                 held.owner.member,
                 held.token,
-                held.span / 1_000_000,
-                held.renewal,
-                if held.revoked { " (revoked)" } else { "" },
+                held.duration / 1_000_000,
+                held.renewals,
+                if held.is_revoked { " (revoked)" } else { "" },
             ),
         }
     }
@@ -282,11 +282,11 @@
     let voters: Vec<SocketAddr> = fleet.voters.iter().map(|voter| voter.address).collect();
     let command = Command::Revoke { lease: lease.to_owned() };
     match runtime.block_on(ask(&fleet.fleet, owner(&fleet), &voters, command)) {
-        Some(Answer::Done) => {
+        Some(Response::Done) => {
             println!("'{lease}' is not renewed any more, and ends with its span");
             Ok(())
         }
-        Some(Answer::Refused(refusal)) => Err(failed(format!("'{lease}': {refusal}"))),
+        Some(Response::Rejected(refusal)) => Err(failed(format!("'{lease}': {refusal}"))),
         _ => {
             eprintln!("mintshelf: no voter answers: try again when a majority is back");
             Err(ExitCode::from(NOBODY))
@@ -303,8 +303,8 @@
     command: Vec<OsString>,
 ) -> Result<ExitCode, ExitCode> {
     let fleet = of(config)?;
-    let span = span.map_or(fleet.spans.lease, |span| span.as_nanos() as u64);
-    if !(lease_run::SPAN_MIN..=lease::SPAN_MAX).contains(&span) {
+    let span = span.map_or(fleet.timing.lease_duration, |span| span.as_nanos() as u64);
+    if !(lease_run::SPAN_MIN..=command::DURATION_MAX).contains(&span) {
         eprintln!("mintshelf: --span is 1s to 24h");
         return Err(ExitCode::from(UNUSABLE));
     }
--- a/crates/proxy/src/driver.rs
+++ b/crates/proxy/src/driver.rs
@@ -3,7 +3,7 @@
 
 use crate::body::Outbound;
 use crate::clock::Clock;
-use crate::discovery::{list::Fleet, Discovery};
+use crate::discovery::{reader::EndpointListReader, Discovery};
 use crate::endpoints::{Endpoints, ListSink};
 use crate::link::{Most, To};
 use crate::message::parse_report;
@@ -16,13 +16,13 @@
 use crate::trying::{self, Trial};
 use crate::upstream::{Answer, AnswerBody, Connections, Ended, Style, Until, Upstream};
 use crate::weights::Weights;
-use hyper::header::{HeaderName, HeaderValue};
 use hyper::Request;
 use mintshelf_balancer::api::*;
 use mintshelf_balancer::decide::Balancer;
 use mintshelf_config::platform::Names;
-use mintshelf_recovery::{End, Phase, Recovery, WINDOW_PART};
-use mintshelf_retry::attempts::{AttemptTracker, RetryPolicy, TimeoutAction};
+use mintshelf_recovery::{OutageSignal, Phase, Recovery, DEDUP_WINDOW_DIVISOR};
+use mintshelf_retry::attempts::{AttemptTracker, RetryConditions, TimeoutAction};
+use mintshelf_retry::policy::RetryPolicy;
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::future::poll_fn;
@@ -33,9 +33,6 @@
 use tokio::task::spawn_local;
 use tokio_util::time::DelayQueue;
 
-/// Tells a server how long this sidecar will wait.
-const REMAINING: HeaderName = HeaderName::from_static("x-remaining-ms");
-
 const SECOND: Nanos = 1_000_000_000;
 /// A client that is told when to come back may take so long longer.
 const ADVICE_MARGIN: Nanos = SECOND;
@@ -50,7 +47,6 @@
     discovery: Option<Rc<Discovery>>,
     clock: Clock,
     upstream: Rc<Upstream>,
-    style: Style,
     probing: Probing,
     peers: Option<Peers>,
     max_attempts: usize,
@@ -106,12 +102,12 @@
         let clock = Clock::start();
         let connect_timeout = Duration::from_nanos(settings.connect_timeout);
         let idle_timeout = Duration::from_nanos(settings.idle_timeout);
-        let fields = names.report.clone();
+        let fields = names.report_fields.clone();
         let mode = settings.report_mode;
         let endpoints = Endpoints::default();
         let (at, known) = discovery.map_or((None, None), |(at, known)| (Some(at), known));
-        let fleet = Fleet::new(names, endpoints.clone());
-        let discovery = at.map(|at| Rc::new(Discovery::new(fleet, at)));
+        let reader = EndpointListReader::new(names, endpoints.clone());
+        let discovery = at.map(|at| Rc::new(Discovery::new(reader, at)));
         let recovery = return_ramp.map(|ramp| Recovery::new(seed, ramp, settings.max_retry_after));
         let mut actions = Vec::new();
         let balancer = Balancer::new(settings.clone(), seed, clock.now(), &mut actions);
@@ -129,13 +125,12 @@
             endpoints,
             discovery: discovery.clone(),
             clock,
-            upstream: Upstream::new(all, connect_timeout, idle_timeout, style.clone(), most),
-            style,
+            upstream: Upstream::new(all, connect_timeout, idle_timeout, style, most),
             probing: Probing {
                 fields: if mode == ReportMode::Absent { Vec::new() } else { fields.clone() },
                 timeout: connect_timeout,
             },
-            peers: peers.filter(|_| settings.peers),
+            peers: peers.filter(|_| settings.has_peers),
             max_attempts: settings.max_attempts as usize,
             classes: settings.classes.clone(),
             weights: Weights::new(socket_weight),
@@ -150,9 +145,9 @@
         });
         driver.perform(&mut driver.core.borrow_mut(), actions);
         if let Some(discovery) = discovery {
-            discovery.cached(known.as_deref(), &driver);
+            discovery.load_cached_list(known.as_deref(), &driver);
             if !settings.must_poll {
-                spawn_local(discovery.follow(driver.clone()));
+                spawn_local(discovery.follow_agent(driver.clone()));
             }
         }
         driver
@@ -210,7 +205,7 @@
     /// come back later and whose time is ahead.
     pub fn recovery(&self) -> Option<(Phase, u64)> {
         let recovery = self.recovery.as_ref()?.borrow();
-        Some((recovery.pace.phase(), recovery.calendar.expected()))
+        Some((recovery.ramp.phase(), recovery.retry_after.expected_clients()))
     }
 
     /// Runs what goes by the clock: timers, tidying, and peers' messages.
@@ -329,7 +324,7 @@
             return self.attend(now, arrival, message).await;
         };
         let class = arrival.class;
-        if !recovery.borrow_mut().pace.admit(now) {
+        if !recovery.borrow_mut().ramp.admit(now) {
             return Some(Reply::Paced(self.advice(class)));
         }
         let reply = self.attend(now, arrival, message).await?;
@@ -339,7 +334,7 @@
                 None => Reply::Failed { timed_out: false },
             },
             Reply::Served(answer) if !answer.status.is_server_error() => {
-                recovery.borrow_mut().calendar.served(self.clock.now());
+                recovery.borrow_mut().retry_after.record_served(self.clock.now());
                 Reply::Served(answer)
             }
             reply => reply,
@@ -355,9 +350,9 @@
         if let Some((span, ran_at)) = window.zip(ran_at) {
             let left = ran_at.saturating_add(span).saturating_sub(now);
             let most = left.checked_sub(ADVICE_MARGIN).filter(|most| *most >= SECOND)?;
-            window = Some(span.min(most.saturating_mul(WINDOW_PART)));
+            window = Some(span.min(most.saturating_mul(DEDUP_WINDOW_DIVISOR)));
         }
-        let advice = |r: &RefCell<Recovery>| r.borrow_mut().calendar.advise(now, window);
+        let advice = |r: &RefCell<Recovery>| r.borrow_mut().retry_after.advise_seconds(now, window);
         Some(self.recovery.as_ref().map_or(0, advice) * SECOND)
     }
 
@@ -381,7 +376,7 @@
             let id: RequestId = core.last_id.to_string().into();
             let deadline = now.saturating_add(arrival.patience);
             if let Some(tries) = self.tries.get(arrival.class as usize) {
-                tries.borrow_mut().begin();
+                tries.borrow_mut().record_request();
             }
             let taken = Taken {
                 message,
@@ -405,7 +400,7 @@
                 key: arrival.key,
                 cost_hint: arrival.cost_hint,
                 repeat: arrival.repeat,
-                patience: arrival.patience,
+                client_timeout: arrival.patience,
             });
             self.turn(&mut core);
             id
@@ -442,11 +437,7 @@
             return;
         };
         let to = self.to(server);
-        let mut message = taken.message.request.clone();
-        if self.style == Style::Platform {
-            let remaining = HeaderValue::from((until - now) / 1_000_000);
-            message.headers_mut().insert(REMAINING, remaining);
-        }
+        let message = taken.message.request.clone();
         if let Outbound::Streamed(upload) = message.body() {
             // What has gone of such a body can't be sent again: the module may not try.
             let (driver, id) = (Rc::downgrade(self), id.clone());
@@ -460,13 +451,13 @@
         let class = taken.class;
         let trial = self.tries.get(class).filter(|_| held).and_then(|tries| {
             let mut tries = tries.borrow_mut();
-            let copy_after = tries.copy_after(now).filter(|_| number == 0);
-            let limit = tries.limit(now, number);
+            let copy_after = tries.hedge_delay(now).filter(|_| number == 0);
+            let limit = tries.attempt_timeout(now, number);
             (limit.is_some() || copy_after.is_some()).then_some(Trial { limit, copy_after })
         });
         let bounds = self.tries.get(class).map(|tries| {
             let tries = tries.borrow();
-            [tries.plan().connect, tries.plan().idle].map(Duration::from_nanos)
+            [tries.policy().connect_timeout, tries.policy().idle_timeout].map(Duration::from_nanos)
         });
         let until = Until {
             end: self.clock.instant(until),
@@ -490,14 +481,15 @@
         let paid = self.core.borrow().balancer.can_retry();
         let elsewhere = self.endpoints.len() > 1;
         let cut = |tries: &RefCell<AttemptTracker>| {
-            tries.borrow_mut().expired(self.clock.now(), limit, paid, elsewhere)
+            let conditions = RetryConditions { has_budget: paid, has_other_endpoint: elsewhere };
+            tries.borrow_mut().on_timeout(self.clock.now(), limit, conditions)
         };
-        self.tries.get(class).map_or(TimeoutAction::Now, cut)
+        self.tries.get(class).map_or(TimeoutAction::Cancel, cut)
     }
 
     /// Asks the module for a second copy of a request, if their share allows one.
     fn second_copy(self: &Rc<Self>, class: usize, id: &RequestId) {
-        if self.tries.get(class).is_some_and(|tries| tries.borrow_mut().may_copy()) {
+        if self.tries.get(class).is_some_and(|tries| tries.borrow_mut().try_hedge()) {
             self.post(Event::HedgeRequested { id: id.clone() });
         }
     }
@@ -519,7 +511,7 @@
     /// What half of the answers of a class take; 0 while that is not known.
     pub fn usual(&self, class: u32) -> Nanos {
         let now = self.clock.now();
-        self.tries.get(class as usize).map_or(0, |tries| tries.borrow_mut().usual(now))
+        self.tries.get(class as usize).map_or(0, |tries| tries.borrow_mut().median_latency(now))
     }
 
     /// When a client whose request has not been sent is told to come back.
@@ -530,8 +522,8 @@
     /// Attempts that were ended for their own time, and second copies, so far.
     pub fn tried(&self) -> [u64; 2] {
         self.tries.iter().fold([0; 2], |[cut, copied], tries| {
-            let [more_cut, more_copied] = tries.borrow().counts();
-            [cut + more_cut, copied + more_copied]
+            let counts = tries.borrow().counts();
+            [cut + counts.timed_out, copied + counts.hedged]
         })
     }
 
@@ -552,7 +544,7 @@
             let tries = class.and_then(|class| self.tries.get(class));
             if let (Some(tries), true) = (tries, outcome.answered()) {
                 if let Event::AttemptEnded { took, .. } = &event {
-                    tries.borrow_mut().answered(now, *took);
+                    tries.borrow_mut().record_response(now, *took);
                 }
             }
             if let Event::AttemptEnded { server, took, .. } = &event {
@@ -561,9 +553,9 @@
                     self.on_doubt.borrow().iter().for_each(|call| call(*server));
                 }
             }
-            let end = End::of(outcome, in_time);
+            let end = OutageSignal::from_outcome(outcome, in_time);
             if let Some((recovery, end)) = self.recovery.as_ref().zip(end) {
-                recovery.borrow_mut().pace.ended(now, end);
+                recovery.borrow_mut().ramp.record(now, end);
             }
             core.events.push_back(event);
         }
@@ -595,8 +587,8 @@
     /// Turns to another address of discovery. The calls under way go on until
     /// the module starts new ones, so that no news is missed in between.
     pub fn move_discovery(self: &Rc<Self>, to: SocketAddr) {
-        if self.discovery.as_ref().is_some_and(|discovery| discovery.move_to(to)) {
-            self.post(Event::DiscoveryMoved);
+        if self.discovery.as_ref().is_some_and(|discovery| discovery.set_address(to)) {
+            self.post(Event::DiscoveryAddressChanged);
         }
     }
 }
--- /dev/null
+++ b/crates/proxy/src/websocket/relay.rs
@@ -0,0 +1,283 @@
+//! Relays one socket between its two connections: bytes into the session, bytes out of it, and
+//! what the session asks for beside them.
+
+use super::entry::{ScheduledEviction, ServerLocation, SocketCommand};
+use super::reconnect::ServerConnection;
+use super::registry::{RegisteredSocket, SlotReservation, SocketRegistry};
+use crate::socket::{close_gently, Stream};
+use crate::upstream::ServerSocket;
+use bytes::Bytes;
+use mintshelf_balancer::api::Nanos;
+use mintshelf_websocket::frame::Peer;
+use mintshelf_websocket::session::{ClosedBy, Session, SessionAction, SessionEnd};
+use std::future::{poll_fn, Future};
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{Context, Poll};
+use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
+use tokio::task::spawn_local;
+use tokio::time::{sleep_until, Sleep};
+
+/// Connects the socket to another server; none if no server accepts it.
+pub type Reconnect = dyn Fn() -> Pin<Box<dyn Future<Output = Option<ServerConnection>>>>;
+/// Seconds after which a client whose socket is closed may come back.
+pub type RetryAfter = dyn Fn() -> u64;
+
+/// A timer is set no further ahead than this, one day.
+const MAX_TIMER_NS: Nanos = 86_400_000_000_000;
+
+/// An open socket with all that it owns.
+pub struct Relay {
+    /// The state of the protocol.
+    pub session: Session,
+    /// The connection to the client.
+    pub client: Stream,
+    /// The connection to the server.
+    pub server: Box<ServerSocket>,
+    /// All sockets.
+    pub registry: Rc<SocketRegistry>,
+    /// This one among them.
+    pub socket: RegisteredSocket,
+    /// Its slot.
+    pub slot: SlotReservation,
+    /// When and how it leaves its server, once that is known.
+    pub eviction: Option<ScheduledEviction>,
+}
+
+/// Why the connections are not read and written for now.
+enum RelayEvent {
+    Action(SessionAction),
+    Ended(SessionEnd),
+}
+
+/// What became of the commands to a socket.
+enum Commands {
+    NonePending,
+    Applied,
+    EvictionScheduled,
+}
+
+impl Relay {
+    /// Relays until the socket has ended. `prefix` was read from the client behind its handshake.
+    pub async fn run(
+        mut self,
+        prefix: Bytes,
+        reconnect: Box<Reconnect>,
+        retry_after: Box<RetryAfter>,
+    ) {
+        let clock = self.registry.clock();
+        self.session.receive(Peer::Client, &prefix, clock.now());
+        drop(prefix);
+        self.receive_server_prefix();
+        let mut timer = Box::pin(sleep_until(clock.instant(self.session.next_deadline())));
+        loop {
+            match poll_fn(|cx| self.poll(cx, &mut timer)).await {
+                RelayEvent::Ended(end) => return Box::pin(self.close(end)).await,
+                RelayEvent::Action(SessionAction::ServerLost) => {
+                    // The connection is of no use; the server's socket slot is free.
+                    let slot = self.registry.schedule_after_loss(&self.socket.entry);
+                    sleep_until(clock.instant(slot)).await;
+                    self.session.migrate_or_close(retry_after(), clock.now());
+                }
+                RelayEvent::Action(SessionAction::Migrate) => match reconnect().await {
+                    Some(connection) => self.migrate(connection),
+                    None => self.session.fail_migration(retry_after(), clock.now()),
+                },
+            }
+        }
+    }
+
+    /// Passes on what the server sent behind its handshake.
+    fn receive_server_prefix(&mut self) {
+        let prefix = std::mem::take(&mut self.server.rest);
+        self.session.receive(Peer::Server, &prefix, self.registry.clock().now());
+    }
+
+    /// Goes on at another server.
+    fn migrate(&mut self, connection: ServerConnection) {
+        let farewell = self.session.complete_migration(self.registry.clock().now());
+        let old_server = std::mem::replace(&mut self.server, Box::new(connection.socket));
+        let location =
+            ServerLocation { cluster: connection.cluster, server: self.server.to.server };
+        self.socket.entry.set_location(location);
+        self.socket.record_migration();
+        // An eviction from the old server has been carried out.
+        self.eviction = self.eviction.take().filter(|eviction| !eviction.request.may_migrate);
+        self.receive_server_prefix();
+        spawn_local(close_old_server(old_server, farewell));
+    }
+
+    fn poll(&mut self, cx: &mut Context<'_>, timer: &mut Pin<Box<Sleep>>) -> Poll<RelayEvent> {
+        loop {
+            let mut has_progressed = self.transfer(cx);
+            let now = self.registry.clock().now();
+            match self.apply_commands(cx, now) {
+                Commands::NonePending => {}
+                Commands::Applied => has_progressed = true,
+                Commands::EvictionScheduled => continue,
+            }
+            has_progressed |= self.evict_if_due(now);
+            has_progressed |= self.handle_timers_if_due(now);
+            if let Some(event) = self.take_event() {
+                self.socket.record_progress(&self.session, now);
+                return Poll::Ready(event);
+            }
+            if has_progressed {
+                continue;
+            }
+            self.socket.record_progress(&self.session, now);
+            self.set_timer(timer, now);
+            if timer.as_mut().poll(cx).is_pending() {
+                return Poll::Pending;
+            }
+        }
+    }
+
+    fn apply_commands(&mut self, cx: &Context<'_>, now: Nanos) -> Commands {
+        let mut commands = Commands::NonePending;
+        while let Some(command) = self.socket.entry.take_command(cx.waker()) {
+            match command {
+                SocketCommand::Evict(eviction) => {
+                    self.eviction = Some(eviction);
+                    return Commands::EvictionScheduled;
+                }
+                SocketCommand::ProbeServer => self.session.probe_server(now),
+            }
+            commands = Commands::Applied;
+        }
+        commands
+    }
+
+    /// Begins an eviction whose time has come; whether there was one.
+    fn evict_if_due(&mut self, now: Nanos) -> bool {
+        if !self.session.is_open() {
+            return false;
+        }
+        let due = self.eviction.take_if(|eviction| eviction.at_ns <= now);
+        let Some(eviction) = due else { return false };
+        self.session.evict(eviction.request, now);
+        true
+    }
+
+    fn handle_timers_if_due(&mut self, now: Nanos) -> bool {
+        let is_due = self.session.next_deadline() <= now;
+        if is_due {
+            self.session.handle_timers(now);
+        }
+        is_due
+    }
+
+    fn take_event(&mut self) -> Option<RelayEvent> {
+        match self.session.take_action() {
+            Some(action) => Some(RelayEvent::Action(action)),
+            None => self.session.end().map(RelayEvent::Ended),
+        }
+    }
+
+    /// Sets the timer to the session's next deadline or the eviction.
+    fn set_timer(&self, timer: &mut Pin<Box<Sleep>>, now: Nanos) {
+        let eviction = self.eviction.as_ref().filter(|_| self.session.is_open());
+        let eviction_at_ns = eviction.map_or(Nanos::MAX, |eviction| eviction.at_ns);
+        let next_ns = self.session.next_deadline().min(eviction_at_ns).min(now + MAX_TIMER_NS);
+        let next = self.registry.clock().instant(next_ns);
+        if timer.deadline() != next {
+            timer.as_mut().reset(next);
+        }
+    }
+
+    /// Reads and writes what is ready now; whether something was.
+    fn transfer(&mut self, cx: &mut Context<'_>) -> bool {
+        let mut has_progressed = false;
+        for peer in [Peer::Server, Peer::Client] {
+            has_progressed |= self.read(peer, cx);
+            has_progressed |= self.write(peer.other(), cx);
+            has_progressed |= self.write(peer, cx);
+        }
+        has_progressed
+    }
+
+    fn stream(&self, peer: Peer) -> &Stream {
+        match peer {
+            Peer::Client => &self.client,
+            Peer::Server => &self.server.stream,
+        }
+    }
+
+    fn read(&mut self, peer: Peer, cx: &mut Context<'_>) -> bool {
+        if !self.session.wants_read(peer) {
+            return false;
+        }
+        let registry = self.registry.clone();
+        let mut scratch = registry.scratch.borrow_mut();
+        let mut buffer = ReadBuf::new(&mut scratch[..registry.read_size()]);
+        let polled = {
+            let mut stream = self.stream(peer).borrow_mut();
+            Pin::new(&mut *stream).poll_read(cx, &mut buffer)
+        };
+        let now = registry.clock().now();
+        match polled {
+            Poll::Pending => return false,
+            Poll::Ready(Ok(())) if !buffer.filled().is_empty() => {
+                self.session.receive(peer, buffer.filled(), now);
+            }
+            Poll::Ready(_) => self.session.peer_disconnected(peer, now),
+        }
+        true
+    }
+
+    fn write(&mut self, peer: Peer, cx: &mut Context<'_>) -> bool {
+        let mut has_progressed = false;
+        while !self.session.pending_output(peer).is_empty() {
+            let polled = {
+                let mut stream = self.stream(peer).borrow_mut();
+                Pin::new(&mut *stream).poll_write(cx, self.session.pending_output(peer))
+            };
+            let now = self.registry.clock().now();
+            match polled {
+                Poll::Pending => break,
+                Poll::Ready(Ok(count)) if count > 0 => {
+                    self.session.record_written(peer, count, now);
+                }
+                Poll::Ready(_) => {
+                    self.session.peer_disconnected(peer, now);
+                    return true;
+                }
+            }
+            has_progressed = true;
+        }
+        has_progressed
+    }
+
+    /// Closes both connections, gently where the closing handshake was completed.
+    async fn close(self, end: SessionEnd) {
+        let Relay { session, client, server, socket, slot, .. } = self;
+        socket.record_end(end);
+        drop(socket);
+        let client_closed_cleanly = session.closed_cleanly(Peer::Client);
+        let server_closed_cleanly = session.closed_cleanly(Peer::Server);
+        drop(session);
+        // A client that was sent something is given the time to read it.
+        let linger_for_client = client_closed_cleanly || end.by != ClosedBy::Client;
+        tokio::join!(
+            async {
+                if linger_for_client {
+                    close_gently(&client).await;
+                }
+            },
+            async {
+                if server_closed_cleanly {
+                    close_gently(&server.stream).await;
+                }
+                drop(server);
+            }
+        );
+        drop(slot);
+    }
+}
+
+/// Closes the connection to a server that another has taken over from.
+async fn close_old_server(server: Box<ServerSocket>, farewell: Vec<u8>) {
+    if !farewell.is_empty() && server.stream.borrow().try_write(&farewell).is_ok() {
+        close_gently(&server.stream).await;
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/websocket/upgrade.rs
@@ -0,0 +1,120 @@
+//! From a client's handshake to an open socket.
+
+use super::entry::ServerLocation;
+use super::reconnect::{write_handshake, ReconnectRequest, ReconnectTarget, SocketConnector};
+use super::registry::{SlotReservation, SocketRegistry};
+use super::rejections::{draining, handshake_rejected, slot_unavailable};
+use super::relay::{Reconnect, Relay, RetryAfter};
+use crate::clients::Upgrade;
+use crate::driver::Driver;
+use crate::refusal::Refusal;
+use crate::upstream::ServerSocket;
+use hyper::body::Incoming;
+use hyper::header::HeaderMap;
+use hyper::http::request::Parts;
+use hyper::Request;
+use mintshelf_admission::slots::SlotOwner;
+use mintshelf_balancer::api::Nanos;
+use mintshelf_config::model::WebSocket;
+use mintshelf_websocket::handshake::ClientHandshake;
+use mintshelf_websocket::session::Session;
+use std::rc::Rc;
+
+const NANOS_PER_SECOND: Nanos = 1_000_000_000;
+
+/// A handshake that has a slot and waits for a server.
+pub(crate) struct PendingUpgrade {
+    handshake: ClientHandshake,
+    slot: SlotReservation,
+    owner: SlotOwner,
+    registry: Rc<SocketRegistry>,
+    config: Rc<WebSocket>,
+}
+
+impl PendingUpgrade {
+    /// Checks a client's handshake and reserves a slot.
+    ///
+    /// # Errors
+    ///
+    /// The response to a handshake that is malformed, not allowed by its route, over a limit, or
+    /// sent during the graceful shutdown.
+    pub(crate) fn accept(
+        registry: &Rc<SocketRegistry>,
+        config: &Rc<WebSocket>,
+        request: &Request<Incoming>,
+        owner: SlotOwner,
+        is_draining: bool,
+    ) -> Result<Self, Refusal> {
+        let (method, version, headers) = (request.method(), request.version(), request.headers());
+        let handshake = ClientHandshake::parse(method, version, headers, &config.terms)
+            .map_err(handshake_rejected)?;
+        if is_draining {
+            return Err(draining());
+        }
+        let slot = registry.reserve(&owner).map_err(slot_unavailable)?;
+        Ok(PendingUpgrade {
+            handshake,
+            slot,
+            owner,
+            registry: registry.clone(),
+            config: config.clone(),
+        })
+    }
+
+    /// Makes a request head the handshake towards a server.
+    pub(crate) fn prepare_request(&self, head: &mut Parts) {
+        write_handshake(&self.handshake, &self.registry, head);
+    }
+
+    /// Makes the headers of a server's valid 101 those of the client's.
+    pub(crate) fn finish_response(&self, headers: &mut HeaderMap) {
+        self.handshake.write_response(headers);
+    }
+
+    /// Takes over the client's connection once the 101 has been sent to it. `handler` accepted
+    /// the handshake, and connects the socket to other servers; `class` is that of its requests.
+    pub(crate) fn into_upgrade<C: SocketConnector + 'static>(
+        self,
+        handler: &Rc<C>,
+        driver: &Rc<Driver>,
+        class: u32,
+        target: ReconnectTarget,
+        server: Box<ServerSocket>,
+    ) -> Upgrade {
+        let PendingUpgrade { handshake, slot, owner, registry, config } = self;
+        let handler = handler.clone();
+        let cluster = driver.number();
+        let driver = Rc::downgrade(driver);
+        Upgrade(Box::new(move |client, prefix| {
+            let now = registry.clock().now();
+            let is_compressed = server.agreed.uses_compression();
+            let seed = registry.next_seed();
+            let session = Session::new(config.session.clone(), is_compressed, seed, now);
+            let handler_id = Rc::as_ptr(&handler) as usize;
+            let location = ServerLocation { cluster, server: server.to.server };
+            let tenant = owner.tenant.clone();
+            let socket = registry.register(owner, handler_id, location);
+            let request =
+                ReconnectRequest { target, tenant, handshake, registry: registry.clone() };
+            let retry_after: Box<RetryAfter> = Box::new(move || {
+                let driver = driver.upgrade();
+                driver.map_or(1, |driver| driver.advice(class) / NANOS_PER_SECOND).max(1)
+            });
+            let relay = Relay { session, client, server, registry, socket, slot, eviction: None };
+            Box::pin(relay.run(prefix, reconnect(handler, request), retry_after))
+        }))
+    }
+}
+
+/// Connects a socket to another server, any number of times.
+fn reconnect<C: SocketConnector + 'static>(
+    connector: Rc<C>,
+    request: ReconnectRequest,
+) -> Box<Reconnect> {
+    let request = Rc::new(request);
+    Box::new(move || {
+        let connector = connector.clone();
+        let request = request.clone();
+        Box::pin(async move { request.connect(&*connector).await })
+    })
+}
