--- a/crates/mintshelf/tests/crossings/attempts.rs
+++ b/crates/mintshelf/tests/crossings/attempts.rs
@@ -2,8 +2,8 @@
 
 use crate::stage::{ids, slow_connects, while_stopped, Unreached, PROGRAM};
 use mintshelf_test_support::{
-    config, connect, entry, ok_response, request, send_request, wait_until, Discovery, Latch,
-    Message, Peer, Server, Sidecar,
+    config, connect, entry, ok_response, request, request_with_timeout, send_request, wait_until,
+    Discovery, Latch, Message, Peer, Process as _, Server, Sidecar,
 };
 use serde_json::json;
 use std::io::Write;
@@ -149,7 +149,7 @@
         if id.starts_with("held") && failed.lock().unwrap().insert(id) {
             return Some(b"HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n".to_vec());
         }
-        Some(answer("served"))
+        Some(ok_response("served"))
     });
     let discovery = Discovery::start(1, vec![server.entry("a")]);
     let sidecar = Sidecar::start(PROGRAM, config(discovery.at, vec![server.entry("a")]));
@@ -158,7 +158,7 @@
     let mut held: Vec<_> = (0..3).map(|_| connect(sidecar.at).unwrap()).collect();
     for (number, stream) in held.iter_mut().enumerate() {
         let id = format!("held-{number}");
-        stream.write_all(&patient("safe", &id, PATIENCE.as_millis() as u64)).unwrap();
+        stream.write_all(&request_with_timeout("safe", &id, PATIENCE.as_millis() as u64)).unwrap();
     }
     let written = Instant::now();
     thread::sleep(HELD);
@@ -170,7 +170,7 @@
     let took = begun.elapsed();
     for number in 0..3 {
         let id = format!("held-{number}");
-        let seen = server.seen();
+        let seen = server.requests();
         let told: Vec<_> = seen.iter().filter(|m| m.header("x-txn") == Some(&id)).collect();
         assert!(told.len() > 1, "{id} had a further attempt");
         for attempt in told {
@@ -186,12 +186,12 @@
 
 #[test]
 fn a_request_behind_an_idle_crowd_is_accepted_at_once() {
-    let server = Server::start(|_, _| Some(answer("served")));
+    let server = Server::start(|_, _| Some(ok_response("served")));
     let discovery = Discovery::start(1, vec![server.entry("a")]);
     let sidecar = Sidecar::start(PROGRAM, config(discovery.at, vec![server.entry("a")]));
     let crowd: Vec<_> = (0..400).filter_map(|_| connect(sidecar.at)).collect();
     let begun = Instant::now();
-    assert_eq!(sidecar.ask(&request("safe", "behind")).unwrap().status(), 200);
+    assert_eq!(sidecar.send_request(&request("safe", "behind")).unwrap().status(), 200);
     let took = begun.elapsed();
     // At one eviction in 20 ms it would be 3.8 s.
     assert!(took < Duration::from_secs(2), "{took:?}");
--- a/crates/test-support/src/compatibility.rs
+++ b/crates/test-support/src/compatibility.rs
@@ -3,6 +3,7 @@
 
 use crate::daemon::Daemon;
 use crate::message::Message;
+use crate::server::Server;
 use crate::sidecar::Sidecar;
 
 pub use crate::client::send_request as ask;
@@ -28,3 +29,13 @@
         self.send_request(request)
     }
 }
+
+impl Server {
+    /// [`Server::requests`].
+    ///
+    /// # Panics
+    /// As that.
+    pub fn seen(&self) -> Vec<Message> {
+        self.requests()
+    }
+}
