--- a/crates/mintshelf/src/service.rs
+++ b/crates/mintshelf/src/service.rs
@@ -38,7 +38,7 @@
     }
     let replica = fleet.as_ref().map(fleet::start).transpose();
     let _replica_thread = replica.map_err(|error| error.to_string())?;
-    tracing::info!("listens on {}", addresses.join(", "));
+    tracing::info!(addresses = addresses.join(", "), "listening");
     let reloads = async {
         while hung_up.recv().await.is_some() {
             daemon.reload();
@@ -60,7 +60,7 @@
         _ = terminated.recv() => {}
         _ = interrupted.recv() => {}
     }
-    tracing::info!("ends");
+    tracing::info!("shutting down");
     daemon.end().await;
     Ok(())
 }
--- a/crates/mintshelf/tests/compatibility/bindings.rs
+++ b/crates/mintshelf/tests/compatibility/bindings.rs
@@ -358,7 +358,8 @@
 fn settle(replica: &mut Replica, store: &Store, now: u64) {
     while let Some(batch) = replica.next_batch(now).unwrap() {
         store.write(&batch).unwrap();
-        replica.batch_synced(now);
+        let messages = replica.batch_synced(now);
+        assert!(messages.is_empty(), "a single replica has nobody to send to");
     }
 }
 
--- a/crates/mintshelf/tests/fleet/main.rs
+++ b/crates/mintshelf/tests/fleet/main.rs
@@ -36,7 +36,7 @@
     std::fs::remove_dir_all(cluster.store_directory(killed)).unwrap();
     assert!(cluster.command(killed, &["fleet", "init"]).status.success());
     cluster.start(killed);
-    let log = || cluster.processes[killed].as_ref().map(Daemon::said).unwrap_or_default();
+    let log = || cluster.processes[killed].as_ref().map(Daemon::log_output).unwrap_or_default();
     wait_until("it says that its store is behind", || log().contains("this voter must stop"));
     let daemon = cluster.processes[killed].as_ref().unwrap();
     assert_eq!(daemon.ask(&get("/")).map(|answer| answer.status()), Some(200), "traffic goes on");
--- a/crates/mintshelf/tests/fleet/storm.rs
+++ b/crates/mintshelf/tests/fleet/storm.rs
@@ -8,7 +8,7 @@
 use mintshelf_lease::command::Owner;
 use mintshelf_lease::fence::Fence;
 use mintshelf_lease::timing::{Nanos, MS, SECOND};
-use mintshelf_test_support::relay::{Relay, Way};
+use mintshelf_test_support::relay::{Direction, Relay};
 use mintshelf_test_support::{wait_until, Process};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
@@ -171,12 +171,22 @@
             4 => {
                 let link_index = self.draw_below(self.cluster.links.len());
                 let delay = Duration::from_millis(self.draw_below(900) as u64);
-                self.cluster.links.values().nth(link_index).unwrap().delay(Way::There, delay);
+                self.cluster
+                    .links
+                    .values()
+                    .nth(link_index)
+                    .unwrap()
+                    .delay(Direction::Forward, delay);
             }
             5 => {
                 let link_index = self.draw_below(self.cluster.links.len());
                 let bytes = self.draw_below(400) as u64;
-                self.cluster.links.values().nth(link_index).unwrap().break_after(Way::Back, bytes);
+                self.cluster
+                    .links
+                    .values()
+                    .nth(link_index)
+                    .unwrap()
+                    .break_after(Direction::Backward, bytes);
             }
             _ => self.heal(),
         }
@@ -194,7 +204,7 @@
 
     /// Holds back all that a replica sends on its links, or all that it is sent.
     fn cut_one_way(&mut self, index: usize) {
-        let way = [Way::There, Way::Back][self.draw_below(2)];
+        let way = [Direction::Forward, Direction::Backward][self.draw_below(2)];
         let links = self.cluster.links.iter();
         let links = links.filter(|(link, _)| link.dials == index || link.listens == index);
         links.for_each(|(_, relay)| relay.hold(way));
