--- a/crates/fleet-simulator/benches/days.rs
+++ b/crates/fleet-simulator/benches/days.rs
@@ -1,16 +1,16 @@
-//! The six kinds of day of the fleet's standing test in this rig's own world, on virtual time:
-//! `cargo bench -p mintshelf-fleet-simulator --bench days`. Seeds are printed; a row plays the same every
-//! time.
+//! The standard scenarios on virtual time: `cargo bench -p mintshelf-fleet-simulator --bench days`.
+//! Seeds are printed; a row comes out the same every time.
 
-use mintshelf_fleet_simulator::{day, play, Day};
+use mintshelf_fleet_simulator::{simulate, standard_scenario, Report, Slice, StandardScenario};
+use std::ops::Range;
 use std::time::Instant;
 
 const SIDECARS: usize = 300;
 const SEEDS: [u64; 3] = [1, 2, 3];
-/// Seconds that are counted: the first ones are a start that no page prices.
-const COUNTED: std::ops::Range<u64> = 2..28;
+/// Seconds that are counted: the first ones are a start that has no price.
+const COUNTED: Range<u64> = 2..28;
 
-fn main() {
+fn print_header() {
     println!("{SIDECARS} sidecars, {} servers, seeds {SEEDS:?}, seconds {COUNTED:?}", SIDECARS / 2);
     println!("served: worth in time over worth asked; least: the same in the worst 5 s; then what");
     println!(
@@ -34,29 +34,44 @@
         "fell",
         "real s"
     );
-    for kind in Day::ALL {
+}
+
+/// Sum of a quantity as a share of all requests.
+fn share(report: &Report, quantity: fn(&Slice) -> u64) -> f64 {
+    let sum = report.sum(COUNTED, |slice| quantity(slice) as f64);
+    sum / report.sum(COUNTED, |slice| slice.requests as f64)
+}
+
+fn print_row(kind: StandardScenario, seed: u64) {
+    let begun = Instant::now();
+    let report = simulate(&standard_scenario(kind, seed, SIDECARS));
+    let requests_per_first = 1.0 / share(&report, |slice| slice.first_requests);
+    let windows = COUNTED.start..COUNTED.end - 4;
+    let worst = windows.map(|second| report.served_share(second..second + 5));
+    let costs = report.costs(COUNTED);
+    println!(
+        "{:<6} {seed:>4} {:>7.3} {:>6.3} {:>7.4} {:>7.4} {:>7.4} {:>7.4} {:>8.3} \
+         {requests_per_first:>6.2} {:>5} {:>5} {:>5} {:>6.1}",
+        kind.name(),
+        report.served_share(COUNTED),
+        worst.fold(f64::INFINITY, f64::min),
+        costs.connects,
+        costs.cross_zone,
+        costs.discovery_calls,
+        costs.wasted_work,
+        share(&report, |slice| slice.rejected),
+        report.repeated_unsafe + report.repeated_idempotent + report.lost,
+        report.sends_after_drain,
+        report.overloaded_servers,
+        begun.elapsed().as_secs_f64(),
+    );
+}
+
+fn main() {
+    print_header();
+    for kind in StandardScenario::ALL {
         for seed in SEEDS {
-            let begun = Instant::now();
-            let report = play(&day(kind, seed, SIDECARS));
-            let share = |name: &dyn Fn(&mintshelf_fleet_simulator::Span) -> u64| {
-                let of = report.sum(COUNTED, |s| name(s) as f64);
-                of / report.sum(COUNTED, |s| s.tries as f64)
-            };
-            let tries = 1.0 / share(&|s| s.first);
-            let least = (COUNTED.start..COUNTED.end - 4).map(|at| report.share(at..at + 5));
-            let [connects, crossed, calls, waste] = report.price(COUNTED);
-            println!(
-                "{:<6} {seed:>4} {:>7.3} {:>6.3} {connects:>7.4} {crossed:>7.4} {calls:>7.4} \
-                 {waste:>7.4} {:>8.3} {tries:>6.2} {:>5} {:>5} {:>5} {:>6.1}",
-                kind.name(),
-                report.share(COUNTED),
-                least.fold(f64::INFINITY, f64::min),
-                share(&|s| s.refused),
-                report.twice[0] + report.twice[1] + report.lost,
-                report.undrained,
-                report.fallen,
-                begun.elapsed().as_secs_f64(),
-            );
+            print_row(kind, seed);
         }
     }
 }
--- a/crates/fleet-simulator/benches/storm.rs
+++ b/crates/fleet-simulator/benches/storm.rs
@@ -1,36 +1,44 @@
 //! Outages on virtual time, with the recovery package and without, side by side:
-//! `cargo bench -p mintshelf-fleet-simulator`. Seeds are printed; a row plays the same every time.
+//! `cargo bench -p mintshelf-fleet-simulator`. Seeds are printed; a row comes out the same every
+//! time.
 
-use mintshelf_fleet_simulator::{play, Kind, Plan, Report, Retry, Trouble, MS, SECOND};
+use mintshelf_fleet_simulator::{
+    simulate, Fault, FaultKind, Report, RetryBehavior, Scenario, MS, SECOND,
+};
+use std::ops::Range;
 
 const SEED: u64 = 20;
-const FROM: u64 = 20;
-/// Calm seconds that are taken as usual.
-const USUAL: std::ops::Range<u64> = 10..20;
-/// Seconds played after the return.
+/// When the outage begins, in seconds.
+const OUTAGE_FROM: u64 = 20;
+/// Seconds without a fault that are the baseline.
+const BASELINE: Range<u64> = 10..20;
+/// Seconds simulated after the end of the outage.
 const AFTER: u64 = 60;
 
-fn row(name: &str, plan: &Plan, back: u64) {
-    let [with, without] = [plan.ramp, None].map(|ramp| play(&Plan { ramp, ..plan.clone() }));
-    let half = |r: &Report| {
-        format!(
-            "{:>5.2} {:>6.2} {:>6.2} {:>6.1} {:>6.3} {:>6} {:>6}",
-            r.peak(USUAL, back, |s| s.tries as f64),
-            r.peak(USUAL, back, |s| s.work),
-            r.peak(USUAL, back, |s| s.connects as f64),
-            r.calm_after(USUAL, back),
-            {
-                let span = FROM..back + AFTER;
-                r.sum(span.clone(), |s| s.earned) / r.sum(span, |s| s.asked)
-            },
-            r.fallen,
-            r.twice[0] + r.twice[1],
-        )
-    };
-    println!("{name:<34} | {} | {}", half(&without), half(&with));
+fn columns(report: &Report, end: u64) -> String {
+    let affected = OUTAGE_FROM..end + AFTER;
+    let earned = report.sum(affected.clone(), |slice| slice.earned_weight);
+    let requested = report.sum(affected, |slice| slice.requested_weight);
+    format!(
+        "{:>5.2} {:>6.2} {:>6.2} {:>6.1} {:>6.3} {:>6} {:>6}",
+        report.peak(BASELINE, end, |slice| slice.requests as f64),
+        report.peak(BASELINE, end, |slice| slice.work),
+        report.peak(BASELINE, end, |slice| slice.connects as f64),
+        report.recovery_seconds(BASELINE, end),
+        earned / requested,
+        report.overloaded_servers,
+        report.repeated_unsafe + report.repeated_idempotent,
+    )
 }
 
-fn main() {
+/// Prints one scenario whose outage ends at a second, without and with the recovery package.
+fn print_row(name: &str, scenario: &Scenario, end: u64) {
+    let without = simulate(&Scenario { ramp: None, ..scenario.clone() });
+    let with = simulate(scenario);
+    println!("{name:<34} | {} | {}", columns(&without, end), columns(&with, end));
+}
+
+fn print_header() {
     println!("50 sidecars, 6 servers that can do 1.5 times the usual, seed {SEED}");
     println!(
         "tries, work, connects: most in a second after the return, in multiples of the usual;"
@@ -40,32 +48,46 @@
     let half = "tries   work  conns   calm  worth   fell  twice";
     println!("{:<34} | {:<47} | with the recovery package", "", "the decision module alone");
     println!("{:<34} | {half} | {half}", "");
+}
+
+/// The servers crash together and return one by one, a second apart.
+fn staged(scenario: &Scenario, end: u64) -> Scenario {
+    (0..6).fold(scenario.clone(), |scenario, server| {
+        scenario.with_fault(Fault {
+            from: OUTAGE_FROM * SECOND,
+            until: (end + server as u64) * SECOND,
+            servers: server..server + 1,
+            kind: FaultKind::Crash,
+        })
+    })
+}
+
+fn print_outages(rate: f64, seconds: u64, retry: RetryBehavior, retry_name: &str) {
+    let end = OUTAGE_FROM + seconds;
+    let name = |fault: &str| format!("{rate:.0}/s {seconds} s {fault}, {retry_name}");
+    let warm = Scenario { retry, ..Scenario::without_faults(SEED, rate, end + AFTER) };
+    let slow_start = Scenario { warm_up: 8 * SECOND, ..warm.clone() };
+    let crash = slow_start.clone().with_outage(FaultKind::Crash, OUTAGE_FROM, end);
+    let partition = warm.with_outage(FaultKind::Partition, OUTAGE_FROM, end);
+    print_row(&name("silence"), &partition, end);
+    print_row(&name("crash, cold"), &crash, end);
+    if seconds == 10 {
+        print_row(&name("one by one"), &staged(&slow_start, end), end);
+        let again = crash.with_outage(FaultKind::Crash, end + 2, end + 5);
+        print_row(&name("again"), &again, end + 5);
+    }
+}
+
+fn main() {
+    print_header();
     for rate in [340.0, 1_500.0] {
-        for out in [2, 10, 60] {
-            let back = FROM + out;
-            let plan = Plan::calm(SEED, rate, back + AFTER);
-            let cold = Plan { cold: 8 * SECOND, ..plan.clone() };
-            for (retry, told) in [
-                (Retry::AtOnce, "at once"),
-                (Retry::Pause(100 * MS), "pause"),
-                (Retry::Honour, "honour"),
+        for seconds in [2, 10, 60] {
+            for (retry, name) in [
+                (RetryBehavior::Immediate, "at once"),
+                (RetryBehavior::Backoff(100 * MS), "pause"),
+                (RetryBehavior::HonorAdvice, "honour"),
             ] {
-                let name = |what: &str| format!("{rate:.0}/s {out} s {what}, {told}");
-                let warm = Plan { retry, ..plan.clone() };
-                row(&name("silence"), &warm.outage(Kind::Silence, FROM, back), back);
-                let cold = Plan { retry, ..cold.clone() };
-                row(&name("crash, cold"), &cold.clone().outage(Kind::Crash, FROM, back), back);
-                if out == 10 {
-                    // One by one, a second apart.
-                    let staged = (0..6).fold(cold.clone(), |plan, server| {
-                        let until = (back + server as u64) * SECOND;
-                        let (from, kind) = (FROM * SECOND, Kind::Crash);
-                        plan.trouble(Trouble { from, until, servers: server..server + 1, kind })
-                    });
-                    row(&name("one by one"), &staged, back);
-                    let again = cold.outage(Kind::Crash, FROM, back);
-                    row(&name("again"), &again.outage(Kind::Crash, back + 2, back + 5), back + 5);
-                }
+                print_outages(rate, seconds, retry, name);
             }
         }
     }
--- /dev/null
+++ b/crates/fleet-simulator/src/discovery.rs
@@ -0,0 +1,83 @@
+//! The discovery service: its endpoints, who watches them, and the limit on its calls.
+
+use crate::fleet::DiscoveryConfig;
+use crate::SECOND;
+use mintshelf_balancer::api::{EndpointState, ListedServer, Nanos, ServerId};
+use std::collections::BTreeMap;
+
+/// The discovery service of the simulated site.
+pub(crate) struct DiscoveryService {
+    config: DiscoveryConfig,
+    endpoints: BTreeMap<ServerId, ListedServer>,
+    /// Which sidecars watch.
+    watches: Vec<bool>,
+    /// When it can answer the next call.
+    free_at: Nanos,
+}
+
+/// The result of a call.
+pub(crate) struct CallResult {
+    pub(crate) ends_at: Nanos,
+    pub(crate) is_answered: bool,
+}
+
+/// A sidecar that is to be notified of a change.
+pub(crate) struct Notification {
+    pub(crate) sidecar: usize,
+    pub(crate) delay: Nanos,
+}
+
+impl DiscoveryService {
+    /// A service with the initial servers, which nobody watches.
+    pub(crate) fn new(
+        config: DiscoveryConfig,
+        sidecars: usize,
+        endpoints: &[ListedServer],
+    ) -> Self {
+        let endpoints = endpoints.iter().map(|entry| (entry.id, entry.clone())).collect();
+        DiscoveryService { config, endpoints, watches: vec![false; sidecars], free_at: 0 }
+    }
+
+    /// How long after a change the service learns of it, by a uniform number.
+    pub(crate) fn notice_delay(&self, uniform: f64) -> Nanos {
+        let DiscoveryConfig { min_notice, max_notice, .. } = self.config;
+        min_notice + (uniform * max_notice.saturating_sub(min_notice) as f64) as Nanos
+    }
+
+    /// Takes a call, which fails if it would wait for longer than the timeout.
+    pub(crate) fn call(&mut self, now: Nanos) -> CallResult {
+        let begins_at = self.free_at.max(now);
+        if begins_at - now > self.config.timeout {
+            return CallResult { ends_at: now + self.config.timeout, is_answered: false };
+        }
+        self.free_at = begins_at + (SECOND as f64 / self.config.calls_per_second) as Nanos;
+        CallResult { ends_at: self.free_at, is_answered: true }
+    }
+
+    /// Sets whether a sidecar watches.
+    pub(crate) fn set_watch(&mut self, sidecar: usize, is_watching: bool) {
+        self.watches[sidecar] = is_watching;
+    }
+
+    /// Applies a change and returns who is to be notified. A sidecar's delay is the same for
+    /// every change, so that none overtakes an older one.
+    pub(crate) fn apply(&mut self, entry: ListedServer) -> Vec<Notification> {
+        if entry.state == EndpointState::Removed {
+            self.endpoints.remove(&entry.id);
+        } else {
+            self.endpoints.insert(entry.id, entry);
+        }
+        let sidecars = self.watches.len().max(1) as u64;
+        let watching = self.watches.iter().enumerate().filter(|(_, is_watching)| **is_watching);
+        let notification = |(sidecar, _)| {
+            let delay = self.config.spread * sidecar as u64 / sidecars;
+            Notification { sidecar, delay }
+        };
+        watching.map(notification).collect()
+    }
+
+    /// The complete list.
+    pub(crate) fn endpoint_list(&self) -> Vec<ListedServer> {
+        self.endpoints.values().cloned().collect()
+    }
+}
--- a/crates/fleet-simulator/src/fleet.rs
+++ b/crates/fleet-simulator/src/fleet.rs
@@ -1,104 +1,117 @@
-//! What a fleet goes through beside its servers' troubles: releases, restarts, a source of
-//! lists with a bound of its own, traffic spread unevenly, clients in a hurry.
+//! Changes of the fleet beside its servers' faults, and special conditions of a site: releases,
+//! restarts, a discovery service of limited speed, skewed traffic, impatient clients.
 
 use mintshelf_balancer::api::Nanos;
 use std::ops::Range;
 
-/// What the fleet goes through. By default nothing: sidecars know their servers from the
-/// start, are as busy as one another, and all clients wait as long as their class says.
+/// What a fleet goes through. By default nothing: sidecars know their servers from the start,
+/// all have the same traffic, and clients wait as long as their class says.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Fleet {
-    /// How many times as much as the least busy sidecar the busiest sees, as powers of ten:
-    /// 0 for the same everywhere, 2 for a hundred times.
-    pub uneven: f64,
-    /// Sidecars that are killed and start anew.
+pub struct FleetConfig {
+    /// Traffic of the busiest sidecar relative to the least busy, as a power of ten: 0 for the
+    /// same everywhere, 2 for a hundred times.
+    pub load_skew: f64,
+    /// Restarts of sidecars.
     pub restarts: Vec<Restart>,
-    /// Servers that are replaced.
+    /// Releases of servers.
     pub releases: Vec<Release>,
-    /// Where lists come from; absent, every sidecar holds the first one for good.
-    pub registry: Option<Registry>,
-    /// Clients that do not wait.
-    pub hurry: Option<Hurry>,
+    /// The discovery service; absent, every sidecar keeps the first endpoint list.
+    pub discovery: Option<DiscoveryConfig>,
+    /// Clients that give up early.
+    pub early_timeouts: Option<EarlyTimeouts>,
     /// More traffic for a while.
     pub burst: Option<Burst>,
-    /// Zones of sidecars and servers, in turn; 0 and 1 are the same.
+    /// Number of zones, to which sidecars and servers belong in turn; 0 is the same as 1.
     pub zones: u32,
-    /// A server that holds more than this many times its places works slower, and by which
-    /// part for each multiple more; absent, it never does.
-    pub thrash: Option<(f64, f64)>,
-    /// Spread of the work of a class: sigma of a lognormal; 0 for the rig's usual.
-    pub tail: f64,
-    /// Queue of a server, in multiples of its places; 0 for the rig's usual four.
-    pub queue: usize,
-    /// Whether sidecars are told the prices of the fleet's site.
-    pub prices: bool,
+    /// How servers slow down under many requests; absent, they don't.
+    pub thrashing: Option<Thrashing>,
+    /// Spread of the work of a class: sigma of a lognormal; 0 for the default, an Erlang
+    /// distribution of two stages.
+    pub work_sigma: f64,
+    /// Queue of a server, in multiples of its concurrency; 0 for the default of four.
+    pub queue_multiple: usize,
+    /// Whether sidecars know the prices of side effects.
+    pub has_prices: bool,
 }
 
-impl Fleet {
-    /// The zone of a sidecar, or of a server that is there from the start.
+impl FleetConfig {
+    /// The zone of a sidecar, or of a server of the initial list.
     pub(crate) fn zone(&self, number: usize) -> u32 {
         number as u32 % self.zones.max(1)
     }
 }
 
-/// Some sidecars are killed at once and start again from nothing.
+/// Some sidecars are killed at once and restart without state.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Restart {
-    /// When.
+    /// When, from the start of the run.
     pub at: Nanos,
-    /// How long they are away.
-    pub down: Nanos,
-    /// Which.
+    /// How long they are down.
+    pub downtime: Nanos,
+    /// The sidecars, by number.
     pub sidecars: Range<usize>,
 }
 
-/// Servers are replaced by new ones, in steps: the old ones drain, end, and are deleted; the
-/// new ones start cold.
+/// Servers are replaced by new ones, in steps: the old ones drain, end and are removed; the new
+/// ones warm up.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Release {
-    /// When its first step begins, and its last.
+    /// When its first step begins, from the start of the run.
     pub from: Nanos,
-    /// See `from`.
+    /// When its last step begins.
     pub until: Nanos,
-    /// How many steps.
+    /// Number of steps.
     pub steps: usize,
-    /// Which servers.
+    /// The servers, by number.
     pub servers: Range<usize>,
     /// How long a server drains before its process ends.
     pub drain: Nanos,
     /// How long after the drain began its successor starts.
-    pub start: Nanos,
+    pub start_delay: Nanos,
 }
 
-/// The source of lists.
+/// The discovery service.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Registry {
-    /// It hears of a change between these times after it.
-    pub notice: [Nanos; 2],
-    /// Those who watch hear of it up to so much later still.
+pub struct DiscoveryConfig {
+    /// Shortest time after which the service learns of a change.
+    pub min_notice: Nanos,
+    /// Longest time after which it does.
+    pub max_notice: Nanos,
+    /// Time over which it notifies the sidecars that watch.
     pub spread: Nanos,
     /// Calls that it answers a second.
-    pub calls_per_s: f64,
-    /// A call that would wait longer fails then.
+    pub calls_per_second: f64,
+    /// A call that would wait longer than this fails.
     pub timeout: Nanos,
 }
 
-/// Some clients give up early and come again at once.
+/// Some clients give up early.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Hurry {
-    /// When.
+pub struct EarlyTimeouts {
+    /// When, from the start of the run.
     pub during: Range<Nanos>,
-    /// Which part of the clients.
-    pub part: f64,
-    /// What part of their class's aim they wait.
-    pub waits: [f64; 2],
+    /// Share of the clients that do.
+    pub share: f64,
+    /// Shortest timeout, as a fraction of the latency objective of the class.
+    pub min_timeout: f64,
+    /// Longest timeout, likewise.
+    pub max_timeout: f64,
 }
 
-/// More traffic.
+/// More traffic for a while.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Burst {
-    /// When.
+    /// When, from the start of the run.
     pub during: Range<Nanos>,
-    /// How many times as much.
-    pub times: f64,
+    /// Multiple of the ordinary traffic.
+    pub factor: f64,
+}
+
+/// How a server slows down under many requests.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct Thrashing {
+    /// Requests at the server, in multiples of its concurrency, from which it slows down.
+    pub from_multiple: f64,
+    /// Fraction by which work takes longer for each further multiple.
+    pub slowdown: f64,
 }
--- a/crates/fleet-simulator/src/lib.rs
+++ b/crates/fleet-simulator/src/lib.rs
@@ -1,22 +1,31 @@
-//! An outage rig: many sidecars, each with its own decision module and recovery, servers that
-//! queue, start cold and fall over, and clients that come again, in one process on virtual
-//! time. A run is given by its [`Plan`], seed and all, and plays the same every time.
+//! Simulates a fleet on virtual time: many sidecars, each with its own balancer and recovery,
+//! servers that queue, warm up and can be overloaded, and clients that retry, in one process.
+//!
+//! A run is determined by its [`Scenario`], which includes the seed of all random numbers.
+//!
+//! ```
+//! use mintshelf_fleet_simulator::{simulate, FaultKind, Scenario};
+//!
+//! let scenario = Scenario::without_faults(3, 100.0, 4).with_outage(FaultKind::Crash, 1, 2);
+//! let report = simulate(&scenario);
+//! println!("served: {:.3}", report.served_share(2..4));
+//! ```
 #![forbid(unsafe_code)]
 
-mod day;
+mod discovery;
 mod fleet;
-mod lists;
-mod plan;
 mod report;
+mod scenario;
 mod server;
 mod sidecar;
-mod world;
+mod simulation;
+mod standard;
 
-pub use day::{day, Day};
-pub use fleet::{Burst, Fleet, Hurry, Registry, Release, Restart};
-pub use plan::{Kind, Lab, Plan, Retry, Trouble, CLASSES};
-pub use report::{Report, Span, SLICE};
-pub use world::play;
+pub use fleet::{Burst, DiscoveryConfig, EarlyTimeouts, FleetConfig, Release, Restart, Thrashing};
+pub use report::{Report, SideEffectCosts, Slice, SLICE_DURATION};
+pub use scenario::{Fault, FaultKind, RetryBehavior, Scenario, TrafficClass, CLASSES};
+pub use simulation::simulate;
+pub use standard::{standard_scenario, StandardScenario};
 
 /// A uniform number in [0, 1).
 fn uniform(rng: &mut impl rand_core::RngCore) -> f64 {
--- a/crates/fleet-simulator/src/report.rs
+++ b/crates/fleet-simulator/src/report.rs
@@ -1,138 +1,175 @@
-//! What came of a run.
+//! The results of a run.
 
 use crate::SECOND;
 use mintshelf_balancer::api::Nanos;
 use std::ops::Range;
 
-/// Prices of the fleet's site, each for one at every first try.
+/// Price of a new connection, as a share of all weight at one for every first request.
 const CONNECT_PRICE: f64 = 0.08;
-const CROSS_PRICE: f64 = 0.02;
-const CALL_PRICE: f64 = 0.05;
-const WASTE_PRICE: f64 = 0.02;
+/// Price of an attempt that crosses zones, likewise.
+const CROSS_ZONE_PRICE: f64 = 0.02;
+/// Price of a call to discovery, likewise.
+const DISCOVERY_CALL_PRICE: f64 = 0.05;
+/// Price of wasted work, likewise.
+const WASTED_WORK_PRICE: f64 = 0.02;
 
-/// What is counted together.
-pub const SLICE: Nanos = SECOND / 10;
+/// Duration of a slice.
+pub const SLICE_DURATION: Nanos = SECOND / 10;
+/// Slices of a second.
+const SLICES_PER_SECOND: usize = 10;
+/// Last slices of a run, in which requests have no time to be served.
+const UNFINISHED_SLICES: usize = 30;
 
 /// Counts of one tenth of a second.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Span {
-    /// Tries of clients, first ones and others.
-    pub tries: u64,
-    /// Attempts that set out for servers, also those that found nobody.
+pub struct Slice {
+    /// Requests of clients, first ones and retries.
+    pub requests: u64,
+    /// Attempts sent to servers, including those that reached none.
     pub attempts: u64,
-    /// Work of those, against a usual first try's.
+    /// Work of those, relative to a mean first request.
     pub work: f64,
-    /// Connections opened, or tried to.
+    /// Connections opened, including those that failed.
     pub connects: u64,
-    /// Tries answered in time, by when they were made.
+    /// Requests served in time, by when they were sent.
     pub in_time: u64,
-    /// Worth asked for by first tries, and earned, by when those were made.
-    pub asked: f64,
-    /// See `asked`.
-    pub earned: f64,
-    /// Tries refused, those by the pace among them.
-    pub refused: u64,
-    /// See `refused`.
-    pub paced: u64,
-    /// Tries failed.
+    /// Weight of the first requests.
+    pub requested_weight: f64,
+    /// Weight earned, by when the first request was sent.
+    pub earned_weight: f64,
+    /// Requests rejected, including those rejected by the recovery ramp.
+    pub rejected: u64,
+    /// Requests rejected by the recovery ramp.
+    pub rejected_by_ramp: u64,
+    /// Requests failed.
     pub failed: u64,
-    /// Clients told to come back in this slice.
-    pub told: u64,
-    /// First tries.
-    pub first: u64,
-    /// Attempts to a server of another zone.
-    pub crossed: u64,
-    /// Calls for lists.
-    pub calls: u64,
-    /// Work that was done for nobody, against a usual first try's.
-    pub wasted: f64,
+    /// Clients that were advised to retry in this slice.
+    pub advised_retries: u64,
+    /// First requests.
+    pub first_requests: u64,
+    /// Attempts sent to a server of another zone.
+    pub cross_zone: u64,
+    /// Calls to discovery.
+    pub discovery_calls: u64,
+    /// Work done after the client had left, relative to a mean first request.
+    pub wasted_work: f64,
 }
 
-/// All that is known of a run.
+/// The results of a run.
 #[derive(Debug, Default, PartialEq)]
 pub struct Report {
-    /// By tenths of a second.
-    pub spans: Vec<Span>,
-    /// Effects that happened twice: unsafe ones, and keyed ones.
-    pub twice: [u64; 2],
-    /// Requests that had more or less than one final answer while their client waited.
+    /// Counts by tenths of a second.
+    pub slices: Vec<Slice>,
+    /// Effects of unsafe requests that happened twice.
+    pub repeated_unsafe: u64,
+    /// Effects of idempotent requests that happened twice.
+    pub repeated_idempotent: u64,
+    /// Requests that had more or less than one final response while their client waited.
     pub lost: u64,
-    /// Attempts sent while another of the same request was out, or past the limit.
-    pub unruly: u64,
-    /// Servers that were pushed over while they were cold.
-    pub fallen: u64,
+    /// Attempts sent while another of the same request was in flight, or past the limit.
+    pub excess_attempts: u64,
+    /// Servers that were overloaded while they warmed up.
+    pub overloaded_servers: u64,
     /// Sends to a server later than the rule on drains allows.
-    pub undrained: u64,
+    pub sends_after_drain: u64,
     /// Requests that were open at a sidecar when it was killed.
-    pub cut: u64,
-    /// Connections opened to each server, by whole seconds.
-    pub connects: Vec<Vec<u32>>,
-    /// Two runs with the same digest went the same way.
+    pub interrupted: u64,
+    /// Connections opened to each server, by second.
+    pub connects_by_server: Vec<Vec<u32>>,
+    /// Digest of all events; two runs with the same digest took the same course.
     pub digest: u64,
 }
 
+/// What side effects cost, each as a share of the requested weight.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct SideEffectCosts {
+    /// New connections.
+    pub connects: f64,
+    /// Attempts that crossed zones.
+    pub cross_zone: f64,
+    /// Calls to discovery.
+    pub discovery_calls: f64,
+    /// Wasted work.
+    pub wasted_work: f64,
+}
+
 impl Report {
     /// The slices of some seconds.
-    pub fn seconds(&self, seconds: Range<u64>) -> &[Span] {
-        let at = |second: u64| ((second * SECOND / SLICE) as usize).min(self.spans.len());
-        &self.spans[at(seconds.start)..at(seconds.end)]
+    #[must_use]
+    pub fn seconds(&self, seconds: Range<u64>) -> &[Slice] {
+        let index = |second: u64| {
+            let slice = (second * SECOND / SLICE_DURATION) as usize;
+            slice.min(self.slices.len())
+        };
+        &self.slices[index(seconds.start)..index(seconds.end)]
     }
 
-    /// A sum over some seconds.
-    pub fn sum(&self, seconds: Range<u64>, of: impl Fn(&Span) -> f64) -> f64 {
-        self.seconds(seconds).iter().map(of).sum()
+    /// Sum of a quantity over some seconds.
+    pub fn sum(&self, seconds: Range<u64>, quantity: impl Fn(&Slice) -> f64) -> f64 {
+        self.seconds(seconds).iter().map(quantity).sum()
     }
 
-    /// Worth earned over worth asked for, from a second on to another.
-    pub fn share(&self, seconds: Range<u64>) -> f64 {
-        self.sum(seconds.clone(), |s| s.earned) / self.sum(seconds, |s| s.asked).max(1e-9)
+    /// Earned over requested weight of some seconds.
+    #[must_use]
+    pub fn served_share(&self, seconds: Range<u64>) -> f64 {
+        served_share(self.seconds(seconds))
     }
 
-    /// What the side effects of some seconds cost, as the fleet's page counts it: a share of
-    /// the worth asked for.
-    pub fn price(&self, seconds: Range<u64>) -> [f64; 4] {
-        let first = self.sum(seconds.clone(), |s| s.first as f64).max(1e-9);
-        let per_try =
-            |price: f64, of: &dyn Fn(&Span) -> f64| price * self.sum(seconds.clone(), of) / first;
-        [
-            per_try(CONNECT_PRICE, &|s| s.connects as f64),
-            per_try(CROSS_PRICE, &|s| s.crossed as f64),
-            per_try(CALL_PRICE, &|s| s.calls as f64),
-            per_try(WASTE_PRICE, &|s| s.wasted),
-        ]
+    /// What the side effects of some seconds cost.
+    #[must_use]
+    pub fn costs(&self, seconds: Range<u64>) -> SideEffectCosts {
+        let first_requests = self.sum(seconds.clone(), |slice| slice.first_requests as f64);
+        let cost = |price: f64, quantity: &dyn Fn(&Slice) -> f64| {
+            price * self.sum(seconds.clone(), quantity) / first_requests.max(1e-9)
+        };
+        SideEffectCosts {
+            connects: cost(CONNECT_PRICE, &|slice| slice.connects as f64),
+            cross_zone: cost(CROSS_ZONE_PRICE, &|slice| slice.cross_zone as f64),
+            discovery_calls: cost(DISCOVERY_CALL_PRICE, &|slice| slice.discovery_calls as f64),
+            wasted_work: cost(WASTED_WORK_PRICE, &|slice| slice.wasted_work),
+        }
     }
 
     /// The most connections opened to any one server in any one of some seconds.
-    pub fn most_connects(&self, seconds: Range<u64>) -> u32 {
-        let of = |server: &Vec<u32>| {
-            let seconds = seconds.start as usize..seconds.end as usize;
-            server
-                .get(seconds.start..seconds.end.min(server.len()))
-                .map_or(0, |part| part.iter().copied().max().unwrap_or(0))
+    #[must_use]
+    pub fn max_connects(&self, seconds: Range<u64>) -> u32 {
+        let of_server = |by_second: &Vec<u32>| {
+            let end = (seconds.end as usize).min(by_second.len());
+            let part = by_second.get(seconds.start as usize..end);
+            part.and_then(|part| part.iter().copied().max()).unwrap_or(0)
         };
-        self.connects.iter().map(of).max().unwrap_or(0)
+        self.connects_by_server.iter().map(of_server).max().unwrap_or(0)
     }
 
-    /// The most of any second (any ten slices in a row) from one on, as a multiple of the
-    /// mean of the calm seconds `calm`.
-    pub fn peak(&self, calm: Range<u64>, from: u64, of: impl Fn(&Span) -> f64) -> f64 {
-        let usual = self.sum(calm.clone(), &of) / (calm.end - calm.start) as f64;
-        let after = self.seconds(from..u64::MAX / SECOND);
-        let most = after.windows(10).map(|ten| ten.iter().map(&of).sum::<f64>());
-        most.fold(0.0, f64::max) / usual.max(1e-9)
+    /// The maximum of a quantity over any second (any ten slices in a row) from one on, as a
+    /// multiple of its mean over the baseline seconds.
+    pub fn peak(
+        &self,
+        baseline: Range<u64>,
+        from_second: u64,
+        quantity: impl Fn(&Slice) -> f64,
+    ) -> f64 {
+        let seconds = (baseline.end - baseline.start) as f64;
+        let mean = self.sum(baseline, &quantity) / seconds;
+        let after = self.seconds(from_second..u64::MAX / SECOND).windows(SLICES_PER_SECOND);
+        let sums = after.map(|second| second.iter().map(&quantity).sum::<f64>());
+        sums.fold(0.0, f64::max) / mean.max(1e-9)
     }
 
-    /// Seconds from one on until, for good, 95% of the worth of the calm seconds is earned.
-    pub fn calm_after(&self, calm: Range<u64>, from: u64) -> f64 {
-        let share = |spans: &[Span]| {
-            let sum = |of: fn(&Span) -> f64| spans.iter().map(of).sum::<f64>();
-            sum(|s| s.earned) / sum(|s| s.asked).max(1e-9)
-        };
-        let usual = share(self.seconds(calm));
-        let after = self.seconds(from..u64::MAX / SECOND);
-        // What is asked for at the end has no time to be answered.
-        let after = &after[..after.len().saturating_sub(30)];
-        let bad = after.windows(10).rposition(|ten| share(ten) < 0.95 * usual);
-        bad.map_or(0.0, |at| (at + 1) as f64 * SLICE as f64 / SECOND as f64)
+    /// Seconds from one on until, for good, 95% of the baseline seconds' share is served.
+    #[must_use]
+    pub fn recovery_seconds(&self, baseline: Range<u64>, from_second: u64) -> f64 {
+        let baseline = self.served_share(baseline);
+        let after = self.seconds(from_second..u64::MAX / SECOND);
+        let after = &after[..after.len().saturating_sub(UNFINISHED_SLICES)];
+        let mut seconds = after.windows(SLICES_PER_SECOND);
+        let last_bad = seconds.rposition(|second| served_share(second) < 0.95 * baseline);
+        last_bad.map_or(0.0, |slice| (slice + 1) as f64 * SLICE_DURATION as f64 / SECOND as f64)
     }
 }
+
+fn served_share(slices: &[Slice]) -> f64 {
+    let earned: f64 = slices.iter().map(|slice| slice.earned_weight).sum();
+    let requested: f64 = slices.iter().map(|slice| slice.requested_weight).sum();
+    earned / requested.max(1e-9)
+}
--- /dev/null
+++ b/crates/fleet-simulator/src/scenario.rs
@@ -0,0 +1,181 @@
+//! Scenarios: the site, its traffic, the faults of its servers and how its clients retry.
+
+use crate::fleet::FleetConfig;
+use crate::{MS, SECOND};
+use mintshelf_balancer::api::{Effect, Nanos};
+use std::ops::Range;
+
+/// For how long servers discard the repeats of an idempotent request.
+pub const DEDUP_WINDOW: Nanos = 20 * SECOND;
+
+/// A class of requests of the simulated site.
+#[derive(Debug, Clone, Copy)]
+pub struct TrafficClass {
+    /// Its name.
+    pub name: &'static str,
+    /// How often its effect may happen.
+    pub effect: Effect,
+    /// Its share of the requests.
+    pub share: f64,
+    /// Its mean work, relative to the other classes.
+    pub work: f64,
+    /// A response within this time is in time.
+    pub latency_objective: Nanos,
+    /// How long a client waits for one request.
+    pub deadline: Nanos,
+    /// Weight of a response in time.
+    pub priority_weight: f64,
+}
+
+/// The four classes of the simulated site.
+pub const CLASSES: [TrafficClass; 4] = [
+    TrafficClass {
+        name: "device-status",
+        effect: Effect::Safe,
+        share: 0.5,
+        work: 8.0,
+        latency_objective: 400 * MS,
+        deadline: 800 * MS,
+        priority_weight: 1.0,
+    },
+    TrafficClass {
+        name: "run-logs",
+        effect: Effect::Safe,
+        share: 0.25,
+        work: 15.0,
+        latency_objective: 800 * MS,
+        deadline: 1_600 * MS,
+        priority_weight: 1.0,
+    },
+    TrafficClass {
+        name: "queue-run",
+        effect: Effect::Idempotent,
+        share: 0.15,
+        work: 20.0,
+        latency_objective: 800 * MS,
+        deadline: 1_600 * MS,
+        priority_weight: 2.0,
+    },
+    TrafficClass {
+        name: "flash-device",
+        effect: Effect::Unsafe,
+        share: 0.1,
+        work: 40.0,
+        latency_objective: 1_200 * MS,
+        deadline: 2_400 * MS,
+        priority_weight: 4.0,
+    },
+];
+
+/// Mean work of a request, in the unit of [`TrafficClass::work`].
+pub(crate) fn mean_work() -> f64 {
+    CLASSES.iter().map(|class| class.share * class.work).sum()
+}
+
+/// What clients do when they are rejected or have no response. Each retries at most twice, and
+/// never where an unsafe request may have run.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub enum RetryBehavior {
+    /// They don't retry.
+    Never,
+    /// They retry at once.
+    Immediate,
+    /// They retry after about this time.
+    Backoff(Nanos),
+    /// They follow the retry-after advice; without any they wait a tenth of a second.
+    HonorAdvice,
+}
+
+/// A fault of some servers for some time.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Fault {
+    /// When it begins, from the start of the run.
+    pub from: Nanos,
+    /// When it ends.
+    pub until: Nanos,
+    /// The servers, by number.
+    pub servers: Range<usize>,
+    /// What it is.
+    pub kind: FaultKind,
+}
+
+/// A kind of fault.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub enum FaultKind {
+    /// The process ends: its connections break, new ones are refused, and it restarts.
+    Crash,
+    /// The network drops everything to and from the server; connections stay open.
+    Partition,
+    /// All work takes this many times as long.
+    Slow(f64),
+    /// Requests of one class, by index, are never answered.
+    Hang(usize),
+}
+
+/// A run of the simulation.
+#[derive(Debug, Clone)]
+pub struct Scenario {
+    /// Seed of all random numbers.
+    pub seed: u64,
+    /// Number of sidecars.
+    pub sidecars: usize,
+    /// Number of servers.
+    pub servers: usize,
+    /// First requests of clients a second, over all sidecars.
+    pub requests_per_second: f64,
+    /// Capacity of all servers when warm, as a multiple of the work of those requests.
+    pub capacity: f64,
+    /// How long it lasts.
+    pub duration: Nanos,
+    /// Faults of servers.
+    pub faults: Vec<Fault>,
+    /// What clients do.
+    pub retry: RetryBehavior,
+    /// The recovery ramp; absent for the balancer without the recovery package.
+    pub ramp: Option<Nanos>,
+    /// The longest retry-after advice.
+    pub max_retry_after: Nanos,
+    /// How long a started server warms up.
+    pub warm_up: Nanos,
+    /// The fraction of its capacity from which it does.
+    pub initial_capacity: f64,
+    /// Changes of the fleet, and the site's special conditions.
+    pub fleet: FleetConfig,
+}
+
+impl Scenario {
+    /// The site without faults, for some seconds.
+    #[must_use]
+    pub fn without_faults(seed: u64, requests_per_second: f64, seconds: u64) -> Self {
+        Scenario {
+            seed,
+            sidecars: 50,
+            servers: 6,
+            requests_per_second,
+            capacity: 1.5,
+            duration: seconds * SECOND,
+            faults: Vec::new(),
+            retry: RetryBehavior::Backoff(100 * MS),
+            ramp: Some(2 * SECOND),
+            max_retry_after: 60 * SECOND,
+            warm_up: 0,
+            initial_capacity: 0.3,
+            fleet: FleetConfig::default(),
+        }
+    }
+
+    /// Adds a fault of all servers, from one second to another.
+    #[must_use]
+    pub fn with_outage(self, kind: FaultKind, from_second: u64, until_second: u64) -> Self {
+        let servers = 0..self.servers;
+        let (from, until) = (from_second * SECOND, until_second * SECOND);
+        self.with_fault(Fault { from, until, servers, kind })
+    }
+
+    /// Adds a fault.
+    #[must_use]
+    pub fn with_fault(mut self, fault: Fault) -> Self {
+        self.faults.push(fault);
+        self
+    }
+}
--- a/crates/fleet-simulator/src/server.rs
+++ b/crates/fleet-simulator/src/server.rs
@@ -1,205 +1,251 @@
-//! A server: places, a queue, cold starts, and falling over.
+//! A server: concurrency, a queue, warm-up, and overload while it warms up.
 
-use crate::plan::{Kind, Plan, CLASSES};
+use crate::fleet::Thrashing;
+use crate::scenario::{mean_work, FaultKind, Scenario};
 use crate::{MS, SECOND};
 use mintshelf_balancer::api::{Nanos, RequestId};
 use mintshelf_balancer::decay::DecayingCounter;
 use std::collections::{HashMap, VecDeque};
 
-/// Places of a server at this many first tries a second over all servers, for each server.
-const PLACES_AT: f64 = 40.0;
-/// The queue is so many times as long as the places.
-const QUEUE: usize = 4;
-/// A cold server falls over when for so long it is sent this multiple of what it can do.
-const FALL_MULTIPLE: f64 = 3.0;
-const FALL_AFTER: Nanos = SECOND;
-/// Memory of what it is sent: mean age, and its half-life.
-const MEMORY: f64 = 0.5 * SECOND as f64;
-const HALF_LIFE: Nanos = 346_573_590;
+/// First requests a second of a server for each six of its concurrency.
+const REQUESTS_PER_CONCURRENCY: f64 = 40.0;
+/// Queue of a server, in multiples of its concurrency.
+const QUEUE_MULTIPLE: usize = 4;
+/// A warming server is overloaded when it is sent this multiple of its capacity ..
+const OVERLOAD_MULTIPLE: f64 = 3.0;
+/// .. for this long.
+const OVERLOAD_DURATION: Nanos = SECOND;
+/// Memory of what a server is sent: mean age in nanoseconds, and its half-life.
+const LOAD_MEMORY_NS: f64 = 0.5 * SECOND as f64;
+const LOAD_HALF_LIFE: Nanos = 346_573_590;
+/// Latency of the network between any two hosts, one way.
+pub(crate) const ONE_WAY_LATENCY: Nanos = MS / 4;
 
 /// One attempt as it reaches a server.
 #[derive(Debug, Clone)]
-pub struct Job {
-    /// Who sent it.
-    pub sidecar: usize,
-    /// Which request.
-    pub id: RequestId,
-    /// Which attempt of it.
-    pub attempt: u32,
-    /// Whose it is.
-    pub client: usize,
-    /// Its class.
-    pub class: usize,
-    /// What it takes on a warm server.
-    pub work: Nanos,
+pub(crate) struct Job {
+    /// The sidecar that sent it.
+    pub(crate) sidecar: usize,
+    pub(crate) id: RequestId,
+    /// The attempt's number, from 0.
+    pub(crate) attempt: u32,
+    pub(crate) client: usize,
+    pub(crate) class: usize,
+    /// Time that it takes on a warm server.
+    pub(crate) work: Nanos,
 }
 
-/// What becomes of one that arrives.
-pub enum Arrived {
-    /// It starts; it ends then, under this number.
-    Starts(u64, Nanos),
-    /// It waits.
-    Waits,
-    /// It is turned away, unexamined.
-    Full,
-    /// Nobody is there: the connection is refused.
-    Refused,
+/// A job that has started.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct StartedJob {
+    pub(crate) number: u64,
+    pub(crate) ends_at: Nanos,
+}
+
+/// A job that is done, and the one that starts in its place.
+pub(crate) struct FinishedJob {
+    pub(crate) job: Job,
+    pub(crate) next: Option<StartedJob>,
+}
+
+/// What happens to a job that arrives.
+pub(crate) enum Arrival {
+    Started(StartedJob),
+    Queued,
+    /// The queue is full, or the server drains.
+    Rejected,
+    /// No process listens.
+    ConnectionRefused,
     /// Nothing comes back, ever.
-    Nothing,
+    NoResponse,
+}
+
+/// A fault that a server has.
+struct ActiveFault {
+    number: usize,
+    kind: FaultKind,
 }
 
-/// See the module.
-pub struct Server {
-    places: usize,
+/// A simulated server.
+pub(crate) struct Server {
+    concurrency: usize,
+    max_queue: usize,
     running: HashMap<u64, Job>,
     queue: VecDeque<Job>,
-    last: u64,
-    /// What is wrong with it, by the number of the trouble.
-    pub troubles: Vec<(usize, Kind)>,
-    started: Option<Nanos>,
-    cold: Nanos,
-    cold_from: f64,
-    /// What it was sent, and since when that is too much.
+    last_number: u64,
+    faults: Vec<ActiveFault>,
+    started_at: Option<Nanos>,
+    warm_up: Nanos,
+    initial_capacity: f64,
+    /// Work sent to it of late.
     load: DecayingCounter,
-    over_since: Option<Nanos>,
-    thrash: Option<(f64, f64)>,
-    queued: usize,
-    /// It turns all that is new away.
-    pub draining: bool,
-    /// Its zone.
-    pub zone: u32,
+    /// Since when that overloads it.
+    overloaded_since: Option<Nanos>,
+    thrashing: Option<Thrashing>,
+    /// Whether it rejects all new jobs.
+    pub(crate) is_draining: bool,
+    pub(crate) zone: u32,
 }
 
-/// Mean work of a request, in the classes' own units.
-pub fn mean_work() -> f64 {
-    CLASSES.iter().map(|class| class.share * class.work).sum()
+/// The size of the servers of a scenario.
+pub(crate) struct ServerSize {
+    /// Jobs that a server runs at once.
+    pub(crate) concurrency: usize,
+    /// Time that a unit of work takes on a warm server, in nanoseconds.
+    pub(crate) unit_ns: f64,
 }
 
-/// Places of each server, and how long a unit of work takes on one, so that all servers
-/// together do what the plan says.
-pub fn scale(plan: &Plan) -> (usize, f64) {
-    let places = (plan.rate / PLACES_AT / plan.servers as f64 * 6.0).ceil().max(2.0);
-    let unit = places * plan.servers as f64 / (mean_work() * plan.capacity * plan.rate);
-    (places as usize, unit * SECOND as f64)
+impl ServerSize {
+    /// The size with which all servers together have the scenario's capacity.
+    pub(crate) fn of(scenario: &Scenario) -> Self {
+        let rate = scenario.requests_per_second;
+        let servers = scenario.servers as f64;
+        let concurrency = (rate / REQUESTS_PER_CONCURRENCY / servers * 6.0).ceil().max(2.0);
+        let unit_seconds = concurrency * servers / (mean_work() * scenario.capacity * rate);
+        let unit_ns = unit_seconds * SECOND as f64;
+        ServerSize { concurrency: concurrency as usize, unit_ns }
+    }
 }
 
 impl Server {
-    /// One that has been up for long.
-    pub fn new(plan: &Plan, zone: u32) -> Self {
+    /// A server that has been up for long.
+    pub(crate) fn new(scenario: &Scenario, zone: u32) -> Self {
+        let concurrency = ServerSize::of(scenario).concurrency;
+        let queue_multiple = match scenario.fleet.queue_multiple {
+            0 => QUEUE_MULTIPLE,
+            multiple => multiple,
+        };
         Server {
-            places: scale(plan).0,
+            concurrency,
+            max_queue: concurrency * queue_multiple,
             running: HashMap::new(),
             queue: VecDeque::new(),
-            last: 0,
-            troubles: Vec::new(),
-            started: None,
-            cold: plan.cold,
-            cold_from: plan.cold_from,
+            last_number: 0,
+            faults: Vec::new(),
+            started_at: None,
+            warm_up: scenario.warm_up,
+            initial_capacity: scenario.initial_capacity,
             load: DecayingCounter::default(),
-            over_since: None,
-            thrash: plan.fleet.thrash,
-            queued: if plan.fleet.queue > 0 { plan.fleet.queue } else { QUEUE },
-            draining: false,
+            overloaded_since: None,
+            thrashing: scenario.fleet.thrashing,
+            is_draining: false,
             zone,
         }
     }
 
-    fn warmth(&self, now: Nanos) -> f64 {
-        let Some(started) = self.started.filter(|_| self.cold > 0) else { return 1.0 };
-        let age = now.saturating_sub(started) as f64 / self.cold as f64;
-        (self.cold_from + (1.0 - self.cold_from) * age).min(1.0)
+    pub(crate) fn add_fault(&mut self, number: usize, kind: FaultKind) {
+        self.faults.push(ActiveFault { number, kind });
     }
 
-    fn is(&self, kind: Kind) -> bool {
-        self.troubles.iter().any(|(_, k)| *k == kind)
+    pub(crate) fn remove_fault(&mut self, number: usize) {
+        self.faults.retain(|fault| fault.number != number);
     }
 
-    /// Whether its process is gone.
-    pub fn is_gone(&self) -> bool {
-        self.is(Kind::Crash)
+    fn has_fault(&self, kind: FaultKind) -> bool {
+        self.faults.iter().any(|fault| fault.kind == kind)
     }
 
-    /// Whether nothing comes or goes.
-    pub fn is_silent(&self) -> bool {
-        self.is(Kind::Silence)
+    /// Whether its process has ended.
+    pub(crate) fn is_crashed(&self) -> bool {
+        self.has_fault(FaultKind::Crash)
     }
 
-    /// Whether answers of a class never come.
-    pub fn hangs(&self, class: usize) -> bool {
-        self.is(Kind::Hang(class))
+    /// Whether the network drops everything to and from it.
+    pub(crate) fn is_partitioned(&self) -> bool {
+        self.has_fault(FaultKind::Partition)
     }
 
-    /// Begins anew, cold.
-    pub fn start(&mut self, now: Nanos) {
-        self.started = Some(now);
-        (self.load, self.over_since) = (DecayingCounter::default(), None);
+    /// Whether requests of a class are never answered.
+    pub(crate) fn hangs(&self, class: usize) -> bool {
+        self.has_fault(FaultKind::Hang(class))
     }
 
-    /// Loses all that it held; back come those that it was running or had queued.
-    pub fn lose(&mut self) -> Vec<Job> {
-        let mut jobs: Vec<(u64, Job)> = self.running.drain().collect();
-        jobs.sort_by_key(|(number, _)| *number);
-        jobs.into_iter().map(|(_, job)| job).chain(self.queue.drain(..)).collect()
+    /// Whether it has been overloaded while it warmed up.
+    pub(crate) fn is_overloaded(&self, now: Nanos) -> bool {
+        self.overloaded_since.is_some_and(|since| now - since > OVERLOAD_DURATION)
     }
 
-    fn begin(&mut self, now: Nanos, job: Job) -> (u64, Nanos) {
-        self.last += 1;
-        let slow: f64 = self
-            .troubles
-            .iter()
-            .map(|(_, kind)| if let Kind::Slow(by) = kind { *by } else { 1.0 })
-            .product();
-        let held = (self.running.len() + self.queue.len()) as f64 / self.places as f64;
-        let crowd = self.thrash.map_or(1.0, |(from, by)| 1.0 + by * (held - from).max(0.0));
-        let takes = job.work as f64 * slow * crowd / self.warmth(now);
-        self.running.insert(self.last, job);
-        (self.last, now + takes as Nanos)
+    /// Starts the process, which warms up.
+    pub(crate) fn start(&mut self, now: Nanos) {
+        self.started_at = Some(now);
+        self.load = DecayingCounter::default();
+        self.overloaded_since = None;
     }
 
     /// Takes an attempt in.
-    pub fn arrive(&mut self, now: Nanos, job: Job) -> Arrived {
-        if self.is_gone() {
-            return Arrived::Refused;
+    pub(crate) fn accept(&mut self, now: Nanos, job: Job) -> Arrival {
+        if self.is_crashed() {
+            return Arrival::ConnectionRefused;
         }
-        if self.is_silent() {
-            return Arrived::Nothing;
+        if self.is_partitioned() {
+            return Arrival::NoResponse;
         }
-        if self.draining {
-            return Arrived::Full;
+        if self.is_draining {
+            return Arrival::Rejected;
         }
-        self.load.add(now, HALF_LIFE, job.work as f64);
-        let able = self.places as f64 * self.warmth(now);
-        let too_much = self.warmth(now) < 1.0 && self.load.sum / MEMORY > FALL_MULTIPLE * able;
-        self.over_since = too_much.then(|| self.over_since.unwrap_or(now));
-        if self.running.len() < self.places {
-            let (number, at) = self.begin(now, job);
-            Arrived::Starts(number, at)
-        } else if self.queue.len() < self.places * self.queued {
+        self.record_load(now, job.work);
+        if self.running.len() < self.concurrency {
+            Arrival::Started(self.begin(now, job))
+        } else if self.queue.len() < self.max_queue {
             self.queue.push_back(job);
-            Arrived::Waits
+            Arrival::Queued
         } else {
-            Arrived::Full
+            Arrival::Rejected
         }
     }
 
-    /// Whether it has been pushed over.
-    pub fn falls(&self, now: Nanos) -> bool {
-        self.over_since.is_some_and(|since| now - since > FALL_AFTER)
-    }
-
-    /// One is done; and the next one that starts, if one waits. Nothing for a number of
-    /// before a crash.
-    pub fn done(&mut self, now: Nanos, number: u64) -> Option<(Job, Option<(u64, Nanos)>)> {
+    /// Ends a job and starts the next one; `None` for a number from before a crash.
+    pub(crate) fn finish(&mut self, now: Nanos, number: u64) -> Option<FinishedJob> {
         let job = self.running.remove(&number)?;
-        let next = self.queue.pop_front().map(|job| self.begin(now, job));
-        Some((job, next))
+        let next = self.queue.pop_front().map(|next| self.begin(now, next));
+        Some(FinishedJob { job, next })
     }
 
-    /// One that is running.
-    pub fn running(&self, number: u64) -> Option<&Job> {
+    /// A job that is running.
+    pub(crate) fn running(&self, number: u64) -> Option<&Job> {
         self.running.get(&number)
     }
-}
 
-/// Latency of one way between any two.
-pub const WAY: Nanos = MS / 4;
+    /// Drops all jobs and returns them: those that ran, in the order of their starts, then
+    /// those that were queued.
+    pub(crate) fn drop_jobs(&mut self) -> Vec<Job> {
+        let mut running: Vec<(u64, Job)> = self.running.drain().collect();
+        running.sort_by_key(|(number, _)| *number);
+        running.into_iter().map(|(_, job)| job).chain(self.queue.drain(..)).collect()
+    }
+
+    /// Fraction of its capacity that it has.
+    fn warmth(&self, now: Nanos) -> f64 {
+        let Some(started_at) = self.started_at.filter(|_| self.warm_up > 0) else { return 1.0 };
+        let progress = now.saturating_sub(started_at) as f64 / self.warm_up as f64;
+        (self.initial_capacity + (1.0 - self.initial_capacity) * progress).min(1.0)
+    }
+
+    fn record_load(&mut self, now: Nanos, work: Nanos) {
+        self.load.add(now, LOAD_HALF_LIFE, work as f64);
+        let capacity = self.concurrency as f64 * self.warmth(now);
+        let is_excessive =
+            self.warmth(now) < 1.0 && self.load.sum / LOAD_MEMORY_NS > OVERLOAD_MULTIPLE * capacity;
+        self.overloaded_since = is_excessive.then(|| self.overloaded_since.unwrap_or(now));
+    }
+
+    fn begin(&mut self, now: Nanos, job: Job) -> StartedJob {
+        self.last_number += 1;
+        let slowdowns = self.faults.iter().map(|fault| match fault.kind {
+            FaultKind::Slow(factor) => factor,
+            _ => 1.0,
+        });
+        let slowdown: f64 = slowdowns.product();
+        let duration = job.work as f64 * slowdown * self.thrashing_factor() / self.warmth(now);
+        self.running.insert(self.last_number, job);
+        StartedJob { number: self.last_number, ends_at: now + duration as Nanos }
+    }
+
+    fn thrashing_factor(&self) -> f64 {
+        let jobs = self.running.len() + self.queue.len();
+        let multiple = jobs as f64 / self.concurrency as f64;
+        self.thrashing.map_or(1.0, |thrashing| {
+            1.0 + thrashing.slowdown * (multiple - thrashing.from_multiple).max(0.0)
+        })
+    }
+}
--- /dev/null
+++ b/crates/fleet-simulator/src/sidecar/connections.rs
@@ -0,0 +1,45 @@
+//! Idle connections of a sidecar to its servers.
+
+use crate::SECOND;
+use mintshelf_balancer::api::Nanos;
+
+/// Idle connections that are kept to each server.
+const MAX_IDLE: usize = 16;
+/// Longest time that one is kept.
+const IDLE_TIMEOUT: Nanos = 12 * SECOND;
+
+/// Since when each connection is idle, by server.
+#[derive(Default)]
+pub(super) struct IdleConnections {
+    by_server: Vec<Vec<Nanos>>,
+}
+
+impl IdleConnections {
+    /// Takes the connection to a server that was used last; returns false if there is none, or
+    /// all have been idle for too long.
+    pub(super) fn take(&mut self, now: Nanos, server: usize) -> bool {
+        let Some(idle) = self.by_server.get_mut(server) else { return false };
+        if idle.last().is_some_and(|since| now - since > IDLE_TIMEOUT) {
+            idle.clear();
+        }
+        idle.pop().is_some()
+    }
+
+    /// Keeps a connection, unless there are enough.
+    pub(super) fn add(&mut self, now: Nanos, server: usize) {
+        if self.by_server.len() <= server {
+            self.by_server.resize(server + 1, Vec::new());
+        }
+        let idle = &mut self.by_server[server];
+        if idle.len() < MAX_IDLE {
+            idle.push(now);
+        }
+    }
+
+    /// Closes the connections to a server.
+    pub(super) fn close(&mut self, server: usize) {
+        if let Some(idle) = self.by_server.get_mut(server) {
+            idle.clear();
+        }
+    }
+}
--- /dev/null
+++ b/crates/fleet-simulator/src/simulation/clients.rs
@@ -0,0 +1,206 @@
+//! Clients: their first requests, timeouts and retries.
+
+use super::{Event, Simulation, BEGIN};
+use crate::scenario::{RetryBehavior, CLASSES};
+use crate::sidecar::{Reply, RequestOwner};
+use crate::{MS, SECOND};
+use mintshelf_balancer::api::{Effect, Nanos, RequestId};
+
+/// Retries of a client after its first request.
+pub(super) const MAX_RETRIES: u32 = 2;
+/// A client waits this much longer than its sidecar.
+const TIMEOUT_SLACK: Nanos = 100 * MS;
+/// Delay of a retry that honours advice and had none.
+pub(super) const DEFAULT_RETRY_DELAY: Nanos = 100 * MS;
+/// Delay of an immediate retry.
+const IMMEDIATE_RETRY_DELAY: Nanos = MS;
+
+/// A client with one thing to do, for which it may send several requests.
+pub(super) struct Client {
+    pub(super) class: usize,
+    sidecar: usize,
+    /// When it sent its first request.
+    first_sent_at: Nanos,
+    /// When it sent its last request.
+    sent_at: Nanos,
+    /// Requests sent, the first and retries.
+    pub(super) requests: u32,
+    /// Whether it awaits a response.
+    pub(super) is_waiting: bool,
+    /// Id of the request at the sidecar, if that accepted it.
+    pub(super) request_id: Option<RequestId>,
+    /// How often its effect happened.
+    pub(super) runs: u32,
+    /// Its timeout as a fraction of the latency objective, if it gives up early.
+    early_timeout: Option<f64>,
+}
+
+impl Client {
+    fn timeout(&self) -> Nanos {
+        let class = &CLASSES[self.class];
+        match self.early_timeout {
+            Some(part) => (class.latency_objective as f64 * part) as Nanos,
+            None => class.deadline,
+        }
+    }
+}
+
+impl Simulation<'_> {
+    /// A client sends its first request, unless its sidecar is down: then the application waits
+    /// and sends nothing.
+    pub(super) fn on_client_arrives(&mut self) {
+        self.schedule_next_arrival();
+        let class = self.draw_class();
+        let sidecar = self.draw_sidecar();
+        if self.now < self.processes[sidecar].down_until {
+            return;
+        }
+        let early_timeout = self.draw_early_timeout();
+        self.clients.push(Client {
+            class,
+            sidecar,
+            first_sent_at: self.now,
+            sent_at: self.now,
+            requests: 0,
+            is_waiting: false,
+            request_id: None,
+            runs: 0,
+            early_timeout,
+        });
+        let slice = self.slice();
+        slice.requested_weight += CLASSES[class].priority_weight;
+        slice.first_requests += 1;
+        self.send_request(self.clients.len() - 1);
+    }
+
+    fn schedule_next_arrival(&mut self) {
+        let elapsed = self.now - BEGIN;
+        let burst = self.scenario.fleet.burst.as_ref();
+        let burst = burst.filter(|burst| burst.during.contains(&elapsed));
+        let rate = self.scenario.requests_per_second * burst.map_or(1.0, |burst| burst.factor);
+        let gap = -(1.0 - self.draw()).ln() / rate * SECOND as f64;
+        self.events.schedule(self.now + gap as Nanos, Event::ClientArrives);
+    }
+
+    fn draw_class(&mut self) -> usize {
+        let drawn = self.draw();
+        let mut class = 0;
+        let mut cumulative_share = CLASSES[0].share;
+        while drawn >= cumulative_share && class + 1 < CLASSES.len() {
+            class += 1;
+            cumulative_share += CLASSES[class].share;
+        }
+        class
+    }
+
+    fn draw_sidecar(&mut self) -> usize {
+        let target = self.draw() * self.cumulative_load.last().copied().unwrap_or(0.0);
+        let sidecar = self.cumulative_load.partition_point(|sum| *sum <= target);
+        sidecar.min(self.scenario.sidecars - 1)
+    }
+
+    fn draw_early_timeout(&mut self) -> Option<f64> {
+        let elapsed = self.now - BEGIN;
+        let config = self.scenario.fleet.early_timeouts.as_ref();
+        let config = config.filter(|config| config.during.contains(&elapsed))?;
+        let timeout = config.min_timeout + self.draw() * (config.max_timeout - config.min_timeout);
+        (self.draw() < config.share).then_some(timeout)
+    }
+
+    /// Sends a client's request, once its sidecar is up.
+    pub(super) fn send_request(&mut self, client: usize) {
+        let now = self.now;
+        let state = &mut self.clients[client];
+        let down_until = self.processes[state.sidecar].down_until;
+        if now < down_until {
+            self.events.schedule(down_until, Event::ClientSends(client));
+            return;
+        }
+        state.sent_at = now;
+        state.is_waiting = true;
+        state.requests += 1;
+        let (class, sidecar, requests) = (state.class, state.sidecar, state.requests);
+        let timeout = state.timeout();
+        self.slice().requests += 1;
+        let gives_up_at = now + timeout + TIMEOUT_SLACK;
+        self.events.schedule(gives_up_at, Event::ClientTimesOut { client, requests });
+        let owner = RequestOwner { client, class };
+        let request_id = self.sidecars[sidecar].handle_request(now, owner, timeout);
+        self.clients[client].request_id = request_id;
+        self.perform_actions(sidecar);
+    }
+
+    /// A client gives up if it still waits; its sidecar owed it a response before that.
+    pub(super) fn on_client_timeout(&mut self, client: usize, requests: u32) {
+        let state = &mut self.clients[client];
+        if !state.is_waiting || state.requests != requests {
+            return;
+        }
+        state.is_waiting = false;
+        self.report.lost += 1;
+        let sidecar = state.sidecar;
+        if let Some(id) = state.request_id.clone() {
+            self.sidecars[sidecar].handle_disconnect(self.now, &id);
+        }
+        self.perform_actions(sidecar);
+    }
+
+    pub(super) fn on_reply(&mut self, client: usize, reply: Reply) {
+        let state = &mut self.clients[client];
+        if !std::mem::replace(&mut state.is_waiting, false) {
+            self.report.lost += 1;
+            return;
+        }
+        let requests = state.requests;
+        self.update_digest(client as u64);
+        self.count_reply(client, reply);
+        if requests <= MAX_RETRIES && self.may_retry(client, reply) {
+            self.schedule_retry(client, reply);
+        }
+    }
+
+    fn count_reply(&mut self, client: usize, reply: Reply) {
+        let Client { class, first_sent_at, sent_at, .. } = self.clients[client];
+        match reply {
+            Reply::Served if self.now - sent_at <= CLASSES[class].latency_objective => {
+                self.slice_at(sent_at).in_time += 1;
+                self.slice_at(first_sent_at).earned_weight += CLASSES[class].priority_weight;
+            }
+            Reply::Served => {}
+            Reply::Rejected(_) => self.slice().rejected += 1,
+            Reply::RejectedByRamp(_) => {
+                let slice = self.slice();
+                slice.rejected += 1;
+                slice.rejected_by_ramp += 1;
+            }
+            Reply::Failed => self.slice().failed += 1,
+        }
+    }
+
+    /// Whether a retry does no harm.
+    fn may_retry(&self, client: usize, reply: Reply) -> bool {
+        match reply {
+            Reply::Served => false,
+            Reply::Rejected(_) | Reply::RejectedByRamp(_) => true,
+            Reply::Failed => CLASSES[self.clients[client].class].effect != Effect::Unsafe,
+        }
+    }
+
+    fn schedule_retry(&mut self, client: usize, reply: Reply) {
+        let advice = match reply {
+            Reply::Rejected(after) | Reply::RejectedByRamp(after) => after,
+            Reply::Served | Reply::Failed => 0,
+        };
+        let delay = match self.scenario.retry {
+            RetryBehavior::Never => return,
+            RetryBehavior::Immediate => IMMEDIATE_RETRY_DELAY,
+            RetryBehavior::Backoff(mean) => (mean as f64 * (0.5 + self.draw())) as Nanos,
+            RetryBehavior::HonorAdvice if advice > 0 => {
+                self.slice_at(self.now + advice).advised_retries += 1;
+                advice
+            }
+            RetryBehavior::HonorAdvice => DEFAULT_RETRY_DELAY,
+        };
+        self.events.schedule(self.now + delay, Event::ClientSends(client));
+    }
+}
