--- a/crates/consensus-node/src/node.rs
+++ b/crates/consensus-node/src/node.rs
@@ -233,7 +233,7 @@
         }
     }
 
-    fn send_raft(&self, messages: Vec<raft::eraftpb::Message>) -> Result<(), NodeError> {
+    fn send_raft(&self, messages: Vec<message::Message>) -> Result<(), NodeError> {
         for message in messages {
             if let Some(connection) = self.replica_connections.get(&message.to) {
                 self.send(*connection, &Frame::Raft(message::encode(&message)?));
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -2,7 +2,9 @@
 
 use crate::error::{MessageError, ReplicaError};
 use protobuf::Message as _;
-use raft::eraftpb::Message;
+
+/// A message of raft.
+pub use raft::eraftpb::Message;
 
 /// Longest message that is accepted, in bytes: a snapshot of all leases with all queues full
 /// stays below.
--- a/crates/consensus/tests/simulation.rs
+++ b/crates/consensus/tests/simulation.rs
@@ -3,19 +3,16 @@
 
 mod checker;
 mod common;
+#[path = "common/seeds.rs"]
+mod seeds;
 
 use checker::{find_violation, handovers, Violation};
 use common::simulation::config::{Mutant, SimulationConfig};
 use common::simulation::Simulation;
 use mintshelf_lease::timing::ClockError;
+use seeds::seed_count;
 use std::ops::Range;
 
-/// Number of seeds to play.
-fn seed_count(default: u64) -> u64 {
-    let configured = std::env::var("MINTSHELF_SEEDS").ok();
-    configured.and_then(|count| count.parse().ok()).unwrap_or(default)
-}
-
 #[derive(Debug)]
 #[allow(dead_code, reason = "the fields are printed by Debug only")]
 struct SeedViolation {
--- a/crates/lease/tests/model/main.rs
+++ b/crates/lease/tests/model/main.rs
@@ -3,18 +3,18 @@
 //! here: what is applied, is applied once and in one order.
 
 mod case;
+#[path = "../common/model_checker.rs"]
+mod model_checker;
 mod transitions;
 
 use case::{Case, Mutant, ONE_HOLDER, PASSES_ON, TOKENS_GROW};
-use stateright::{Checker, HasDiscoveries, Model};
+use model_checker::{explore, explore_to_failure, Exploration};
 
 #[test]
 fn no_order_of_events_gives_a_lease_two_holders() {
-    let checker = Case::new(Mutant::None).checker().threads(2).spawn_bfs().join();
-    let states = checker.unique_state_count();
-    let found: Vec<&str> = checker.discoveries().keys().copied().collect();
+    let Exploration { states, discoveries } = explore(Case::new(Mutant::None));
     println!("{states} states");
-    assert_eq!(found, [PASSES_ON], "{states} states");
+    assert_eq!(discoveries, [PASSES_ON], "{states} states");
     assert!(states > 10_000, "{states} states prove little");
 }
 
@@ -27,11 +27,9 @@
         Mutant::TokenNotReplicated,
         Mutant::ExpiresAnyRenewal,
     ] {
-        let checker = Case::new(mutant).checker().threads(2);
-        let checker = checker.finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join();
-        let found = checker.discoveries();
-        println!("{mutant:?}: {} states, {:?}", checker.unique_state_count(), found.keys());
+        let exploration = explore_to_failure(Case::new(mutant));
+        println!("{mutant:?}: {} states, {:?}", exploration.states, exploration.discoveries);
         let safety = [ONE_HOLDER, TOKENS_GROW];
-        assert!(safety.iter().any(|name| found.contains_key(name)), "{mutant:?} is not found");
+        assert!(safety.iter().any(|name| exploration.has(name)), "{mutant:?} is not found");
     }
 }
--- a/crates/quota/benches/quota.rs
+++ b/crates/quota/benches/quota.rs
@@ -1,156 +1,257 @@
-//! What sharing brings and costs, in virtual time: links of 5 ms, a beat each 100 ms, an entry
-//! agreed in 15 ms, spans of 2 s. The need is at one member, then moves to another.
-//! CPU is that of this process.
+//! What allocation brings and costs, in virtual time: links of 5 ms, a batch each 100 ms, an entry
+//! committed in 15 ms, grants of 2 s. The demand is at one member, then moves to another. CPU is
+//! that of this process. `cargo bench -p mintshelf-quota` prints the tables of
+//! `docs/shares-design.md`.
 
 use mintshelf_lease::command::Owner;
 use mintshelf_lease::timing::{ClockError, Nanos, MS, SECOND};
-use mintshelf_quota::client::ShareHolder;
-use mintshelf_quota::collector::Clerk;
-use mintshelf_quota::config::Budget;
-use mintshelf_quota::ledger::{Answer, Ask, Beat, Ledger};
+use mintshelf_quota::allocation::{AllocationBatch, AllocationRequest, AllocationResponse};
+use mintshelf_quota::client::QuotaClient;
+use mintshelf_quota::config::Quota;
+use mintshelf_quota::ledger::Ledger;
+use mintshelf_quota::request_collector::RequestCollector;
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
 const STEP: Nanos = 5 * MS;
-const LINK: Nanos = 5 * MS;
-const BEAT: Nanos = 100 * MS;
-const AGREED: Nanos = 15 * MS;
+const LINK_DELAY: Nanos = 5 * MS;
+const BATCH_INTERVAL: Nanos = 100 * MS;
+const COMMIT_DELAY: Nanos = 15 * MS;
 
 /// What a run came to.
 #[derive(Default)]
-struct Came {
-    /// Of the whole, what was allowed to the one that needs it, from two spans after the start.
+struct Measurements {
+    /// Part of the quota that was allowed to the member that demands it, from two grants after the
+    /// start.
     served: f64,
-    /// From the need's move until its new owner is allowed 0.9 of what the old one was.
-    moved: Option<Nanos>,
+    /// From the move of the demand until its new owner is allowed 0.9 of what the old one was.
+    move_duration: Option<Nanos>,
     messages: u64,
-    bytes: u64,
+    message_bytes: u64,
     entries: u64,
     entry_bytes: u64,
     cpu: Duration,
     seconds: f64,
 }
 
-/// Each member asks through the voter that this process stands for.
-fn run(budget: Budget, members: usize) -> Came {
-    let holder = |n| {
-        let owner = Owner { member: format!("sidecar-{n:04}"), incarnation: 1 };
-        ShareHolder::new(owner, budget, 1, 0)
-    };
-    let mut holders: Vec<ShareHolder> = (0..members).map(holder).collect();
-    let (mut ledger, mut clerk) = (Ledger::new(budget), Clerk::default());
-    clerk.lead(0, &ledger);
-    let mut asks: VecDeque<(Nanos, Ask)> = VecDeque::new();
-    let mut entries: VecDeque<(Nanos, Beat)> = VecDeque::new();
-    let mut answers: VecDeque<(Nanos, Answer)> = VecDeque::new();
-    let mut came = Came::default();
-    let (from, move_at) = (2 * budget.span, 6 * budget.span);
-    let (mut sum, mut count, mut before) = (0.0, 0.0, 0);
-    let mut now = 0;
-    while now < 10 * budget.span {
-        now += STEP;
-        let needy = usize::from(now >= move_at && members > 1);
-        for (n, holder) in holders.iter_mut().enumerate() {
-            // All start at once; the first questions fall into a third of a span.
-            if now < budget.span / 3 * n as u64 / members as u64 {
-                continue;
+/// Messages on their way, in the order of their arrival.
+struct Queue<T>(VecDeque<(Nanos, T)>);
+
+impl<T> Queue<T> {
+    fn new() -> Self {
+        Queue(VecDeque::new())
+    }
+
+    fn push(&mut self, at: Nanos, message: T) {
+        self.0.push_back((at, message));
+    }
+
+    fn pop_due(&mut self, now: Nanos) -> Option<T> {
+        self.0.pop_front_if(|(at, _)| *at <= now).map(|(_, message)| message)
+    }
+}
+
+/// Members that all send their requests to the replica that this process stands for.
+struct Simulation {
+    quota: Quota,
+    now: Nanos,
+    clients: Vec<QuotaClient>,
+    ledger: Ledger,
+    collector: RequestCollector,
+    requests: Queue<AllocationRequest>,
+    entries: Queue<AllocationBatch>,
+    responses: Queue<AllocationResponse>,
+    measurements: Measurements,
+}
+
+fn encoded_length(message: &impl serde::Serialize) -> u64 {
+    postcard::to_allocvec(message).unwrap().len() as u64
+}
+
+impl Simulation {
+    fn new(quota: Quota, members: usize) -> Self {
+        let new_client = |index| {
+            let owner = Owner { member: format!("sidecar-{index:04}"), incarnation: 1 };
+            QuotaClient::new(owner, quota, 1, 0)
+        };
+        let ledger = Ledger::new(quota);
+        let mut collector = RequestCollector::default();
+        collector.become_leader(0, &ledger);
+        Simulation {
+            quota,
+            now: 0,
+            clients: (0..members).map(new_client).collect(),
+            ledger,
+            collector,
+            requests: Queue::new(),
+            entries: Queue::new(),
+            responses: Queue::new(),
+            measurements: Measurements::default(),
+        }
+    }
+
+    fn run(mut self) -> Measurements {
+        let members = self.clients.len();
+        let measure_from = 2 * self.quota.grant_duration;
+        let move_at = 6 * self.quota.grant_duration;
+        let mut allowed_sum = 0.0;
+        let mut allowed_steps = 0.0;
+        let mut allowed_before = 0;
+        while self.now < 10 * self.quota.grant_duration {
+            self.now += STEP;
+            let demanding = usize::from(self.now >= move_at && members > 1);
+            self.advance(demanding);
+            let allowed = self.clients[demanding].limit(self.now).units_at(self.now);
+            if self.now > measure_from && self.now < move_at {
+                allowed_sum += allowed as f64;
+                allowed_steps += 1.0;
+                allowed_before = allowed;
             }
-            holder.needs(now, if n == needy { budget.whole } else { 0 });
-            let used = if n == needy { holder.limit(now).at(now) } else { 0 };
-            if let Some(ask) = holder.tick(now, used) {
-                asks.push_back((now + LINK, ask));
+            let has_moved = self.now >= move_at && allowed * 10 >= allowed_before * 9;
+            if has_moved && self.measurements.move_duration.is_none() {
+                self.measurements.move_duration = Some(self.now - move_at);
             }
         }
-        while asks.front().is_some_and(|(at, _)| *at <= now) {
-            let (_, ask) = asks.pop_front().unwrap();
-            came.messages += 1;
-            came.bytes += postcard::to_allocvec(&ask).unwrap().len() as u64;
-            let begun = Instant::now();
-            clerk.ask(ask);
-            came.cpu += begun.elapsed();
+        self.measurements.served = allowed_sum / allowed_steps / self.quota.total as f64;
+        self.measurements.seconds = self.now as f64 / SECOND as f64;
+        self.measurements
+    }
+
+    fn advance(&mut self, demanding: usize) {
+        self.advance_clients(demanding);
+        self.collect_requests();
+        self.propose();
+        self.apply_entries();
+        self.deliver_responses();
+    }
+
+    fn advance_clients(&mut self, demanding: usize) {
+        let now = self.now;
+        let members = self.clients.len() as u64;
+        for (index, client) in self.clients.iter_mut().enumerate() {
+            // All start at once; the first requests fall into a third of a grant.
+            if now < self.quota.grant_duration / 3 * index as u64 / members {
+                continue;
+            }
+            let is_demanding = index == demanding;
+            client.set_demand(now, if is_demanding { self.quota.total } else { 0 });
+            let used = if is_demanding { client.limit(now).units_at(now) } else { 0 };
+            if let Some(request) = client.tick(now, used) {
+                self.requests.push(now + LINK_DELAY, request);
+            }
         }
-        if now.is_multiple_of(BEAT) {
-            let begun = Instant::now();
-            let beat = clerk.beat(now);
-            came.cpu += begun.elapsed();
-            entries.extend(beat.map(|beat| (now + AGREED, beat)));
+    }
+
+    fn collect_requests(&mut self) {
+        while let Some(request) = self.requests.pop_due(self.now) {
+            self.measurements.messages += 1;
+            self.measurements.message_bytes += encoded_length(&request);
+            let begin = Instant::now();
+            self.collector.add_request(request);
+            self.measurements.cpu += begin.elapsed();
         }
-        while entries.front().is_some_and(|(at, _)| *at <= now) {
-            let (_, beat) = entries.pop_front().unwrap();
-            came.entries += 1;
-            came.entry_bytes += postcard::to_allocvec(&beat).unwrap().len() as u64;
-            let begun = Instant::now();
-            let given = ledger.apply(&beat);
-            clerk.applied(now, &ledger);
-            came.cpu += begun.elapsed();
-            for answer in given {
-                came.messages += 1;
-                came.bytes += postcard::to_allocvec(&answer).unwrap().len() as u64;
-                answers.push_back((now + LINK, answer));
-            }
+    }
+
+    fn propose(&mut self) {
+        if !self.now.is_multiple_of(BATCH_INTERVAL) {
+            return;
         }
-        while answers.front().is_some_and(|(at, _)| *at <= now) {
-            let (_, answer) = answers.pop_front().unwrap();
-            let n: usize = answer.owner.member[8..].parse().unwrap();
-            holders[n].answered(now, &answer);
+        let begin = Instant::now();
+        let batch = self.collector.next_batch(self.now);
+        self.measurements.cpu += begin.elapsed();
+        if let Some(batch) = batch {
+            self.entries.push(self.now + COMMIT_DELAY, batch);
         }
-        let limit = holders[needy].limit(now).at(now);
-        if now > from && now < move_at {
-            (sum, count) = (sum + limit as f64, count + 1.0);
-            before = limit;
+    }
+
+    fn apply_entries(&mut self) {
+        while let Some(batch) = self.entries.pop_due(self.now) {
+            self.measurements.entries += 1;
+            self.measurements.entry_bytes += encoded_length(&batch);
+            let begin = Instant::now();
+            let responses = self.ledger.apply(&batch);
+            self.collector.batch_applied(self.now, &self.ledger);
+            self.measurements.cpu += begin.elapsed();
+            for response in responses {
+                self.measurements.messages += 1;
+                self.measurements.message_bytes += encoded_length(&response);
+                self.responses.push(self.now + LINK_DELAY, response);
+            }
         }
-        if now >= move_at && came.moved.is_none() && limit * 10 >= before * 9 {
-            came.moved = Some(now - move_at);
+    }
+
+    fn deliver_responses(&mut self) {
+        while let Some(response) = self.responses.pop_due(self.now) {
+            let index: usize = response.owner.member[8..].parse().unwrap();
+            self.clients[index].handle_response(self.now, &response);
         }
     }
-    came.served = sum / count / budget.whole as f64;
-    came.seconds = now as f64 / SECOND as f64;
-    came
 }
 
-fn main() {
-    let (span, hold, error) = (2 * SECOND, 500 * MS, ClockError::default());
+fn quota(total: u64, floor: u64, members: u64) -> Quota {
+    Quota {
+        total,
+        floor,
+        max_members: members,
+        headroom_per_mille: 20,
+        grant_duration: 2 * SECOND,
+        max_use_duration: 500 * MS,
+        clock_error: ClockError::default(),
+    }
+}
+
+fn print_allocation() {
     println!(
-        "One member has all the need: the part of the whole that it may use, and the time until"
+        "One member has all the demand: the part of the quota that it may use, and the time until"
     );
     println!(
         "another that has it next may use 0.9 as much. An ideal central counter: 1.000, at once.\n"
     );
     println!(
-        "| members | whole | floor | reserve | shared | equal fixed parts | divided anew, ms |"
+        "| members | total | floor | headroom | allocated | equal fixed parts | moved in, ms |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- |");
-    for (members, whole, floor, reserve) in [
-        (10, 10_000, 10, 20),
-        (100, 10_000, 1, 20),
-        (100, 10_000, 10, 20),
-        (1_500, 150_000, 1, 20),
-        (2_000, 200_000, 2, 20),
+    for (members, total, floor) in [
+        (10, 10_000, 10),
+        (100, 10_000, 1),
+        (100, 10_000, 10),
+        (1_500, 150_000, 1),
+        (2_000, 200_000, 2),
     ] {
-        let budget = Budget { whole, floor, members, reserve, span, hold, error };
-        budget.check().expect("a budget that can be kept");
-        let came = run(budget, members as usize);
-        let moved = came.moved.map_or("never".into(), |moved| (moved / MS).to_string());
+        let quota = quota(total, floor, members);
+        quota.check().expect("a quota that can be kept");
+        let measurements = Simulation::new(quota, members as usize).run();
+        let moved = measurements.move_duration;
+        let moved = moved.map_or("never".into(), |duration| (duration / MS).to_string());
         println!(
-            "| {members} | {whole} | {floor} | {reserve}/1000 | {:.3} | {:.4} | {moved} |",
-            came.served,
+            "| {members} | {total} | {floor} | {}/1000 | {:.3} | {:.4} | {moved} |",
+            quota.headroom_per_mille,
+            measurements.served,
             1.0 / members as f64,
         );
     }
-    println!("\nAt the voter that all of them ask, a second:\n");
+}
+
+fn print_load() {
+    println!("\nAt the replica that all of them send requests to, a second:\n");
     println!("| members | messages | KiB | entries (syncs) | KiB an entry | CPU, ms |");
     println!("| --- | --- | --- | --- | --- | --- |");
     for members in [10, 100, 500, 2_000] {
-        let whole = members * 100;
-        let budget = Budget { whole, floor: 1, members, reserve: 20, span, hold, error };
-        let came = run(budget, members as usize);
+        let quota = quota(members * 100, 1, members);
+        let measurements = Simulation::new(quota, members as usize).run();
+        let seconds = measurements.seconds;
         println!(
             "| {members} | {:.0} | {:.1} | {:.1} | {:.2} | {:.2} |",
-            came.messages as f64 / came.seconds,
-            came.bytes as f64 / 1024.0 / came.seconds,
-            came.entries as f64 / came.seconds,
-            came.entry_bytes as f64 / 1024.0 / came.entries as f64,
-            came.cpu.as_secs_f64() * 1e3 / came.seconds,
+            measurements.messages as f64 / seconds,
+            measurements.message_bytes as f64 / 1024.0 / seconds,
+            measurements.entries as f64 / seconds,
+            measurements.entry_bytes as f64 / 1024.0 / measurements.entries as f64,
+            measurements.cpu.as_secs_f64() * 1e3 / seconds,
         );
     }
 }
+
+fn main() {
+    print_allocation();
+    print_load();
+}
--- a/crates/quota/src/client.rs
+++ b/crates/quota/src/client.rs
@@ -1,37 +1,48 @@
-//! A member's side of one budget.
+//! A member's side of one quota: requests grants, and says how much may be used.
 
-use crate::config::Budget;
-use crate::ledger::{Answer, Ask, Promise};
+use crate::allocation::{AllocationRequest, AllocationResponse, Grant};
+use crate::config::Quota;
 use mintshelf_lease::command::Owner;
 use mintshelf_lease::timing::Nanos;
 use std::collections::VecDeque;
 
-/// Questions whose answers are still of use. Asked three times a span, an answer to an older one
-/// would be over.
-const ASKED_MAX: usize = 4;
+/// Requests whose responses are still of use. With three requests in each grant's duration, the
+/// response to an older one would have expired.
+const SENT_REQUESTS_MAX: usize = 4;
+/// Requests are repeated this many times within the duration of one grant.
+const REQUESTS_PER_GRANT: Nanos = 3;
+/// A demand that has grown by this factor is requested at once.
+const URGENT_GROWTH_FACTOR: u64 = 2;
 
-/// A promise that may be used, until when on the own clock.
+/// A grant that may be used, and until when on the member's own clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-struct Adopted {
-    promise: Promise,
-    until: Nanos,
+struct ActiveGrant {
+    grant: Grant,
+    expires_at: Nanos,
 }
 
-/// What may be in use at once, or a second, for whoever admits requests: nothing to wait for.
+/// A request without a response so far.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
+struct SentRequest {
+    sequence: u64,
+    sent_at: Nanos,
+}
+
+/// What may be in use at once, or a second. Whoever admits requests reads it without waiting.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Limit {
-    /// So much now.
+    /// Units that may be used now.
     pub units: u64,
-    /// From then on the floor alone, unless a newer limit has come.
-    pub until: Nanos,
-    /// That floor.
+    /// From then on the floor alone may be used, unless there is a newer limit.
+    pub expires_at: Nanos,
+    /// That floor, in units.
     pub floor: u64,
 }
 
 impl Limit {
-    /// What it allows at a time.
-    pub fn at(&self, now: Nanos) -> u64 {
-        if now < self.until {
+    /// Units that may be used at a time.
+    pub fn units_at(&self, now: Nanos) -> u64 {
+        if now < self.expires_at {
             self.units
         } else {
             self.floor
@@ -39,139 +50,141 @@
     }
 }
 
-/// Holds one member's share. A new life begins with none, under a higher incarnation.
+/// The client of one member. A new incarnation begins without a grant.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct ShareHolder {
+pub struct QuotaClient {
     owner: Owner,
-    budget: Budget,
+    quota: Quota,
     weight: u32,
-    need: u64,
-    asked: VecDeque<(u64, Nanos)>,
-    last_number: u64,
-    ask_at: Nanos,
-    adopted: Option<Adopted>,
-    /// The last promise whose units the use has come down to.
-    confirms: u64,
-    leaves: bool,
+    /// Units over the floor that would be used.
+    demand: u64,
+    sent_requests: VecDeque<SentRequest>,
+    last_sequence: u64,
+    next_request_at: Nanos,
+    active: Option<ActiveGrant>,
+    /// Number of the last grant that the use fits.
+    confirmed_grant: u64,
+    is_leaving: bool,
     /// From then on the floor may be used.
     floor_from: Nanos,
 }
 
-impl ShareHolder {
-    /// Begins a life. It holds nothing yet but its floor, and that from a hold after its `born`
-    /// only: servers may still work on what its former life sent under the same floor.
-    pub fn new(owner: Owner, budget: Budget, weight: u32, born: Nanos) -> Self {
-        let floor_from = born.saturating_add(budget.error.expiry_duration(budget.hold));
-        ShareHolder {
-            floor_from,
+impl QuotaClient {
+    /// Creates the client of an incarnation that starts at `started_at`. It may use its floor
+    /// only when a unit's longest use has passed since: servers may still work on what its former
+    /// incarnation sent under the same floor.
+    pub fn new(owner: Owner, quota: Quota, weight: u32, started_at: Nanos) -> Self {
+        let former_use = quota.clock_error.expiry_duration(quota.max_use_duration);
+        QuotaClient {
             owner,
-            budget,
+            quota,
             weight,
-            need: 0,
-            asked: VecDeque::new(),
-            last_number: 0,
-            ask_at: 0,
-            adopted: None,
-            confirms: 0,
-            leaves: false,
+            demand: 0,
+            sent_requests: VecDeque::new(),
+            last_sequence: 0,
+            next_request_at: 0,
+            active: None,
+            confirmed_grant: 0,
+            is_leaving: false,
+            floor_from: started_at.saturating_add(former_use),
         }
     }
 
-    fn floor(&self, now: Nanos) -> u64 {
+    fn floor_at(&self, now: Nanos) -> u64 {
         if now < self.floor_from {
             0
         } else {
-            self.budget.floor
+            self.quota.floor
         }
     }
 
-    /// What would be used now, floor included, if it were allowed. More than was asked for is
-    /// asked for at once.
-    pub fn needs(&mut self, now: Nanos, units: u64) {
-        let over = units.saturating_sub(self.floor(now));
-        // A doubled need can't wait for the next question; small steps can.
-        if over > self.need.saturating_mul(2) {
-            self.ask_at = self.ask_at.min(now);
+    /// Sets the units that would be used now, floor included, if they were granted.
+    pub fn set_demand(&mut self, now: Nanos, units: u64) {
+        let demand = units.saturating_sub(self.floor_at(now));
+        // A doubled demand can't wait for the next request; small steps can.
+        if demand > self.demand.saturating_mul(URGENT_GROWTH_FACTOR) {
+            self.next_request_at = self.next_request_at.min(now);
         }
-        self.need = over;
+        self.demand = demand;
     }
 
-    /// What may be used. To be read again at its end, and whenever an answer has come.
+    /// What may be used. To be read again when it expires, and after each response.
     pub fn limit(&self, now: Nanos) -> Limit {
-        let own = self.floor(now);
-        match self.adopted.filter(|adopted| now < adopted.until && !self.leaves) {
-            Some(Adopted { promise, until }) => {
-                let floor = self.floor(until);
-                Limit { units: own.saturating_add(promise.units), until, floor }
-            }
+        let floor = self.floor_at(now);
+        match self.active.filter(|active| now < active.expires_at && !self.is_leaving) {
+            Some(ActiveGrant { grant, expires_at }) => Limit {
+                units: floor.saturating_add(grant.units),
+                expires_at,
+                floor: self.floor_at(expires_at),
+            },
             None if now < self.floor_from => {
-                Limit { units: 0, until: self.floor_from, floor: self.budget.floor }
+                Limit { units: 0, expires_at: self.floor_from, floor: self.quota.floor }
             }
-            None => Limit { units: own, until: Nanos::MAX, floor: own },
+            None => Limit { units: floor, expires_at: Nanos::MAX, floor },
         }
     }
 
-    /// Gives the share back: from now on the floor alone is used.
+    /// Gives up the grant: from now on the floor alone may be used.
     pub fn leave(&mut self) {
-        (self.leaves, self.ask_at) = (true, 0);
+        self.is_leaving = true;
+        self.next_request_at = 0;
     }
 
-    /// Time has passed, and `used` units are in use; the question to take to the voters, if it
-    /// is time for one.
-    pub fn tick(&mut self, now: Nanos, used: u64) -> Option<Ask> {
+    /// Time has passed, and `used` units are in use. Returns the request to send, if one is due.
+    pub fn tick(&mut self, now: Nanos, used: u64) -> Option<AllocationRequest> {
         self.confirm(now, used);
-        let over_floor = used > self.floor(now);
-        if now < self.ask_at || self.leaves && over_floor {
+        let is_over_floor = used > self.floor_at(now);
+        if now < self.next_request_at || self.is_leaving && is_over_floor {
             return None;
         }
-        self.last_number += 1;
-        let number = self.last_number;
-        // Danger: the span counts from here, before the question leaves.
-        self.asked.push_back((number, now));
-        if self.asked.len() > ASKED_MAX {
-            self.asked.pop_front();
+        self.last_sequence += 1;
+        // The grant's duration counts from here, before the request leaves: counted from the
+        // response, a slow one would stretch it past what the leader waits for.
+        self.sent_requests.push_back(SentRequest { sequence: self.last_sequence, sent_at: now });
+        if self.sent_requests.len() > SENT_REQUESTS_MAX {
+            self.sent_requests.pop_front();
         }
-        self.ask_at = match self.leaves {
-            // Said once more at the next span, should it be lost; then its promises end anyway.
-            true => now.saturating_add(self.budget.span),
-            false => now.saturating_add(self.budget.span / 3),
-        };
-        Some(Ask {
+        // Leaving is repeated once a grant's duration has passed, should the request be lost; then
+        // the grants have expired in any case.
+        let duration = self.quota.grant_duration;
+        let interval = if self.is_leaving { duration } else { duration / REQUESTS_PER_GRANT };
+        self.next_request_at = now.saturating_add(interval);
+        Some(AllocationRequest {
             owner: self.owner.clone(),
-            number,
-            need: self.need,
+            sequence: self.last_sequence,
+            demand: self.demand,
             weight: self.weight,
-            confirms: self.confirms,
-            leaves: self.leaves,
+            confirmed_grant: self.confirmed_grant,
+            is_leaving: self.is_leaving,
         })
     }
 
-    /// What is in use fits the newest promise, so all earlier ones are done with.
+    /// Confirms the last grant once the use fits it, so that all earlier ones are free. Requests
+    /// that began under a larger grant go on for as long as they take, and keep it in use.
     fn confirm(&mut self, now: Nanos, used: u64) {
-        let Some(adopted) = self.adopted else { return };
-        // Danger: requests that began under a larger share go on for as long as they take.
+        let Some(active) = self.active else { return };
         if used <= self.limit(now).units {
-            self.confirms = adopted.promise.grant;
+            self.confirmed_grant = active.grant.number;
         }
     }
 
-    /// An answer has come. One to an older question than the last answered is passed over, and so
-    /// is one to a former life.
-    pub fn answered(&mut self, now: Nanos, answer: &Answer) {
-        let asked = self.asked.iter().find(|(number, _)| *number == answer.number);
-        let Some((number, at)) = asked.copied().filter(|_| answer.owner == self.owner) else {
-            return;
-        };
-        let until = at.saturating_add(self.budget.error.holder_duration(self.budget.span));
-        if self.leaves || now >= until {
+    /// Takes a response. One to an older request than the last that had a response is ignored, and
+    /// so is one to a former incarnation.
+    pub fn handle_response(&mut self, now: Nanos, response: &AllocationResponse) {
+        let is_answered = |request: &&SentRequest| request.sequence == response.sequence;
+        let request = self.sent_requests.iter().find(is_answered).copied();
+        let Some(request) = request.filter(|_| response.owner == self.owner) else { return };
+        let duration = self.quota.clock_error.holder_duration(self.quota.grant_duration);
+        let expires_at = request.sent_at.saturating_add(duration);
+        if self.is_leaving || now >= expires_at {
             return;
         }
-        self.asked.retain(|(other, _)| *other > number);
-        self.adopted = Some(Adopted { promise: answer.promise, until });
+        self.sent_requests.retain(|other| other.sequence > request.sequence);
+        self.active = Some(ActiveGrant { grant: response.grant, expires_at });
     }
 
-    /// When [`ShareHolder::tick`] has something to ask.
-    pub fn next(&self) -> Nanos {
-        self.ask_at
+    /// When [`QuotaClient::tick`] has a request to send.
+    pub fn next_request_at(&self) -> Nanos {
+        self.next_request_at
     }
 }
--- a/crates/quota/src/config.rs
+++ b/crates/quota/src/config.rs
@@ -1,103 +1,116 @@
-//! A budget as an operator states it, and whether it can be kept.
+//! A quota as an operator configures it, and the check that it can be kept.
 
 use mintshelf_lease::timing::{ClockError, Nanos, MS, SECOND};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Most members that a budget can be divided among.
+/// Most members among which a quota can be divided.
 pub const MEMBERS_MAX: u64 = 2_048;
-/// Most units of a whole, so that sums of products fit their integers.
-pub const WHOLE_MAX: u64 = 1 << 40;
+/// Largest quota, in units, so that sums of products fit their integers.
+pub const TOTAL_MAX: u64 = 1 << 40;
+/// Largest headroom, in thousandths.
+const HEADROOM_PER_MILLE_MAX: u64 = 900;
+/// Shortest duration of a grant.
+const GRANT_DURATION_MIN: Nanos = 300 * MS;
+/// Longest duration of a grant, and of the use of a unit.
+const DURATION_MAX: Nanos = 3_600 * SECOND;
 
 /// A limit that holds for the whole fleet, in units: requests at once, connections, or requests
 /// a second.
+///
+/// Log entries and snapshots hold it in the postcard format: the order of the fields is part of
+/// that format.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Budget {
-    /// What all members together may use.
-    pub whole: u64,
-    /// What each may use without asking anybody.
+pub struct Quota {
+    /// Units that all members together may use.
+    pub total: u64,
+    /// Units that each member may use without a grant.
     pub floor: u64,
     /// Most processes that run at one time.
-    pub members: u64,
-    /// Of what is over the floors, the part in a thousand that is kept for members that join.
-    pub reserve: u64,
-    /// How long a promise holds.
-    pub span: Nanos,
-    /// How long a unit may stay in use after it was taken: a request's longest time. Nothing for
+    pub max_members: u64,
+    /// Part of what is over the floors that is set aside for members that join, in thousandths.
+    pub headroom_per_mille: u64,
+    /// How long a grant is good.
+    pub grant_duration: Nanos,
+    /// How long a unit may stay in use after it was acquired: a request's longest time. 0 for
     /// rates.
-    pub hold: Nanos,
-    /// By how much clocks may be off.
-    pub error: ClockError,
+    pub max_use_duration: Nanos,
+    /// Error of the clocks.
+    pub clock_error: ClockError,
 }
 
-/// Why a budget can't be kept, with the sum.
+/// Why a quota can't be kept, with the sum.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-pub enum BudgetProblem {
-    /// Without voters, members would use more than the whole.
+pub enum QuotaError {
+    /// Members without a leader would together use more than the total.
     #[error(
-        "floor {floor} x members {members} is {}, over the whole of {whole}: members that can't \
-         hear the voters would pass it; lower floor to {} or raise the whole",
-        u128::from(*floor) * u128::from(*members), whole / members
+        "floor {floor} x members {max_members} is {}, over the total of {total}: members without \
+         a leader would exceed it; lower floor to {} or raise the total",
+        u128::from(*floor) * u128::from(*max_members), total / max_members
     )]
     Floors {
-        /// As stated.
-        whole: u64,
-        /// As stated.
+        /// Total as configured.
+        total: u64,
+        /// Floor as configured.
         floor: u64,
-        /// As stated.
-        members: u64,
+        /// Number of members as configured.
+        max_members: u64,
     },
-    /// Nobody could use it.
-    #[error("whole is {0}: 1 to {WHOLE_MAX}")]
-    Whole(u64),
-    /// Nobody to divide it among, or too many.
+    /// The total is 0 or over [`TOTAL_MAX`].
+    #[error("total is {0}: 1 to {TOTAL_MAX}")]
+    Total(u64),
+    /// The number of members is 0 or over [`MEMBERS_MAX`].
     #[error("members is {0}: 1 to {MEMBERS_MAX}")]
     Members(u64),
-    /// More than there is.
-    #[error("reserve is {0} in a thousand: at most 900")]
-    Reserve(u64),
-    /// A promise would be over before it could be asked for again.
-    #[error("span is {}ms: 300ms to 1h", .0 / MS)]
-    Span(Nanos),
-    /// What was taken would block what is freed for longer than anyone waits.
-    #[error("a unit may be in use for {}s after it was taken: at most 1h", .0 / SECOND)]
-    Hold(Nanos),
+    /// The headroom leaves too little to divide.
+    #[error("headroom is {0} in a thousand: at most {HEADROOM_PER_MILLE_MAX}")]
+    Headroom(u64),
+    /// A grant would expire before it could be renewed, or much too late.
+    #[error("grant duration is {}ms: 300ms to 1h", .0 / MS)]
+    GrantDuration(Nanos),
+    /// Units in use would keep others from what is free for longer than anyone waits.
+    #[error("a unit may be in use for {}s after it was acquired: at most 1h", .0 / SECOND)]
+    UseDuration(Nanos),
 }
 
-impl Budget {
-    /// Whether it can be kept; the first reason why not.
-    pub fn check(&self) -> Result<(), BudgetProblem> {
-        let Budget { whole, floor, members, reserve, span, hold, .. } = *self;
-        if !(1..=WHOLE_MAX).contains(&whole) {
-            return Err(BudgetProblem::Whole(whole));
+impl Quota {
+    /// Checks that the quota can be kept.
+    ///
+    /// # Errors
+    /// The first reason why not.
+    pub fn check(&self) -> Result<(), QuotaError> {
+        let Quota { total, floor, max_members, .. } = *self;
+        if !(1..=TOTAL_MAX).contains(&total) {
+            return Err(QuotaError::Total(total));
         }
-        if !(1..=MEMBERS_MAX).contains(&members) {
-            return Err(BudgetProblem::Members(members));
+        if !(1..=MEMBERS_MAX).contains(&max_members) {
+            return Err(QuotaError::Members(max_members));
         }
-        if u128::from(floor) * u128::from(members) > u128::from(whole) {
-            return Err(BudgetProblem::Floors { whole, floor, members });
+        if u128::from(floor) * u128::from(max_members) > u128::from(total) {
+            return Err(QuotaError::Floors { total, floor, max_members });
         }
-        if reserve > 900 {
-            return Err(BudgetProblem::Reserve(reserve));
+        if self.headroom_per_mille > HEADROOM_PER_MILLE_MAX {
+            return Err(QuotaError::Headroom(self.headroom_per_mille));
         }
-        if !(300 * MS..=3_600 * SECOND).contains(&span) {
-            return Err(BudgetProblem::Span(span));
+        if !(GRANT_DURATION_MIN..=DURATION_MAX).contains(&self.grant_duration) {
+            return Err(QuotaError::GrantDuration(self.grant_duration));
         }
-        if hold > 3_600 * SECOND {
-            return Err(BudgetProblem::Hold(hold));
+        if self.max_use_duration > DURATION_MAX {
+            return Err(QuotaError::UseDuration(self.max_use_duration));
         }
         Ok(())
     }
 
-    /// What is divided: the whole less all floors, whether their members run or not. Nothing if
-    /// the budget does not hold its check.
-    pub fn divisible(&self) -> u64 {
-        self.whole.saturating_sub(self.floor.saturating_mul(self.members))
+    /// Units that can be granted: the total less all floors, whether their members run or not. 0
+    /// if the quota does not pass its check.
+    pub fn grantable(&self) -> u64 {
+        self.total.saturating_sub(self.floor.saturating_mul(self.max_members))
     }
 
-    /// What of that is divided by need; the rest waits for members that join.
+    /// Units of [`Quota::grantable`] that are divided by demand; the others are for members that
+    /// join.
     pub fn divided(&self) -> u64 {
-        let divisible = u128::from(self.divisible());
-        (divisible * u128::from(1_000 - self.reserve.min(1_000)) / 1_000) as u64
+        let grantable = u128::from(self.grantable());
+        (grantable * u128::from(1_000 - self.headroom_per_mille.min(1_000)) / 1_000) as u64
     }
 }
--- a/crates/quota/src/ledger.rs
+++ b/crates/quota/src/ledger.rs
@@ -1,258 +1,241 @@
-//! What is promised to whom, as all voters agree on it: a state machine without a clock.
+//! The replicated state of one quota: what is granted to whom, without a clock.
 
-use crate::config::Budget;
-use crate::divide::{divide, settle, Claim};
+use crate::allocation::{
+    AllocationBatch, AllocationRequest, AllocationResponse, Grant, GrantExpired,
+};
+use crate::config::Quota;
+use crate::max_min::{weighted_max_min, with_hysteresis, Demand};
 use mintshelf_lease::command::Owner;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Promises to one member that may be in use at one time. Asked three times a span, more than a
-/// few are there only while neither confirmations nor ends come through.
-pub const PROMISES_MAX: usize = 8;
+/// Most grants to one owner that may be in use at one time. With three requests in each grant's
+/// duration, there are more than a few only while neither confirmations nor expiries are
+/// committed.
+pub const GRANTS_MAX: usize = 8;
 
-/// A part of the whole that somebody may use, over its floor.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Promise {
-    /// Counted over all members; later ones are higher.
-    pub grant: u64,
-    /// So much.
-    pub units: u64,
-}
-
-/// A member's question. Sent again, late or twice it does no harm.
-#[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Ask {
-    /// Who asks.
-    pub owner: Owner,
-    /// Of its questions, from 1.
-    pub number: u64,
-    /// What it would use, over its floor.
-    pub need: u64,
-    /// Its weight among the others.
-    pub weight: u32,
-    /// It uses no more than this promise, and will never go back to an earlier one; 0 for none.
-    pub confirms: u64,
-    /// It uses nothing over its floor, and will not again.
-    pub leaves: bool,
-}
-
-/// The span of a promise is over by the leader's count, and so are those of all earlier ones.
-#[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Ended {
-    /// To whom it was made.
-    pub owner: Owner,
-    /// The promise.
-    pub grant: u64,
-}
-
-/// One entry of the log: all questions since the last one, and the ends that the leader counted.
-#[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Beat {
-    /// At most one of each member.
-    pub asks: Vec<Ask>,
-    /// At most one for each member.
-    pub ended: Vec<Ended>,
-}
-
-impl Beat {
-    /// Whether there is nothing to agree on.
-    pub fn is_empty(&self) -> bool {
-        self.asks.is_empty() && self.ended.is_empty()
-    }
-}
-
-/// What is known of one life of one member.
+/// What is known of one incarnation of one member.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Account {
-    /// The last question taken.
-    number: u64,
-    need: u64,
+    /// Number of the last request that was accepted.
+    sequence: u64,
+    demand: u64,
     weight: u32,
-    leaves: bool,
+    is_leaving: bool,
     /// Each of these may be in use, oldest first.
-    promises: Vec<Promise>,
+    grants: Vec<Grant>,
 }
 
 impl Account {
-    /// The most that it may be using over its floor.
+    /// Most units that the owner may be using over its floor.
     pub fn used(&self) -> u64 {
-        self.promises.iter().map(|promise| promise.units).max().unwrap_or(0)
+        self.grants.iter().map(|grant| grant.units).max().unwrap_or(0)
     }
 
-    /// What was promised last.
-    pub fn last(&self) -> Option<Promise> {
-        self.promises.last().copied()
+    /// The last grant.
+    pub fn last(&self) -> Option<Grant> {
+        self.grants.last().copied()
     }
 
-    /// The oldest that may be in use.
-    pub fn oldest(&self) -> Option<Promise> {
-        self.promises.first().copied()
+    /// The oldest grant that may be in use.
+    pub fn oldest(&self) -> Option<Grant> {
+        self.grants.first().copied()
+    }
+
+    fn push(&mut self, grant: Grant) {
+        if self.grants.len() == GRANTS_MAX {
+            // The two oldest count as one, with the larger units and the later expiry.
+            let oldest = self.grants.remove(0);
+            self.grants[0].units = self.grants[0].units.max(oldest.units);
+        }
+        self.grants.push(grant);
+    }
+
+    /// Accepts a request, unless it is an old copy, whose demand and use are no longer so.
+    fn accept(&mut self, request: &AllocationRequest) -> bool {
+        if request.sequence <= self.sequence {
+            return false;
+        }
+        self.sequence = request.sequence;
+        self.demand = request.demand;
+        self.weight = request.weight;
+        self.confirm(request.confirmed_grant);
+        if request.is_leaving {
+            self.grants.clear();
+        }
+        self.is_leaving = request.is_leaving;
+        true
     }
 
-    fn promise(&mut self, promise: Promise) {
-        if self.promises.len() == PROMISES_MAX {
-            // The two oldest count as one, with the more of the two and until the later ends.
-            let oldest = self.promises.remove(0);
-            self.promises[0].units = self.promises[0].units.max(oldest.units);
+    /// Removes the grants before a confirmed one. Only a known grant counts: one that was never
+    /// made would free all, and one that has expired has freed the earlier ones itself.
+    fn confirm(&mut self, number: u64) {
+        if self.grants.iter().any(|grant| grant.number == number) {
+            self.grants.retain(|grant| grant.number >= number);
         }
-        self.promises.push(promise);
     }
 }
 
-/// The answer to a question: a promise that counts from before it was asked.
-#[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Answer {
-    /// Who asked.
-    pub owner: Owner,
-    /// Which question.
-    pub number: u64,
-    /// What it may use over its floor.
-    pub promise: Promise,
+/// An accepted request that is to be granted something.
+struct OpenRequest {
+    owner: Owner,
+    sequence: u64,
+}
+
+/// What a member should have, and what it may be using.
+struct Allocation {
+    target: u64,
+    used: u64,
 }
 
-/// One budget's accounts.
+impl Allocation {
+    fn shortfall(&self) -> Demand {
+        Demand { units: self.target.saturating_sub(self.used), weight: 1 }
+    }
+
+    /// The next grant, where `extra` of what is free goes to this member.
+    fn next_units(&self, extra: u64) -> u64 {
+        if self.target > self.used {
+            self.used + extra
+        } else {
+            self.target
+        }
+    }
+}
+
+/// The accounts of one quota.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Ledger {
-    budget: Budget,
+    quota: Quota,
     accounts: BTreeMap<Owner, Account>,
     last_grant: u64,
 }
 
 impl Ledger {
-    /// Nothing is promised yet.
-    pub fn new(budget: Budget) -> Self {
-        Ledger { budget, accounts: BTreeMap::new(), last_grant: 0 }
+    /// A ledger without grants.
+    pub fn new(quota: Quota) -> Self {
+        Ledger { quota, accounts: BTreeMap::new(), last_grant: 0 }
     }
 
-    /// What is divided.
-    pub fn budget(&self) -> &Budget {
-        &self.budget
+    /// The quota.
+    pub fn quota(&self) -> &Quota {
+        &self.quota
     }
 
-    /// Another whole or reserve for the same budget; whether it can be taken over. What else
-    /// there is to it members have from their own files, and count by already. Of a smaller
-    /// whole, what was promised of the larger one is in use until it is confirmed or over.
-    pub fn change(&mut self, budget: Budget) -> bool {
-        let Budget { whole, reserve, .. } = budget;
-        let same = Budget { whole, reserve, ..self.budget } == budget;
-        if same {
-            self.budget = budget;
+    /// Changes total or headroom; returns whether nothing else differs, and the change is made.
+    /// Members have the other settings from their own files, and count by them already. Of a
+    /// smaller total, grants of the larger one stay in use until they are confirmed or expire.
+    pub fn change(&mut self, quota: Quota) -> bool {
+        let Quota { total, headroom_per_mille, .. } = quota;
+        let is_compatible = Quota { total, headroom_per_mille, ..self.quota } == quota;
+        if is_compatible {
+            self.quota = quota;
         }
-        same
+        is_compatible
     }
 
-    /// All accounts.
+    /// All accounts, in order of their owners.
     pub fn accounts(&self) -> impl Iterator<Item = (&Owner, &Account)> {
         self.accounts.iter()
     }
 
-    /// One life's account.
+    /// The account of one owner.
     pub fn account(&self, owner: &Owner) -> Option<&Account> {
         self.accounts.get(owner)
     }
 
-    /// The most that all members together may be using over their floors.
+    /// Most units that all members together may be using over their floors.
     pub fn used(&self) -> u64 {
         self.accounts.values().map(Account::used).sum()
     }
 
-    /// Takes an agreed entry; the answers to the questions in it. Who is one member too many gets
-    /// none, and has no floor either: the operator's number of members was wrong.
-    pub fn apply(&mut self, beat: &Beat) -> Vec<Answer> {
-        for ended in &beat.ended {
-            self.end(ended);
+    /// Applies a committed batch; returns the responses to its requests. An owner beyond the
+    /// number of accounts gets none, and has no floor either: the operator's number of members
+    /// was wrong.
+    pub fn apply(&mut self, batch: &AllocationBatch) -> Vec<AllocationResponse> {
+        for expired in &batch.expired {
+            self.expire(expired);
         }
-        let mut asking = Vec::new();
-        for ask in &beat.asks {
-            if self.take(ask) {
-                asking.push((ask.owner.clone(), ask.number));
+        let mut open = Vec::new();
+        for request in &batch.requests {
+            if self.accept(request) {
+                open.push(OpenRequest { owner: request.owner.clone(), sequence: request.sequence });
             }
         }
-        self.accounts.retain(|_, account| !(account.leaves && account.promises.is_empty()));
-        let mut free = self.budget.divisible().saturating_sub(self.used());
-        let wanted = self.wanted(&asking, free);
-        let mut answers = Vec::with_capacity(asking.len());
-        for ((owner, number), units) in asking.into_iter().zip(wanted) {
-            let Some(account) = self.accounts.get_mut(&owner) else { continue };
-            let before = account.used();
-            // Danger: what others are promised below must not count this one's growth as free.
-            let units = units.min(before.saturating_add(free));
-            free -= units.saturating_sub(before);
-            self.last_grant += 1;
-            let promise = Promise { grant: self.last_grant, units };
-            account.promise(promise);
-            answers.push(Answer { owner, number, promise });
-        }
-        answers
+        self.accounts.retain(|_, account| !(account.is_leaving && account.grants.is_empty()));
+        self.grant(open)
     }
 
-    fn end(&mut self, ended: &Ended) {
-        let Some(account) = self.accounts.get_mut(&ended.owner) else { return };
-        account.promises.retain(|promise| promise.grant > ended.grant);
-        // It has not asked for a span.
-        if account.promises.is_empty() {
-            self.accounts.remove(&ended.owner);
+    fn expire(&mut self, expired: &GrantExpired) {
+        let Some(account) = self.accounts.get_mut(&expired.owner) else { return };
+        account.grants.retain(|grant| grant.number > expired.grant);
+        // Its owner has not sent a request for as long as a grant is good.
+        if account.grants.is_empty() {
+            self.accounts.remove(&expired.owner);
         }
     }
 
-    /// Notes a question; whether it is to be answered.
-    fn take(&mut self, ask: &Ask) -> bool {
-        // Former lives keep their accounts until their spans are over, beside the new ones.
-        let full = self.accounts.len() as u64 >= self.budget.members.saturating_mul(2);
-        if full && !self.accounts.contains_key(&ask.owner) {
-            return false;
-        }
-        let account = self.accounts.entry(ask.owner.clone()).or_default();
-        if ask.number <= account.number {
-            // An old copy: what it says of need and use is no longer so.
+    /// Notes a request; returns whether it is to be granted something.
+    fn accept(&mut self, request: &AllocationRequest) -> bool {
+        // Former incarnations keep their accounts until their grants expire, beside the new ones.
+        let is_full = self.accounts.len() as u64 >= self.quota.max_members.saturating_mul(2);
+        if is_full && !self.accounts.contains_key(&request.owner) {
             return false;
         }
-        account.number = ask.number;
-        (account.need, account.weight) = (ask.need, ask.weight);
-        // Danger: one that was never made would free all. One that has ended has freed its like.
-        if account.promises.iter().any(|promise| promise.grant == ask.confirms) {
-            account.promises.retain(|promise| promise.grant >= ask.confirms);
-        }
-        if ask.leaves {
-            account.promises.clear();
+        let account = self.accounts.entry(request.owner.clone()).or_default();
+        account.accept(request) && !request.is_leaving
+    }
+
+    fn grant(&mut self, open: Vec<OpenRequest>) -> Vec<AllocationResponse> {
+        let mut free = self.quota.grantable().saturating_sub(self.used());
+        let units = self.units_to_grant(&open, free);
+        let mut responses = Vec::with_capacity(open.len());
+        for (OpenRequest { owner, sequence }, units) in open.into_iter().zip(units) {
+            let Some(account) = self.accounts.get_mut(&owner) else { continue };
+            let used = account.used();
+            // What the next ones are granted must not count this one's growth as free.
+            let units = units.min(used.saturating_add(free));
+            free -= units.saturating_sub(used);
+            self.last_grant += 1;
+            let grant = Grant { number: self.last_grant, units };
+            account.push(grant);
+            responses.push(AllocationResponse { owner, sequence, grant });
         }
-        account.leaves = ask.leaves;
-        !ask.leaves
+        responses
     }
 
-    /// What each should have, by the needs of all.
+    /// What each member should have, by the demands of all.
     fn targets(&self) -> BTreeMap<&Owner, u64> {
-        // A former life's need is nobody's: only the latest counts.
+        // Of a member's incarnations only the last one's demand counts.
         let owners = self.accounts.keys();
-        let latest: BTreeMap<&str, &Owner> = owners.map(|o| (o.member.as_str(), o)).collect();
-        let claim = |owner: &&Owner| {
+        let latest: BTreeMap<&str, &Owner> =
+            owners.map(|owner| (owner.member.as_str(), owner)).collect();
+        let demand = |owner: &&Owner| {
             let account = &self.accounts[*owner];
-            Claim { need: account.need, weight: account.weight }
+            Demand { units: account.demand, weight: account.weight }
         };
-        let claims: Vec<Claim> = latest.values().map(claim).collect();
-        let parts = divide(self.budget.divided(), &claims);
+        let demands: Vec<Demand> = latest.values().map(demand).collect();
+        let parts = weighted_max_min(self.quota.divided(), &demands);
         latest.into_values().zip(parts).collect()
     }
 
-    /// What the askers are to be promised, as far as it is free.
-    fn wanted(&self, asking: &[(Owner, u64)], free: u64) -> Vec<u64> {
+    /// What open requests are to be granted, as far as it is free.
+    fn units_to_grant(&self, open: &[OpenRequest], free: u64) -> Vec<u64> {
         let targets = self.targets();
-        let aims: Vec<(u64, u64)> = asking
-            .iter()
-            .map(|(owner, _)| {
-                let account = self.accounts.get(owner);
-                let last = account.and_then(Account::last).map_or(0, |promise| promise.units);
-                let target = targets.get(owner).copied().unwrap_or(0);
-                (settle(last, target), account.map_or(0, Account::used))
-            })
-            .collect();
-        // What is free goes to those that are short of their aim, again by max-min.
-        let short = |(aim, used): &(u64, u64)| Claim { need: aim.saturating_sub(*used), weight: 1 };
-        let claims: Vec<Claim> = aims.iter().map(short).collect();
-        let more = divide(free, &claims);
-        aims.iter()
-            .zip(more)
-            .map(|((aim, used), more)| if aim > used { used + more } else { *aim })
-            .collect()
+        let allocation = |request: &OpenRequest| {
+            let account = self.accounts.get(&request.owner);
+            let last = account.and_then(Account::last).map_or(0, |grant| grant.units);
+            let target = targets.get(&request.owner).copied().unwrap_or(0);
+            Allocation {
+                target: with_hysteresis(last, target),
+                used: account.map_or(0, Account::used),
+            }
+        };
+        let allocations: Vec<Allocation> = open.iter().map(allocation).collect();
+        // What is free goes to those that are short of their target, again by max-min.
+        let shortfalls: Vec<Demand> = allocations.iter().map(Allocation::shortfall).collect();
+        let extras = weighted_max_min(free, &shortfalls);
+        let pairs = allocations.iter().zip(extras);
+        pairs.map(|(allocation, extra)| allocation.next_units(extra)).collect()
     }
 }
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,33 +1,63 @@
-//! Budgets of the whole fleet: how many requests at once, or how many a second, all sidecars
-//! together may have at a tenant, a route, a cluster or an endpoint, divided among them by need.
+//! Quotas of a fleet: how many requests at once, or how many a second, all sidecars together may
+//! have at a tenant, a route, a cluster or an endpoint, allocated to them by demand.
 //!
-//! No I/O and no clock; time is an argument. A member's **share** is a part of the whole with a
-//! span. All members together never use more than the whole, whoever is cut off, stopped, killed
-//! or started again, and whichever voter leads:
+//! No I/O and no clock; time is an argument. A member's **grant** is a part of the quota that
+//! expires. All members together never use more than the quota, whoever is cut off, stopped,
+//! killed or restarted, and whichever replica is the leader:
 //!
-//! - what was promised counts as used until its holder has confirmed that it uses no more, or
-//!   until its span is over ([`ledger::Ledger`], agreed, without a clock);
-//! - a holder counts its span from before it asked ([`client::ShareHolder`]), the leader from
-//!   after the promise was agreed, plus the clocks' error and the time for which a unit that was
-//!   taken at the last moment may still be in use ([`collector::Clerk`]); a new leader counts anew;
-//! - a member that hears nothing is left with its **floor**, which needs no agreement: floors
-//!   times the most members are set aside of the whole ([`config::Budget::check`]);
-//! - one entry of the log a beat carries the questions of all members ([`ledger::Beat`]).
+//! - a grant counts as used until its holder has confirmed that it uses no more, or until it has
+//!   expired ([`ledger::Ledger`], replicated, without a clock);
+//! - a holder counts its grant's duration from before it sent its request
+//!   ([`client::QuotaClient`]), the leader from after the grant was committed, plus the clock
+//!   error and the time for which a unit that was acquired at the last moment may still be in use
+//!   ([`request_collector::RequestCollector`]); a new leader counts anew;
+//! - a member without any responses is left with its **floor**, which needs no consensus: floors
+//!   times the largest number of members are set aside ([`config::Quota::check`]);
+//! - one entry of the log carries the requests of all members since the last
+//!   ([`allocation::AllocationBatch`]).
 //!
-//! Requests never ask: whoever admits them reads [`client::ShareHolder::limit`], or a
-//! [`token_bucket::Bucket`] that is told of it.
+//! Requests of clients never wait for it: whoever admits them reads
+//! [`client::QuotaClient::limit`], or a [`token_bucket::TokenBucket`] that follows it.
 //!
-//! `docs/shares-design.md` has the reasons, what was weighed and what is proved.
+//! `docs/shares-design.md` has the reasons, the alternatives and what is proved.
+//!
+//! ```
+//! use mintshelf_lease::command::Owner;
+//! use mintshelf_lease::timing::{ClockError, SECOND};
+//! use mintshelf_quota::allocation::AllocationBatch;
+//! use mintshelf_quota::client::QuotaClient;
+//! use mintshelf_quota::config::Quota;
+//! use mintshelf_quota::ledger::Ledger;
+//!
+//! let quota = Quota {
+//!     total: 100,
+//!     floor: 1,
+//!     max_members: 10,
+//!     headroom_per_mille: 0,
+//!     grant_duration: 2 * SECOND,
+//!     max_use_duration: 0,
+//!     clock_error: ClockError::default(),
+//! };
+//! let mut ledger = Ledger::new(quota);
+//! let owner = Owner { member: "sidecar-1".into(), incarnation: 1 };
+//! let mut client = QuotaClient::new(owner, quota, 1, 0);
+//! client.set_demand(0, 50);
+//! let request = client.tick(0, 0).expect("the first request is due at once");
+//! let batch = AllocationBatch { requests: vec![request], ..AllocationBatch::default() };
+//! client.handle_response(0, &ledger.apply(&batch)[0]);
+//! assert_eq!(client.limit(0).units, 50);
+//! ```
 
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
+pub mod allocation;
 pub mod client;
-pub mod collector;
 pub mod config;
-pub mod divide;
 pub mod ledger;
-pub mod session;
+pub mod max_min;
+pub mod replica_selector;
+pub mod request_collector;
+pub mod session_table;
 pub mod state_machine;
 pub mod token_bucket;
 pub mod usage;
--- /dev/null
+++ b/crates/quota/src/max_min.rs
@@ -0,0 +1,92 @@
+//! Division by demand: weighted max-min fairness in whole numbers.
+//!
+//! No member gets more than it demands, and what one does not need is divided among the others by
+//! weight, until all have enough or nothing is left (Bertsekas and Gallager, "Data Networks",
+//! 6.5.2, progressive filling). Sums are exact: no rounding grants a unit more than there is.
+
+/// A part less than this much smaller than the current one is not worth a change, as a divisor.
+const HYSTERESIS_DIVISOR: u64 = 8;
+
+/// What one member demands.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct Demand {
+    /// Units that it would use.
+    pub units: u64,
+    /// Its weight where there is not enough; 0 counts as 1.
+    pub weight: u32,
+}
+
+impl Demand {
+    fn weight(&self) -> u128 {
+        u128::from(self.weight.max(1))
+    }
+}
+
+/// Indexes of the demands, by units for their weight: once one of them can't be met in full, none
+/// behind it can.
+fn by_units_per_weight(demands: &[Demand]) -> Vec<usize> {
+    let mut order: Vec<usize> = (0..demands.len()).collect();
+    order.sort_by(|left, right| {
+        let (left, right) = (&demands[*left], &demands[*right]);
+        let left_scaled = u128::from(left.units) * right.weight();
+        left_scaled.cmp(&(u128::from(right.units) * left.weight()))
+    });
+    order
+}
+
+/// Divides `total` among demands; returns a part for each, in their order. The sum of the parts is
+/// the lesser of `total` and all demands.
+pub fn weighted_max_min(total: u64, demands: &[Demand]) -> Vec<u64> {
+    let mut parts = vec![0; demands.len()];
+    let order = by_units_per_weight(demands);
+    let mut left = u128::from(total);
+    let mut weights: u128 = demands.iter().map(Demand::weight).sum();
+    let mut met = 0;
+    for index in &order {
+        let demand = &demands[*index];
+        if u128::from(demand.units) * weights > left * demand.weight() {
+            break;
+        }
+        parts[*index] = demand.units;
+        left -= u128::from(demand.units);
+        weights -= demand.weight();
+        met += 1;
+    }
+    let mut unmet = order[met..].to_vec();
+    unmet.sort_unstable();
+    divide_by_weight(left, weights, demands, &unmet, &mut parts);
+    parts
+}
+
+/// Divides `total` by weight alone, where each part is under its demand.
+fn divide_by_weight(
+    total: u128,
+    weights: u128,
+    demands: &[Demand],
+    indexes: &[usize],
+    parts: &mut [u64],
+) {
+    let mut divided = 0;
+    let mut weights_so_far = 0;
+    for index in indexes {
+        let demand = &demands[*index];
+        // Cumulative, so that what rounding takes from one goes to the next.
+        weights_so_far += demand.weight();
+        let divided_so_far = total * weights_so_far / weights.max(1);
+        let part = (divided_so_far - divided).min(u128::from(demand.units));
+        parts[*index] = part as u64;
+        divided += part;
+    }
+}
+
+/// The next grant of a member that has `current` units, where its part is `target`. A little less
+/// is not worth a change: it would only go to and fro with every count of demands.
+pub fn with_hysteresis(current: u64, target: u64) -> u64 {
+    let is_little_less =
+        target < current && target > 0 && current - target <= current / HYSTERESIS_DIVISOR;
+    if is_little_less {
+        current
+    } else {
+        target
+    }
+}
--- a/crates/quota/src/state_machine.rs
+++ b/crates/quota/src/state_machine.rs
@@ -1,8 +1,12 @@
-//! Leases and budgets as one state that the voters agree on.
-
-use crate::collector::Clerk;
-use crate::config::{Budget, BudgetProblem};
-use crate::ledger::{self, Ask, Beat, Ledger};
+//! Leases and quotas as one replicated state machine.
+//!
+//! Log entries and snapshots hold these types in the postcard format: the order of variants and
+//! fields is part of that format.
+
+use crate::allocation::{AllocationBatch, AllocationRequest, AllocationResponse};
+use crate::config::{Quota, QuotaError};
+use crate::ledger::Ledger;
+use crate::request_collector::RequestCollector;
 use mintshelf_consensus::state_machine::StateMachine;
 use mintshelf_lease::command::{self as lease, is_valid_name};
 use mintshelf_lease::expiry::LeaseExpiry;
@@ -11,172 +15,206 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Budgets at one time.
-pub const BUDGETS_MAX: usize = 64;
+/// Most quotas at one time.
+pub const QUOTAS_MAX: usize = 64;
+
+/// A batch for one quota.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
+pub struct QuotaBatch {
+    /// Name of the quota.
+    pub quota: String,
+    /// Its requests and expiries.
+    pub batch: AllocationBatch,
+}
+
+/// A response to a request for one quota.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
+pub struct QuotaResponse {
+    /// Name of the quota.
+    pub quota: String,
+    /// The grant, and to whom.
+    pub response: AllocationResponse,
+}
 
-/// What can be agreed on.
+/// An entry of the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// Of a lease.
+    /// A command about leases.
     Lease(lease::Command),
-    /// A budget as an operator's file states it.
-    Budget {
-        /// Its name.
+    /// Creates a quota as an operator's file configures it, or changes it.
+    SetQuota {
+        /// Name of the quota.
         name: String,
-        /// How much of what.
-        budget: Budget,
+        /// Its settings.
+        quota: Quota,
     },
-    /// What one voter gathered, and what the leader counted, of all budgets.
-    Beat(Vec<(String, Beat)>),
+    /// What one replica collected, and what the leader counted, for all quotas.
+    Allocate(Vec<QuotaBatch>),
 }
 
-/// What came of it.
+/// The result of a command.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Answer {
-    /// Of a lease.
+pub enum Response {
+    /// Of a command about leases.
     Lease(lease::Response),
-    /// The budget is in force, or why not.
-    Budget(Result<(), Unfit>),
-    /// By budget, what its members are promised.
-    Shares(Vec<(String, ledger::Answer)>),
+    /// The quota is in force, or why not.
+    SetQuota(Result<(), QuotaRejection>),
+    /// The grants of all quotas.
+    Allocations(Vec<QuotaResponse>),
 }
 
-/// Why a budget is not in force.
+/// Why a quota is not in force.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Unfit {
-    /// It can't be kept.
-    Problem(String),
-    /// Members count by its other figures already: it needs a name of its own.
-    OtherFigures,
-    /// As many as there can be.
+pub enum QuotaRejection {
+    /// It can't be kept; the text of the [`QuotaError`], since other versions may have others.
+    Invalid(String),
+    /// Members count by its former settings already: it needs a name of its own.
+    IncompatibleChange,
+    /// There are [`QUOTAS_MAX`].
     TooMany,
-    /// No name: see [`is_valid_name`].
-    Name,
+    /// See [`is_valid_name`].
+    InvalidName,
 }
 
-impl From<BudgetProblem> for Unfit {
-    fn from(problem: BudgetProblem) -> Self {
-        Unfit::Problem(problem.to_string())
+impl From<QuotaError> for QuotaRejection {
+    fn from(error: QuotaError) -> Self {
+        QuotaRejection::Invalid(error.to_string())
     }
 }
 
-/// The state.
+/// The replicated state of all leases and quotas.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Agreed {
+pub struct QuotaStateMachine {
     leases: Leases,
-    budgets: BTreeMap<String, Ledger>,
+    quotas: BTreeMap<String, Ledger>,
 }
 
-impl Agreed {
+impl QuotaStateMachine {
     /// The leases.
     pub fn leases(&self) -> &Leases {
         &self.leases
     }
 
-    /// A budget's accounts.
-    pub fn budget(&self, name: &str) -> Option<&Ledger> {
-        self.budgets.get(name)
+    /// The accounts of a quota.
+    pub fn ledger(&self, quota: &str) -> Option<&Ledger> {
+        self.quotas.get(quota)
     }
 
-    fn state(&mut self, name: &str, budget: Budget) -> Result<(), Unfit> {
-        budget.check()?;
+    fn set_quota(&mut self, name: &str, quota: Quota) -> Result<(), QuotaRejection> {
+        quota.check()?;
         if !is_valid_name(name) {
-            return Err(Unfit::Name);
+            return Err(QuotaRejection::InvalidName);
         }
-        if let Some(ledger) = self.budgets.get_mut(name) {
-            return if ledger.change(budget) { Ok(()) } else { Err(Unfit::OtherFigures) };
+        if let Some(ledger) = self.quotas.get_mut(name) {
+            let is_changed = ledger.change(quota);
+            return if is_changed { Ok(()) } else { Err(QuotaRejection::IncompatibleChange) };
         }
-        if self.budgets.len() >= BUDGETS_MAX {
-            return Err(Unfit::TooMany);
+        if self.quotas.len() >= QUOTAS_MAX {
+            return Err(QuotaRejection::TooMany);
         }
-        self.budgets.insert(name.to_owned(), Ledger::new(budget));
+        self.quotas.insert(name.to_owned(), Ledger::new(quota));
         Ok(())
     }
+
+    fn allocate(&mut self, batches: &[QuotaBatch]) -> Vec<QuotaResponse> {
+        let mut responses = Vec::new();
+        for QuotaBatch { quota, batch } in batches {
+            let Some(ledger) = self.quotas.get_mut(quota) else { continue };
+            for response in ledger.apply(batch) {
+                responses.push(QuotaResponse { quota: quota.clone(), response });
+            }
+        }
+        responses
+    }
 }
 
-/// What one voter gathers of its members, and counts while it leads.
+/// What one replica collects of its members, and counts while it is the leader.
 #[derive(Debug, Clone)]
-pub struct Counts {
-    grantor: LeaseExpiry,
-    clerks: BTreeMap<String, Clerk>,
+pub struct LocalState {
+    lease_expiry: LeaseExpiry,
+    collectors: BTreeMap<String, RequestCollector>,
 }
 
-impl Counts {
-    /// Gathers a member's question for the next beat; whether it was taken.
-    pub fn ask(&mut self, budget: &str, ask: Ask) -> bool {
-        if !self.clerks.contains_key(budget) && self.clerks.len() >= BUDGETS_MAX {
+impl LocalState {
+    /// Collects a member's request for the next batch; returns whether it was accepted.
+    pub fn add_request(&mut self, quota: &str, request: AllocationRequest) -> bool {
+        if !self.collectors.contains_key(quota) && self.collectors.len() >= QUOTAS_MAX {
             return false;
         }
-        self.clerks.entry(budget.to_owned()).or_default().ask(ask)
+        self.collectors.entry(quota.to_owned()).or_default().add_request(request)
+    }
+
+    fn batch_applied(&mut self, now: Nanos, quota: &str, ledger: &Ledger) {
+        let collector = self.collectors.entry(quota.to_owned()).or_default();
+        // The quota may have been created since this replica became the leader.
+        if self.lease_expiry.is_leader() && !collector.is_leader() {
+            collector.become_leader(now, ledger);
+        }
+        collector.batch_applied(now, ledger);
     }
 }
 
-impl StateMachine for Agreed {
+impl StateMachine for QuotaStateMachine {
     type Command = Command;
-    type Response = Answer;
-    type LocalState = Counts;
+    type Response = Response;
+    type LocalState = LocalState;
 
-    fn new_local_state(error: ClockError) -> Counts {
-        Counts { grantor: LeaseExpiry::new(error), clerks: BTreeMap::new() }
+    fn new_local_state(clock_error: ClockError) -> LocalState {
+        LocalState { lease_expiry: LeaseExpiry::new(clock_error), collectors: BTreeMap::new() }
     }
 
-    fn apply(&mut self, command: &Command) -> Answer {
+    fn apply(&mut self, command: &Command) -> Response {
         match command {
-            Command::Lease(command) => Answer::Lease(self.leases.apply(command)),
-            Command::Budget { name, budget } => Answer::Budget(self.state(name, *budget)),
-            Command::Beat(beats) => {
-                let mut answers = Vec::new();
-                for (name, beat) in beats {
-                    let Some(ledger) = self.budgets.get_mut(name) else { continue };
-                    let given = ledger.apply(beat).into_iter();
-                    answers.extend(given.map(|answer| (name.clone(), answer)));
-                }
-                Answer::Shares(answers)
-            }
+            Command::Lease(command) => Response::Lease(self.leases.apply(command)),
+            Command::SetQuota { name, quota } => Response::SetQuota(self.set_quota(name, *quota)),
+            Command::Allocate(batches) => Response::Allocations(self.allocate(batches)),
         }
     }
 
-    fn command_applied(&self, now: Nanos, command: &Command, counts: &mut Counts) {
+    fn command_applied(&self, now: Nanos, command: &Command, local: &mut LocalState) {
         match command {
             Command::Lease(command) => {
-                counts.grantor.command_applied(now, &self.leases, command.lease())
+                local.lease_expiry.command_applied(now, &self.leases, command.lease());
             }
-            Command::Budget { .. } => {}
-            Command::Beat(beats) => {
-                for (name, _) in beats {
-                    let Some(ledger) = self.budgets.get(name) else { continue };
-                    let clerk = counts.clerks.entry(name.clone()).or_default();
-                    // One of a budget that was stated since this voter leads.
-                    if counts.grantor.is_leader() && !clerk.leads() {
-                        clerk.lead(now, ledger);
+            Command::SetQuota { .. } => {}
+            Command::Allocate(batches) => {
+                for QuotaBatch { quota, .. } in batches {
+                    if let Some(ledger) = self.quotas.get(quota) {
+                        local.batch_applied(now, quota, ledger);
                     }
-                    clerk.applied(now, ledger);
                 }
             }
         }
     }
 
-    fn become_leader(&self, now: Nanos, counts: &mut Counts) {
-        counts.grantor.become_leader(now, &self.leases);
-        for (name, ledger) in &self.budgets {
-            counts.clerks.entry(name.clone()).or_default().lead(now, ledger);
+    fn become_leader(&self, now: Nanos, local: &mut LocalState) {
+        local.lease_expiry.become_leader(now, &self.leases);
+        for (name, ledger) in &self.quotas {
+            local.collectors.entry(name.clone()).or_default().become_leader(now, ledger);
         }
     }
 
-    fn step_down(counts: &mut Counts) {
-        counts.grantor.step_down();
-        counts.clerks.values_mut().for_each(Clerk::follow);
+    fn step_down(local: &mut LocalState) {
+        local.lease_expiry.step_down();
+        local.collectors.values_mut().for_each(RequestCollector::step_down);
     }
 
-    fn is_leader(counts: &Counts) -> bool {
-        counts.grantor.is_leader()
+    fn is_leader(local: &LocalState) -> bool {
+        local.lease_expiry.is_leader()
     }
 
-    fn due_commands(now: Nanos, counts: &mut Counts) -> Vec<Command> {
-        let leases = Leases::due_commands(now, &mut counts.grantor).into_iter().map(Command::Lease);
-        let beat = |(name, clerk): (&String, &mut Clerk)| Some((name.clone(), clerk.beat(now)?));
-        let beats: Vec<_> = counts.clerks.iter_mut().filter_map(beat).collect();
-        let beats = (!beats.is_empty()).then_some(Command::Beat(beats));
-        leases.chain(beats).collect()
+    fn due_commands(now: Nanos, local: &mut LocalState) -> Vec<Command> {
+        let lease_commands = Leases::due_commands(now, &mut local.lease_expiry);
+        let mut commands: Vec<Command> = lease_commands.into_iter().map(Command::Lease).collect();
+        let mut batches = Vec::new();
+        for (quota, collector) in &mut local.collectors {
+            if let Some(batch) = collector.next_batch(now) {
+                batches.push(QuotaBatch { quota: quota.clone(), batch });
+            }
+        }
+        if !batches.is_empty() {
+            commands.push(Command::Allocate(batches));
+        }
+        commands
     }
 }
--- a/crates/quota/src/token_bucket.rs
+++ b/crates/quota/src/token_bucket.rs
@@ -1,78 +1,81 @@
-//! A token bucket whose rate is a share: tokens are neither made nor kept by dividing anew.
+//! A token bucket whose rate follows a grant: a change of grants neither creates nor stores tokens.
 
 use crate::client::Limit;
 use mintshelf_lease::timing::{Nanos, SECOND};
 
-/// Parts of a token that are counted.
-const PARTS: u128 = SECOND as u128;
+/// Parts of one token: what a rate of one a second adds in a second of nanoseconds.
+const PARTS_PER_TOKEN: u128 = SECOND as u128;
 
-/// Admits at a rate that changes. Over all members whose rates sum up to at most the whole, what
-/// is admitted in any interval is at most the whole's rate times its length and one burst: a
-/// bucket is never fuller than its part of the burst, and grows only by its own rate.
+/// Admits at a rate that changes. Over all members whose rates sum up to at most the quota, what
+/// is admitted in any interval is at most the quota times its length and one burst: a bucket is
+/// never fuller than its part of the burst, and grows only by its own rate.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Bucket {
+pub struct TokenBucket {
     limit: Limit,
-    /// The burst, as the time in which the rate fills it.
-    fill: Nanos,
-    /// In [`PARTS`] of a token.
-    tokens: u128,
-    at: Nanos,
+    /// The burst, as the time in which the rate fills the bucket.
+    fill_duration: Nanos,
+    /// Content, in parts of a token.
+    parts: u128,
+    updated_at: Nanos,
 }
 
-impl Bucket {
-    /// An empty bucket that its rate, in requests a second, fills in `fill`. Empty: a process
-    /// that starts again and again would else have a burst each time.
-    pub fn new(now: Nanos, limit: Limit, fill: Nanos) -> Self {
-        Bucket { limit, fill, tokens: 0, at: now }
+impl TokenBucket {
+    /// Creates an empty bucket that its rate, in requests a second, fills in `fill_duration`.
+    /// Empty, since a process that restarts again and again would otherwise have a burst each
+    /// time.
+    pub fn new(now: Nanos, limit: Limit, fill_duration: Nanos) -> Self {
+        TokenBucket { limit, fill_duration, parts: 0, updated_at: now }
     }
 
-    fn full(&self, rate: u64) -> u128 {
-        u128::from(rate) * u128::from(self.fill)
+    fn capacity(&self, rate: u64) -> u128 {
+        u128::from(rate) * u128::from(self.fill_duration)
     }
 
-    fn fill_up(&mut self, until: Nanos, rate: u64) {
-        let passed = u128::from(until.saturating_sub(self.at));
-        self.tokens = (self.tokens + passed * u128::from(rate)).min(self.full(rate));
-        self.at = self.at.max(until);
+    fn fill_until(&mut self, until: Nanos, rate: u64) {
+        let elapsed = u128::from(until.saturating_sub(self.updated_at));
+        self.parts = (self.parts + elapsed * u128::from(rate)).min(self.capacity(rate));
+        self.updated_at = self.updated_at.max(until);
     }
 
-    fn run(&mut self, now: Nanos) {
-        let Limit { units, until, floor } = self.limit;
-        if self.at < until {
-            self.fill_up(now.min(until), units);
+    fn update(&mut self, now: Nanos) {
+        let Limit { units, expires_at, floor } = self.limit;
+        if self.updated_at < expires_at {
+            self.fill_until(now.min(expires_at), units);
         }
-        // Danger: at the larger rate past its end, tokens would be made that are another's.
-        if now >= until {
-            self.fill_up(now, floor);
+        // At the larger rate past its expiry, tokens would be created that are another's.
+        if now >= expires_at {
+            self.fill_until(now, floor);
         }
     }
 
-    /// The share has changed: a larger one fills up from what is there, a smaller one keeps no
-    /// more than it can hold.
-    pub fn set(&mut self, now: Nanos, limit: Limit) {
-        self.run(now);
+    /// Sets a newer limit: under a larger one the bucket fills up from its content, under a
+    /// smaller one it keeps no more than its capacity.
+    pub fn set_limit(&mut self, now: Nanos, limit: Limit) {
+        self.update(now);
         self.limit = limit;
-        self.tokens = self.tokens.min(self.full(limit.at(now)));
+        self.parts = self.parts.min(self.capacity(limit.units_at(now)));
     }
 
-    /// Admits one, if there is a token.
-    pub fn admit(&mut self, now: Nanos) -> bool {
-        self.run(now);
-        let admits = self.tokens >= PARTS;
-        if admits {
-            self.tokens -= PARTS;
+    /// Takes one token; returns whether there was one.
+    pub fn try_take(&mut self, now: Nanos) -> bool {
+        self.update(now);
+        let has_token = self.parts >= PARTS_PER_TOKEN;
+        if has_token {
+            self.parts -= PARTS_PER_TOKEN;
         }
-        admits
+        has_token
     }
 
-    /// How long until the next one could be admitted at the rate as it is; none where a bucket
-    /// of that rate never holds a whole token.
-    pub fn next_in(&mut self, now: Nanos) -> Option<Nanos> {
-        self.run(now);
-        let rate = self.limit.at(now);
-        let short = PARTS.saturating_sub(self.tokens);
-        let span = short.div_ceil(u128::from(rate).max(1));
-        (self.full(rate) >= PARTS || short == 0)
-            .then(|| Nanos::try_from(span).unwrap_or(Nanos::MAX))
+    /// Time until there is a token at the current rate; `None` where a bucket of that rate never
+    /// holds a whole token.
+    pub fn time_to_next(&mut self, now: Nanos) -> Option<Nanos> {
+        self.update(now);
+        let rate = self.limit.units_at(now);
+        let missing = PARTS_PER_TOKEN.saturating_sub(self.parts);
+        if missing > 0 && self.capacity(rate) < PARTS_PER_TOKEN {
+            return None;
+        }
+        let wait = missing.div_ceil(u128::from(rate).max(1));
+        Some(Nanos::try_from(wait).unwrap_or(Nanos::MAX))
     }
 }
--- a/crates/quota/src/usage.rs
+++ b/crates/quota/src/usage.rs
@@ -1,76 +1,85 @@
-//! What a member uses of a share, and what it needs: the part that requests pass through.
+//! What a member uses of its limit, and what it demands: requests acquire their units here.
 
 use crate::client::Limit;
 use mintshelf_lease::timing::Nanos;
 
-/// Needs are kept for so many windows: one that has just begun has seen too little.
+/// Number of windows that the demand is taken from: one that has just begun has seen too little.
 const WINDOWS: usize = 3;
-/// On top of what was needed, so that a little more need does not wait for the next promise: a
-/// quarter, and one unit.
-const HEADROOM_PART: u64 = 4;
+/// Part of the demand that is added to it, as a divisor, so that a little more does not wait for
+/// the next grant; and one unit more.
+const HEADROOM_DIVISOR: u64 = 4;
+/// Weight of the mean duration against the last one.
+const MEAN_WEIGHT: Nanos = 16;
 
 /// What one window has seen.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 struct Window {
     /// Most units in use at once.
     peak: u64,
-    /// Takers turned away for want of a unit.
-    refused: u64,
+    /// Acquisitions that were rejected for want of a unit.
+    rejected: u64,
 }
 
-/// Units in use under a limit that is swapped from time to time. Nothing here waits.
+/// Units in use under a limit that changes. Nothing here waits.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Usage {
     limit: Limit,
     used: u64,
-    /// The newest first.
+    /// Newest first.
     windows: [Window; WINDOWS],
-    /// Length of one, and when the newest ends.
-    window: Nanos,
-    ends: Nanos,
-    /// How long a unit is in use, as a mean of late: what is turned away would have used so much.
-    held: Nanos,
+    window_duration: Nanos,
+    /// When the newest window ends.
+    window_ends_at: Nanos,
+    /// How long a unit is in use, as a moving mean; 0 before the first release.
+    mean_use_duration: Nanos,
 }
 
 impl Usage {
-    /// Nothing in use yet, under a limit; needs are counted by windows, best of a third of the
-    /// span.
-    pub fn new(now: Nanos, limit: Limit, window: Nanos) -> Self {
-        let window = window.max(1);
-        let (windows, ends) = ([Window::default(); WINDOWS], now.saturating_add(window));
-        Usage { limit, used: 0, windows, window, ends, held: 0 }
+    /// Creates a usage of nothing. Demand is counted by windows, best of a third of a grant's
+    /// duration.
+    pub fn new(now: Nanos, limit: Limit, window_duration: Nanos) -> Self {
+        let window_duration = window_duration.max(1);
+        Usage {
+            limit,
+            used: 0,
+            windows: [Window::default(); WINDOWS],
+            window_duration,
+            window_ends_at: now.saturating_add(window_duration),
+            mean_use_duration: 0,
+        }
     }
 
-    /// A newer limit is in force. What is in use over it goes on.
-    pub fn set(&mut self, limit: Limit) {
+    /// Sets a newer limit. What is in use over it stays in use.
+    pub fn set_limit(&mut self, limit: Limit) {
         self.limit = limit;
     }
 
-    /// In use now.
+    /// Units in use now.
     pub fn used(&self) -> u64 {
         self.used
     }
 
-    fn turn(&mut self, now: Nanos) {
-        let mut turned = 0;
-        while now >= self.ends && turned < WINDOWS {
+    fn rotate_windows(&mut self, now: Nanos) {
+        for _ in 0..WINDOWS {
+            if now < self.window_ends_at {
+                return;
+            }
             self.windows.rotate_right(1);
             // What is in use goes on from one window into the next.
-            self.windows[0] = Window { peak: self.used, refused: 0 };
-            self.ends = self.ends.saturating_add(self.window);
-            turned += 1;
+            self.windows[0] = Window { peak: self.used, rejected: 0 };
+            self.window_ends_at = self.window_ends_at.saturating_add(self.window_duration);
         }
-        if now >= self.ends {
-            self.ends = now.saturating_add(self.window);
+        if now >= self.window_ends_at {
+            self.window_ends_at = now.saturating_add(self.window_duration);
         }
     }
 
-    /// Takes a unit; whether there is one.
-    pub fn take(&mut self, now: Nanos) -> bool {
-        self.turn(now);
+    /// Acquires a unit; returns whether there is one.
+    pub fn try_acquire(&mut self, now: Nanos) -> bool {
+        self.rotate_windows(now);
         let newest = &mut self.windows[0];
-        if self.used >= self.limit.at(now) {
-            newest.refused = newest.refused.saturating_add(1);
+        if self.used >= self.limit.units_at(now) {
+            newest.rejected = newest.rejected.saturating_add(1);
             return false;
         }
         self.used += 1;
@@ -78,32 +87,34 @@
         true
     }
 
-    /// Gives a unit back that was in use for so long.
-    pub fn give_back(&mut self, now: Nanos, held: Nanos) {
-        self.turn(now);
+    /// Releases a unit that was in use for a duration.
+    pub fn release(&mut self, now: Nanos, use_duration: Nanos) {
+        self.rotate_windows(now);
         self.used = self.used.saturating_sub(1);
-        const MEMORY: Nanos = 16;
-        self.held = match self.held {
-            0 => held,
-            mean => mean - mean / MEMORY + held / MEMORY,
+        self.mean_use_duration = match self.mean_use_duration {
+            0 => use_duration,
+            mean => mean - mean / MEAN_WEIGHT + use_duration / MEAN_WEIGHT,
         };
     }
 
-    /// What would be used if it were allowed, with some headroom: the most of the last windows.
-    /// Who was turned away counts for as much of a window as a unit is held: a hundred short
-    /// requests do not need a hundred units.
-    pub fn need(&mut self, now: Nanos) -> u64 {
-        self.turn(now);
-        let of = |window: &Window| {
-            let (held, length) = (u128::from(self.held.max(1)), u128::from(self.window));
-            // Clients that were turned away come again: one unit at least for any of them, and
-            // no more than one each.
-            let wanted = (u128::from(window.refused) * held).div_ceil(length);
-            window.peak.saturating_add((wanted as u64).min(window.refused))
-        };
-        match self.windows.iter().map(of).max().unwrap_or(0) {
+    /// Units that would be used if they were granted, with some headroom: the highest demand of
+    /// the last windows.
+    pub fn demand(&mut self, now: Nanos) -> u64 {
+        self.rotate_windows(now);
+        match self.windows.iter().map(|window| self.window_demand(window)).max().unwrap_or(0) {
             0 => 0,
-            most => most.saturating_add(most / HEADROOM_PART + 1),
+            highest => highest.saturating_add(highest / HEADROOM_DIVISOR + 1),
         }
     }
+
+    /// Rejected acquisitions count for as much of a window as a unit is in use: a hundred short
+    /// requests do not demand a hundred units.
+    fn window_demand(&self, window: &Window) -> u64 {
+        let use_duration = u128::from(self.mean_use_duration.max(1));
+        let rejected_use = u128::from(window.rejected) * use_duration;
+        // Rejected clients come again: one unit at least for any of them, and no more than one
+        // each.
+        let units = rejected_use.div_ceil(u128::from(self.window_duration));
+        window.peak.saturating_add((units as u64).min(window.rejected))
+    }
 }
--- /dev/null
+++ b/crates/quota/tests/replicas/faults.rs
@@ -0,0 +1,44 @@
+//! Faults: members and replicas that are killed or cut off, and demands that change.
+
+use crate::cluster::{Cluster, MEMBERS, REPLICAS};
+use crate::member::Member;
+use mintshelf_lease::timing::SECOND;
+
+impl Cluster {
+    pub fn cause_faults(&mut self) {
+        (0..MEMBERS).for_each(|index| self.disturb_member(index));
+        (0..REPLICAS).for_each(|index| self.disturb_replica(index));
+    }
+
+    fn disturb_member(&mut self, index: usize) {
+        if self.draw_below(1_500) == 0 {
+            self.restart_member(index);
+        }
+        if self.draw_below(900) == 0 {
+            self.members[index].cut_off_until = self.now + self.draw_below(6 * SECOND);
+        }
+        if self.draw_below(250) == 0 {
+            self.members[index].demand = [0, 2, 20, 90, 400][self.draw_below(5) as usize];
+        }
+    }
+
+    /// Kills a member, which restarts at once; servers go on with what it has sent.
+    fn restart_member(&mut self, index: usize) {
+        self.kills += 1;
+        let incarnation = self.members[index].owner.incarnation + 1;
+        let restarted = Member::new(index, incarnation, self.member_now());
+        let killed = std::mem::replace(&mut self.members[index], restarted);
+        self.members[index].demand = killed.demand;
+        self.orphaned_units.extend(killed.units.iter().map(|unit| unit.ends_at));
+    }
+
+    fn disturb_replica(&mut self, index: usize) {
+        if self.processes[index].replica.is_some() && self.draw_below(1_500) == 0 {
+            self.processes[index].replica = None;
+            self.processes[index].restart_at = self.now + self.draw_below(4 * SECOND);
+        }
+        if self.draw_below(1_200) == 0 {
+            self.processes[index].cut_off_until = self.now + self.draw_below(4 * SECOND);
+        }
+    }
+}
--- /dev/null
+++ b/crates/quota/tests/simulation/faults.rs
@@ -0,0 +1,58 @@
+//! Faults: members that stop, are killed or cut off, and changes of leader.
+
+use crate::config::Mutant;
+use crate::member::{Clock, Member};
+use crate::world::World;
+use mintshelf_lease::timing::{MS, SECOND};
+
+impl World {
+    pub fn cause_faults(&mut self) {
+        for index in 0..self.members.len() {
+            self.disturb_member(index);
+        }
+        if self.draw_one_in(300) {
+            let max_duration = if self.draw_one_in(5) { 6 * SECOND } else { 500 * MS };
+            self.leaderless_until = self.now + self.draw_below(max_duration);
+            self.change_leader();
+        }
+    }
+
+    fn disturb_member(&mut self, index: usize) {
+        if self.draw_one_in(1_000) {
+            self.kill(index);
+        }
+        if self.draw_one_in(700) {
+            self.members[index].stopped_until = self.now + self.draw_below(5 * SECOND);
+            self.stops += 1;
+        }
+        if self.draw_one_in(500) {
+            self.members[index].cut_off_until = self.now + self.draw_below(5 * SECOND);
+        }
+        if self.draw_one_in(100) {
+            self.members[index].demand = [0, 1, 7, 40, 200][self.draw_below(5) as usize];
+        }
+    }
+
+    /// Kills a member, which restarts at once; servers go on with what it has sent.
+    fn kill(&mut self, index: usize) {
+        self.kills += 1;
+        let clock = Clock::draw(&mut self.rng, self.config.quota.clock_error);
+        let killed = &mut self.members[index];
+        self.orphaned_units.append(&mut killed.units);
+        let incarnation = killed.incarnation + 1;
+        let mut restarted = Member::new(&self.config, index, incarnation, clock, self.now);
+        restarted.demand = killed.demand;
+        restarted.cut_off_until = killed.cut_off_until;
+        self.members[index] = restarted;
+    }
+
+    fn change_leader(&mut self) {
+        self.term += 1;
+        self.leaders += 1;
+        self.leader_clock = Clock::draw(&mut self.rng, self.config.quota.clock_error);
+        if self.config.mutant != Mutant::KeepsFormerLeadersCounts {
+            self.collector.step_down();
+            self.collector.become_leader(self.leader_clock.read(self.now), &self.ledger);
+        }
+    }
+}
--- /dev/null
+++ b/crates/quota/tests/simulation/world.rs
@@ -0,0 +1,141 @@
+//! Members that use whatever their limits allow, a replicated log with leaders that change, and a
+//! network that loses, delays and duplicates; clocks run apart by all that is allowed. Consensus
+//! itself is assumed here (`crates/consensus` proves it): what is applied, is applied once and in
+//! one order.
+//!
+//! One seed determines everything: the order of the draws from its generator is part of each test.
+
+use crate::config::SimulationConfig;
+use crate::member::{Clock, Member};
+use crate::network::InFlight;
+use mintshelf_lease::timing::{Nanos, MS};
+use mintshelf_quota::ledger::Ledger;
+use mintshelf_quota::request_collector::RequestCollector;
+use rand_core::{RngCore, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+
+const STEP: Nanos = 10 * MS;
+pub const BATCH_INTERVAL: Nanos = 100 * MS;
+
+/// More units in use than the quota has.
+pub struct Excess {
+    pub at: Nanos,
+    pub used: u64,
+}
+
+pub struct World {
+    pub config: SimulationConfig,
+    pub rng: Pcg64Mcg,
+    pub now: Nanos,
+    pub members: Vec<Member>,
+    /// When the use of each unit of a former incarnation ends: servers still work on it.
+    pub orphaned_units: Vec<Nanos>,
+    pub ledger: Ledger,
+    pub collector: RequestCollector,
+    pub leader_clock: Clock,
+    pub term: u64,
+    pub leaderless_until: Nanos,
+    pub next_batch_at: Nanos,
+    pub in_flight: Vec<InFlight>,
+    /// Most units in use at one time.
+    pub max_used: u64,
+    /// The first time that the quota was exceeded.
+    pub excess: Option<Excess>,
+    /// Unit-steps in use, and steps, in the second half of the time without faults.
+    late_used: u64,
+    late_steps: u64,
+    pub kills: u64,
+    pub stops: u64,
+    pub leaders: u64,
+}
+
+impl World {
+    pub fn new(config: SimulationConfig, seed: u64) -> Self {
+        let mut rng = Pcg64Mcg::seed_from_u64(seed);
+        let clock_error = config.quota.clock_error;
+        let leader_clock = Clock::draw(&mut rng, clock_error);
+        let ledger = Ledger::new(config.replicated_quota());
+        let mut collector = RequestCollector::default();
+        collector.become_leader(leader_clock.read(0), &ledger);
+        let new_member =
+            |index| Member::new(&config, index, 1, Clock::draw(&mut rng, clock_error), 0);
+        let members = (0..config.members).map(new_member).collect();
+        World {
+            config,
+            rng,
+            now: 0,
+            members,
+            orphaned_units: Vec::new(),
+            ledger,
+            collector,
+            leader_clock,
+            term: 1,
+            leaderless_until: 0,
+            next_batch_at: 0,
+            in_flight: Vec::new(),
+            max_used: 0,
+            excess: None,
+            late_used: 0,
+            late_steps: 0,
+            kills: 0,
+            stops: 0,
+            leaders: 1,
+        }
+    }
+
+    /// A number below a bound, 0 if the bound is 0.
+    pub fn draw_below(&mut self, bound: u64) -> u64 {
+        self.rng.next_u64() % bound.max(1)
+    }
+
+    pub fn draw_one_in(&mut self, count: u64) -> bool {
+        self.draw_below(count) == 0
+    }
+
+    pub fn has_faults(&self) -> bool {
+        self.now < self.config.fault_period
+    }
+
+    /// Runs to the end.
+    pub fn run(&mut self) {
+        let end = self.config.fault_period + self.config.calm_period;
+        while self.now < end {
+            self.advance();
+        }
+    }
+
+    fn advance(&mut self) {
+        self.now += STEP;
+        if self.has_faults() {
+            self.cause_faults();
+        }
+        self.deliver();
+        self.propose();
+        for index in 0..self.members.len() {
+            self.advance_member(index);
+        }
+        self.check();
+    }
+
+    /// Checks the units in use against the total, and knows nothing else.
+    fn check(&mut self) {
+        let now = self.now;
+        self.orphaned_units.retain(|ends_at| *ends_at > now);
+        let by_members: usize = self.members.iter().map(|member| member.units.len()).sum();
+        let used = (by_members + self.orphaned_units.len()) as u64;
+        self.max_used = self.max_used.max(used);
+        if used > self.config.quota.total && self.excess.is_none() {
+            self.excess = Some(Excess { at: now, used });
+        }
+        if now > self.config.fault_period + self.config.calm_period / 2 {
+            self.late_steps += 1;
+            self.late_used += used;
+        }
+    }
+
+    /// Part of the quota that was in use in the second half of the time without faults.
+    pub fn served(&self) -> f64 {
+        let mean_used = self.late_used as f64 / self.late_steps.max(1) as f64;
+        mean_used / self.config.quota.total as f64
+    }
+}
--- a/crates/quota/tests/usage.rs
+++ b/crates/quota/tests/usage.rs
@@ -1,95 +1,103 @@
-//! What passes a share's limit, and what is reckoned as need.
+//! What is acquired under a limit, and what counts as demand.
 
 use mintshelf_lease::timing::{Nanos, MS, SECOND};
 use mintshelf_quota::client::Limit;
 use mintshelf_quota::usage::Usage;
-use proptest::prelude::*;
+use proptest::prelude::ProptestConfig;
+use proptest::{collection, prop_assert, prop_assert_eq, proptest};
 
 const WINDOW: Nanos = 500 * MS;
 
-fn until(units: u64, until: Nanos, floor: u64) -> Limit {
-    Limit { units, until, floor }
+fn limit(units: u64, expires_at: Nanos, floor: u64) -> Limit {
+    Limit { units, expires_at, floor }
 }
 
 #[test]
-fn past_the_end_of_a_share_the_floor_is_left() {
-    let mut usage = Usage::new(0, until(5, SECOND, 2), WINDOW);
-    assert_eq!((0..9).filter(|_| usage.take(SECOND - 1)).count(), 5);
-    // What is in use goes on, and nothing new is taken before it has come down.
+fn past_the_expiry_of_a_limit_the_floor_is_left() {
+    let mut usage = Usage::new(0, limit(5, SECOND, 2), WINDOW);
+    assert_eq!((0..9).filter(|_| usage.try_acquire(SECOND - 1)).count(), 5);
+    // What is in use stays in use, and nothing new is acquired before it has come down.
     for left in [4, 3, 2] {
-        assert!(!usage.take(SECOND));
-        usage.give_back(SECOND, 10 * MS);
+        assert!(!usage.try_acquire(SECOND));
+        usage.release(SECOND, 10 * MS);
         assert_eq!(usage.used(), left);
     }
-    assert!(!usage.take(SECOND));
-    usage.give_back(SECOND, 10 * MS);
-    assert!(usage.take(SECOND));
-    usage.set(until(4, 9 * SECOND, 2));
-    assert!(usage.take(SECOND) && usage.take(SECOND) && !usage.take(SECOND));
+    assert!(!usage.try_acquire(SECOND));
+    usage.release(SECOND, 10 * MS);
+    assert!(usage.try_acquire(SECOND));
+    usage.set_limit(limit(4, 9 * SECOND, 2));
+    assert!(usage.try_acquire(SECOND) && usage.try_acquire(SECOND));
+    assert!(!usage.try_acquire(SECOND));
 }
 
 #[test]
-fn those_turned_away_need_as_much_as_they_would_have_held() {
-    let mut usage = Usage::new(0, until(1, Nanos::MAX, 1), WINDOW);
-    assert_eq!(usage.need(0), 0);
-    assert!(usage.take(0));
-    usage.give_back(50 * MS, 50 * MS);
-    assert!(usage.take(60 * MS));
+fn rejected_acquisitions_demand_as_much_as_they_would_have_used() {
+    let mut usage = Usage::new(0, limit(1, Nanos::MAX, 1), WINDOW);
+    assert_eq!(usage.demand(0), 0);
+    assert!(usage.try_acquire(0));
+    usage.release(50 * MS, 50 * MS);
+    assert!(usage.try_acquire(60 * MS));
     // A hundred in half a second that take 50 ms each: ten at once, and the one in use.
-    (0..100).for_each(|_| assert!(!usage.take(100 * MS)));
-    assert_eq!(usage.need(100 * MS), 11 + 11 / 4 + 1);
-    usage.give_back(110 * MS, 50 * MS);
-    // Forgotten after its windows; then there is no need at all.
-    assert!(usage.need(3 * WINDOW - 1) > 0);
-    assert_eq!(usage.need(4 * WINDOW), 0);
+    for _ in 0..100 {
+        assert!(!usage.try_acquire(100 * MS));
+    }
+    assert_eq!(usage.demand(100 * MS), 11 + 11 / 4 + 1);
+    usage.release(110 * MS, 50 * MS);
+    // Forgotten after its windows; then there is no demand at all.
+    assert!(usage.demand(3 * WINDOW - 1) > 0);
+    assert_eq!(usage.demand(4 * WINDOW), 0);
 }
 
 #[test]
-fn a_long_silence_is_turned_in_bounded_time() {
-    let mut usage = Usage::new(0, until(3, Nanos::MAX, 3), 1);
-    assert!(usage.take(0));
-    assert_eq!(usage.need(u64::MAX / 2), 2);
-    assert!(usage.take(u64::MAX / 2 + 1));
+fn windows_rotate_in_bounded_time_after_a_long_silence() {
+    let mut usage = Usage::new(0, limit(3, Nanos::MAX, 3), 1);
+    assert!(usage.try_acquire(0));
+    assert_eq!(usage.demand(u64::MAX / 2), 2);
+    assert!(usage.try_acquire(u64::MAX / 2 + 1));
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Never more than the limit at the time of taking, never a need under what is in use, and
-    /// never one over what was asked for with its headroom.
+    /// Never more than the limit at the time of an acquisition, never a demand under what is in
+    /// use, and never one over what was requested with its headroom.
     #[test]
-    fn limits_hold_and_needs_follow(
-        events in prop::collection::vec((0u8..5, 0u64..200, 0u64..12, 0u64..800), 1..300),
+    fn limits_hold_and_demands_follow(
+        events in collection::vec((0u8..5, 0u64..200, 0u64..12, 0u64..800), 1..300),
     ) {
-        let mut limit = until(4, SECOND, 1);
-        let mut usage = Usage::new(0, limit, WINDOW);
-        let (mut now, mut open) = (0, Vec::new());
-        let (mut given_back, mut refused) = (Vec::new(), Vec::new());
-        for (event, pause, units, long) in events {
-            now += pause * MS;
+        let mut current = limit(4, SECOND, 1);
+        let mut usage = Usage::new(0, current, WINDOW);
+        let mut now = 0;
+        let mut acquired = Vec::new();
+        let mut released = Vec::new();
+        let mut rejected = Vec::new();
+        for (event, pause_ms, units, duration_ms) in events {
+            now += pause_ms * MS;
             match event {
                 0 => {
-                    limit = until(units, now + long * MS, units.min(1));
-                    usage.set(limit);
+                    current = limit(units, now + duration_ms * MS, units.min(1));
+                    usage.set_limit(current);
                 }
-                1 if !open.is_empty() => {
-                    let since = open.remove(0);
-                    usage.give_back(now, now - since);
-                    given_back.push(now);
+                1 if !acquired.is_empty() => {
+                    let since = acquired.remove(0);
+                    usage.release(now, now - since);
+                    released.push(now);
                 }
                 _ => {
-                    let before = usage.used();
-                    let taken = usage.take(now);
-                    prop_assert_eq!(taken, before < limit.at(now));
-                    if taken { &mut open } else { &mut refused }.push(now);
+                    let used_before = usage.used();
+                    let is_acquired = usage.try_acquire(now);
+                    prop_assert_eq!(is_acquired, used_before < current.units_at(now));
+                    if is_acquired { &mut acquired } else { &mut rejected }.push(now);
                 }
             }
-            prop_assert_eq!(usage.used(), open.len() as u64);
-            let need = usage.need(now);
-            prop_assert!(need >= usage.used());
-            let lately = |times: &[Nanos]| times.iter().filter(|at| now - **at <= 3 * WINDOW).count();
-            let most = (open.len() + lately(&given_back) + lately(&refused)) as u64;
-            prop_assert!(need <= most + most / 4 + 1, "{need} for {most}");
+            prop_assert_eq!(usage.used(), acquired.len() as u64);
+            let demand = usage.demand(now);
+            prop_assert!(demand >= usage.used());
+            let recent = |times: &[Nanos]| {
+                times.iter().filter(|time| now - **time <= 3 * WINDOW).count()
+            };
+            let max = (acquired.len() + recent(&released) + recent(&rejected)) as u64;
+            prop_assert!(demand <= max + max / 4 + 1, "{demand} for {max}");
         }
     }
 }
