--- a/crates/admission/src/queue.rs
+++ b/crates/admission/src/queue.rs
@@ -149,7 +149,7 @@
         self.divide_reservations();
         let mut transitions = QueueTransitions::default();
         while self.waiting.len() > self.config.max_queued as usize {
-            let last = self.most_loaded().and_then(|tenant| self.pop_last(&tenant));
+            let last = self.busiest_tenant().and_then(|tenant| self.pop_last(&tenant));
             let Some(ticket) = last else { break };
             transitions.reject(ticket, RejectReason::QueueFull);
         }
@@ -262,7 +262,7 @@
     }
 
     /// The tenant whose load is largest for its share, of those with requests that wait.
-    fn most_loaded(&self) -> Option<Rc<str>> {
+    fn busiest_tenant(&self) -> Option<Rc<str>> {
         let relative_load = |member: &Member| f64::from(member.load()) / member.share;
         self.members
             .iter()
@@ -273,12 +273,12 @@
 
     /// Takes a request that comes after this one out of the full queue; none if there is none.
     fn displace(&mut self, tenant: &Rc<str>, rank: Rank) -> Option<QueueTicket> {
-        let most_loaded = self.most_loaded()?;
-        if most_loaded != *tenant {
+        let busiest_tenant = self.busiest_tenant()?;
+        if busiest_tenant != *tenant {
             let load = |name: &str| self.members.get(name).map_or(0, Member::load);
             let own_load = f64::from(load(tenant) + 1) / self.share(tenant);
-            if own_load <= f64::from(load(&most_loaded)) / self.share(&most_loaded) {
-                return self.pop_last(&most_loaded);
+            if own_load <= f64::from(load(&busiest_tenant)) / self.share(&busiest_tenant) {
+                return self.pop_last(&busiest_tenant);
             }
         }
         let (last_own, _) = self.members.get(tenant)?.queue.last_key_value()?;
