--- a/crates/mintshelf/tests/compatibility/bindings.rs
+++ b/crates/mintshelf/tests/compatibility/bindings.rs
@@ -20,9 +20,11 @@
 use mintshelf_proxy::discovery::list::EndpointList;
 use mintshelf_proxy::discovery::reader::EndpointListReader;
 use mintshelf_proxy::endpoints::Endpoints;
-use mintshelf_quota::config::Budget;
-use mintshelf_quota::ledger::{self, Ask, Beat, Ended, Promise};
-use mintshelf_quota::state_machine::{self as quota_commands, Agreed, Unfit};
+use mintshelf_quota::allocation::{
+    AllocationBatch, AllocationRequest, AllocationResponse, Grant, GrantExpired,
+};
+use mintshelf_quota::config::Quota;
+use mintshelf_quota::state_machine::{self as quota_commands, QuotaRejection, QuotaStateMachine};
 use mintshelf_simulator_adapter::host::Host;
 use mintshelf_simulator_adapter::wire::write_action;
 use serde::de::DeserializeOwned;
@@ -151,52 +153,66 @@
     lease_commands().into_iter().map(|(label, command)| sample(label, command)).collect()
 }
 
-fn budget() -> Budget {
-    let error = ClockError { ppm: 1_000 };
-    let (span, hold) = (3 * SECOND, 2 * SECOND);
-    Budget { whole: 1_000, floor: 10, members: 20, reserve: 100, span, hold, error }
+fn quota() -> Quota {
+    let clock_error = ClockError { ppm: 1_000 };
+    Quota {
+        total: 1_000,
+        floor: 10,
+        max_members: 20,
+        headroom_per_mille: 100,
+        grant_duration: 3 * SECOND,
+        max_use_duration: 2 * SECOND,
+        clock_error,
+    }
 }
 
-fn beat() -> Beat {
-    let ask = |member, need, leaves| Ask {
+fn batch() -> AllocationBatch {
+    let request = |member, demand, is_leaving| AllocationRequest {
         owner: owner(member, 3),
-        number: 300,
-        need,
+        sequence: 300,
+        demand,
         weight: 2,
-        confirms: 5,
-        leaves,
+        confirmed_grant: 5,
+        is_leaving,
     };
-    let ended = vec![Ended { owner: owner("gamma", 7), grant: 400 }];
-    Beat { asks: vec![ask("alpha", 600, false), ask("beta", 50, true)], ended }
+    let expired = vec![GrantExpired { owner: owner("gamma", 7), grant: 400 }];
+    AllocationBatch {
+        requests: vec![request("alpha", 600, false), request("beta", 50, true)],
+        expired,
+    }
 }
 
 /// Commands, answers and the snapshot of a fleet that divides budgets.
 pub fn encoded_budget_messages() -> Vec<Sample> {
-    use quota_commands::{Answer as Reply, Command as Order};
+    use quota_commands::{Command as Order, QuotaBatch, QuotaResponse, Response as Reply};
     let [(_, acquire), ..] = lease_commands();
     let orders = [
         Order::Lease(acquire),
-        Order::Budget { name: "calls".into(), budget: budget() },
-        Order::Beat(vec![("calls".into(), beat())]),
+        Order::SetQuota { name: "calls".into(), quota: quota() },
+        Order::Allocate(vec![QuotaBatch { quota: "calls".into(), batch: batch() }]),
     ];
-    let mut state = Agreed::default();
+    let mut state = QuotaStateMachine::default();
     for order in &orders {
         StateMachine::apply(&mut state, order);
     }
     let [lease, budget, beat] = orders;
-    let promise = Promise { grant: 300, units: 500 };
-    let shares = ledger::Answer { owner: owner("alpha", 3), number: 300, promise };
+    let grant = Grant { number: 300, units: 500 };
+    let response = AllocationResponse { owner: owner("alpha", 3), sequence: 300, grant };
+    let shares = QuotaResponse { quota: "calls".into(), response };
     vec![
         sample("lease command", lease),
         sample("budget", budget),
         sample("beat", beat),
         sample("lease answer", Reply::Lease(Response::Done)),
-        sample("budget in force", Reply::Budget(Ok(()))),
-        sample("budget refused", Reply::Budget(Err(Unfit::Problem("why".into())))),
-        sample("budget with other figures", Reply::Budget(Err(Unfit::OtherFigures))),
-        sample("too many budgets", Reply::Budget(Err(Unfit::TooMany))),
-        sample("budget's name", Reply::Budget(Err(Unfit::Name))),
-        sample("shares", Reply::Shares(vec![("calls".into(), shares)])),
+        sample("budget in force", Reply::SetQuota(Ok(()))),
+        sample("budget refused", Reply::SetQuota(Err(QuotaRejection::Invalid("why".into())))),
+        sample(
+            "budget with other figures",
+            Reply::SetQuota(Err(QuotaRejection::IncompatibleChange)),
+        ),
+        sample("too many budgets", Reply::SetQuota(Err(QuotaRejection::TooMany))),
+        sample("budget's name", Reply::SetQuota(Err(QuotaRejection::InvalidName))),
+        sample("shares", Reply::Allocations(vec![shares])),
         sample("snapshot", state),
     ]
 }
