--- a/crates/admission/src/admission.rs
+++ b/crates/admission/src/admission.rs
@@ -70,6 +70,29 @@
 }
 
 /// Every limit in force, with what counts against it.
+///
+/// ```
+/// use mintshelf_admission::admission::{Admission, AdmissionConfig};
+/// use mintshelf_admission::queue::{FairQueueConfig, QueueDecision, QueueEntry};
+///
+/// let queue = FairQueueConfig { max_concurrency: 1, max_queued: 1, ..Default::default() };
+/// let clusters = [("web".into(), queue)].into();
+/// let mut admission = Admission::default();
+/// let _ = admission.configure(0, &AdmissionConfig { clusters, ..Default::default() });
+/// let entry = QueueEntry {
+///     tenant: "others".into(),
+///     is_repeat: false,
+///     priority_weight: 1.0,
+///     deadline: 1_000_000_000,
+///     expected_latency: 0,
+/// };
+/// let (first, _) = admission.enqueue(0, "web", entry.clone()).unwrap();
+/// assert_eq!(first, QueueDecision::Admit);
+/// let (second, _) = admission.enqueue(0, "web", entry.clone()).unwrap();
+/// let QueueDecision::Wait(ticket) = second else { panic!("the cluster takes one at a time") };
+/// let transitions = admission.complete(1_000_000, "web", &entry.tenant);
+/// assert_eq!(transitions.admitted, [ticket]);
+/// ```
 #[derive(Debug, Default)]
 pub struct Admission {
     tenants: BTreeMap<Rc<str>, Limit>,
@@ -174,6 +197,7 @@
     }
 
     /// Offers a request to a cluster's queue; none if the cluster has no limit.
+    #[must_use]
     pub fn enqueue(
         &mut self,
         now: Nanos,
--- a/crates/admission/src/queue.rs
+++ b/crates/admission/src/queue.rs
@@ -158,6 +158,7 @@
     }
 
     /// Offers a request. Another that waits may have to give way to it.
+    #[must_use]
     pub fn enqueue(&mut self, now: Nanos, entry: QueueEntry) -> (QueueDecision, QueueTransitions) {
         let mut transitions = QueueTransitions::default();
         let decision = self.decide(now, entry, &mut transitions);
--- a/crates/config/src/file/clusters.rs
+++ b/crates/config/src/file/clusters.rs
@@ -49,7 +49,7 @@
     let zone = table.text("zone").map_or(String::new(), |zone| zone.value.to_string());
     let never_ran_header = table.parsed("never-ran-header", HEADER_REMEDY, parse_header_name);
     let duration = |key, default, bounds| table.duration(key, default, bounds).value;
-    let (warm_up, warm_up_start) = warm_up(table);
+    let warm_up = duration("warm-up", Duration::ZERO, ms(0)..=MAX_DURATION);
     Cluster {
         endpoints: endpoints(table, &zone),
         zone,
@@ -61,7 +61,7 @@
         failure_statuses: failure_statuses(table),
         never_ran_header: never_ran_header.map(|header| header.value),
         warm_up,
-        warm_up_start,
+        warm_up_start: warm_up_start(table, warm_up),
         concurrency: limits::concurrency(table),
         connections: limits::connections(table),
         sockets: limits::sockets(table),
@@ -72,17 +72,16 @@
     }
 }
 
-/// How long a new server warms up, and the fraction of its capacity at which it starts.
-fn warm_up(table: &Table) -> (Duration, f64) {
-    let warm_up = table.duration("warm-up", Duration::ZERO, ms(0)..=MAX_DURATION);
+/// The fraction of its capacity at which a new server starts.
+fn warm_up_start(table: &Table, warm_up: Duration) -> f64 {
     let start = table.number("warm-from", DEFAULT_WARM_UP_START, 0.01..=1.0);
-    if table.has("warm-from") && warm_up.value.is_zero() {
+    if table.has("warm-from") && warm_up.is_zero() {
         let message = "has no effect without warm-up";
         let remedy = "state how long a new server warms up, as in warm-up = \"8s\"";
         let rule = SafetyRule::NoOverloadedWarmUp;
         table.reader.report_violation(&start.place, message, remedy, rule);
     }
-    (warm_up.value, start.value)
+    start.value
 }
 
 fn retry_budget(table: &Table) -> RetryBudgetConfig {
--- a/crates/config/src/file/sockets.rs
+++ b/crates/config/src/file/sockets.rs
@@ -94,13 +94,12 @@
         return flag.value.then_some(handshakes);
     }
     let table = table.table("websocket")?;
-    let place = table.place.clone();
-    let (terms, resume) = terms(&table);
+    let handshakes = handshakes_on_terms(&table);
     table.finish();
-    Some(Handshakes { terms, resume, place })
+    Some(handshakes)
 }
 
-fn terms(table: &Table) -> (Terms, Option<Resume>) {
+fn handshakes_on_terms(table: &Table) -> Handshakes {
     let origin_remedy = "write an origin as in \"https://lab.example\", without a path";
     let subprotocol_remedy = "write a name as in \"status.v1\"";
     let terms = Terms {
@@ -120,7 +119,8 @@
         let rule = SafetyRule::NoLostRequest;
         table.reader.report_violation(&resume.place, message, remedy, rule);
     }
-    (terms, resume.map(|resume| resume.value))
+    let resume = resume.map(|resume| resume.value);
+    Handshakes { terms, resume, place: table.place.clone() }
 }
 
 /// A list of texts that are parsed; none if the key is absent.
