--- a/crates/proxy/src/websocket/eviction.rs
+++ b/crates/proxy/src/websocket/eviction.rs
@@ -3,61 +3,27 @@
 
 use super::entry::{ServerLocation, SocketCommand, SocketEntry};
 use super::registry::SocketRegistry;
+use super::schedules::ServerProbe;
 use mintshelf_balancer::api::{Nanos, ServerId};
 use mintshelf_websocket::close::reason_with_retry;
 use mintshelf_websocket::close_code;
-use mintshelf_websocket::migration::MigrationSchedule;
 use mintshelf_websocket::session::EvictionRequest;
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
 
-/// Least time between two probes of the same server.
-const PROBE_INTERVAL_NS: Nanos = 1_000_000_000;
 /// Seconds after which a client may come back whose slot was reclaimed.
 const RECLAIM_RETRY_AFTER_S: u64 = 5;
 
-/// The migration schedules of the clusters, by their numbers.
-#[derive(Debug, Default)]
-pub(super) struct MigrationTimes(HashMap<u32, MigrationSchedule>);
-
-impl MigrationTimes {
-    /// When one more socket may leave a server, `remaining` sockets being there with it; at once
-    /// in a cluster without a schedule.
-    fn next(&mut self, now: Nanos, location: ServerLocation, remaining: usize) -> Nanos {
-        let schedule = self.0.get_mut(&location.cluster);
-        schedule.map_or(now, |schedule| schedule.next_slot(now, location.server, remaining))
-    }
-}
-
-/// A probe of a server by all its sockets.
-#[derive(Debug, Clone, Copy)]
-struct ServerProbe {
-    at_ns: Nanos,
-    sockets: usize,
-}
-
-/// The probes of the last [`PROBE_INTERVAL_NS`].
-#[derive(Debug, Default)]
-pub(super) struct ServerProbes(HashMap<ServerLocation, ServerProbe>);
-
-impl ServerProbes {
-    fn recent(&mut self, now: Nanos, location: ServerLocation) -> Option<ServerProbe> {
-        self.0.retain(|_, probe| now.saturating_sub(probe.at_ns) < PROBE_INTERVAL_NS);
-        self.0.get(&location).copied()
-    }
-}
-
 impl SocketRegistry {
     /// Sets within how many nanoseconds the sockets of a cluster leave a server that is lost or
     /// removed.
     pub fn set_migration_window(&self, cluster: u32, window_ns: Nanos) {
-        let schedule = MigrationSchedule::new(window_ns);
-        self.migration_times.borrow_mut().0.insert(cluster, schedule);
+        self.migration_schedules.borrow_mut().set_window(cluster, window_ns);
     }
 
     /// Forgets a cluster whose last socket has ended.
     pub fn remove_cluster(&self, cluster: u32) {
-        self.migration_times.borrow_mut().0.remove(&cluster);
+        self.migration_schedules.borrow_mut().remove(cluster);
     }
 
     /// When a socket that has lost its server may migrate. The other sockets of that server
@@ -67,7 +33,7 @@
         entry.set_evicted();
         let others = self.probe_server(location.cluster, location.server);
         let now = self.clock().now();
-        self.migration_times.borrow_mut().next(now, location, others + 1)
+        self.migration_schedules.borrow_mut().next_slot(now, location, others + 1)
     }
 
     /// Has all sockets of a server that is suspected to be down ping it, and returns how many
@@ -85,7 +51,7 @@
             .filter(|entry| entry.location() == location && !entry.is_evicted())
             .inspect(|entry| entry.send(SocketCommand::ProbeServer));
         let probe = ServerProbe { at_ns: now, sockets: probed.count() };
-        probes.0.insert(location, probe);
+        probes.record(location, probe);
         probe.sockets
     }
 
@@ -105,7 +71,7 @@
         for entry in evicted {
             let location = entry.location();
             let left = remaining.entry(location.server).or_default();
-            let at_ns = self.migration_times.borrow_mut().next(now, location, *left);
+            let at_ns = self.migration_schedules.borrow_mut().next_slot(now, location, *left);
             *left = left.saturating_sub(1);
             let reason = reason.to_string();
             let close_code = close_code::RESTART;
--- a/crates/proxy/src/websocket/mod.rs
+++ b/crates/proxy/src/websocket/mod.rs
@@ -7,5 +7,6 @@
 pub mod registry;
 mod rejections;
 pub mod relay;
+mod schedules;
 pub mod stats;
 pub mod upgrade;
--- a/crates/proxy/src/websocket/registry.rs
+++ b/crates/proxy/src/websocket/registry.rs
@@ -1,7 +1,7 @@
 //! The registry of all open sockets of a process: their slots, entries and queued bytes.
 
 use super::entry::{ServerLocation, SocketEntry};
-use super::eviction::{MigrationTimes, ServerProbes};
+use super::schedules::{MigrationSchedules, ServerProbes};
 use super::stats::{SocketStats, SocketTraffic, SocketUsage};
 use crate::clock::Clock;
 use mintshelf_admission::slots::{SlotConfig, SlotOwner, SlotTable, SlotUnavailable};
@@ -22,7 +22,7 @@
     /// The last number given to a socket or used for a seed.
     last_number: Cell<u64>,
     slots: RefCell<SlotTable>,
-    pub(super) migration_times: RefCell<MigrationTimes>,
+    pub(super) migration_schedules: RefCell<MigrationSchedules>,
     pub(super) server_probes: RefCell<ServerProbes>,
     /// Bytes in the queues of all sockets.
     queued_bytes: Cell<usize>,
@@ -102,7 +102,7 @@
             entries: RefCell::default(),
             last_number: Cell::new(0),
             slots: RefCell::default(),
-            migration_times: RefCell::default(),
+            migration_schedules: RefCell::default(),
             server_probes: RefCell::default(),
             queued_bytes: Cell::new(0),
             max_queued_bytes,
--- a/crates/websocket/src/session/migration.rs
+++ b/crates/websocket/src/session/migration.rs
@@ -1,38 +1,20 @@
 //! Leaves a server that is lost or evicted from, and goes on at another where that is allowed.
 
 use super::closing::GOING_AWAY;
-use super::side::Side;
-use super::{client_decoder, EvictionRequest, Session, SessionAction, State};
+use super::side::{client_decoder, Side};
+use super::{EvictionRequest, Session, SessionAction, State};
 use crate::close::reason_with_retry;
 use crate::close_code;
 use crate::frame::{ControlAction, FrameDecoder};
 use crate::peer::Peer;
 use mintshelf_balancer::api::Nanos;
 
-/// Longest first message that is kept for other servers, in bytes.
-pub const MAX_FIRST_MESSAGE_BYTES: usize = 16 << 10;
-
-/// The first message of a client, as far as it came.
-#[derive(Debug)]
-pub(super) struct FirstMessage {
-    decoder: FrameDecoder,
-    bytes: Vec<u8>,
-}
-
-impl FirstMessage {
-    pub(super) fn new(is_compressed: bool) -> Self {
-        FirstMessage { decoder: client_decoder(is_compressed), bytes: Vec::new() }
-    }
-}
-
 impl Session {
     /// Keeps the client's first message, from the server's output behind `output_start`. A
     /// socket whose first message is too long for that does not migrate.
     pub(super) fn keep_first_message(&mut self, output_start: usize) {
         let Some(first_message) = &mut self.first_message else { return };
-        let bytes = &self.server.output.bytes[output_start..];
-        let decoded = first_message.decoder.forward_first_message(bytes, &mut first_message.bytes);
-        if decoded.is_err() || first_message.bytes.len() > MAX_FIRST_MESSAGE_BYTES {
+        if !first_message.append(&self.server.output.bytes[output_start..]) {
             self.first_message = None;
             self.written_to_server = None;
         }
@@ -146,7 +128,7 @@
         let has_received_message =
             self.written_to_server.as_ref().is_some_and(|decoder| decoder.completed_messages() > 0);
         if let Some(first_message) = self.first_message.as_ref().filter(|_| has_received_message) {
-            server.output.bytes.clone_from(&first_message.bytes);
+            server.output.bytes.extend_from_slice(first_message.bytes());
         }
         server.output.bytes.extend_from_slice(self.server.output.pending());
         server.received_bytes = self.server.received_bytes;
--- a/crates/websocket/src/session/mod.rs
+++ b/crates/websocket/src/session/mod.rs
@@ -5,6 +5,7 @@
 //! at all, and each peer is sent at most one close frame.
 
 mod closing;
+mod first_message;
 mod forwarding;
 mod migration;
 mod side;
@@ -18,11 +19,11 @@
 use crate::frame::FrameDecoder;
 use crate::peer::Peer;
 use crate::timers::SocketTimers;
-use migration::FirstMessage;
+use first_message::FirstMessage;
 use mintshelf_balancer::api::Nanos;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
-use side::Side;
+use side::{client_decoder, Side};
 use std::rc::Rc;
 
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -177,8 +178,3 @@
         self.random.next_u32().to_be_bytes()
     }
 }
-
-/// Decodes what was checked before, so without a limit of its own.
-fn client_decoder(is_compressed: bool) -> FrameDecoder {
-    FrameDecoder::new(Peer::Client, is_compressed, u64::MAX)
-}
--- a/crates/websocket/src/session/side.rs
+++ b/crates/websocket/src/session/side.rs
@@ -80,3 +80,8 @@
         self.unforwarded = Vec::new();
     }
 }
+
+/// A decoder for a client's frames that were checked before, so without a limit of its own.
+pub(super) fn client_decoder(is_compressed: bool) -> FrameDecoder {
+    FrameDecoder::new(Peer::Client, is_compressed, u64::MAX)
+}
