--- a/crates/mintshelf/src/admin.rs
+++ b/crates/mintshelf/src/admin.rs
@@ -5,9 +5,9 @@
 use hyper::body::Incoming;
 use hyper::header::{self, HeaderValue};
 use hyper::{Method, Request, Response, StatusCode};
-use mintshelf_proxy::clients::Client;
-use mintshelf_proxy::inbound::{Front, FrontBody};
-use mintshelf_proxy::refusal::Refusal;
+use mintshelf_proxy::client::connection::Client;
+use mintshelf_proxy::client::listener::{RequestHandler, ResponseBody};
+use mintshelf_proxy::gateway::rejection::Rejection;
 use mintshelf_websocket::session::ClosedBy;
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
@@ -22,17 +22,17 @@
     pub daemon: Rc<Daemon>,
 }
 
-impl Front for Admin {
+impl RequestHandler for Admin {
     async fn respond(
         self: Rc<Self>,
         _client: Rc<Client>,
         request: Request<Incoming>,
         draining: bool,
-    ) -> Response<FrontBody> {
+    ) -> Response<ResponseBody> {
         let bare = request.method() == Method::HEAD;
         if request.method() != Method::GET && !bare {
             let what = "the admin listener only tells";
-            return Refusal::new(StatusCode::METHOD_NOT_ALLOWED, "method", what).response(bare);
+            return Rejection::new(StatusCode::METHOD_NOT_ALLOWED, "method", what).response(bare);
         }
         let (kind, text) = match request.uri().path() {
             "/-/metrics" => {
@@ -44,15 +44,15 @@
             "/-/ready" => {
                 let what = "the planned end has begun";
                 let status = StatusCode::SERVICE_UNAVAILABLE;
-                return Refusal::new(status, "draining", what).response(bare);
+                return Rejection::new(status, "draining", what).response(bare);
             }
             _ => {
                 let what = "there are /-/metrics, /-/config and /-/ready";
-                return Refusal::new(StatusCode::NOT_FOUND, "no-page", what).response(bare);
+                return Rejection::new(StatusCode::NOT_FOUND, "no-page", what).response(bare);
             }
         };
         let body = if bare { Bytes::new() } else { Bytes::from(text) };
-        let mut response = Response::new(FrontBody::whole(body));
+        let mut response = Response::new(ResponseBody::whole(body));
         response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static(kind));
         response
     }
--- a/crates/mintshelf/src/daemon.rs
+++ b/crates/mintshelf/src/daemon.rs
@@ -7,15 +7,17 @@
 use mintshelf_config::model::{self, File, Route, Then, SOCKET_QUEUE_SHARE};
 use mintshelf_config::module::{module, nanos, Module};
 use mintshelf_config::platform::Names;
-use mintshelf_proxy::clients::{Clients, Patience};
-use mintshelf_proxy::driver::{Driver, Spec};
-use mintshelf_proxy::gates::Gates;
-use mintshelf_proxy::inbound::{listen, Front, Inbound};
-use mintshelf_proxy::limits::Limits;
-use mintshelf_proxy::link::Most;
-use mintshelf_proxy::plain::{Counts, Limited, Plain, Pool, Serving};
+use mintshelf_proxy::budget::ResourceBudget;
+use mintshelf_proxy::client::connection::{ClientTimeouts, Clients};
+use mintshelf_proxy::client::listener::{listen, ClientListener, RequestHandler};
+use mintshelf_proxy::cluster::runtime::{ClusterRuntime, ClusterSpec};
+use mintshelf_proxy::gateway::admission::AdmissionController;
+use mintshelf_proxy::gateway::handler::{
+    ClusterHandle, GatewayHandler, ListenerAdmission, ProxyStats, ServingConfig,
+};
 use mintshelf_proxy::sockets::registry::Sockets;
-use mintshelf_proxy::upstream::{Connections, Style};
+use mintshelf_proxy::upstream::connection::ConnectionLimits;
+use mintshelf_proxy::upstream::exchange::{ConnectionPool, UpstreamProtocol};
 use mintshelf_recovery::Phase;
 use mintshelf_routing::Table;
 use std::cell::{Cell, RefCell};
@@ -37,16 +39,16 @@
 const LOOK: Duration = Duration::from_millis(50);
 
 struct Listening {
-    front: Rc<Plain>,
+    front: Rc<GatewayHandler>,
     name: String,
     accepting: AbortHandle,
     draining: CancellationToken,
 }
 
 struct Running {
-    pool: Rc<Pool>,
+    pool: Rc<ClusterHandle>,
     module: Module,
-    style: Style,
+    style: UpstreamProtocol,
     run: AbortHandle,
 }
 
@@ -62,11 +64,11 @@
 pub struct Daemon {
     path: PathBuf,
     state: RefCell<State>,
-    limits: Limits,
+    limits: ResourceBudget,
     /// Limits of tenants, routes and clusters, with what counts against them.
-    pub gates: Rc<Gates>,
-    connections: Rc<Connections>,
-    patience: Patience,
+    pub gates: Rc<AdmissionController>,
+    connections: Rc<ConnectionPool>,
+    patience: ClientTimeouts,
     /// What the first file said of what can't change while the program runs.
     fixed: (model::Limits, Option<SocketAddr>, Option<model::Fleet>),
     /// The planned end has begun.
@@ -76,7 +78,7 @@
     /// All clients' connections.
     pub clients: Rc<Clients>,
     /// What was done.
-    pub counts: Rc<Counts>,
+    pub counts: Rc<ProxyStats>,
     reloads: [Cell<u64>; 2],
     seed: u64,
 }
@@ -92,16 +94,16 @@
 impl Daemon {
     /// Puts a first file in force.
     pub fn start(path: PathBuf, file: File) -> Result<Rc<Self>, Refused> {
-        let limits = Limits::new(file.limits.sockets, file.limits.memory);
+        let limits = ResourceBudget::new(file.limits.sockets, file.limits.memory);
         let longest = file.classes.values().map(|class| class.deadline).max();
         let queues = (file.limits.memory as f64 * SOCKET_QUEUE_SHARE) as usize;
         let daemon = Rc::new(Daemon {
             path,
             state: RefCell::default(),
-            connections: Connections::new(&limits),
+            connections: ConnectionPool::new(&limits),
             limits,
             gates: Rc::default(),
-            patience: Patience {
+            patience: ClientTimeouts {
                 receive: file.limits.head_timeout,
                 idle: file.limits.idle_timeout,
                 // Bytes that pass give it anew, so it bounds silence and not size.
@@ -123,18 +125,18 @@
     }
 
     /// Serves a front beside the file's listeners, to the end.
-    pub fn also(&self, front: Rc<impl Front>, listener: TcpListener) {
+    pub fn also(&self, front: Rc<impl RequestHandler>, listener: TcpListener) {
         self.accept(front, listener, self.ending.clone());
     }
 
-    fn accept<F: Front>(
+    fn accept<F: RequestHandler>(
         &self,
         front: Rc<F>,
         listener: TcpListener,
         draining: CancellationToken,
     ) -> AbortHandle {
         let clients = self.clients.clone();
-        let inbound = Inbound::new(front, clients, &self.limits, self.patience, draining);
+        let inbound = ClientListener::new(front, clients, &self.limits, self.patience, draining);
         spawn_local(async move { inbound.accept(listener).await }).abort_handle()
     }
 
@@ -163,7 +165,7 @@
         // From here on nothing can fail.
         let state = &mut *self.state.borrow_mut();
         self.apply_clusters(state, &file);
-        let clusters: HashMap<String, Rc<Pool>> = state
+        let clusters: HashMap<String, Rc<ClusterHandle>> = state
             .pools
             .iter()
             .map(|(name, running)| (name.clone(), running.pool.clone()))
@@ -186,14 +188,14 @@
         self.sockets.set(SlotConfig { most: self.fixed.0.websockets, ..seats(&file) });
         let tenants = tenants(&file).map(Rc::new);
         for (listener, routes, table) in tables {
-            let limited = (!set.is_empty()).then(|| Limited {
+            let limited = (!set.is_empty()).then(|| ListenerAdmission {
                 gates: self.gates.clone(),
                 tenants: tenants.clone(),
                 tenant_header: file.tenant_header.clone(),
                 routes: routes.iter().map(|route| Rc::from(route.name.as_str())).collect(),
                 clusters: clusters.keys().map(|n| (n.clone(), Rc::from(n.as_str()))).collect(),
             });
-            let serving = Rc::new(Serving {
+            let serving = Rc::new(ServingConfig {
                 table,
                 listener: listener.name.clone(),
                 limited,
@@ -211,7 +213,7 @@
                 (None, Some(socket)) => {
                     let (room, counts) = (self.limits.bodies.clone(), self.counts.clone());
                     let sockets = self.sockets.clone();
-                    let front = Plain::new(serving, room, counts, sockets, self.seed);
+                    let front = GatewayHandler::new(serving, room, counts, sockets, self.seed);
                     let draining = CancellationToken::new();
                     let accepting = self.accept(front.clone(), socket, draining.clone());
                     let name = listener.name.clone();
@@ -235,7 +237,7 @@
         let mut old = std::mem::take(&mut state.pools);
         for (name, cluster) in &file.clusters {
             let module = module(file, name, cluster);
-            let style = Style::Plain {
+            let style = UpstreamProtocol::Plain {
                 failures: cluster.failure_statuses.clone(),
                 never_ran: cluster.never_ran_header.clone(),
                 stall: self.fixed.0.stream_timeout,
@@ -264,8 +266,8 @@
         old.into_values().for_each(|running| self.retire(running));
     }
 
-    fn start_pool(&self, name: &str, module: Module, style: Style) -> Running {
-        let spec = Spec {
+    fn start_pool(&self, name: &str, module: Module, style: UpstreamProtocol) -> Running {
+        let spec = ClusterSpec {
             settings: module.settings.clone(),
             names: Names::default(),
             seed: self.seed,
@@ -274,18 +276,19 @@
             discovery: None,
             return_ramp: Some(module.return_ramp),
             tries: module.tries.clone(),
-            most: Most { connections: module.connections, sockets: module.sockets },
+            most: ConnectionLimits { connections: module.connections, sockets: module.sockets },
             socket_weight: module.socket_weight,
             name: Some(name.to_string()),
         };
-        let driver = Driver::start(spec, self.connections.clone());
+        let driver = ClusterRuntime::start(spec, self.connections.clone());
         driver.list(module.servers.clone());
         self.sockets.spread(driver.number(), module.socket_spread);
         let (sockets, number) = (self.sockets.clone(), driver.number());
         driver.on_doubt(move |server| {
             sockets.doubt(number, server);
         });
-        let pool = Rc::new(Pool { driver: driver.clone(), classes: module.classes.clone() });
+        let pool =
+            Rc::new(ClusterHandle { driver: driver.clone(), classes: module.classes.clone() });
         let run = spawn_local(async move { driver.run().await }).abort_handle();
         Running { pool, module, style, run }
     }
--- a/crates/mintshelf/src/platform.rs
+++ b/crates/mintshelf/src/platform.rs
@@ -1,14 +1,14 @@
 //! The platform's sidecar: configured by `RELAY_CONFIG`, fed by discovery.
 
 use mintshelf_config::platform::Config;
-use mintshelf_proxy::clients::{Clients, Patience};
-use mintshelf_proxy::driver::{Driver, Spec};
-use mintshelf_proxy::inbound::{listen, Inbound};
-use mintshelf_proxy::limits::Limits;
-use mintshelf_proxy::link::Most;
-use mintshelf_proxy::peers::Peers;
-use mintshelf_proxy::platform::Platform;
-use mintshelf_proxy::upstream::{Connections, Style};
+use mintshelf_proxy::budget::ResourceBudget;
+use mintshelf_proxy::client::connection::{ClientTimeouts, Clients};
+use mintshelf_proxy::client::listener::{listen, ClientListener};
+use mintshelf_proxy::cluster::peers::PeerGossip;
+use mintshelf_proxy::cluster::runtime::{ClusterRuntime, ClusterSpec};
+use mintshelf_proxy::platform::handler::PlatformHandler;
+use mintshelf_proxy::upstream::connection::ConnectionLimits;
+use mintshelf_proxy::upstream::exchange::{ConnectionPool, UpstreamProtocol};
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::Duration;
@@ -41,41 +41,42 @@
     let peers = match config.peer_listen.filter(|_| config.settings.peers) {
         None => None,
         Some(address) => {
-            let peers = Peers::bind(address, config.peers.clone(), config.peers_all).await;
+            let peers = PeerGossip::bind(address, config.peers.clone(), config.peers_all).await;
             Some(peers.map_err(|e| unusable("peer_listen", e))?)
         }
     };
     let listener = listen(config.listen).map_err(|e| unusable("listen", e))?;
-    let limits = Limits::new(config.sockets, config.memory);
+    let limits = ResourceBudget::new(config.sockets, config.memory);
     let draining = CancellationToken::new();
     let deadlines = config.settings.classes.iter().map(|class| class.deadline);
     let longest = Duration::from_nanos(deadlines.max().unwrap_or(0));
     let stay = longest + STAY;
     let Config { name, listen, settings, names, seed, discovery, known, .. } = config;
-    let spec = Spec {
+    let spec = ClusterSpec {
         return_ramp: None,
         tries: Vec::new(),
-        most: Most::default(),
+        most: ConnectionLimits::default(),
         socket_weight: 0.0,
         name: None,
         settings: settings.clone(),
         names: names.clone(),
         seed,
-        style: Style::Platform,
+        style: UpstreamProtocol::Platform,
         peers,
         discovery: Some((discovery, known)),
     };
-    let driver = Driver::start(spec, Connections::new(&limits));
-    let patience = Patience {
+    let driver = ClusterRuntime::start(spec, ConnectionPool::new(&limits));
+    let patience = ClientTimeouts {
         receive: RECEIVE_LIMIT,
         idle: IDLE_LIMIT,
         busy: longest + SEND_LIMIT,
         by_progress: false,
         half_close: false,
     };
-    let front = Platform::new(driver.clone(), settings, names, &limits);
+    let front = PlatformHandler::new(driver.clone(), settings, names, &limits);
     let clients = Rc::new(Clients::default());
-    let inbound = Inbound::new(front.clone(), clients.clone(), &limits, patience, draining.clone());
+    let inbound =
+        ClientListener::new(front.clone(), clients.clone(), &limits, patience, draining.clone());
     eprintln!("mintshelf: {name} listens on {listen}");
     let reloads = async {
         while reload.recv().await.is_some() {
--- a/crates/mintshelf/src/service.rs
+++ b/crates/mintshelf/src/service.rs
@@ -3,7 +3,7 @@
 use crate::admin::Admin;
 use crate::daemon::{read, Daemon, Refused};
 use crate::fleet;
-use mintshelf_proxy::inbound::listen;
+use mintshelf_proxy::client::listener::listen;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::time::{Duration, SystemTime};
--- a/crates/proxy/src/clients.rs
+++ b/crates/proxy/src/client/connection.rs
@@ -1,7 +1,7 @@
 //! Clients' connections as the rest of the program sees them: phases, limits, eviction.
 
-use crate::scan::Scan;
-use crate::socket::{has_ended, is_reset, pending, Pending, Stream, Watcher};
+use crate::client::head_scanner::RequestHeadScanner;
+use crate::tcp::{has_ended, is_reset, pending, Pending, Stream, TrafficObserver};
 use bytes::Bytes;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -16,7 +16,7 @@
 
 /// How long a connection may be in its phases.
 #[derive(Debug, Clone, Copy)]
-pub struct Patience {
+pub struct ClientTimeouts {
     /// A request is whole so long after its first byte, and the first one of a
     /// connection so long after the connection. Guards against clients that say
     /// nothing, stop half-way or go on for ever; it would harm one that sends a
@@ -56,9 +56,9 @@
     phase: Cell<Phase>,
     /// When that phase began, or bytes last passed in it.
     since: Cell<Instant>,
-    patience: Patience,
+    patience: ClientTimeouts,
     /// The messages as they come.
-    pub scan: RefCell<Scan>,
+    pub scan: RefCell<RequestHeadScanner>,
     /// The library has no more of the answer to ask for.
     pub handed_over: Cell<bool>,
     /// Whether it is to make room.
@@ -80,7 +80,7 @@
 
 impl Client {
     /// A connection that was just accepted.
-    pub fn new(stream: Stream, peer: SocketAddr, patience: Patience) -> Self {
+    pub fn new(stream: Stream, peer: SocketAddr, patience: ClientTimeouts) -> Self {
         Client {
             stream,
             peer,
@@ -136,7 +136,7 @@
     }
 }
 
-impl Watcher for Client {
+impl TrafficObserver for Client {
     fn read(&self, bytes: &[u8]) {
         if !bytes.is_empty() && self.phase.get() == Phase::Idle {
             self.enter(Phase::Receiving);
--- a/crates/proxy/src/front.rs
+++ b/crates/proxy/src/client/handler.rs
@@ -1,7 +1,7 @@
 //! What answers the requests of clients' connections, and the bodies of its answers.
 
-use crate::clients::Client;
-use crate::stream::ServerStream;
+use crate::client::connection::Client;
+use crate::upstream::response_stream::ResponseStream;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
@@ -13,7 +13,7 @@
 use std::task::{Context, Poll};
 
 /// What answers the requests of a connection.
-pub trait Front: 'static {
+pub trait RequestHandler: 'static {
     /// Most headers in a request, where that is not the library's 100: the library is faster
     /// with its own.
     const HEADERS_MAX: Option<usize> = None;
@@ -26,44 +26,44 @@
         client: Rc<Client>,
         request: Request<Incoming>,
         draining: bool,
-    ) -> impl Future<Output = Response<FrontBody>>;
+    ) -> impl Future<Output = Response<ResponseBody>>;
 }
 
 /// The body of an answer: at hand, or as a server sends it.
-pub enum FrontBody {
+pub enum ResponseBody {
     /// At hand.
     Whole(Full<Bytes>),
     /// As it comes.
-    Stream(Box<ServerStream>),
+    Stream(Box<ResponseStream>),
 }
 
-impl FrontBody {
+impl ResponseBody {
     /// A body at hand.
     pub fn whole(bytes: Bytes) -> Self {
-        FrontBody::Whole(Full::new(bytes))
+        ResponseBody::Whole(Full::new(bytes))
     }
 }
 
 /// An answer's body on its way to a client.
-pub(crate) struct Outgoing {
-    body: FrontBody,
+pub(crate) struct TrackedBody {
+    body: ResponseBody,
     client: Rc<Client>,
 }
 
-impl Outgoing {
+impl TrackedBody {
     /// To this client.
-    pub(crate) fn new(body: FrontBody, client: Rc<Client>) -> Self {
-        Outgoing { body, client }
+    pub(crate) fn new(body: ResponseBody, client: Rc<Client>) -> Self {
+        TrackedBody { body, client }
     }
 }
 
-impl Drop for Outgoing {
+impl Drop for TrackedBody {
     fn drop(&mut self) {
         self.client.handed_over.set(true);
     }
 }
 
-impl Body for Outgoing {
+impl Body for TrackedBody {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -72,22 +72,24 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         match &mut self.body {
-            FrontBody::Whole(body) => Pin::new(body).poll_frame(cx).map_err(|never| match never {}),
-            FrontBody::Stream(body) => Pin::new(body.as_mut()).poll_frame(cx),
+            ResponseBody::Whole(body) => {
+                Pin::new(body).poll_frame(cx).map_err(|never| match never {})
+            }
+            ResponseBody::Stream(body) => Pin::new(body.as_mut()).poll_frame(cx),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match &self.body {
-            FrontBody::Whole(body) => body.is_end_stream(),
-            FrontBody::Stream(body) => body.is_end_stream(),
+            ResponseBody::Whole(body) => body.is_end_stream(),
+            ResponseBody::Stream(body) => body.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match &self.body {
-            FrontBody::Whole(body) => body.size_hint(),
-            FrontBody::Stream(body) => body.size_hint(),
+            ResponseBody::Whole(body) => body.size_hint(),
+            ResponseBody::Stream(body) => body.size_hint(),
         }
     }
 }
--- a/crates/proxy/src/scan.rs
+++ b/crates/proxy/src/client/head_scanner.rs
@@ -16,7 +16,7 @@
 
 /// What was seen of one request's head.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Head {
+pub struct ScannedHead {
     /// Whether a length, and an encoding, were stated.
     pub framings: [bool; 2],
     /// Why two readers might read it in two ways; none if they can't.
@@ -24,7 +24,7 @@
     length: Option<u64>,
 }
 
-impl Head {
+impl ScannedHead {
     /// Whether it said twice how long the body is.
     pub fn framed_twice(&self) -> bool {
         self.framings == [true; 2]
@@ -87,21 +87,21 @@
 
 /// The messages of one connection as they come.
 #[derive(Debug, Default)]
-pub struct Scan {
+pub struct RequestHeadScanner {
     state: State,
     line: Vec<u8>,
     /// The line has more than was kept.
     long: bool,
     /// The last byte of the line so far is a carriage return.
     returned: bool,
-    head: Head,
+    head: ScannedHead,
     /// Heads that are whole and have not been asked for.
-    heads: VecDeque<Head>,
+    heads: VecDeque<ScannedHead>,
     /// A body is framed in a way that two readers may read differently.
     spoilt: bool,
 }
 
-impl Scan {
+impl RequestHeadScanner {
     /// Takes the bytes that were read.
     pub fn read(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
@@ -226,9 +226,9 @@
     }
 
     /// The head of the next request that the library hands over.
-    pub fn next_head(&mut self) -> Head {
+    pub fn next_head(&mut self) -> ScannedHead {
         let lost = (self.state == State::Lost).then_some("it comes behind what can't be read");
-        let unseen = Head { doubtful: lost, ..Head::default() };
+        let unseen = ScannedHead { doubtful: lost, ..ScannedHead::default() };
         self.heads.pop_front().unwrap_or(unseen)
     }
 
@@ -242,8 +242,8 @@
 mod tests {
     use super::*;
 
-    fn heads(bytes: &[u8], cut: usize) -> (Vec<Head>, bool) {
-        let mut scan = Scan::default();
+    fn heads(bytes: &[u8], cut: usize) -> (Vec<ScannedHead>, bool) {
+        let mut scan = RequestHeadScanner::default();
         scan.read(&bytes[..cut]);
         scan.read(&bytes[cut..]);
         (scan.heads.iter().cloned().collect(), scan.spoilt)
--- a/crates/proxy/src/inbound.rs
+++ b/crates/proxy/src/client/listener.rs
@@ -1,10 +1,10 @@
 //! Accepts clients' connections, and serves each through a front.
 
-use crate::clients::{Client, Clients, Patience, Phase, Upgrade};
-use crate::front::Outgoing;
-pub use crate::front::{Front, FrontBody};
-use crate::limits::Limits;
-use crate::socket::{close_gently, is_reset, pending, Pending, Socket, Stream};
+use crate::budget::ResourceBudget;
+use crate::client::connection::{Client, ClientTimeouts, Clients, Phase, Upgrade};
+use crate::client::handler::TrackedBody;
+pub use crate::client::handler::{RequestHandler, ResponseBody};
+use crate::tcp::{close_gently, is_reset, pending, Pending, Socket, Stream};
 use bytes::Bytes;
 use hyper::header::{self, HeaderValue};
 use hyper::server::conn::http1;
@@ -54,11 +54,11 @@
 }
 
 /// What all connections share.
-pub struct Inbound<F> {
+pub struct ClientListener<F> {
     front: Rc<F>,
     clients: Rc<Clients>,
     places: Arc<Semaphore>,
-    patience: Patience,
+    patience: ClientTimeouts,
     draining: CancellationToken,
 }
 
@@ -75,17 +75,17 @@
     TcpListener::from_std(socket.into())
 }
 
-impl<F: Front> Inbound<F> {
+impl<F: RequestHandler> ClientListener<F> {
     /// Ready to take connections, which count among `clients`; `draining` announces the end.
     pub fn new(
         front: Rc<F>,
         clients: Rc<Clients>,
-        limits: &Limits,
-        patience: Patience,
+        limits: &ResourceBudget,
+        patience: ClientTimeouts,
         draining: CancellationToken,
     ) -> Rc<Self> {
         let places = limits.clients.clone();
-        Rc::new(Inbound { front, clients, places, patience, draining })
+        Rc::new(ClientListener { front, clients, places, patience, draining })
     }
 
     /// Accepts connections for ever.
@@ -174,7 +174,7 @@
                     response.headers_mut().insert(header::CONNECTION, close);
                 }
                 client.enter(Phase::Busy);
-                Ok::<_, Infallible>(response.map(|body| Outgoing::new(body, client)))
+                Ok::<_, Infallible>(response.map(|body| TrackedBody::new(body, client)))
             })
         });
         let mut builder = http1::Builder::new();
--- /dev/null
+++ b/crates/proxy/src/client/mod.rs
@@ -0,0 +1,6 @@
+//! The client side: accepting connections, following their requests, writing responses.
+
+pub mod connection;
+pub mod handler;
+pub mod head_scanner;
+pub mod listener;
--- a/crates/proxy/src/trying.rs
+++ b/crates/proxy/src/cluster/attempt_timeouts.rs
@@ -1,7 +1,7 @@
 //! One attempt under its own time-out, and the second copy that may go beside it.
 
-use crate::seat::Cancel;
-use crate::upstream::Ended;
+use crate::cluster::pending_response::AttemptControl;
+use crate::upstream::exchange::AttemptResult;
 use mintshelf_balancer::api::{Nanos, Outcome};
 use mintshelf_retry::attempts::TimeoutAction;
 use std::future::Future;
@@ -14,7 +14,7 @@
 
 /// What limits an attempt beside its request's deadline.
 #[derive(Debug, Clone, Copy)]
-pub struct Trial {
+pub struct AttemptTimeouts {
     /// How long it may take from its connection on.
     pub limit: Option<Nanos>,
     /// When a second copy may go beside it.
@@ -24,12 +24,12 @@
 /// Carries an attempt. `expired` decides what becomes of it when its own time is up; `copy`
 /// asks for a second copy.
 pub async fn run(
-    attempt: impl Future<Output = Ended>,
-    trial: Trial,
-    cancel: &Cancel,
+    attempt: impl Future<Output = AttemptResult>,
+    trial: AttemptTimeouts,
+    cancel: &AttemptControl,
     expired: impl Fn(Nanos) -> TimeoutAction,
     copy: impl Fn(),
-) -> Ended {
+) -> AttemptResult {
     let mut attempt = pin!(attempt);
     let begun = Instant::now();
     let copies = async {
--- a/crates/proxy/src/peers.rs
+++ b/crates/proxy/src/cluster/peers.rs
@@ -9,13 +9,13 @@
 
 /// This sidecar's way to the others.
 #[derive(Debug)]
-pub struct Peers {
+pub struct PeerGossip {
     socket: UdpSocket,
     peers: Vec<SocketAddr>,
     all: Option<SocketAddr>,
 }
 
-impl Peers {
+impl PeerGossip {
     /// Listens for messages.
     pub async fn bind(
         listen: SocketAddr,
@@ -23,7 +23,7 @@
         all: Option<SocketAddr>,
     ) -> io::Result<Self> {
         let socket = UdpSocket::bind(listen).await?;
-        Ok(Peers { socket, peers, all })
+        Ok(PeerGossip { socket, peers, all })
     }
 
     /// Sends a message to one peer, or to all. Messages may be lost, so one that
--- a/crates/proxy/src/seat.rs
+++ b/crates/proxy/src/cluster/pending_response.rs
@@ -1,7 +1,7 @@
 //! Where a client's task waits for its answer, and carries the attempts meanwhile: one
 //! task for both saves a hand-over between tasks, twice a request.
 
-use crate::clients::Client;
+use crate::client::connection::Client;
 use std::cell::{Cell, RefCell};
 use std::future::{poll_fn, Future};
 use std::pin::Pin;
@@ -14,19 +14,23 @@
 pub type Run = Pin<Box<dyn Future<Output = ()>>>;
 
 /// A place for one answer, and for the attempts that are to begin.
-pub struct Seat<R> {
+pub struct PendingResponse<R> {
     reply: Cell<Option<R>>,
     starts: RefCell<Vec<Run>>,
     waker: Cell<Option<Waker>>,
 }
 
-impl<R> Default for Seat<R> {
+impl<R> Default for PendingResponse<R> {
     fn default() -> Self {
-        Seat { reply: Cell::new(None), starts: RefCell::default(), waker: Cell::new(None) }
+        PendingResponse {
+            reply: Cell::new(None),
+            starts: RefCell::default(),
+            waker: Cell::new(None),
+        }
     }
 }
 
-impl<R> Seat<R> {
+impl<R> PendingResponse<R> {
     /// Gives the answer.
     pub fn reply(&self, reply: R) {
         self.reply.set(Some(reply));
@@ -46,16 +50,16 @@
     }
 }
 
-/// The task that sits on a [`Seat`].
-pub struct Sitting<R> {
-    seat: Rc<Seat<R>>,
+/// The task that sits on a [`PendingResponse`].
+pub struct AttemptSet<R> {
+    seat: Rc<PendingResponse<R>>,
     running: Vec<Run>,
 }
 
-impl<R> Sitting<R> {
+impl<R> AttemptSet<R> {
     /// Sits down.
-    pub fn new(seat: Rc<Seat<R>>) -> Self {
-        Sitting { seat, running: Vec::new() }
+    pub fn new(seat: Rc<PendingResponse<R>>) -> Self {
+        AttemptSet { seat, running: Vec::new() }
     }
 
     /// Carries the attempts until the answer is there.
@@ -90,7 +94,7 @@
 
 /// Tells an attempt to stop, and tells of it when it began.
 #[derive(Default)]
-pub struct Cancel {
+pub struct AttemptControl {
     cancelled: Cell<bool>,
     /// Its client is known to have left.
     left: Cell<bool>,
@@ -100,10 +104,10 @@
     connected: Cell<Option<Instant>>,
 }
 
-impl Cancel {
+impl AttemptControl {
     /// Of an attempt for a client.
     pub fn new(client: Option<Rc<Client>>) -> Self {
-        Cancel { client, ..Cancel::default() }
+        AttemptControl { client, ..AttemptControl::default() }
     }
 
     /// Its client has left: what has not been sent yet is not to be.
@@ -118,7 +122,7 @@
     }
 
     /// Waits until its client is known to have left; in the task that waits for
-    /// [`Cancel::cancelled`].
+    /// [`AttemptControl::cancelled`].
     pub async fn left(&self) {
         poll_fn(|cx| self.poll_for(&self.left, cx)).await
     }
@@ -172,7 +176,7 @@
     #[test]
     fn an_attempt_that_ends_starts_the_next_and_that_one_answers() {
         run(async {
-            let seat = Rc::new(Seat::default());
+            let seat = Rc::new(PendingResponse::default());
             let first = seat.clone();
             seat.start(Box::pin(async move {
                 yield_now().await;
@@ -182,28 +186,28 @@
                     second.reply(7);
                 }));
             }));
-            assert_eq!(Sitting::new(seat).answer().await, 7);
+            assert_eq!(AttemptSet::new(seat).answer().await, 7);
         });
     }
 
     #[test]
     fn an_attempt_begun_from_elsewhere_wakes_the_client() {
         run(async {
-            let seat = Rc::new(Seat::default());
+            let seat = Rc::new(PendingResponse::default());
             let (starter, answerer) = (seat.clone(), seat.clone());
             spawn_local(async move {
                 yield_now().await;
                 starter.start(Box::pin(async move { answerer.reply("here") }));
             });
-            assert_eq!(Sitting::new(seat).answer().await, "here");
+            assert_eq!(AttemptSet::new(seat).answer().await, "here");
         });
     }
 
     #[test]
     fn attempts_go_on_when_the_client_leaves_and_hear_that_they_are_to_stop() {
         run(async {
-            let seat: Rc<Seat<()>> = Rc::default();
-            let (cancel, ended) = (Rc::new(Cancel::default()), Rc::new(Cell::new(0)));
+            let seat: Rc<PendingResponse<()>> = Rc::default();
+            let (cancel, ended) = (Rc::new(AttemptControl::default()), Rc::new(Cell::new(0)));
             for _ in 0..2 {
                 let (cancel, ended) = (cancel.clone(), ended.clone());
                 seat.start(Box::pin(async move {
@@ -213,7 +217,7 @@
                     ended.set(ended.get() + 1);
                 }));
             }
-            let mut sitting = Sitting::new(seat);
+            let mut sitting = AttemptSet::new(seat);
             sitting.leave();
             cancel.cancel();
             while ended.get() < 2 {
--- a/crates/proxy/src/notes.rs
+++ b/crates/proxy/src/cluster/request_log.rs
@@ -12,16 +12,16 @@
 
 /// Decides which lines are written.
 #[derive(Debug)]
-pub struct Notes {
+pub struct RequestLog {
     rate: RateLimit,
     left_out: Cell<u64>,
 }
 
-impl Notes {
+impl RequestLog {
     /// None written yet.
     pub fn new(clock: &Clock) -> Self {
         let set = RateConfig { count: LINES, per: Duration::from_secs(1), burst: LINES };
-        Notes { rate: RateLimit::new(set, clock.now()), left_out: Cell::new(0) }
+        RequestLog { rate: RateLimit::new(set, clock.now()), left_out: Cell::new(0) }
     }
 
     /// Whether a line may be written now; if so, how many were left out before it.
@@ -41,7 +41,7 @@
     #[test]
     fn a_flood_of_lines_is_cut_and_counted() {
         let clock = Clock::start();
-        let notes = Notes::new(&clock);
+        let notes = RequestLog::new(&clock);
         let written: Vec<u64> = (0..10_000).filter_map(|_| notes.may_write(&clock)).collect();
         let left_out: u64 = written.iter().sum();
         // Ten at once, and ten for each second that this takes.
--- a/crates/proxy/src/driver.rs
+++ b/crates/proxy/src/cluster/runtime.rs
@@ -1,21 +1,24 @@
 //! The decision module's surroundings: events go in here and actions come out,
 //! in order. Everything runs on one thread, so a turn is never interrupted.
 
-use crate::body::Outbound;
 use crate::clock::Clock;
+use crate::cluster::attempt_timeouts::{self, AttemptTimeouts};
+use crate::cluster::health_check::HealthChecker;
+use crate::cluster::peers::PeerGossip;
+use crate::cluster::pending_response::{AttemptControl, AttemptSet, PendingResponse};
+use crate::cluster::request_log::RequestLog;
+use crate::cluster::socket_load::SocketLoad;
+use crate::cluster::state::{Attempt, PendingRequest, RuntimeState};
+pub use crate::cluster::state::{RequestMetadata, RequestOutcome, UpstreamRequest};
 use crate::discovery::{list::Fleet, Discovery};
-use crate::endpoints::{Endpoints, ListSink};
-use crate::link::{Most, To};
-use crate::message::parse_report;
-use crate::notes::Notes;
-pub use crate::open::{Arrival, Message, Reply};
-use crate::open::{Attempt, Core, Taken};
-use crate::peers::Peers;
-use crate::probe::Probing;
-use crate::seat::{Cancel, Seat, Sitting};
-use crate::trying::{self, Trial};
-use crate::upstream::{Answer, AnswerBody, Connections, Ended, Style, Until, Upstream};
-use crate::weights::Weights;
+use crate::endpoints::{EndpointListObserver, Endpoints};
+use crate::headers::parse_load_report;
+use crate::upstream::connection::{ConnectionLimits, Target};
+use crate::upstream::exchange::{
+    AttemptDeadlines, AttemptResult, ConnectionPool, Upstream, UpstreamBody, UpstreamProtocol,
+    UpstreamResponse,
+};
+use crate::upstream::request_body::RequestBody;
 use hyper::header::{HeaderName, HeaderValue};
 use hyper::Request;
 use mintshelf_balancer::api::*;
@@ -34,7 +37,7 @@
 use tokio_util::time::DelayQueue;
 
 /// Tells a server how long this sidecar will wait.
-const REMAINING: HeaderName = HeaderName::from_static("x-remaining-ms");
+const REMAINING_MS: HeaderName = HeaderName::from_static("x-remaining-ms");
 
 const SECOND: Nanos = 1_000_000_000;
 /// A client that is told when to come back may take so long longer.
@@ -43,20 +46,20 @@
 type OnDoubt = Box<dyn Fn(ServerId)>;
 
 /// Feeds the decision module and carries out what it decides.
-pub struct Driver {
-    core: RefCell<Core>,
+pub struct ClusterRuntime {
+    core: RefCell<RuntimeState>,
     endpoints: Endpoints,
     /// Absent where the servers come from elsewhere.
     discovery: Option<Rc<Discovery>>,
     clock: Clock,
     upstream: Rc<Upstream>,
-    style: Style,
-    probing: Probing,
-    peers: Option<Peers>,
+    style: UpstreamProtocol,
+    probing: HealthChecker,
+    peers: Option<PeerGossip>,
     max_attempts: usize,
     classes: Vec<Class>,
     /// What open sockets weigh.
-    weights: Rc<Weights>,
+    weights: Rc<SocketLoad>,
     /// Hears of servers at which an attempt broke off.
     on_doubt: RefCell<Option<OnDoubt>>,
     /// Absent on the platform.
@@ -64,13 +67,13 @@
     /// For each class; none on the platform.
     tries: Vec<RefCell<AttemptTracker>>,
     /// The cluster's name, and which lines are written of its attempts.
-    notes: Option<(String, Notes)>,
+    notes: Option<(String, RequestLog)>,
     /// Fields of the load reports in answers.
     report_fields: Option<Vec<String>>,
 }
 
 /// What a driver is started with.
-pub struct Spec {
+pub struct ClusterSpec {
     /// The decision module's settings.
     pub settings: Settings,
     /// Names in them.
@@ -78,9 +81,9 @@
     /// For random numbers.
     pub seed: u64,
     /// How servers' answers are read.
-    pub style: Style,
+    pub style: UpstreamProtocol,
     /// The way to other sidecars.
-    pub peers: Option<Peers>,
+    pub peers: Option<PeerGossip>,
     /// Where discovery answers, and the list as last held; absent where the servers come
     /// from elsewhere.
     pub discovery: Option<(SocketAddr, Option<String>)>,
@@ -90,7 +93,7 @@
     /// What the attempts of each class may do; empty where the platform says all of that.
     pub tries: Vec<RetryPolicy>,
     /// Most connections to all servers, and to each, and most sockets.
-    pub most: Most,
+    pub most: ConnectionLimits,
     /// What an open socket counts for beside a request, 0 to 1, where the module compares how
     /// much is under way.
     pub socket_weight: f64,
@@ -98,11 +101,11 @@
     pub name: Option<String>,
 }
 
-impl Driver {
+impl ClusterRuntime {
     /// Starts an instance of the decision module.
-    pub fn start(spec: Spec, all: Rc<Connections>) -> Rc<Self> {
-        let Spec { settings, names, seed, style, peers, discovery, .. } = spec;
-        let Spec { return_ramp, tries, most, socket_weight, name, .. } = spec;
+    pub fn start(spec: ClusterSpec, all: Rc<ConnectionPool>) -> Rc<Self> {
+        let ClusterSpec { settings, names, seed, style, peers, discovery, .. } = spec;
+        let ClusterSpec { return_ramp, tries, most, socket_weight, name, .. } = spec;
         let clock = Clock::start();
         let connect_timeout = Duration::from_nanos(settings.connect_timeout);
         let idle_timeout = Duration::from_nanos(settings.idle_timeout);
@@ -115,8 +118,8 @@
         let recovery = return_ramp.map(|ramp| Recovery::new(seed, ramp, settings.max_retry_after));
         let mut actions = Vec::new();
         let balancer = Balancer::new(settings.clone(), seed, clock.now(), &mut actions);
-        let driver = Rc::new(Driver {
-            core: RefCell::new(Core {
+        let driver = Rc::new(ClusterRuntime {
+            core: RefCell::new(RuntimeState {
                 balancer,
                 taken: HashMap::new(),
                 open: HashSet::new(),
@@ -131,21 +134,21 @@
             clock,
             upstream: Upstream::new(all, connect_timeout, idle_timeout, style.clone(), most),
             style,
-            probing: Probing {
+            probing: HealthChecker {
                 fields: if mode == ReportMode::Absent { Vec::new() } else { fields.clone() },
                 timeout: connect_timeout,
             },
             peers: peers.filter(|_| settings.peers),
             max_attempts: settings.max_attempts as usize,
             classes: settings.classes.clone(),
-            weights: Weights::new(socket_weight),
+            weights: SocketLoad::new(socket_weight),
             on_doubt: RefCell::default(),
             recovery: recovery.map(RefCell::new),
             tries: tries
                 .into_iter()
                 .map(|plan| AttemptTracker::new(plan, clock.now()).into())
                 .collect(),
-            notes: name.map(|name| (name, Notes::new(&clock))),
+            notes: name.map(|name| (name, RequestLog::new(&clock))),
             report_fields: (mode == ReportMode::Answers).then_some(fields),
         });
         driver.perform(&mut driver.core.borrow_mut(), actions);
@@ -257,7 +260,7 @@
         self.turn(&mut core);
     }
 
-    fn turn(self: &Rc<Self>, core: &mut Core) {
+    fn turn(self: &Rc<Self>, core: &mut RuntimeState) {
         while let Some(event) = core.events.pop_front() {
             let mut actions = Vec::new();
             core.balancer.handle(self.clock.now(), event, &mut actions);
@@ -265,7 +268,7 @@
         }
     }
 
-    fn perform(self: &Rc<Self>, core: &mut Core, actions: Vec<Action>) {
+    fn perform(self: &Rc<Self>, core: &mut RuntimeState, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Send { id, server, timeout_at } => self.send(core, id, server, timeout_at),
@@ -279,7 +282,7 @@
                     drop(core.refuse(&id, retry_after));
                 }
                 Action::Fail { id } => {
-                    drop(core.conclude(&id, Reply::Failed { timed_out: false }));
+                    drop(core.conclude(&id, RequestOutcome::Failed { timed_out: false }));
                 }
                 Action::SetTimer { after, token } => {
                     let key = core.timers.insert(token, Duration::from_nanos(after));
@@ -323,24 +326,28 @@
     /// Dropping the future tells the module that the client has left. `None`
     /// for a request whose id is that of one still open. Danger: a server would
     /// take it for a second copy of that one.
-    pub async fn serve(self: &Rc<Self>, arrival: Arrival, message: Message) -> Option<Reply> {
+    pub async fn serve(
+        self: &Rc<Self>,
+        arrival: RequestMetadata,
+        message: UpstreamRequest,
+    ) -> Option<RequestOutcome> {
         let now = self.clock.now();
         let Some(recovery) = &self.recovery else {
             return self.attend(now, arrival, message).await;
         };
         let class = arrival.class;
         if !recovery.borrow_mut().pace.admit(now) {
-            return Some(Reply::Paced(self.advice(class)));
+            return Some(RequestOutcome::Paced(self.advice(class)));
         }
         let reply = self.attend(now, arrival, message).await?;
         Some(match reply {
-            Reply::Refused { ran_at, .. } => match self.come_back(class, ran_at) {
-                Some(after) => Reply::Refused { after, ran_at },
-                None => Reply::Failed { timed_out: false },
+            RequestOutcome::Refused { ran_at, .. } => match self.come_back(class, ran_at) {
+                Some(after) => RequestOutcome::Refused { after, ran_at },
+                None => RequestOutcome::Failed { timed_out: false },
             },
-            Reply::Served(answer) if !answer.status.is_server_error() => {
+            RequestOutcome::Served(answer) if !answer.status.is_server_error() => {
                 recovery.borrow_mut().calendar.served(self.clock.now());
-                Reply::Served(answer)
+                RequestOutcome::Served(answer)
             }
             reply => reply,
         })
@@ -364,14 +371,14 @@
     async fn attend(
         self: &Rc<Self>,
         now: Nanos,
-        arrival: Arrival,
-        message: Message,
-    ) -> Option<Reply> {
+        arrival: RequestMetadata,
+        message: UpstreamRequest,
+    ) -> Option<RequestOutcome> {
         if message.client.as_ref().is_some_and(|client| client.has_left()) {
             // Nobody hears of it: it costs no server, no credit and no place.
-            return Some(Reply::Failed { timed_out: false });
+            return Some(RequestOutcome::Failed { timed_out: false });
         }
-        let seat = Rc::new(Seat::default());
+        let seat = Rc::new(PendingResponse::default());
         let id: RequestId = {
             let mut core = self.core.borrow_mut();
             if message.txn.as_ref().is_some_and(|txn| !core.open.insert(txn.clone())) {
@@ -383,7 +390,7 @@
             if let Some(tries) = self.tries.get(arrival.class as usize) {
                 tries.borrow_mut().begin();
             }
-            let taken = Taken {
+            let taken = PendingRequest {
                 message,
                 class: arrival.class as usize,
                 latency_objective: self
@@ -410,15 +417,21 @@
             self.turn(&mut core);
             id
         };
-        let mut waiting = Waiting { driver: self, id, sitting: Sitting::new(seat) };
+        let mut waiting = Waiting { driver: self, id, sitting: AttemptSet::new(seat) };
         Some(waiting.sitting.answer().await)
     }
 
-    fn send(self: &Rc<Self>, core: &mut Core, id: RequestId, server: ServerId, timeout_at: Nanos) {
+    fn send(
+        self: &Rc<Self>,
+        core: &mut RuntimeState,
+        id: RequestId,
+        server: ServerId,
+        timeout_at: Nanos,
+    ) {
         let now = self.clock.now();
         let Some(taken) = core.taken.get_mut(&id) else { return };
         let number = taken.attempts.len() as u32;
-        let cancel = Rc::new(Cancel::new(taken.message.client.clone()));
+        let cancel = Rc::new(AttemptControl::new(taken.message.client.clone()));
         // Two copies at one server would wait in the same queue.
         let beside = taken.attempts.iter().any(|a| a.out() && a.server == server);
         let send_by = self.send_by(taken);
@@ -432,7 +445,7 @@
         let exceeded = taken.attempts.len() > self.max_attempts || beside;
         if cancel.is_left() {
             // Nobody hears the answer.
-            core.abandon(&id, Reply::Failed { timed_out: false });
+            core.abandon(&id, RequestOutcome::Failed { timed_out: false });
         }
         let Some(taken) = core.taken.get_mut(&id) else { return };
         let client = taken.reply.clone().filter(|_| !exceeded && until > now);
@@ -443,11 +456,11 @@
         };
         let to = self.to(server);
         let mut message = taken.message.request.clone();
-        if self.style == Style::Platform {
+        if self.style == UpstreamProtocol::Platform {
             let remaining = HeaderValue::from((until - now) / 1_000_000);
-            message.headers_mut().insert(REMAINING, remaining);
+            message.headers_mut().insert(REMAINING_MS, remaining);
         }
-        if let Outbound::Streamed(upload) = message.body() {
+        if let RequestBody::Streamed(upload) = message.body() {
             // What has gone of such a body can't be sent again: the module may not try.
             let (driver, id) = (Rc::downgrade(self), id.clone());
             upload.on_begin(move || {
@@ -456,19 +469,20 @@
                 }
             });
         }
-        let held = !matches!(message.body(), Outbound::Streamed(_));
+        let held = !matches!(message.body(), RequestBody::Streamed(_));
         let class = taken.class;
         let trial = self.tries.get(class).filter(|_| held).and_then(|tries| {
             let mut tries = tries.borrow_mut();
             let copy_after = tries.copy_after(now).filter(|_| number == 0);
             let limit = tries.limit(now, number);
-            (limit.is_some() || copy_after.is_some()).then_some(Trial { limit, copy_after })
+            (limit.is_some() || copy_after.is_some())
+                .then_some(AttemptTimeouts { limit, copy_after })
         });
         let bounds = self.tries.get(class).map(|tries| {
             let tries = tries.borrow();
             [tries.plan().connect, tries.plan().idle].map(Duration::from_nanos)
         });
-        let until = Until {
+        let until = AttemptDeadlines {
             end: self.clock.instant(until),
             send_by: send_by.map(|at| self.clock.instant(at)),
             connect: bounds.map(|[connect, _]| connect),
@@ -480,7 +494,7 @@
 
     /// When a further attempt of a keyed request has to be with a server at the latest. The
     /// module decides when it starts; its connection and its writing take time.
-    fn send_by(&self, taken: &Taken) -> Option<Nanos> {
+    fn send_by(&self, taken: &PendingRequest) -> Option<Nanos> {
         let window = self.classes.get(taken.class)?.window()?;
         Some(taken.ran_at()?.saturating_add(window))
     }
@@ -570,12 +584,12 @@
         self.turn(&mut core);
     }
 
-    fn to(&self, server: ServerId) -> Option<To> {
+    fn to(&self, server: ServerId) -> Option<Target> {
         let address = self.endpoints.address(server)?;
-        Some(To { server, address })
+        Some(Target { server, address })
     }
 
-    fn probe(self: &Rc<Self>, core: &mut Core, server: ServerId) {
+    fn probe(self: &Rc<Self>, core: &mut RuntimeState, server: ServerId) {
         let Some(to) = self.to(server) else {
             let outcome = Outcome::ConnectFailed;
             core.events.push_back(Event::Probed { server, outcome, took: 0, report: None });
@@ -601,7 +615,7 @@
     }
 }
 
-impl ListSink for Rc<Driver> {
+impl EndpointListObserver for Rc<ClusterRuntime> {
     fn listed(&self, kind: ListKind, version: u64, servers: Vec<ListedServer>) {
         self.post(Event::Servers { kind, version, entries: servers.into() });
     }
@@ -609,21 +623,21 @@
 
 /// One attempt on its way.
 struct AttemptRun {
-    driver: Rc<Driver>,
+    driver: Rc<ClusterRuntime>,
     id: RequestId,
     number: u32,
     class: usize,
     /// What of its own time limits it.
-    trial: Option<Trial>,
+    trial: Option<AttemptTimeouts>,
 }
 
 impl AttemptRun {
     async fn run(
         self,
-        to: Option<To>,
-        message: Request<Outbound>,
-        until: Until,
-        cancel: Rc<Cancel>,
+        to: Option<Target>,
+        message: Request<RequestBody>,
+        until: AttemptDeadlines,
+        cancel: Rc<AttemptControl>,
     ) {
         let driver = &self.driver;
         let ended = match (to, self.trial) {
@@ -632,31 +646,32 @@
                 let attempt = driver.upstream.attempt(to, message, until, &cancel);
                 let expired = |limit| driver.expired(self.class, limit);
                 let copy = || driver.second_copy(self.class, &self.id);
-                trying::run(attempt, trial, &cancel, expired, copy).await
+                attempt_timeouts::run(attempt, trial, &cancel, expired, copy).await
             }
             // No longer listed: nowhere to connect to.
             (None, _) => Outcome::ConnectFailed.into(),
         };
-        let Ended { outcome, report, answer } = ended;
+        let AttemptResult { outcome, report, answer } = ended;
         let fields = driver.report_fields.as_deref();
-        let report = report.zip(fields).and_then(|(text, fields)| parse_report(&text, fields));
+        let report = report.zip(fields).and_then(|(text, fields)| parse_load_report(&text, fields));
         let (id, number) = (self.id, self.number);
         match answer {
             // It is on its way to the client, and nothing else may be.
-            Some(Answer { status, headers, body: AnswerBody::Stream(mut stream) }) => {
+            Some(UpstreamResponse { status, headers, body: UpstreamBody::Stream(mut stream) }) => {
                 driver.post(Event::StreamStarted { id: id.clone(), attempt: number });
                 let headed = driver.clock.now();
                 let (then, of) = (driver.clone(), id.clone());
                 stream.on_end(move |outcome| {
                     then.attempt_ended(&of, number, outcome, None, Some(headed));
                 });
-                let answer = Answer { status, headers, body: AnswerBody::Stream(stream) };
-                let reply = Reply::Served(Box::new(answer));
+                let answer =
+                    UpstreamResponse { status, headers, body: UpstreamBody::Stream(stream) };
+                let reply = RequestOutcome::Served(Box::new(answer));
                 // Danger: dropped inside, a stream that nobody takes would come back here.
                 let undelivered = driver.core.borrow_mut().conclude(&id, reply);
                 drop(undelivered);
             }
-            Some(Answer { status, headers, body: AnswerBody::Socket(mut socket) }) => {
+            Some(UpstreamResponse { status, headers, body: UpstreamBody::Socket(mut socket) }) => {
                 driver.post(Event::StreamStarted { id: id.clone(), attempt: number });
                 let headed = driver.clock.now();
                 let (then, of) = (driver.clone(), id.clone());
@@ -664,14 +679,15 @@
                     then.attempt_ended(&of, number, Outcome::Ok, None, Some(headed));
                 });
                 socket.seat = Some(Box::new(driver.weights.open(socket.to.server, end)));
-                let answer = Answer { status, headers, body: AnswerBody::Socket(socket) };
-                let reply = Reply::Served(Box::new(answer));
+                let answer =
+                    UpstreamResponse { status, headers, body: UpstreamBody::Socket(socket) };
+                let reply = RequestOutcome::Served(Box::new(answer));
                 let undelivered = driver.core.borrow_mut().conclude(&id, reply);
                 drop(undelivered);
                 driver.weights.settle();
             }
             // It may have run, and what came is no answer: not to be tried again.
-            Some(Answer { body: AnswerBody::NoSocket, .. }) => {
+            Some(UpstreamResponse { body: UpstreamBody::InvalidUpgrade, .. }) => {
                 driver.post(Event::StreamStarted { id: id.clone(), attempt: number });
                 driver.attempt_ended(&id, number, Outcome::Error, report, None);
             }
@@ -683,7 +699,12 @@
                 driver.attempt_ended(&id, number, outcome, report, None);
             }
             Some(answer) => {
-                drop(driver.core.borrow_mut().conclude(&id, Reply::Served(Box::new(answer))));
+                drop(
+                    driver
+                        .core
+                        .borrow_mut()
+                        .conclude(&id, RequestOutcome::Served(Box::new(answer))),
+                );
                 driver.attempt_ended(&id, number, outcome, report, None);
             }
             None => driver.attempt_ended(&id, number, outcome, report, None),
@@ -693,9 +714,9 @@
 
 /// A client's wait; dropped before its answer, it tells the module that the client has left.
 struct Waiting<'a> {
-    driver: &'a Rc<Driver>,
+    driver: &'a Rc<ClusterRuntime>,
     id: RequestId,
-    sitting: Sitting<Reply>,
+    sitting: AttemptSet<RequestOutcome>,
 }
 
 impl Drop for Waiting<'_> {
--- a/crates/proxy/src/weights.rs
+++ b/crates/proxy/src/cluster/socket_load.rs
@@ -20,7 +20,7 @@
 
 /// The open sockets of one cluster.
 #[derive(Default)]
-pub struct Weights {
+pub struct SocketLoad {
     weight: f64,
     servers: RefCell<HashMap<ServerId, AtServer>>,
     /// Attempts whose end is to be told.
@@ -28,26 +28,26 @@
 }
 
 /// A socket that counts until this is dropped.
-pub struct Weighed {
-    weights: Rc<Weights>,
+pub struct SocketLoadGuard {
+    weights: Rc<SocketLoad>,
     server: ServerId,
 }
 
-impl Weights {
+impl SocketLoad {
     /// None open; each is to count for so much of a request.
     pub fn new(weight: f64) -> Rc<Self> {
-        Rc::new(Weights { weight, ..Weights::default() })
+        Rc::new(SocketLoad { weight, ..SocketLoad::default() })
     }
 
     /// A socket opens; `end` tells of the end of its handshake's attempt, now or later, once
-    /// [`Weights::settle`] is called.
-    pub fn open(self: &Rc<Self>, server: ServerId, end: End) -> Weighed {
+    /// [`SocketLoad::settle`] is called.
+    pub fn open(self: &Rc<Self>, server: ServerId, end: End) -> SocketLoadGuard {
         let mut servers = self.servers.borrow_mut();
         let at = servers.entry(server).or_default();
         at.open += 1;
         at.held.push(end);
         self.even(at);
-        Weighed { weights: self.clone(), server }
+        SocketLoadGuard { weights: self.clone(), server }
     }
 
     /// Lets go of what is more than the open sockets weigh.
@@ -65,7 +65,7 @@
     }
 }
 
-impl Drop for Weighed {
+impl Drop for SocketLoadGuard {
     fn drop(&mut self) {
         let mut servers = self.weights.servers.borrow_mut();
         if let Some(at) = servers.get_mut(&self.server) {
@@ -91,7 +91,7 @@
     fn so_many_stay_under_way_as_the_open_ones_weigh() {
         let runtime = tokio::runtime::Builder::new_current_thread().build().unwrap();
         tokio::task::LocalSet::new().block_on(&runtime, async {
-            let weights = Weights::new(0.25);
+            let weights = SocketLoad::new(0.25);
             let under_way = Rc::new(Cell::new(0));
             let open = |server| {
                 under_way.set(under_way.get() + 1);
--- a/crates/proxy/src/open.rs
+++ b/crates/proxy/src/cluster/state.rs
@@ -1,9 +1,9 @@
 //! Requests that are open, with their attempts: what each has come to.
 
-use crate::body::Outbound;
-use crate::clients::Client;
-use crate::seat::{Cancel, Seat};
-use crate::upstream::Answer;
+use crate::client::connection::Client;
+use crate::cluster::pending_response::{AttemptControl, PendingResponse};
+use crate::upstream::exchange::UpstreamResponse;
+use crate::upstream::request_body::RequestBody;
 use hyper::header::HeaderValue;
 use hyper::Request;
 use mintshelf_balancer::api::*;
@@ -16,9 +16,9 @@
 use tokio_util::time::{delay_queue, DelayQueue};
 
 /// What a client is told in the end.
-pub enum Reply {
+pub enum RequestOutcome {
     /// The server's answer.
-    Served(Box<Answer>),
+    Served(Box<UpstreamResponse>),
     /// Trying again is harmless, after a while.
     Refused {
         /// So long.
@@ -36,7 +36,7 @@
 }
 
 /// What the decision module is told of a request.
-pub struct Arrival {
+pub struct RequestMetadata {
     /// Its class.
     pub class: u32,
     /// Its tenant.
@@ -52,9 +52,9 @@
 }
 
 /// A request as it goes to servers, with what its body takes of the budget.
-pub struct Message {
+pub struct UpstreamRequest {
     /// Its head and body.
-    pub request: Request<Outbound>,
+    pub request: Request<RequestBody>,
     /// The id that its client gave it, where no two open requests may share one.
     pub txn: Option<HeaderValue>,
     /// Given back with the last attempt.
@@ -64,22 +64,22 @@
 }
 
 /// A request from its last byte to its final answer and its last attempt.
-pub(crate) struct Taken {
-    pub(crate) message: Message,
+pub(crate) struct PendingRequest {
+    pub(crate) message: UpstreamRequest,
     pub(crate) class: usize,
     /// When its answer is in time no longer, counted from an attempt's start.
     pub(crate) latency_objective: Nanos,
     pub(crate) deadline: Nanos,
     /// Absent once the client has its answer, or has left.
-    pub(crate) reply: Option<Rc<Seat<Reply>>>,
+    pub(crate) reply: Option<Rc<PendingResponse<RequestOutcome>>>,
     pub(crate) attempts: Vec<Attempt>,
     pub(crate) out: usize,
     /// A server's answer that counts as a failure, passed on if nothing better comes.
-    pub(crate) kept: Option<Answer>,
+    pub(crate) kept: Option<UpstreamResponse>,
     pub(crate) timed_out: bool,
 }
 
-impl Taken {
+impl PendingRequest {
     /// When the first attempt went that may have run, if any.
     pub(crate) fn ran_at(&self) -> Option<Nanos> {
         self.attempts.iter().find(|a| a.may_have_run()).map(|a| a.sent)
@@ -90,7 +90,7 @@
 pub(crate) struct Attempt {
     pub(crate) server: ServerId,
     pub(crate) sent: Nanos,
-    pub(crate) cancel: Rc<Cancel>,
+    pub(crate) cancel: Rc<AttemptControl>,
     /// Absent while it is out.
     pub(crate) outcome: Option<Outcome>,
 }
@@ -108,9 +108,9 @@
 }
 
 /// The decision module with all that is open, on one thread.
-pub(crate) struct Core {
+pub(crate) struct RuntimeState {
     pub(crate) balancer: Balancer,
-    pub(crate) taken: HashMap<RequestId, Taken>,
+    pub(crate) taken: HashMap<RequestId, PendingRequest>,
     /// Clients' ids of the requests above.
     pub(crate) open: HashSet<HeaderValue>,
     pub(crate) events: VecDeque<Event>,
@@ -121,21 +121,27 @@
     pub(crate) watch: Option<AbortHandle>,
 }
 
-impl Core {
+impl RuntimeState {
     /// Refuses a request, and tells what is known of its attempts.
-    pub(crate) fn refuse(&mut self, id: &RequestId, after: Nanos) -> Option<Reply> {
-        let ran_at = self.taken.get(id).and_then(Taken::ran_at);
-        self.conclude(id, Reply::Refused { after, ran_at })
+    pub(crate) fn refuse(&mut self, id: &RequestId, after: Nanos) -> Option<RequestOutcome> {
+        let ran_at = self.taken.get(id).and_then(PendingRequest::ran_at);
+        self.conclude(id, RequestOutcome::Refused { after, ran_at })
     }
 
     /// Gives a client its final answer; back comes one that nobody takes.
-    pub(crate) fn conclude(&mut self, id: &RequestId, reply: Reply) -> Option<Reply> {
+    pub(crate) fn conclude(
+        &mut self,
+        id: &RequestId,
+        reply: RequestOutcome,
+    ) -> Option<RequestOutcome> {
         let Some(taken) = self.taken.get_mut(id) else { return Some(reply) };
         let reply = match (reply, taken.kept.take()) {
-            (Reply::Refused { .. } | Reply::Failed { .. }, Some(kept)) => {
-                Reply::Served(Box::new(kept))
+            (RequestOutcome::Refused { .. } | RequestOutcome::Failed { .. }, Some(kept)) => {
+                RequestOutcome::Served(Box::new(kept))
+            }
+            (RequestOutcome::Failed { .. }, None) => {
+                RequestOutcome::Failed { timed_out: taken.timed_out }
             }
-            (Reply::Failed { .. }, None) => Reply::Failed { timed_out: taken.timed_out },
             (reply, _) => reply,
         };
         let Some(client) = taken.reply.take() else { return Some(reply) };
@@ -149,7 +155,7 @@
     /// Gives every request that still waits its final answer: what that class is told of one
     /// that may have run, or not. Who is refused may come back `after`.
     pub(crate) fn give_up(&mut self, classes: &[Class], after: Nanos) {
-        let waiting = |(id, taken): (&RequestId, &Taken)| {
+        let waiting = |(id, taken): (&RequestId, &PendingRequest)| {
             taken.reply.as_ref()?;
             Some((id.clone(), taken.class, taken.ran_at()))
         };
@@ -159,15 +165,15 @@
         for (id, class, ran_at) in all {
             let effect = classes.get(class).map_or(Effect::Unsafe, |class| class.effect);
             let reply = match ShutdownDeadlines::verdict(effect, ran_at.is_some()) {
-                Verdict::Refuse => Reply::Refused { after, ran_at },
-                Verdict::Fail => Reply::Failed { timed_out: false },
+                Verdict::Refuse => RequestOutcome::Refused { after, ran_at },
+                Verdict::Fail => RequestOutcome::Failed { timed_out: false },
             };
             self.abandon(&id, reply);
         }
     }
 
     /// Ends a request that the module has not ended.
-    pub(crate) fn abandon(&mut self, id: &RequestId, reply: Reply) {
+    pub(crate) fn abandon(&mut self, id: &RequestId, reply: RequestOutcome) {
         drop(self.conclude(id, reply));
         self.events.push_back(Event::ClientDisconnected { id: id.clone() });
     }
--- a/crates/proxy/src/discovery/call.rs
+++ b/crates/proxy/src/discovery/call.rs
@@ -1,6 +1,6 @@
 //! Calls to discovery, one after the other on one connection.
 
-use crate::socket::{Socket, Watcher};
+use crate::tcp::{Socket, TrafficObserver};
 use bytes::Bytes;
 use http_body_util::Empty;
 use hyper::body::{Body, Incoming};
@@ -50,7 +50,7 @@
 }
 
 struct Nothing;
-impl Watcher for Nothing {}
+impl TrafficObserver for Nothing {}
 
 type Driven = Connection<TokioIo<Socket<Nothing>>, Empty<Bytes>>;
 
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -3,7 +3,7 @@
 mod call;
 pub mod list;
 
-use crate::endpoints::ListSink;
+use crate::endpoints::EndpointListObserver;
 use call::{Caller, Received, ANSWER_GRACE};
 use list::{read_list, Fleet};
 use mintshelf_balancer::api::ListKind;
@@ -45,7 +45,7 @@
     }
 
     /// Passes on the list that the configuration brought.
-    pub fn cached(&self, text: Option<&str>, sink: &impl ListSink) {
+    pub fn cached(&self, text: Option<&str>, sink: &impl EndpointListObserver) {
         let servers = text.and_then(|text| self.fleet.borrow_mut().take_known(text));
         sink.listed(ListKind::Cached, self.revision(), servers.unwrap_or_default());
     }
@@ -55,7 +55,7 @@
     }
 
     /// Watches until a call fails.
-    pub async fn watch(self: Rc<Self>, sink: impl ListSink) {
+    pub async fn watch(self: Rc<Self>, sink: impl EndpointListObserver) {
         let (mut caller, mut watch) = (Caller::new(self.at.get()), Watch::default());
         loop {
             let asked = Instant::now();
@@ -72,7 +72,7 @@
     }
 
     /// Asks for the whole list once.
-    pub async fn fetch(self: Rc<Self>, sink: impl ListSink) {
+    pub async fn fetch(self: Rc<Self>, sink: impl EndpointListObserver) {
         let mut caller = Caller::new(self.at.get());
         let answer = caller.call("", ANSWER_GRACE).await;
         if self.heard(&mut caller, &sink, answer).await != CallEnd::Answered {
@@ -81,7 +81,7 @@
     }
 
     /// Follows an agent that lists are pushed to. Its silence is no failed call.
-    pub async fn follow(self: Rc<Self>, sink: impl ListSink) {
+    pub async fn follow(self: Rc<Self>, sink: impl EndpointListObserver) {
         let mut caller = Caller::new(self.at.get());
         loop {
             if caller.to != self.at.get() {
@@ -94,7 +94,7 @@
         }
     }
 
-    fn failed(&self, sink: &impl ListSink) {
+    fn failed(&self, sink: &impl EndpointListObserver) {
         sink.listed(ListKind::Failed, self.revision(), Vec::new());
     }
 
@@ -103,7 +103,7 @@
     async fn heard(
         &self,
         caller: &mut Caller,
-        sink: &impl ListSink,
+        sink: &impl EndpointListObserver,
         mut answer: Received,
     ) -> CallEnd {
         loop {
--- a/crates/proxy/src/endpoints.rs
+++ b/crates/proxy/src/endpoints.rs
@@ -43,7 +43,7 @@
 }
 
 /// Takes what a source of endpoints has to say: discovery, a file, a static list.
-pub trait ListSink: 'static {
+pub trait EndpointListObserver: 'static {
     /// News of servers, in the version of the source's list.
     fn listed(&self, kind: ListKind, version: u64, servers: Vec<ListedServer>);
 }
--- a/crates/proxy/src/gates.rs
+++ b/crates/proxy/src/gateway/admission.rs
@@ -1,8 +1,8 @@
 //! Where requests pass the limits of tenants, routes and clusters: what those decide, done.
 
 use crate::clock::Clock;
-use crate::notes::Notes;
-use crate::refusal::Refusal;
+use crate::cluster::request_log::RequestLog;
+use crate::gateway::rejection::Rejection;
 use hyper::StatusCode;
 use mintshelf_admission::admission::{Admission, AdmissionConfig, LimitExceeded, LimitUsage};
 use mintshelf_admission::queue::{
@@ -29,43 +29,48 @@
 }
 
 /// All limits in force, and those that wait.
-pub struct Gates {
+pub struct AdmissionController {
     admission: RefCell<Admission>,
     waiters: RefCell<HashMap<Key, Waiter>>,
     clock: Clock,
-    notes: Notes,
+    notes: RequestLog,
 }
 
-impl Default for Gates {
+impl Default for AdmissionController {
     fn default() -> Self {
         let clock = Clock::start();
-        let notes = Notes::new(&clock);
-        Gates { admission: RefCell::default(), waiters: RefCell::default(), clock, notes }
+        let notes = RequestLog::new(&clock);
+        AdmissionController {
+            admission: RefCell::default(),
+            waiters: RefCell::default(),
+            clock,
+            notes,
+        }
     }
 }
 
 /// A request that counts against its tenant and its route until this is dropped.
-pub struct Entered {
-    gates: Rc<Gates>,
+pub struct TenantPermit {
+    gates: Rc<AdmissionController>,
     /// Whose it is.
     pub tenant: Rc<str>,
     route: Rc<str>,
 }
 
-impl Drop for Entered {
+impl Drop for TenantPermit {
     fn drop(&mut self) {
         self.gates.admission.borrow_mut().leave(&self.tenant, &self.route);
     }
 }
 
 /// A request that has a place at its cluster until this is dropped.
-pub struct Through {
-    gates: Rc<Gates>,
+pub struct ClusterPermit {
+    gates: Rc<AdmissionController>,
     cluster: Rc<str>,
     tenant: Rc<str>,
 }
 
-impl Drop for Through {
+impl Drop for ClusterPermit {
     fn drop(&mut self) {
         let now = self.gates.clock.now();
         let moves = self.gates.admission.borrow_mut().done(now, &self.cluster, &self.tenant);
@@ -74,13 +79,13 @@
 }
 
 /// Bytes of a body that count against its tenant until this is dropped.
-pub struct Filled {
-    gates: Rc<Gates>,
+pub struct BodyPermit {
+    gates: Rc<AdmissionController>,
     tenant: Rc<str>,
     bytes: u64,
 }
 
-impl Drop for Filled {
+impl Drop for BodyPermit {
     fn drop(&mut self) {
         self.gates.admission.borrow_mut().empty(&self.tenant, self.bytes);
     }
@@ -88,7 +93,7 @@
 
 /// A wait at a cluster; dropped before its end it gives up the place, or what came of it.
 struct Waiting<'a> {
-    gates: &'a Rc<Gates>,
+    gates: &'a Rc<AdmissionController>,
     key: Key,
     tenant: Rc<str>,
 }
@@ -121,7 +126,7 @@
     }
 }
 
-impl Gates {
+impl AdmissionController {
     /// Puts limits in force; what is under way counts on.
     pub fn set(&self, set: &AdmissionConfig) {
         let moves = self.admission.borrow_mut().set(self.clock.now(), set);
@@ -142,15 +147,19 @@
         }
     }
 
-    fn through(self: &Rc<Self>, cluster: &Rc<str>, tenant: &Rc<str>) -> Through {
-        Through { gates: self.clone(), cluster: cluster.clone(), tenant: tenant.clone() }
+    fn through(self: &Rc<Self>, cluster: &Rc<str>, tenant: &Rc<str>) -> ClusterPermit {
+        ClusterPermit { gates: self.clone(), cluster: cluster.clone(), tenant: tenant.clone() }
     }
 
     /// A request has come; its body has not.
-    pub fn enter(self: &Rc<Self>, tenant: Rc<str>, route: &Rc<str>) -> Result<Entered, Refusal> {
+    pub fn enter(
+        self: &Rc<Self>,
+        tenant: Rc<str>,
+        route: &Rc<str>,
+    ) -> Result<TenantPermit, Rejection> {
         let now = self.clock.now();
         match self.admission.borrow_mut().enter(now, &tenant, route) {
-            Ok(()) => Ok(Entered { gates: self.clone(), tenant, route: route.clone() }),
+            Ok(()) => Ok(TenantPermit { gates: self.clone(), tenant, route: route.clone() }),
             Err(over) => {
                 let (code, what, after) = match over {
                     LimitExceeded::TenantRate(after) => {
@@ -173,7 +182,7 @@
                     ),
                 };
                 self.note(&tenant, route, code);
-                Err(Refusal::new(StatusCode::TOO_MANY_REQUESTS, code, what).after(after))
+                Err(Rejection::new(StatusCode::TOO_MANY_REQUESTS, code, what).after(after))
             }
         }
     }
@@ -189,13 +198,13 @@
     }
 
     /// Takes so many bytes for a tenant's body.
-    pub fn fill(self: &Rc<Self>, tenant: &Rc<str>, bytes: u64) -> Result<Filled, Refusal> {
+    pub fn fill(self: &Rc<Self>, tenant: &Rc<str>, bytes: u64) -> Result<BodyPermit, Rejection> {
         if self.admission.borrow_mut().fill(tenant, bytes) {
-            return Ok(Filled { gates: self.clone(), tenant: tenant.clone(), bytes });
+            return Ok(BodyPermit { gates: self.clone(), tenant: tenant.clone(), bytes });
         }
         let what = "its tenant's bodies take all the room that it has; it has not run";
         self.note(tenant, "", "tenant-room");
-        let refusal = Refusal::new(StatusCode::TOO_MANY_REQUESTS, "tenant-room", what);
+        let refusal = Rejection::new(StatusCode::TOO_MANY_REQUESTS, "tenant-room", what);
         // The body is not read, so nothing can come behind it.
         Err(refusal.after(SECOND).last())
     }
@@ -209,7 +218,7 @@
         patience: Nanos,
         offer: QueueEntry,
         advice: impl Fn() -> Nanos,
-    ) -> Result<(Option<Through>, Nanos), Refusal> {
+    ) -> Result<(Option<ClusterPermit>, Nanos), Rejection> {
         let now = self.clock.now();
         let (tenant, needs) = (offer.tenant.clone(), offer.needs);
         let offer = QueueEntry { deadline: now.saturating_add(patience), ..offer };
@@ -238,7 +247,7 @@
                 }
             };
             self.note(&tenant, cluster, code);
-            Refusal::new(StatusCode::SERVICE_UNAVAILABLE, code, what).after(advice().max(SECOND))
+            Rejection::new(StatusCode::SERVICE_UNAVAILABLE, code, what).after(advice().max(SECOND))
         })
     }
 
--- a/crates/proxy/src/edits.rs
+++ b/crates/proxy/src/gateway/edits.rs
@@ -1,7 +1,7 @@
 //! What routes change of requests and answers, and the answers that they give by themselves.
 
-use crate::inbound::FrontBody;
-use crate::refusal::Refusal;
+use crate::client::listener::ResponseBody;
+use crate::gateway::rejection::Rejection;
 use bytes::Bytes;
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::{Response, StatusCode};
@@ -54,7 +54,7 @@
     route: &Route,
     host: &str,
     path: &str,
-) -> Result<Response<FrontBody>, Refusal> {
+) -> Result<Response<ResponseBody>, Rejection> {
     let scheme = to.scheme.as_deref().unwrap_or("http");
     let host = to.host.as_deref().unwrap_or(host);
     let target = match &to.path {
@@ -62,18 +62,18 @@
         None => rewritten(to.prefix.as_deref(), route, path),
     };
     let location = HeaderValue::from_str(&format!("{scheme}://{host}{target}"));
-    let bad = |_| Refusal::new(StatusCode::BAD_REQUEST, "target", "the target can't be written");
+    let bad = |_| Rejection::new(StatusCode::BAD_REQUEST, "target", "the target can't be written");
     let location = location.map_err(bad)?;
-    let mut response = Response::new(FrontBody::whole(Bytes::new()));
+    let mut response = Response::new(ResponseBody::whole(Bytes::new()));
     *response.status_mut() = to.status;
     response.headers_mut().insert(header::LOCATION, location);
     Ok(response)
 }
 
 /// Answers for a route.
-pub(crate) fn responded(respond: &Respond) -> Response<FrontBody> {
+pub(crate) fn responded(respond: &Respond) -> Response<ResponseBody> {
     let body = Bytes::copy_from_slice(respond.body.as_bytes());
-    let mut response = Response::new(FrontBody::whole(body));
+    let mut response = Response::new(ResponseBody::whole(body));
     *response.status_mut() = respond.status;
     if !respond.body.is_empty() {
         let kind = respond.content_type.clone();
--- a/crates/proxy/src/plain.rs
+++ b/crates/proxy/src/gateway/handler.rs
@@ -1,16 +1,16 @@
 //! Ordinary HTTP/1.1 in front of the decision module: routes, edits, streams.
 
-use crate::body::{Outbound, Upload};
-use crate::clients::{Client, Phase};
-use crate::driver::{Arrival, Driver, Message, Reply};
-use crate::edits::{append, append_via, edit, redirected, responded, rewritten};
-use crate::gates::{Gates, Through};
-use crate::inbound::{Front, FrontBody};
-use crate::message::{strip_for_next_hop, Held, BODY_MAX};
-use crate::refusal::Refusal;
+use crate::client::connection::{Client, Phase};
+use crate::client::listener::{RequestHandler, ResponseBody};
+use crate::cluster::runtime::{ClusterRuntime, RequestMetadata, RequestOutcome, UpstreamRequest};
+use crate::gateway::admission::{AdmissionController, ClusterPermit};
+use crate::gateway::edits::{append, append_via, edit, redirected, responded, rewritten};
+use crate::gateway::rejection::Rejection;
+use crate::headers::{strip_for_next_hop, BufferedBody, BODY_MAX};
 use crate::sockets::front::{Opening, Place};
 use crate::sockets::registry::Sockets;
-use crate::upstream::{Answer, AnswerBody};
+use crate::upstream::exchange::{UpstreamBody, UpstreamResponse};
+use crate::upstream::request_body::{RequestBody, StreamedBody};
 use bytes::{Bytes, BytesMut};
 use hyper::body::{Body, Incoming};
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
@@ -41,7 +41,7 @@
 
 /// What is in force on one listener: a snapshot, swapped whole by a reload. Requests keep
 /// the one they began with.
-pub struct Serving {
+pub struct ServingConfig {
     /// Finds a route's place.
     pub table: Table,
     /// The routes, in the same order.
@@ -49,21 +49,21 @@
     /// Requests that each of them took.
     pub hits: Vec<Cell<u64>>,
     /// The clusters by name.
-    pub clusters: HashMap<String, Rc<Pool>>,
+    pub clusters: HashMap<String, Rc<ClusterHandle>>,
     /// What is told of this hop.
     pub forwarding: Forwarding,
     /// The listener's name.
     pub listener: String,
     /// Limits of tenants, routes and clusters; absent where there are none.
-    pub limited: Option<Limited>,
+    pub limited: Option<ListenerAdmission>,
     /// The header that marks a repeat.
     pub repeat_header: Option<HeaderName>,
 }
 
 /// Limits, and whose requests are.
-pub struct Limited {
+pub struct ListenerAdmission {
     /// The limits.
-    pub gates: Rc<Gates>,
+    pub gates: Rc<AdmissionController>,
     /// Tells tenants apart; absent where there are none.
     pub tenants: Option<Rc<Tenants>>,
     /// The header that names a tenant.
@@ -74,7 +74,7 @@
     pub clusters: HashMap<String, Rc<str>>,
 }
 
-impl Limited {
+impl ListenerAdmission {
     /// Whose a request is.
     fn tenant(&self, client: &Client, listener: &str, headers: &HeaderMap) -> Rc<str> {
         let Some(tenants) = &self.tenants else { return OTHER_TENANTS.into() };
@@ -83,7 +83,7 @@
     }
 }
 
-impl Serving {
+impl ServingConfig {
     /// Requests by the names of their routes.
     pub fn hits(&self) -> impl Iterator<Item = (&str, u64)> {
         let names = self.routes.iter().map(|route| route.name.as_str());
@@ -92,16 +92,16 @@
 }
 
 /// A cluster with its own instance of the decision module.
-pub struct Pool {
+pub struct ClusterHandle {
     /// The instance.
-    pub driver: Rc<Driver>,
+    pub driver: Rc<ClusterRuntime>,
     /// The module's classes by the file's names.
     pub classes: BTreeMap<String, ModuleClass>,
 }
 
 /// What was done, for the figures.
 #[derive(Debug, Default)]
-pub struct Counts {
+pub struct ProxyStats {
     /// Answers by status.
     pub statuses: RefCell<HashMap<u16, u64>>,
     /// Requests by route, of what is no longer in force.
@@ -111,30 +111,30 @@
 }
 
 /// The general front of one listener.
-pub struct Plain {
-    serving: RefCell<Rc<Serving>>,
+pub struct GatewayHandler {
+    serving: RefCell<Rc<ServingConfig>>,
     room: Arc<Semaphore>,
-    counts: Rc<Counts>,
+    counts: Rc<ProxyStats>,
     pub(crate) sockets: Rc<Sockets>,
     last_id: Cell<u64>,
     seed: u64,
 }
 
-impl Plain {
+impl GatewayHandler {
     /// Serves with this; `seed` keeps the ids of two runs apart.
     pub fn new(
-        serving: Rc<Serving>,
+        serving: Rc<ServingConfig>,
         room: Arc<Semaphore>,
-        counts: Rc<Counts>,
+        counts: Rc<ProxyStats>,
         sockets: Rc<Sockets>,
         seed: u64,
     ) -> Rc<Self> {
         let (serving, last_id) = (RefCell::new(serving), Cell::new(0));
-        Rc::new(Plain { serving, room, counts, sockets, last_id, seed })
+        Rc::new(GatewayHandler { serving, room, counts, sockets, last_id, seed })
     }
 
     /// Serves requests that come from now on with this.
-    pub fn swap(&self, serving: Rc<Serving>) {
+    pub fn swap(&self, serving: Rc<ServingConfig>) {
         let old = self.serving.replace(serving);
         let mut routes = self.counts.routes.borrow_mut();
         for (name, hits) in old.hits() {
@@ -143,7 +143,7 @@
     }
 
     /// What is in force.
-    pub fn serving(&self) -> Rc<Serving> {
+    pub fn serving(&self) -> Rc<ServingConfig> {
         self.serving.borrow().clone()
     }
 
@@ -159,13 +159,13 @@
     }
 }
 
-impl Front for Plain {
+impl RequestHandler for GatewayHandler {
     async fn respond(
         self: Rc<Self>,
         client: Rc<Client>,
         request: Request<Incoming>,
         draining: bool,
-    ) -> Response<FrontBody> {
+    ) -> Response<ResponseBody> {
         let serving = self.serving.borrow().clone();
         let bare = request.method() == Method::HEAD;
         let answered = self.answer(&serving, &client, request, draining).await;
@@ -179,24 +179,24 @@
     }
 }
 
-impl Plain {
+impl GatewayHandler {
     async fn answer(
         self: &Rc<Self>,
-        serving: &Serving,
+        serving: &ServingConfig,
         client: &Rc<Client>,
         request: Request<Incoming>,
         draining: bool,
-    ) -> Result<Response<FrontBody>, Refusal> {
+    ) -> Result<Response<ResponseBody>, Rejection> {
         let seen = client.scan.borrow_mut().next_head();
         if let Some(why) = seen.doubtful {
-            return Err(Refusal::new(StatusCode::BAD_REQUEST, "doubtful-framing", why).last());
+            return Err(Rejection::new(StatusCode::BAD_REQUEST, "doubtful-framing", why).last());
         }
         let host = authority(&request)?;
         let path = request.uri().path_and_query().map_or("/", |path| path.as_str()).to_string();
-        let bad = |code, what| Refusal::new(StatusCode::BAD_REQUEST, code, what);
+        let bad = |code, what| Rejection::new(StatusCode::BAD_REQUEST, code, what);
         if request.method() == Method::CONNECT {
             let what = "this is no tunnel";
-            return Err(Refusal::new(StatusCode::NOT_IMPLEMENTED, "no-tunnel", what).last());
+            return Err(Rejection::new(StatusCode::NOT_IMPLEMENTED, "no-tunnel", what).last());
         }
         if pattern::has_dot_segments(path.split('?').next().unwrap_or("/")) {
             return Err(bad("climbing-path", "the path holds an element '.' or '..'"));
@@ -204,12 +204,12 @@
         let expect = request.headers().get(header::EXPECT);
         if expect.is_some_and(|e| !e.as_bytes().eq_ignore_ascii_case(b"100-continue")) {
             let what = "only 100-continue can be expected";
-            return Err(Refusal::new(StatusCode::EXPECTATION_FAILED, "expectation", what));
+            return Err(Rejection::new(StatusCode::EXPECTATION_FAILED, "expectation", what));
         }
         let probe = Probe::new(&host, &path, request.method(), request.headers());
         let Some(place) = serving.table.find(&probe) else {
             let what = "no route takes this request";
-            return Err(Refusal::new(StatusCode::NOT_FOUND, "no-route", what));
+            return Err(Rejection::new(StatusCode::NOT_FOUND, "no-route", what));
         };
         let route = &serving.routes[place];
         let key = match &route.then {
@@ -220,7 +220,8 @@
         match &route.then {
             Then::Forward(forward) => {
                 let key = key.unwrap_or_else(|| self.next_number().to_le_bytes().to_vec());
-                let to = Way { serving, place, route, forward, key, host, path, draining };
+                let to =
+                    ForwardContext { serving, place, route, forward, key, host, path, draining };
                 self.forward(to, client, request).await
             }
             Then::Redirect(redirect) => redirected(redirect, route, &host, &path),
@@ -230,16 +231,16 @@
 
     async fn forward(
         self: &Rc<Self>,
-        way: Way<'_>,
+        way: ForwardContext<'_>,
         client: &Rc<Client>,
         request: Request<Incoming>,
-    ) -> Result<Response<FrontBody>, Refusal> {
-        let Way { serving, place, route, forward, key, host, path, draining } = way;
+    ) -> Result<Response<ResponseBody>, Rejection> {
+        let ForwardContext { serving, place, route, forward, key, host, path, draining } = way;
         let name = forward.split.pick(&key);
         let pool = serving.clusters.get(name);
         let gone = || {
             let what = "the route's cluster is not there";
-            Refusal::new(StatusCode::SERVICE_UNAVAILABLE, "no-cluster", what)
+            Rejection::new(StatusCode::SERVICE_UNAVAILABLE, "no-cluster", what)
         };
         let pool = pool.ok_or_else(gone)?;
         let class = pool.classes.get(&route.policy).ok_or_else(gone)?;
@@ -277,7 +278,7 @@
         self.mark(&serving.forwarding, &mut head.headers, client, &host);
         edit(&mut head.headers, &forward.request);
         let target = rewritten(forward.rewrite_prefix.as_deref(), route, &path);
-        let bad = |what| Refusal::new(StatusCode::BAD_REQUEST, "target", what);
+        let bad = |what| Rejection::new(StatusCode::BAD_REQUEST, "target", what);
         head.uri = target.parse::<Uri>().map_err(|_| bad("the target can't be written"))?;
         head.version = Version::HTTP_11;
         if !head.headers.contains_key(header::HOST) {
@@ -297,22 +298,26 @@
         client.enter(Phase::Busy);
         let kept = opening.as_ref().map(|_| head.clone());
         let request = Request::from_parts(head, body);
-        let message = Message { request, txn: None, _room: room, client: Some(client.clone()) };
+        let message =
+            UpstreamRequest { request, txn: None, _room: room, client: Some(client.clone()) };
         let tenant = entered.as_ref().map(|entered| entered.tenant.clone());
-        let asks = Asks { class, priority_weight, repeat, patience, tenant };
+        let asks = ClusterRequest { class, priority_weight, repeat, patience, tenant };
         let (reply, through) = send(serving, name, pool, asks, message).await?;
         drop(filled);
         match reply {
-            Some(Reply::Served(answer)) if matches!(answer.body, AnswerBody::Socket(_)) => {
+            Some(RequestOutcome::Served(answer))
+                if matches!(answer.body, UpstreamBody::Socket(_)) =>
+            {
                 let gone = || {
                     let what = "the server upgraded what was no handshake; it may have run";
-                    Refusal::new(StatusCode::BAD_GATEWAY, "upstream-failed", what)
+                    Rejection::new(StatusCode::BAD_GATEWAY, "upstream-failed", what)
                 };
                 let (opening, head) = opening.zip(kept).ok_or_else(gone)?;
-                let Answer { status, headers, body } = *answer;
-                let AnswerBody::Socket(socket) = body else { return Err(gone()) };
-                let body = AnswerBody::Whole(Bytes::new());
-                let mut response = self.passed(serving, forward, Answer { status, headers, body });
+                let UpstreamResponse { status, headers, body } = *answer;
+                let UpstreamBody::Socket(socket) = body else { return Err(gone()) };
+                let body = UpstreamBody::Whole(Bytes::new());
+                let mut response =
+                    self.passed(serving, forward, UpstreamResponse { status, headers, body });
                 opening.answer(response.headers_mut());
                 let place = Place {
                     cluster: name.to_string(),
@@ -325,44 +330,51 @@
                 *client.upgrade.borrow_mut() = Some(upgrade);
                 Ok(response)
             }
-            Some(Reply::Served(mut answer)) => {
-                if let (AnswerBody::Stream(stream), Some(_)) = (&mut answer.body, &entered) {
+            Some(RequestOutcome::Served(mut answer)) => {
+                if let (UpstreamBody::Stream(stream), Some(_)) = (&mut answer.body, &entered) {
                     stream.keep(Box::new((through, entered)));
                 }
                 Ok(self.passed(serving, forward, *answer))
             }
-            Some(Reply::Refused { after, .. }) => {
+            Some(RequestOutcome::Refused { after, .. }) => {
                 let what = "no server can take it now; it has not run";
-                let refusal = Refusal::new(StatusCode::SERVICE_UNAVAILABLE, "overloaded", what);
+                let refusal = Rejection::new(StatusCode::SERVICE_UNAVAILABLE, "overloaded", what);
                 Err(refusal.after(after))
             }
-            Some(Reply::Paced(after)) => {
+            Some(RequestOutcome::Paced(after)) => {
                 let what = "the cluster is out or coming back; it has not run";
-                Err(Refusal::new(StatusCode::SERVICE_UNAVAILABLE, "outage", what).after(after))
+                Err(Rejection::new(StatusCode::SERVICE_UNAVAILABLE, "outage", what).after(after))
             }
-            Some(Reply::Failed { timed_out: true }) => {
+            Some(RequestOutcome::Failed { timed_out: true }) => {
                 let what = "no server answered in time; it may have run";
-                Err(Refusal::new(StatusCode::GATEWAY_TIMEOUT, "upstream-timeout", what))
+                Err(Rejection::new(StatusCode::GATEWAY_TIMEOUT, "upstream-timeout", what))
             }
-            Some(Reply::Failed { timed_out: false }) | None => {
+            Some(RequestOutcome::Failed { timed_out: false }) | None => {
                 let what = "the server broke off; it may have run";
-                Err(Refusal::new(StatusCode::BAD_GATEWAY, "upstream-failed", what))
+                Err(Rejection::new(StatusCode::BAD_GATEWAY, "upstream-failed", what))
             }
         }
     }
 
     /// A server's answer as it goes to the client.
-    fn passed(&self, serving: &Serving, forward: &Forward, answer: Answer) -> Response<FrontBody> {
-        let Answer { status, mut headers, body } = answer;
+    fn passed(
+        &self,
+        serving: &ServingConfig,
+        forward: &Forward,
+        answer: UpstreamResponse,
+    ) -> Response<ResponseBody> {
+        let UpstreamResponse { status, mut headers, body } = answer;
         strip_for_next_hop(&mut headers);
         if let Some(via) = &serving.forwarding.via {
             append_via(&mut headers, via);
         }
         edit(&mut headers, &forward.response);
         let body = match body {
-            AnswerBody::Whole(body) => FrontBody::whole(body),
-            AnswerBody::Stream(stream) => FrontBody::Stream(stream),
-            AnswerBody::Socket(_) | AnswerBody::NoSocket => FrontBody::whole(Bytes::new()),
+            UpstreamBody::Whole(body) => ResponseBody::whole(body),
+            UpstreamBody::Stream(stream) => ResponseBody::Stream(stream),
+            UpstreamBody::Socket(_) | UpstreamBody::InvalidUpgrade => {
+                ResponseBody::whole(Bytes::new())
+            }
         };
         let mut response = Response::new(body);
         (*response.status_mut(), *response.headers_mut()) = (status, headers);
@@ -392,15 +404,15 @@
         &self,
         client: &Client,
         mut body: Incoming,
-    ) -> Result<(Outbound, Option<OwnedSemaphorePermit>), Refusal> {
+    ) -> Result<(RequestBody, Option<OwnedSemaphorePermit>), Rejection> {
         if body.is_end_stream() {
-            return Ok((Outbound::default(), None));
+            return Ok((RequestBody::default(), None));
         }
         let (short, want) = held_size(&body);
         let room = self.room.clone().acquire_many_owned(want.max(1) as u32);
         let Ok(Ok(room)) = timeout(ROOM_WAIT, room).await else {
             let what = "there is no room for its body now; it has not run";
-            let refusal = Refusal::new(StatusCode::SERVICE_UNAVAILABLE, "no-room", what);
+            let refusal = Rejection::new(StatusCode::SERVICE_UNAVAILABLE, "no-room", what);
             return Err(refusal.after(1_000_000_000).last());
         };
         client.enter(Phase::Busy);
@@ -420,25 +432,25 @@
                 }
                 Some(Some(Err(_))) => {
                     let what = "the body can't be read";
-                    return Err(Refusal::new(StatusCode::BAD_REQUEST, "body", what).last());
+                    return Err(Rejection::new(StatusCode::BAD_REQUEST, "body", what).last());
                 }
             }
         }
         if client.scan.borrow().spoilt() {
             let what = "the body's chunks can be read in two ways";
-            return Err(Refusal::new(StatusCode::BAD_REQUEST, "doubtful-framing", what).last());
+            return Err(Rejection::new(StatusCode::BAD_REQUEST, "doubtful-framing", what).last());
         }
         let held = held.freeze();
         let outbound = match short || over {
-            true => Outbound::Held(Held::new(held)),
-            false => Outbound::Streamed(Upload::new(held, body)),
+            true => RequestBody::Buffered(BufferedBody::new(held)),
+            false => RequestBody::Streamed(StreamedBody::new(held, body)),
         };
         Ok((outbound, Some(room)))
     }
 }
 
 /// What a request asks of a cluster.
-pub(crate) struct Asks {
+pub(crate) struct ClusterRequest {
     /// The module's class.
     pub(crate) class: u32,
     /// What its answer is worth.
@@ -454,13 +466,13 @@
 /// The last stages of a request's way: its cluster's gate, then the decision module. The place
 /// at the gate is given back when what comes beside the reply is dropped.
 pub(crate) async fn send(
-    serving: &Serving,
+    serving: &ServingConfig,
     name: &str,
-    pool: &Pool,
-    asks: Asks,
-    message: Message,
-) -> Result<(Option<Reply>, Option<Through>), Refusal> {
-    let Asks { class, priority_weight, repeat, mut patience, tenant } = asks;
+    pool: &ClusterHandle,
+    asks: ClusterRequest,
+    message: UpstreamRequest,
+) -> Result<(Option<RequestOutcome>, Option<ClusterPermit>), Rejection> {
+    let ClusterRequest { class, priority_weight, repeat, mut patience, tenant } = asks;
     let mut through = None;
     let limited = serving.limited.as_ref();
     let gate = limited.and_then(|l| Some((&l.gates, l.clusters.get(name)?))).zip(tenant);
@@ -470,7 +482,8 @@
         let advice = || pool.driver.advice(class);
         (through, patience) = gates.pass(name, patience, offer, advice).await?;
     }
-    let arrival = Arrival { class, tenant: 0, key: None, cost_hint: None, repeat, patience };
+    let arrival =
+        RequestMetadata { class, tenant: 0, key: None, cost_hint: None, repeat, patience };
     Ok((pool.driver.serve(arrival, message).await, through))
 }
 
@@ -481,8 +494,8 @@
 }
 
 /// What a request's way to a server is made of.
-struct Way<'a> {
-    serving: &'a Serving,
+struct ForwardContext<'a> {
+    serving: &'a ServingConfig,
     place: usize,
     route: &'a Route,
     forward: &'a Forward,
@@ -509,8 +522,8 @@
 
 /// The host that a request is for: that of its target, else that of its one Host header
 /// (RFC 9112 3.2). Danger: where they differ, servers choose differently.
-fn authority(request: &Request<Incoming>) -> Result<String, Refusal> {
-    let bad = |what| Refusal::new(StatusCode::BAD_REQUEST, "host", what).last();
+fn authority(request: &Request<Incoming>) -> Result<String, Rejection> {
+    let bad = |what| Rejection::new(StatusCode::BAD_REQUEST, "host", what).last();
     let mut hosts = request.headers().get_all(header::HOST).iter();
     let (first, second) = (hosts.next(), hosts.next());
     if second.is_some() {
--- a/crates/proxy/src/refusal.rs
+++ b/crates/proxy/src/gateway/rejection.rs
@@ -1,6 +1,6 @@
 //! Errors of this side's own, as problem details (RFC 9457).
 
-use crate::inbound::FrontBody;
+use crate::client::listener::ResponseBody;
 use bytes::Bytes;
 use hyper::header::{self, HeaderName, HeaderValue};
 use hyper::{Response, StatusCode};
@@ -8,7 +8,7 @@
 
 /// Why a request gets no server's answer.
 #[derive(Debug)]
-pub struct Refusal {
+pub struct Rejection {
     /// Its status.
     pub status: StatusCode,
     /// A stable name, for programs.
@@ -26,29 +26,29 @@
     (header::CONNECTION, HeaderValue::from_static("upgrade")),
 ];
 
-impl Refusal {
+impl Rejection {
     /// A refusal; `what` is for people.
     pub fn new(status: StatusCode, code: &'static str, what: &'static str) -> Self {
-        Refusal { status, code, what, after: 0, last: false, more: &[] }
+        Rejection { status, code, what, after: 0, last: false, more: &[] }
     }
 
     /// Tells when to come back; 0 for nothing to tell.
     pub fn after(self, after: Nanos) -> Self {
-        Refusal { after, ..self }
+        Rejection { after, ..self }
     }
 
     /// Closes the connection: what comes behind such a request can't be trusted.
     pub fn last(self) -> Self {
-        Refusal { last: true, ..self }
+        Rejection { last: true, ..self }
     }
 
     /// Tells which version of WebSocket is spoken.
     pub fn with_version(self) -> Self {
-        Refusal { more: &VERSION, ..self }
+        Rejection { more: &VERSION, ..self }
     }
 
     /// As it goes to the client; `bare` for one that may have no body (HEAD).
-    pub fn response(&self, bare: bool) -> Response<FrontBody> {
+    pub fn response(&self, bare: bool) -> Response<ResponseBody> {
         let problem = serde_json::json!({
             "type": format!("urn:mintshelf:problem:{}", self.code),
             "title": self.status.canonical_reason().unwrap_or("Error"),
@@ -57,7 +57,7 @@
             "code": self.code,
         });
         let body = if bare { Bytes::new() } else { Bytes::from(format!("{problem}\n")) };
-        let mut response = Response::new(FrontBody::whole(body));
+        let mut response = Response::new(ResponseBody::whole(body));
         *response.status_mut() = self.status;
         let headers = response.headers_mut();
         let kind = HeaderValue::from_static("application/problem+json");
--- a/crates/proxy/src/message.rs
+++ b/crates/proxy/src/headers.rs
@@ -5,7 +5,7 @@
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 
 /// A whole body in memory; clones share its bytes.
-pub type Held = Full<Bytes>;
+pub type BufferedBody = Full<Bytes>;
 
 /// Headers that concern one connection and not the message.
 const HOP_BY_HOP: [HeaderName; 8] = [
@@ -70,7 +70,7 @@
 
 /// Reads a load report, `TEXT name=value, ...`, into the order of `fields`.
 /// `None` for one that is malformed, lacks a field or has a negative one.
-pub fn parse_report(text: &str, fields: &[String]) -> Option<Vec<f64>> {
+pub fn parse_load_report(text: &str, fields: &[String]) -> Option<Vec<f64>> {
     let text = text.trim();
     let text = text.strip_prefix("TEXT").map_or(text, str::trim_start);
     let mut values = vec![None; fields.len()];
@@ -91,8 +91,8 @@
     #[test]
     fn reports_are_read_in_the_settings_order() {
         let fields = ["eps".to_string(), "queue".to_string()];
-        assert_eq!(parse_report("TEXT queue=2, eps=0.5, x=1", &fields), Some(vec![0.5, 2.0]));
-        assert_eq!(parse_report("queue=2,eps=0", &fields), Some(vec![0.0, 2.0]));
+        assert_eq!(parse_load_report("TEXT queue=2, eps=0.5, x=1", &fields), Some(vec![0.5, 2.0]));
+        assert_eq!(parse_load_report("queue=2,eps=0", &fields), Some(vec![0.0, 2.0]));
         for bad in [
             "",
             "TEXT",
@@ -102,7 +102,7 @@
             "queue=-2, eps=1",
             "{}",
         ] {
-            assert_eq!(parse_report(bad, &fields), None, "{bad}");
+            assert_eq!(parse_load_report(bad, &fields), None, "{bad}");
         }
     }
 
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -3,31 +3,15 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod body;
-pub mod clients;
+pub mod budget;
+pub mod client;
 pub mod clock;
+pub mod cluster;
 pub mod discovery;
-pub mod driver;
-pub mod edits;
 pub mod endpoints;
-pub mod front;
-pub mod gates;
-pub mod inbound;
-pub mod limits;
-pub mod link;
-pub mod message;
-pub mod notes;
-pub mod open;
-pub mod peers;
-pub mod plain;
+pub mod gateway;
+pub mod headers;
 pub mod platform;
-pub mod probe;
-pub mod refusal;
-pub mod scan;
-pub mod seat;
-pub mod socket;
 pub mod sockets;
-pub mod stream;
-pub mod trying;
+pub mod tcp;
 pub mod upstream;
-pub mod weights;
--- a/crates/proxy/src/platform.rs
+++ b/crates/proxy/src/platform/handler.rs
@@ -1,12 +1,12 @@
 //! The platform's protocol in front of the decision module.
 
-use crate::body::Outbound;
-use crate::clients::{Client, Phase};
+use crate::budget::ResourceBudget;
+use crate::client::connection::{Client, Phase};
+use crate::client::listener::{RequestHandler, ResponseBody};
 use crate::clock::nanos;
-use crate::driver::{Arrival, Driver, Message, Reply};
-use crate::inbound::{Front, FrontBody};
-use crate::limits::Limits;
-use crate::message::{strip_hop_by_hop, text, Held, BODY_MAX, HEADERS_MAX};
+use crate::cluster::runtime::{ClusterRuntime, RequestMetadata, RequestOutcome, UpstreamRequest};
+use crate::headers::{strip_hop_by_hop, text, BufferedBody, BODY_MAX, HEADERS_MAX};
+use crate::upstream::request_body::RequestBody;
 use bytes::{Bytes, BytesMut};
 use hyper::body::{Body, Incoming};
 use hyper::header::{self, HeaderMap, HeaderValue};
@@ -34,19 +34,24 @@
 const RESTART_ADVICE: Nanos = 1_000_000_000;
 
 /// Requests as the platform's application sends them.
-pub struct Platform {
-    driver: Rc<Driver>,
+pub struct PlatformHandler {
+    driver: Rc<ClusterRuntime>,
     settings: Settings,
     names: Names,
     room: Arc<Semaphore>,
     ending: Cell<Option<ShutdownDeadlines>>,
 }
 
-impl Platform {
+impl PlatformHandler {
     /// In front of a driver.
-    pub fn new(driver: Rc<Driver>, settings: Settings, names: Names, limits: &Limits) -> Rc<Self> {
+    pub fn new(
+        driver: Rc<ClusterRuntime>,
+        settings: Settings,
+        names: Names,
+        limits: &ResourceBudget,
+    ) -> Rc<Self> {
         let room = limits.bodies.clone();
-        Rc::new(Platform { driver, settings, names, room, ending: Cell::new(None) })
+        Rc::new(PlatformHandler { driver, settings, names, room, ending: Cell::new(None) })
     }
 
     /// Announces the planned end, of classes whose longest deadline is this; all that is taken
@@ -64,7 +69,7 @@
     }
 }
 
-impl Front for Platform {
+impl RequestHandler for PlatformHandler {
     const HEADERS_MAX: Option<usize> = Some(HEADERS_MAX);
 
     async fn respond(
@@ -72,7 +77,7 @@
         client: Rc<Client>,
         request: Request<Incoming>,
         draining: bool,
-    ) -> Response<FrontBody> {
+    ) -> Response<ResponseBody> {
         let mut last = false;
         let mut headers = HeaderMap::new();
         let (status, body) = if request.uri().path() == "/-/ready" {
@@ -82,19 +87,19 @@
             }
         } else {
             match self.take(&client, request).await {
-                Ok(Reply::Served(answer)) => {
+                Ok(RequestOutcome::Served(answer)) => {
                     headers = answer.headers;
                     strip_hop_by_hop(&mut headers);
                     (StatusCode::OK, answer.body.whole())
                 }
-                Ok(Reply::Refused { after, .. } | Reply::Paced(after)) => {
+                Ok(RequestOutcome::Refused { after, .. } | RequestOutcome::Paced(after)) => {
                     let seconds = HeaderValue::from_str(&format!("{:.3}", after as f64 / 1e9));
                     if let Some(seconds) = seconds.ok().filter(|_| after > 0) {
                         headers.insert(header::RETRY_AFTER, seconds);
                     }
                     (StatusCode::SERVICE_UNAVAILABLE, Bytes::from_static(b"refused\n"))
                 }
-                Ok(Reply::Failed { .. }) => {
+                Ok(RequestOutcome::Failed { .. }) => {
                     (StatusCode::BAD_GATEWAY, Bytes::from_static(b"failed\n"))
                 }
                 Err(unfit) => {
@@ -104,7 +109,7 @@
                 }
             }
         };
-        let mut response = Response::new(FrontBody::whole(body));
+        let mut response = Response::new(ResponseBody::whole(body));
         (*response.status_mut(), *response.headers_mut()) = (status, headers);
         if last {
             response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
@@ -113,14 +118,14 @@
     }
 }
 
-impl Platform {
+impl PlatformHandler {
     /// Reads a request whole and gets it its final answer.
     async fn take(
         self: &Rc<Self>,
         client: &Rc<Client>,
         request: Request<Incoming>,
-    ) -> Result<Reply, Unfit> {
-        let bad = |what| Unfit::new(StatusCode::BAD_REQUEST, what);
+    ) -> Result<RequestOutcome, RejectedRequest> {
+        let bad = |what| RejectedRequest::new(StatusCode::BAD_REQUEST, what);
         let (mut head, mut body) = request.into_parts();
         if client.scan.borrow_mut().next_head().framed_twice() {
             return Err(bad("Content-Length and Transfer-Encoding\n"));
@@ -136,19 +141,25 @@
         if let Some(ending) = self.ending.get() {
             match ending.patience(self.driver.clock().now(), arrival.patience) {
                 Some(patience) => arrival.patience = patience,
-                None => return Ok(Reply::Refused { after: self.restart_advice(), ran_at: None }),
+                None => {
+                    return Ok(RequestOutcome::Refused {
+                        after: self.restart_advice(),
+                        ran_at: None,
+                    })
+                }
             }
         }
-        let request = Request::from_parts(head, Outbound::Held(body));
+        let request = Request::from_parts(head, RequestBody::Buffered(body));
         let client = Some(client.clone());
-        let message = Message { request, txn: Some(txn), _room: room, client };
+        let message = UpstreamRequest { request, txn: Some(txn), _room: room, client };
         let reply = self.driver.serve(arrival, message).await;
-        reply.ok_or(Unfit::new(StatusCode::CONFLICT, "X-Txn is that of an open request\n"))
+        reply
+            .ok_or(RejectedRequest::new(StatusCode::CONFLICT, "X-Txn is that of an open request\n"))
     }
 
     /// Reads what the module is told of a request.
-    fn arrival(&self, headers: &HeaderMap) -> Result<Arrival, Unfit> {
-        let bad = |what| Unfit::new(StatusCode::BAD_REQUEST, what);
+    fn arrival(&self, headers: &HeaderMap) -> Result<RequestMetadata, RejectedRequest> {
+        let bad = |what| RejectedRequest::new(StatusCode::BAD_REQUEST, what);
         // By its bytes: a name may be in any script.
         let number_of = |header: &str, of: &[String]| {
             let name = headers.get(header)?.as_bytes().trim_ascii();
@@ -182,7 +193,7 @@
         let cookies = headers.get_all(header::COOKIE).iter().filter_map(|c| c.to_str().ok());
         let mut pairs = cookies.flat_map(|cookie| cookie.split(';'));
         let key = pairs.find_map(|pair| pair.trim().strip_prefix("obj="));
-        Ok(Arrival {
+        Ok(RequestMetadata {
             class: class as u32,
             tenant: tenant as u32,
             key: key.and_then(|key| u64::from_str_radix(key, 16).ok()),
@@ -197,15 +208,16 @@
         &self,
         body: &mut Incoming,
         patience: Nanos,
-    ) -> Result<(Held, Option<OwnedSemaphorePermit>), Unfit> {
-        let too_long = Unfit::new(StatusCode::PAYLOAD_TOO_LARGE, "body is too long\n");
+    ) -> Result<(BufferedBody, Option<OwnedSemaphorePermit>), RejectedRequest> {
+        let too_long = RejectedRequest::new(StatusCode::PAYLOAD_TOO_LARGE, "body is too long\n");
         if body.size_hint().lower() > BODY_MAX as u64 {
             return Err(too_long);
         }
         let room_wait = ROOM_WAIT.min(Duration::from_nanos(patience));
         let (mut held, mut room) = (BytesMut::new(), None::<OwnedSemaphorePermit>);
         while let Some(frame) = poll_fn(|cx| Pin::new(&mut *body).poll_frame(cx)).await {
-            let frame = frame.map_err(|_| Unfit::new(StatusCode::BAD_REQUEST, "body\n"))?;
+            let frame =
+                frame.map_err(|_| RejectedRequest::new(StatusCode::BAD_REQUEST, "body\n"))?;
             let Ok(data) = frame.into_data() else { continue };
             if held.len() + data.len() > BODY_MAX {
                 return Err(too_long);
@@ -213,7 +225,7 @@
             let more = self.room.clone().acquire_many_owned(data.len() as u32);
             let Ok(Ok(more)) = timeout(room_wait, more).await else {
                 // Nothing has been sent for it: the client may try again.
-                return Err(Unfit::new(StatusCode::SERVICE_UNAVAILABLE, "no room\n"));
+                return Err(RejectedRequest::new(StatusCode::SERVICE_UNAVAILABLE, "no room\n"));
             };
             match &mut room {
                 Some(room) => room.merge(more),
@@ -221,7 +233,7 @@
             }
             held.extend_from_slice(&data);
         }
-        Ok((Held::new(held.freeze()), room))
+        Ok((BufferedBody::new(held.freeze()), room))
     }
 }
 
@@ -235,13 +247,13 @@
 
 /// Why a request goes no further.
 #[derive(Debug)]
-struct Unfit {
+struct RejectedRequest {
     status: StatusCode,
     what: &'static str,
 }
 
-impl Unfit {
+impl RejectedRequest {
     fn new(status: StatusCode, what: &'static str) -> Self {
-        Unfit { status, what }
+        RejectedRequest { status, what }
     }
 }
--- /dev/null
+++ b/crates/proxy/src/platform/mod.rs
@@ -0,0 +1,3 @@
+//! The platform's protocol: requests of its application in front of one cluster.
+
+pub mod handler;
--- a/crates/proxy/src/sockets/front.rs
+++ b/crates/proxy/src/sockets/front.rs
@@ -2,12 +2,12 @@
 
 use super::registry::{Seated, Sockets};
 use super::relay::Relay;
-use crate::body::Outbound;
-use crate::clients::Upgrade;
-use crate::driver::{Message, Reply};
-use crate::plain::{send, Asks, Plain, Pool};
-use crate::refusal::Refusal;
-use crate::upstream::{Answer, AnswerBody, ServerSocket};
+use crate::client::connection::Upgrade;
+use crate::cluster::runtime::{RequestOutcome, UpstreamRequest};
+use crate::gateway::handler::{send, ClusterHandle, ClusterRequest, GatewayHandler};
+use crate::gateway::rejection::Rejection;
+use crate::upstream::exchange::{UpgradedConnection, UpstreamBody, UpstreamResponse};
+use crate::upstream::request_body::RequestBody;
 use hyper::body::Incoming;
 use hyper::header::HeaderMap;
 use hyper::http::request::Parts;
@@ -52,7 +52,7 @@
         request: &Request<Incoming>,
         sitter: SlotOwner,
         draining: bool,
-    ) -> Result<Self, Refusal> {
+    ) -> Result<Self, Rejection> {
         let read = Offer::read(request.method(), request.version(), request.headers(), &set.terms);
         let offer = read.map_err(|bad| {
             let (status, code) = match bad {
@@ -62,7 +62,7 @@
                 HandshakeError::Version => (StatusCode::UPGRADE_REQUIRED, "websocket-version"),
                 HandshakeError::Origin => (StatusCode::FORBIDDEN, "websocket-origin"),
             };
-            let refusal = Refusal::new(status, code, bad.reason());
+            let refusal = Rejection::new(status, code, bad.reason());
             if bad == HandshakeError::Version {
                 refusal.with_version()
             } else {
@@ -71,7 +71,7 @@
         })?;
         if draining {
             let what = "the planned end has begun; no server was asked";
-            let refusal = Refusal::new(StatusCode::SERVICE_UNAVAILABLE, "draining", what);
+            let refusal = Rejection::new(StatusCode::SERVICE_UNAVAILABLE, "draining", what);
             return Err(refusal.after(SECOND));
         }
         let seated = sockets.seat(&sitter).map_err(|why| {
@@ -89,7 +89,7 @@
                     ("cluster-sockets", "the cluster has as many as it may")
                 }
             };
-            Refusal::new(StatusCode::SERVICE_UNAVAILABLE, code, what).after(SECOND)
+            Rejection::new(StatusCode::SERVICE_UNAVAILABLE, code, what).after(SECOND)
         })?;
         let (sockets, set) = (sockets.clone(), set.clone());
         Ok(Opening { offer, seated, sitter, sockets, set })
@@ -108,11 +108,11 @@
     /// What becomes of the client's connection once its 101 is out.
     pub(crate) fn upgrade(
         self,
-        front: &Rc<Plain>,
-        pool: &Pool,
+        front: &Rc<GatewayHandler>,
+        pool: &ClusterHandle,
         class: u32,
         place: Place,
-        server: Box<ServerSocket>,
+        server: Box<UpgradedConnection>,
     ) -> Upgrade {
         let Opening { offer, seated, sitter, sockets, set } = self;
         let front = front.clone();
@@ -146,7 +146,7 @@
 
 /// Opens a socket again.
 struct Again {
-    front: Rc<Plain>,
+    front: Rc<GatewayHandler>,
     place: Place,
     offer: Offer,
     sockets: Rc<Sockets>,
@@ -155,26 +155,28 @@
 
 impl Again {
     /// At another server of what is in force now, through the same limits and decisions.
-    async fn open(&self) -> Option<(u32, ServerSocket)> {
+    async fn open(&self) -> Option<(u32, UpgradedConnection)> {
         let serving = self.front.serving();
         let Place { cluster, policy, effect, head, agreed } = &self.place;
         let pool = serving.clusters.get(cluster)?;
         let class = pool.classes.get(policy)?;
         let mut head = head.clone();
         ask(&self.offer, &self.sockets, &mut head);
-        let asks = Asks {
+        let asks = ClusterRequest {
             class: class.numbers[severity(*effect)]?,
             priority_weight: class.priority_weight,
             repeat: true,
             patience: class.deadline,
             tenant: Some(self.sitter.tenant.clone()),
         };
-        let request = Request::from_parts(head, Outbound::default());
-        let message = Message { request, txn: None, _room: None, client: None };
+        let request = Request::from_parts(head, RequestBody::default());
+        let message = UpstreamRequest { request, txn: None, _room: None, client: None };
         let (reply, _through) = send(&serving, cluster, pool, asks, message).await.ok()?;
         match reply? {
-            Reply::Served(answer) => match *answer {
-                Answer { body: AnswerBody::Socket(socket), .. } if socket.agreed == *agreed => {
+            RequestOutcome::Served(answer) => match *answer {
+                UpstreamResponse { body: UpstreamBody::Socket(socket), .. }
+                    if socket.agreed == *agreed =>
+                {
                     Some((pool.driver.number(), *socket))
                 }
                 _ => None,
--- a/crates/proxy/src/sockets/relay.rs
+++ b/crates/proxy/src/sockets/relay.rs
@@ -1,8 +1,8 @@
 //! One socket's two connections: bytes into its session, bytes and closes out of it.
 
 use super::registry::{Listed, Order, Seated, Sockets};
-use crate::socket::{close_gently, Stream};
-use crate::upstream::ServerSocket;
+use crate::tcp::{close_gently, Stream};
+use crate::upstream::exchange::UpgradedConnection;
 use bytes::Bytes;
 use mintshelf_balancer::api::Nanos;
 use mintshelf_websocket::frame::Peer;
@@ -16,7 +16,7 @@
 use tokio::time::{sleep_until, Sleep};
 
 /// Opens a socket again at another server; none if there is none.
-pub type Reopen = dyn Fn() -> Pin<Box<dyn Future<Output = Option<(u32, ServerSocket)>>>>;
+pub type Reopen = dyn Fn() -> Pin<Box<dyn Future<Output = Option<(u32, UpgradedConnection)>>>>;
 /// When a client is told to come back, in seconds.
 pub type Advice = dyn Fn() -> u64;
 
@@ -27,7 +27,7 @@
     /// The client's connection.
     pub client: Stream,
     /// The server's.
-    pub server: Box<ServerSocket>,
+    pub server: Box<UpgradedConnection>,
     /// All sockets.
     pub sockets: Rc<Sockets>,
     /// This one among them.
@@ -229,7 +229,7 @@
 const FAR: Nanos = 86_400_000_000_000;
 
 /// Parts with a server that another has taken the place of.
-async fn part(server: Box<ServerSocket>, farewell: Vec<u8>) {
+async fn part(server: Box<UpgradedConnection>, farewell: Vec<u8>) {
     if !farewell.is_empty() && server.stream.borrow().try_write(&farewell).is_ok() {
         close_gently(&server.stream).await;
     }
--- a/crates/proxy/src/socket.rs
+++ b/crates/proxy/src/tcp.rs
@@ -17,7 +17,7 @@
 use tokio::time::{timeout_at, Instant};
 
 /// Learns what passes through a socket.
-pub trait Watcher {
+pub trait TrafficObserver {
     /// These bytes were read; none at the end.
     fn read(&self, _bytes: &[u8]) {}
     /// The kernel took these bytes.
@@ -45,7 +45,7 @@
     }
 }
 
-impl<W: Watcher> AsyncRead for Socket<W> {
+impl<W: TrafficObserver> AsyncRead for Socket<W> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -67,7 +67,7 @@
     }
 }
 
-impl<W: Watcher> AsyncWrite for Socket<W> {
+impl<W: TrafficObserver> AsyncWrite for Socket<W> {
     fn poll_write(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/proxy/src/link.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -1,7 +1,7 @@
 //! One connection to a server: what passes on it, and one exchange at a time.
 
-use crate::body::Outbound;
-use crate::socket::{pending, Pending, Socket, Stream, Watcher};
+use crate::tcp::{pending, Pending, Socket, Stream, TrafficObserver};
+use crate::upstream::request_body::RequestBody;
 use bytes::{Bytes, BytesMut};
 use hyper::body::{Body, Incoming};
 use hyper::client::conn::http1::{Connection, SendRequest};
@@ -26,7 +26,7 @@
 
 /// Follows one exchange: what the kernel took of the request, when bytes came back.
 #[derive(Debug, Default)]
-pub(crate) struct Meter {
+pub(crate) struct WriteProgress {
     body: Cell<u64>,
     /// How much of the head's closing blank line has passed.
     matched: Cell<usize>,
@@ -37,7 +37,7 @@
     answering: Cell<Option<Instant>>,
 }
 
-impl Meter {
+impl WriteProgress {
     fn expect(&self, body: u64) {
         self.body.set(body);
         self.matched.set(0);
@@ -54,7 +54,7 @@
 
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-impl Watcher for Meter {
+impl TrafficObserver for WriteProgress {
     fn read(&self, bytes: &[u8]) {
         // What ends in a blank line may be an answer ahead of the answer.
         let rest = !bytes.is_empty() && !bytes.ends_with(HEAD_END);
@@ -78,11 +78,11 @@
     }
 }
 
-pub(crate) type Driven = Connection<TokioIo<Socket<Meter>>, Outbound>;
+pub(crate) type Driven = Connection<TokioIo<Socket<WriteProgress>>, RequestBody>;
 
 /// A server and where it listens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct To {
+pub struct Target {
     /// Its number.
     pub server: ServerId,
     /// Its address.
@@ -91,32 +91,32 @@
 
 /// What a connection counts in until this is dropped.
 #[derive(Debug)]
-pub(crate) struct Held {
+pub(crate) struct UpgradedPermits {
     _permit: OwnedSemaphorePermit,
-    _counted: Counted,
+    _counted: ConnectionPermit,
 }
 
 /// One connection. It is driven by whoever uses it, so that dropping it closes
 /// the socket then and there: no copy of a request outlives its attempt.
-pub(crate) struct Link {
-    pub(crate) send: SendRequest<Outbound>,
+pub(crate) struct UpstreamConnection {
+    pub(crate) send: SendRequest<RequestBody>,
     pub(crate) driven: Option<Pin<Box<Driven>>>,
     pub(crate) stream: Stream,
-    pub(crate) meter: Rc<Meter>,
-    pub(crate) to: To,
+    pub(crate) meter: Rc<WriteProgress>,
+    pub(crate) to: Target,
     /// Its place among the idle ones.
     pub(crate) key: (u32, ServerId),
     pub(crate) rested: Instant,
     pub(crate) idle_max: Duration,
     pub(crate) _permit: OwnedSemaphorePermit,
-    pub(crate) _counted: Counted,
+    pub(crate) _counted: ConnectionPermit,
 }
 
-impl Link {
+impl UpstreamConnection {
     /// Sends a request and waits for the head of its answer.
     pub(crate) async fn ask(
         &mut self,
-        request: Request<Outbound>,
+        request: Request<RequestBody>,
         runs_early: bool,
     ) -> Result<Response<Incoming>, Outcome> {
         let body = if runs_early { 0 } else { request.body().size_hint().lower() };
@@ -126,7 +126,7 @@
     /// The same for a body of so many bytes, with the library's work left to `work`.
     async fn head(
         &mut self,
-        request: Request<Outbound>,
+        request: Request<RequestBody>,
         body: u64,
         mut work: impl FnMut(&mut Option<Pin<Box<Driven>>>, &mut Context<'_>),
     ) -> Result<Response<Incoming>, Outcome> {
@@ -169,11 +169,11 @@
     }
 
     /// Sends a handshake and waits for the head of its answer. If that is a 101, the
-    /// connection is given up by [`Link::into_socket`]; else it goes on as after
-    /// [`Link::ask`].
+    /// connection is given up by [`UpstreamConnection::into_socket`]; else it goes on as after
+    /// [`UpstreamConnection::ask`].
     pub(crate) async fn ask_upgrade(
         &mut self,
-        request: Request<Outbound>,
+        request: Request<RequestBody>,
     ) -> Result<Response<Incoming>, Outcome> {
         // The library ends with the 101, and what it read behind that is still in it.
         let mut ended = false;
@@ -190,12 +190,16 @@
     }
 
     /// The bare connection, and what was read behind the 101.
-    pub(crate) async fn into_socket(self) -> Option<(Stream, Bytes, Held)> {
+    pub(crate) async fn into_socket(self) -> Option<(Stream, Bytes, UpgradedPermits)> {
         let mut driven = Pin::into_inner(self.driven?);
         let over = poll_fn(|cx| driven.poll_without_shutdown(cx));
         timeout(ANSWER_STALL, over).await.ok()?.ok()?;
         let rest = driven.into_parts().read_buf;
-        Some((self.stream, rest, Held { _permit: self._permit, _counted: self._counted }))
+        Some((
+            self.stream,
+            rest,
+            UpgradedPermits { _permit: self._permit, _counted: self._counted },
+        ))
     }
 
     /// Whether the connection can carry another request at once.
@@ -227,7 +231,7 @@
 }
 
 /// Waits until an answer that has begun stops coming.
-async fn stalled(meter: &Meter) {
+async fn stalled(meter: &WriteProgress) {
     loop {
         let due = meter.answering.get().map(|at| at + ANSWER_STALL);
         match due {
@@ -240,14 +244,14 @@
 /// Connections of one cluster, all and by server, against what it may have.
 #[derive(Debug, Default)]
 pub(crate) struct Count {
-    most: Most,
+    most: ConnectionLimits,
     all: Cell<[u32; 2]>,
     by_server: RefCell<HashMap<ServerId, [u32; 2]>>,
 }
 
 /// Most connections that a cluster may have.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Most {
+pub struct ConnectionLimits {
     /// To all servers, and to each.
     pub connections: [Option<u32>; 2],
     /// Those of them that are sockets.
@@ -256,7 +260,7 @@
 
 /// A connection that counts until this is dropped.
 #[derive(Debug)]
-pub(crate) struct Counted {
+pub(crate) struct ConnectionPermit {
     count: Rc<Count>,
     server: ServerId,
     socket: bool,
@@ -264,7 +268,7 @@
 
 impl Count {
     /// None yet, and at most so many.
-    pub(crate) fn new(most: Most) -> Rc<Self> {
+    pub(crate) fn new(most: ConnectionLimits) -> Rc<Self> {
         Rc::new(Count { most, ..Count::default() })
     }
 
@@ -283,17 +287,17 @@
         self.by_server.borrow().get(&server).copied().unwrap_or_default()
     }
 
-    pub(crate) fn one(self: &Rc<Self>, server: ServerId, socket: bool) -> Counted {
+    pub(crate) fn one(self: &Rc<Self>, server: ServerId, socket: bool) -> ConnectionPermit {
         let plus = |[open, sockets]: [u32; 2]| [open + 1, sockets + u32::from(socket)];
         self.all.set(plus(self.all.get()));
         let mut by_server = self.by_server.borrow_mut();
         let of = by_server.entry(server).or_default();
         *of = plus(*of);
-        Counted { count: self.clone(), server, socket }
+        ConnectionPermit { count: self.clone(), server, socket }
     }
 }
 
-impl Drop for Counted {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
         let minus = |[open, sockets]: [u32; 2]| {
             [open.saturating_sub(1), sockets.saturating_sub(u32::from(self.socket))]
@@ -308,7 +312,7 @@
 }
 
 /// The outcome when an exchange breaks off.
-pub(crate) fn broken(meter: &Meter, error: &hyper::Error) -> Outcome {
+pub(crate) fn broken(meter: &WriteProgress, error: &hyper::Error) -> Outcome {
     if !meter.whole() {
         Outcome::ConnectFailed
     } else if error.is_parse() {
@@ -327,7 +331,7 @@
         let request = b"POST / HTTP/1.1\r\nA: b\r\r\n\r\nbo\r\n\r\ndy";
         let body = b"bo\r\n\r\ndy".len() as u64;
         for cut in 1..request.len() {
-            let meter = Meter::default();
+            let meter = WriteProgress::default();
             meter.expect(body);
             meter.wrote(&request[..cut]);
             assert!(!meter.whole(), "{cut}");
--- a/crates/proxy/src/upstream.rs
+++ b/crates/proxy/src/upstream/exchange.rs
@@ -1,12 +1,15 @@
 //! A cluster's connections: which one carries an attempt, and what its answer says.
 
-use crate::body::Outbound;
-use crate::limits::Limits;
-use crate::link::{broken, drive, Count, Held, Link, Meter, Most, To};
-use crate::message::{text, BODY_MAX, HEADERS_MAX};
-use crate::seat::Cancel;
-use crate::socket::{Socket, Stream};
-use crate::stream::ServerStream;
+use crate::budget::ResourceBudget;
+use crate::cluster::pending_response::AttemptControl;
+use crate::headers::{text, BODY_MAX, HEADERS_MAX};
+use crate::tcp::{Socket, Stream};
+use crate::upstream::connection::{
+    broken, drive, ConnectionLimits, Count, Target, UpgradedPermits, UpstreamConnection,
+    WriteProgress,
+};
+use crate::upstream::request_body::RequestBody;
+use crate::upstream::response_stream::ResponseStream;
 use bytes::{Bytes, BytesMut};
 use hyper::body::{Body, Frame, Incoming};
 use hyper::client::conn::http1::Builder;
@@ -43,7 +46,7 @@
 
 /// How long an attempt may take.
 #[derive(Debug, Clone, Copy)]
-pub struct Until {
+pub struct AttemptDeadlines {
     /// It ends then.
     pub end: Instant,
     /// Nothing of it is sent from then on.
@@ -55,45 +58,45 @@
 }
 
 /// What came of one exchange.
-pub struct Ended {
+pub struct AttemptResult {
     /// How it ended.
     pub outcome: Outcome,
     /// The load report that came with the answer.
     pub report: Option<String>,
     /// The answer, if it was served.
-    pub answer: Option<Answer>,
+    pub answer: Option<UpstreamResponse>,
 }
 
-impl From<Outcome> for Ended {
+impl From<Outcome> for AttemptResult {
     fn from(outcome: Outcome) -> Self {
-        Ended { outcome, report: None, answer: None }
+        AttemptResult { outcome, report: None, answer: None }
     }
 }
 
 /// A server's answer.
-pub struct Answer {
+pub struct UpstreamResponse {
     /// Its status.
     pub status: StatusCode,
     /// Its headers.
     pub headers: HeaderMap,
     /// Its body.
-    pub body: AnswerBody,
+    pub body: UpstreamBody,
 }
 
 /// The body of an answer.
-pub enum AnswerBody {
+pub enum UpstreamBody {
     /// All of it.
     Whole(Bytes),
     /// As it comes.
-    Stream(Box<ServerStream>),
+    Stream(Box<ResponseStream>),
     /// The connection itself, after a good 101.
-    Socket(Box<ServerSocket>),
+    Socket(Box<UpgradedConnection>),
     /// A 101 that is none: nothing of it may go to a client.
-    NoSocket,
+    InvalidUpgrade,
 }
 
 /// A server's end of a socket. Dropping it closes that end.
-pub struct ServerSocket {
+pub struct UpgradedConnection {
     /// The connection.
     pub stream: Stream,
     /// Read already.
@@ -101,18 +104,18 @@
     /// What it agreed to.
     pub agreed: NegotiatedTerms,
     /// The server.
-    pub to: To,
+    pub to: Target,
     /// Counts while it lives.
-    pub(crate) _held: Held,
+    pub(crate) _held: UpgradedPermits,
     /// Called when it has ended.
     pub(crate) seat: Option<Box<dyn std::any::Any>>,
 }
 
-impl AnswerBody {
+impl UpstreamBody {
     /// A body that came whole; empty for one that is still coming.
     pub fn whole(self) -> Bytes {
         match self {
-            AnswerBody::Whole(body) => body,
+            UpstreamBody::Whole(body) => body,
             _ => Bytes::new(),
         }
     }
@@ -120,7 +123,7 @@
 
 /// How the answers of a cluster's servers are read.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Style {
+pub enum UpstreamProtocol {
     /// As the platform's protocol has it: 200 or nothing, short and whole.
     Platform,
     /// Any HTTP/1.1 service.
@@ -135,19 +138,19 @@
 }
 
 /// All connections to servers, of all clusters: they share one budget.
-pub struct Connections {
+pub struct ConnectionPool {
     /// Danger: kept by server, not by address, or one that takes over the address
     /// of another would be sent requests on connections to the dead one.
-    idle: RefCell<HashMap<(u32, ServerId), VecDeque<Link>>>,
+    idle: RefCell<HashMap<(u32, ServerId), VecDeque<UpstreamConnection>>>,
     budget: Arc<Semaphore>,
     last_pool: Cell<u32>,
 }
 
-impl Connections {
+impl ConnectionPool {
     /// No connections yet.
-    pub fn new(limits: &Limits) -> Rc<Self> {
+    pub fn new(limits: &ResourceBudget) -> Rc<Self> {
         let (idle, budget) = (RefCell::default(), limits.upstream.clone());
-        Rc::new(Connections { idle, budget, last_pool: Cell::new(0) })
+        Rc::new(ConnectionPool { idle, budget, last_pool: Cell::new(0) })
     }
 
     /// Closes the idle connection that has rested longest, of one cluster or of all.
@@ -163,11 +166,11 @@
 
 /// The connections to one cluster's servers.
 pub struct Upstream {
-    all: Rc<Connections>,
+    all: Rc<ConnectionPool>,
     pool: u32,
     connect_timeout: Duration,
     idle_max: Duration,
-    style: Style,
+    style: UpstreamProtocol,
     count: Rc<Count>,
 }
 
@@ -180,11 +183,11 @@
 impl Upstream {
     /// No connections yet, and at most so many.
     pub fn new(
-        all: Rc<Connections>,
+        all: Rc<ConnectionPool>,
         connect_timeout: Duration,
         idle_timeout: Duration,
-        style: Style,
-        most: Most,
+        style: UpstreamProtocol,
+        most: ConnectionLimits,
     ) -> Rc<Self> {
         let pool = all.last_pool.get() + 1;
         all.last_pool.set(pool);
@@ -207,13 +210,13 @@
     pub fn sweep(&self) {
         self.all.idle.borrow_mut().retain(|(pool, _), links| {
             if *pool == self.pool {
-                links.retain(Link::alive);
+                links.retain(UpstreamConnection::alive);
             }
             !links.is_empty()
         });
     }
 
-    fn take_idle(&self, to: To, rested: Option<Duration>) -> Option<Link> {
+    fn take_idle(&self, to: Target, rested: Option<Duration>) -> Option<UpstreamConnection> {
         let mut idle = self.all.idle.borrow_mut();
         let links = idle.get_mut(&(self.pool, to.server))?;
         // The one used last: the others get to rest until they are closed.
@@ -233,22 +236,27 @@
     /// A connection that can carry a request now.
     async fn link(
         &self,
-        to: To,
+        to: Target,
         connect: Option<Duration>,
         rested: Option<Duration>,
-    ) -> Result<Link, Outcome> {
+    ) -> Result<UpstreamConnection, Outcome> {
         match self.take_idle(to, rested) {
             Some(link) => Ok(link),
             None => self.connect(to, connect, false).await,
         }
     }
 
-    fn keep(&self, mut link: Link) {
+    fn keep(&self, mut link: UpstreamConnection) {
         link.rested = Instant::now();
         self.all.idle.borrow_mut().entry(link.key).or_default().push_back(link);
     }
 
-    async fn connect(&self, to: To, wait: Option<Duration>, socket: bool) -> Result<Link, Outcome> {
+    async fn connect(
+        &self,
+        to: Target,
+        wait: Option<Duration>,
+        socket: bool,
+    ) -> Result<UpstreamConnection, Outcome> {
         let wait = wait.map_or(self.connect_timeout, |wait| wait.min(self.connect_timeout));
         let is_full = |server| self.count.is_full(server, socket);
         if is_full(None) {
@@ -270,11 +278,12 @@
         let up = async {
             let stream = TcpStream::connect(to.address).await.ok()?;
             stream.set_nodelay(true).ok()?;
-            let (stream, meter) = (Rc::new(RefCell::new(stream)), Rc::new(Meter::default()));
+            let (stream, meter) =
+                (Rc::new(RefCell::new(stream)), Rc::new(WriteProgress::default()));
             let socket = Socket::new(stream.clone(), meter.clone(), Bytes::new());
             let mut builder = Builder::new();
             builder.max_buf_size(BUFFER_MAX);
-            if self.style == Style::Platform {
+            if self.style == UpstreamProtocol::Platform {
                 builder.max_headers(HEADERS_MAX);
             }
             let (send, driven) = builder.handshake(TokioIo::new(socket)).await.ok()?;
@@ -283,7 +292,18 @@
             let (key, idle_max) = ((self.pool, to.server), self.idle_max);
             let _counted = counted;
             let _permit = permit;
-            Some(Link { send, driven, stream, meter, to, key, rested, idle_max, _permit, _counted })
+            Some(UpstreamConnection {
+                send,
+                driven,
+                stream,
+                meter,
+                to,
+                key,
+                rested,
+                idle_max,
+                _permit,
+                _counted,
+            })
         };
         let up = timeout_at(until, up).await.ok().flatten();
         up.ok_or(Outcome::ConnectFailed)
@@ -292,16 +312,16 @@
     /// Sends a request once, on one connection, and never again.
     pub async fn attempt(
         self: &Rc<Self>,
-        to: To,
-        request: Request<Outbound>,
-        until: Until,
-        cancel: &Cancel,
-    ) -> Ended {
+        to: Target,
+        request: Request<RequestBody>,
+        until: AttemptDeadlines,
+        cancel: &AttemptControl,
+    ) -> AttemptResult {
         let limits = until;
         let until = until.end;
         let meter = RefCell::new(None);
         let (upload, stall) = match (request.body(), &self.style) {
-            (Outbound::Streamed(upload), Style::Plain { stall, .. }) => {
+            (RequestBody::Streamed(upload), UpstreamProtocol::Plain { stall, .. }) => {
                 (Some(upload.clone()), *stall)
             }
             _ => (None, Duration::ZERO),
@@ -314,7 +334,8 @@
                 None => sleep_until(until).await,
             }
         };
-        let whole = || meter.borrow().as_ref().is_some_and(|meter: &Rc<Meter>| meter.whole());
+        let whole =
+            || meter.borrow().as_ref().is_some_and(|meter: &Rc<WriteProgress>| meter.whole());
         // Danger: what is with a server only later may have been forgotten there.
         let lapsed = async {
             if let Some(by) = limits.send_by {
@@ -333,7 +354,7 @@
         };
         // The exchange is dropped and its connection closed. What was not written
         // whole by then cannot have run.
-        Ended::from(match stopped {
+        AttemptResult::from(match stopped {
             stopped if whole() || stopped == Outcome::Unused => stopped,
             _ => Outcome::ConnectFailed,
         })
@@ -341,12 +362,12 @@
 
     async fn exchange(
         self: &Rc<Self>,
-        to: To,
-        request: Request<Outbound>,
-        meter: &RefCell<Option<Rc<Meter>>>,
-        until: Until,
-        cancel: &Cancel,
-    ) -> Ended {
+        to: Target,
+        request: Request<RequestBody>,
+        meter: &RefCell<Option<Rc<WriteProgress>>>,
+        until: AttemptDeadlines,
+        cancel: &AttemptControl,
+    ) -> AttemptResult {
         let asked = request.extensions().get::<Arc<HandshakeRequest>>().cloned();
         let link = async {
             match &asked {
@@ -373,7 +394,7 @@
         }
         *meter.borrow_mut() = Some(link.meter.clone());
         // Danger: any server but the platform's may begin a request before its last byte.
-        let plain = self.style != Style::Platform;
+        let plain = self.style != UpstreamProtocol::Platform;
         if let Some(asked) = asked {
             return match link.ask_upgrade(request).await {
                 Ok(response) if response.status() == StatusCode::SWITCHING_PROTOCOLS => {
@@ -390,12 +411,16 @@
         }
     }
 
-    async fn receive(&self, mut link: Link, response: Response<Incoming>) -> Ended {
+    async fn receive(
+        &self,
+        mut link: UpstreamConnection,
+        response: Response<Incoming>,
+    ) -> AttemptResult {
         let (head, body) = response.into_parts();
         let report = text(&head.headers, LOAD_REPORT).map(str::to_string);
         let away = text(&head.headers, TURNED_AWAY) == Some("1");
         if !framed(&head.headers) {
-            return Ended { outcome: Outcome::Error, report, answer: None };
+            return AttemptResult { outcome: Outcome::Error, report, answer: None };
         }
         let outcome = match head.status.as_u16() {
             200 => Outcome::Ok,
@@ -407,43 +432,47 @@
         match link.body(body, most).await {
             Ok(body) => {
                 self.rest(link);
-                let body = AnswerBody::Whole(body);
-                let answer = Answer { status: head.status, headers: head.headers, body };
+                let body = UpstreamBody::Whole(body);
+                let answer = UpstreamResponse { status: head.status, headers: head.headers, body };
                 let answer = (outcome == Outcome::Ok).then_some(answer);
-                Ended { outcome, report, answer }
+                AttemptResult { outcome, report, answer }
             }
             Err(spoilt) if outcome == Outcome::Ok => {
-                Ended { outcome: spoilt, report, answer: None }
+                AttemptResult { outcome: spoilt, report, answer: None }
             }
             // The head has said what became of the request.
-            Err(_) => Ended { outcome, report, answer: None },
+            Err(_) => AttemptResult { outcome, report, answer: None },
         }
     }
 
     /// Takes a 101 for the socket that it begins, if it is one.
     async fn receive_socket(
         &self,
-        link: Link,
+        link: UpstreamConnection,
         response: Response<Incoming>,
         asked: &HandshakeRequest,
-    ) -> Ended {
+    ) -> AttemptResult {
         let (head, _) = response.into_parts();
         let to = link.to;
         let body = match (asked.check(&head.headers), link.into_socket().await) {
             (Ok(agreed), Some((stream, rest, held))) => {
                 let _held = held;
-                let socket = ServerSocket { stream, rest, agreed, to, _held, seat: None };
-                AnswerBody::Socket(Box::new(socket))
+                let socket = UpgradedConnection { stream, rest, agreed, to, _held, seat: None };
+                UpstreamBody::Socket(Box::new(socket))
             }
-            _ => AnswerBody::NoSocket,
+            _ => UpstreamBody::InvalidUpgrade,
         };
-        let answer = Answer { status: head.status, headers: head.headers, body };
-        Ended { outcome: Outcome::Ok, report: None, answer: Some(answer) }
+        let answer = UpstreamResponse { status: head.status, headers: head.headers, body };
+        AttemptResult { outcome: Outcome::Ok, report: None, answer: Some(answer) }
     }
 
     /// Takes any answer: whole if it is short and there, else as it comes.
-    async fn receive_plain(self: &Rc<Self>, mut link: Link, response: Response<Incoming>) -> Ended {
-        let Style::Plain { failures, never_ran, stall } = &self.style else {
+    async fn receive_plain(
+        self: &Rc<Self>,
+        mut link: UpstreamConnection,
+        response: Response<Incoming>,
+    ) -> AttemptResult {
+        let UpstreamProtocol::Plain { failures, never_ran, stall } = &self.style else {
             return Outcome::Error.into();
         };
         let (head, mut body) = response.into_parts();
@@ -490,19 +519,19 @@
             false => Some((link, body)),
         };
         let body = if rest.is_none() && frames.iter().all(Frame::is_data) {
-            AnswerBody::Whole(joined(frames))
+            UpstreamBody::Whole(joined(frames))
         } else {
             let upstream = self.clone();
             let give_back = Box::new(move |link| upstream.rest(link));
-            let stream = ServerStream::new(frames, rest, *stall, outcome, give_back);
-            AnswerBody::Stream(Box::new(stream))
+            let stream = ResponseStream::new(frames, rest, *stall, outcome, give_back);
+            UpstreamBody::Stream(Box::new(stream))
         };
-        let answer = Answer { status: head.status, headers: head.headers, body };
-        Ended { outcome, report: None, answer: Some(answer) }
+        let answer = UpstreamResponse { status: head.status, headers: head.headers, body };
+        AttemptResult { outcome, report: None, answer: Some(answer) }
     }
 
     /// Keeps a connection whose exchange is over, if it can carry another.
-    pub(crate) fn rest(&self, mut link: Link) {
+    pub(crate) fn rest(&self, mut link: UpstreamConnection) {
         let mut cx = Context::from_waker(std::task::Waker::noop());
         if link.settle(&mut cx) {
             self.keep(link);
@@ -512,8 +541,8 @@
     /// Asks a server for a page; its status and short body.
     pub async fn get(
         &self,
-        to: To,
-        request: Request<Outbound>,
+        to: Target,
+        request: Request<RequestBody>,
     ) -> Result<(StatusCode, Bytes), Outcome> {
         let mut link = self.link(to, None, None).await?;
         let (head, body) = link.ask(request, false).await?.into_parts();
--- a/crates/proxy/src/body.rs
+++ b/crates/proxy/src/upstream/request_body.rs
@@ -1,6 +1,6 @@
 //! The body of a request on its way to servers: held whole, or passed on as it comes.
 
-use crate::message::Held;
+use crate::headers::BufferedBody;
 use bytes::Bytes;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use std::cell::{Cell, RefCell};
@@ -13,22 +13,22 @@
 
 /// A request's body; clones are for further attempts.
 #[derive(Clone)]
-pub enum Outbound {
+pub enum RequestBody {
     /// All of it is here and can be sent again.
-    Held(Held),
+    Buffered(BufferedBody),
     /// It is still coming.
-    Streamed(Upload),
+    Streamed(StreamedBody),
 }
 
-impl Default for Outbound {
+impl Default for RequestBody {
     fn default() -> Self {
-        Outbound::Held(Held::default())
+        RequestBody::Buffered(BufferedBody::default())
     }
 }
 
 /// A body that is passed on as its client sends it.
 #[derive(Clone)]
-pub struct Upload {
+pub struct StreamedBody {
     /// What had come before the first attempt; every attempt can send it.
     prefix: Option<Bytes>,
     /// This attempt has taken bytes that can't be had again.
@@ -47,7 +47,7 @@
     on_begin: RefCell<Option<Box<dyn FnOnce()>>>,
 }
 
-impl Upload {
+impl StreamedBody {
     /// A body whose first bytes are here.
     pub fn new(prefix: Bytes, rest: Incoming) -> Self {
         let shared = Shared {
@@ -58,7 +58,7 @@
             progress: Cell::new(Instant::now()),
             on_begin: RefCell::default(),
         };
-        Upload { prefix: Some(prefix), mine: false, shared: Rc::new(shared) }
+        StreamedBody { prefix: Some(prefix), mine: false, shared: Rc::new(shared) }
     }
 
     /// Whether bytes have gone that can't be sent again.
@@ -111,7 +111,7 @@
     }
 }
 
-impl Body for Outbound {
+impl Body for RequestBody {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -120,8 +120,10 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         match &mut *self {
-            Outbound::Held(held) => Pin::new(held).poll_frame(cx).map_err(|never| match never {}),
-            Outbound::Streamed(upload) => {
+            RequestBody::Buffered(held) => {
+                Pin::new(held).poll_frame(cx).map_err(|never| match never {})
+            }
+            RequestBody::Streamed(upload) => {
                 if let Some(prefix) = upload.prefix.take().filter(|p| !p.is_empty()) {
                     return Poll::Ready(Some(Ok(Frame::data(prefix))));
                 }
@@ -132,15 +134,15 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Outbound::Held(held) => held.is_end_stream(),
-            Outbound::Streamed(_) => false,
+            RequestBody::Buffered(held) => held.is_end_stream(),
+            RequestBody::Streamed(_) => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Outbound::Held(held) => held.size_hint(),
-            Outbound::Streamed(upload) => {
+            RequestBody::Buffered(held) => held.size_hint(),
+            RequestBody::Streamed(upload) => {
                 let prefix = upload.prefix.as_ref().map_or(0, |_| upload.shared.prefix as u64);
                 match upload.shared.rest.borrow().size_hint().exact() {
                     Some(rest) => SizeHint::with_exact(prefix + rest),
--- a/crates/proxy/src/stream.rs
+++ b/crates/proxy/src/upstream/response_stream.rs
@@ -1,6 +1,6 @@
 //! The body of an answer, passed on as its server sends it.
 
-use crate::link::Link;
+use crate::upstream::connection::UpstreamConnection;
 use bytes::Bytes;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use mintshelf_balancer::api::Outcome;
@@ -14,18 +14,18 @@
 use tokio::time::{sleep, Instant, Sleep};
 
 type OnEnd = Box<dyn FnOnce(Outcome)>;
-type GiveBack = Box<dyn FnOnce(Link)>;
+type GiveBack = Box<dyn FnOnce(UpstreamConnection)>;
 
 /// An answer that is still coming, with the connection that it comes on. Dropping it closes
 /// that connection; memory is bounded by the buffers of the two connections.
-pub struct ServerStream {
+pub struct ResponseStream {
     /// Takes the connection back when the answer has ended.
     give_back: Option<GiveBack>,
     /// Read before the answer was passed on.
     queued: VecDeque<Frame<Bytes>>,
     queued_bytes: u64,
     /// Absent once all has come.
-    rest: Option<(Link, Incoming)>,
+    rest: Option<(UpstreamConnection, Incoming)>,
     /// A server that sends nothing for so long, while it is asked, has stopped.
     stall: Duration,
     stalled: Pin<Box<Sleep>>,
@@ -37,11 +37,11 @@
     kept: Option<Box<dyn Any>>,
 }
 
-impl ServerStream {
+impl ResponseStream {
     /// An answer of which a part is here already.
     pub(crate) fn new(
         queued: VecDeque<Frame<Bytes>>,
-        rest: Option<(Link, Incoming)>,
+        rest: Option<(UpstreamConnection, Incoming)>,
         stall: Duration,
         outcome: Outcome,
         give_back: GiveBack,
@@ -49,7 +49,7 @@
         let queued_bytes = queued.iter().filter_map(Frame::data_ref).map(|d| d.len() as u64).sum();
         let stalled = Box::pin(sleep(stall));
         let (waiting, on_end, kept) = (false, None, None);
-        ServerStream {
+        ResponseStream {
             give_back: Some(give_back),
             queued,
             queued_bytes,
@@ -86,14 +86,14 @@
     }
 }
 
-impl Drop for ServerStream {
+impl Drop for ResponseStream {
     fn drop(&mut self) {
         let whole = self.rest.take().is_none();
         self.end(if whole { self.outcome } else { Outcome::Cancelled });
     }
 }
 
-impl Body for ServerStream {
+impl Body for ResponseStream {
     type Data = Bytes;
     type Error = io::Error;
 
