--- a/crates/proxy/src/discovery/list.rs
+++ b/crates/proxy/src/discovery/list.rs
@@ -36,7 +36,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(rename_all = "UPPERCASE")]
 enum State {
-    ServingConfig,
+    Serving,
     Draining,
     Deleted,
 }
@@ -144,7 +144,7 @@
             kind: place(&self.names.kinds, &entry.model),
             cell: entry.pod_group,
             condition: match entry.state {
-                State::ServingConfig => EndpointState::Live,
+                State::Serving => EndpointState::Live,
                 State::Draining => EndpointState::Draining,
                 State::Deleted => EndpointState::Gone,
             },
