--- a/crates/mintshelf/src/admin.rs
+++ b/crates/mintshelf/src/admin.rs
@@ -2,11 +2,9 @@
 
 use crate::daemon::Daemon;
 use bytes::Bytes;
-use hyper::body::Incoming;
 use hyper::header::{self, HeaderValue};
-use hyper::{Method, Request, Response, StatusCode};
-use mintshelf_proxy::client::connection::Client;
-use mintshelf_proxy::client::listener::{RequestHandler, ResponseBody};
+use hyper::{Method, Response, StatusCode};
+use mintshelf_proxy::client::handler::{ClientRequest, RequestHandler, ResponseBody};
 use mintshelf_proxy::gateway::rejection::Rejection;
 use mintshelf_websocket::session::ClosedBy;
 use prometheus_client::metrics::counter::Counter;
@@ -23,12 +21,8 @@
 }
 
 impl RequestHandler for Admin {
-    async fn respond(
-        self: Rc<Self>,
-        _client: Rc<Client>,
-        request: Request<Incoming>,
-        draining: bool,
-    ) -> Response<ResponseBody> {
+    async fn respond(self: Rc<Self>, request: ClientRequest) -> Response<ResponseBody> {
+        let ClientRequest { request, is_draining, .. } = request;
         let bare = request.method() == Method::HEAD;
         if request.method() != Method::GET && !bare {
             let what = "the admin listener only tells";
@@ -40,7 +34,7 @@
                 (kind, self.metrics())
             }
             "/-/config" => ("application/json", format!("{}\n", self.daemon.in_force())),
-            "/-/ready" if !draining => ("text/plain", "ready\n".to_string()),
+            "/-/ready" if !is_draining => ("text/plain", "ready\n".to_string()),
             "/-/ready" => {
                 let what = "the planned end has begun";
                 let status = StatusCode::SERVICE_UNAVAILABLE;
@@ -52,7 +46,7 @@
             }
         };
         let body = if bare { Bytes::new() } else { Bytes::from(text) };
-        let mut response = Response::new(ResponseBody::whole(body));
+        let mut response = Response::new(ResponseBody::buffered(body));
         response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static(kind));
         response
     }
@@ -142,11 +136,11 @@
         let mut registry = Registry::with_prefix("mintshelf");
         let all = &mut registry;
         let daemon = &self.daemon;
-        let statuses = daemon.counts.statuses.borrow();
+        let statuses = daemon.counts.responses.borrow();
         let statuses = statuses.iter().map(|(status, n)| (status.to_string(), *n));
         counters(all, "answers", "Answers to clients, by status", "status", statuses);
         counters(all, "requests", "Requests by route", "route", daemon.hits());
-        let refusals = daemon.counts.refusals.borrow();
+        let refusals = daemon.counts.rejections.borrow();
         let refusals = refusals.iter().map(|(code, n)| (code.to_string(), *n));
         counters(all, "refusals", "Errors of this side's own, by code", "code", refusals);
         let reloads = daemon.reloads().map(|(result, n)| (result.to_string(), n));
@@ -168,7 +162,7 @@
         gauges(all, "recovery_phase", help, "cluster", of(3));
         let help = "Clients that were told when to come back, and whose time is ahead";
         gauges(all, "expected_back", help, "cluster", of(4));
-        let levels = daemon.gates.levels();
+        let levels = daemon.gates.usage();
         let tenants = levels.tenants.into_iter().map(|(name, held)| (name, i64::from(held)));
         gauges(all, "tenant_requests", "Requests under way, by tenant", "tenant", tenants);
         let of = |which: usize| {
--- a/crates/mintshelf/src/daemon.rs
+++ b/crates/mintshelf/src/daemon.rs
@@ -9,15 +9,19 @@
 use mintshelf_config::platform::Names;
 use mintshelf_proxy::budget::ResourceBudget;
 use mintshelf_proxy::client::connection::{ClientTimeouts, Clients};
-use mintshelf_proxy::client::listener::{listen, ClientListener, RequestHandler};
-use mintshelf_proxy::cluster::runtime::{ClusterRuntime, ClusterSpec};
+use mintshelf_proxy::client::handler::RequestHandler;
+use mintshelf_proxy::client::listener::{listen, ClientListener};
+use mintshelf_proxy::cluster::retry_trackers::AttemptCounts;
+use mintshelf_proxy::cluster::runtime::{ClusterRuntime, RuntimeUsage};
+use mintshelf_proxy::cluster::spec::ClusterSpec;
 use mintshelf_proxy::gateway::admission::AdmissionController;
-use mintshelf_proxy::gateway::handler::{
-    ClusterHandle, GatewayHandler, ListenerAdmission, ProxyStats, ServingConfig,
-};
+use mintshelf_proxy::gateway::config::{ClusterHandle, ListenerAdmission, ServingConfig};
+use mintshelf_proxy::gateway::handler::GatewayHandler;
+use mintshelf_proxy::gateway::stats::ProxyStats;
 use mintshelf_proxy::sockets::registry::Sockets;
-use mintshelf_proxy::upstream::connection::ConnectionLimits;
-use mintshelf_proxy::upstream::exchange::{ConnectionPool, UpstreamProtocol};
+use mintshelf_proxy::upstream::connection_limits::{ConnectionLimits, ScopeLimits};
+use mintshelf_proxy::upstream::pool::ConnectionPool;
+use mintshelf_proxy::upstream::response::UpstreamProtocol;
 use mintshelf_recovery::Phase;
 use mintshelf_routing::Table;
 use std::cell::{Cell, RefCell};
@@ -175,8 +179,8 @@
         for address in gone {
             if let Some(listening) = state.listeners.remove(&address) {
                 listening.draining.cancel();
-                let front = Rc::as_ptr(&listening.front) as usize;
-                self.sockets.end(Some(front), self.socket_drain());
+                let listener = listening.front.listener_id();
+                self.sockets.end(Some(listener), self.socket_drain());
                 spawn_local(async move {
                     sleep(LINGER).await;
                     listening.accepting.abort();
@@ -184,21 +188,21 @@
             }
         }
         let set = admission(&file);
-        self.gates.set(&set);
+        self.gates.configure(&set);
         self.sockets.set(SlotConfig { most: self.fixed.0.websockets, ..seats(&file) });
         let tenants = tenants(&file).map(Rc::new);
         for (listener, routes, table) in tables {
-            let limited = (!set.is_empty()).then(|| ListenerAdmission {
-                gates: self.gates.clone(),
+            let admission = (!set.is_empty()).then(|| ListenerAdmission {
+                controller: self.gates.clone(),
                 tenants: tenants.clone(),
                 tenant_header: file.tenant_header.clone(),
-                routes: routes.iter().map(|route| Rc::from(route.name.as_str())).collect(),
-                clusters: clusters.keys().map(|n| (n.clone(), Rc::from(n.as_str()))).collect(),
+                route_names: routes.iter().map(|route| Rc::from(route.name.as_str())).collect(),
+                cluster_names: clusters.keys().map(|n| (n.clone(), Rc::from(n.as_str()))).collect(),
             });
             let serving = Rc::new(ServingConfig {
                 table,
                 listener: listener.name.clone(),
-                limited,
+                admission,
                 repeat_header: file.repeat_header.clone(),
                 hits: routes.iter().map(|_| Cell::new(0)).collect(),
                 routes,
@@ -207,7 +211,7 @@
             });
             match (state.listeners.get_mut(&listener.address), bound.remove(&listener.address)) {
                 (Some(listening), _) => {
-                    listening.front.swap(serving);
+                    listening.front.replace_config(serving);
                     listening.name = listener.name.clone();
                 }
                 (None, Some(socket)) => {
@@ -238,9 +242,9 @@
         for (name, cluster) in &file.clusters {
             let module = module(file, name, cluster);
             let style = UpstreamProtocol::Plain {
-                failures: cluster.failure_statuses.clone(),
-                never_ran: cluster.never_ran_header.clone(),
-                stall: self.fixed.0.stream_timeout,
+                failure_statuses: cluster.failure_statuses.clone(),
+                never_ran_header: cluster.never_ran_header.clone(),
+                stall_timeout: self.fixed.0.stream_timeout,
             };
             let same = |running: &Running| {
                 running.module.differs_in_servers_only(&module) && running.style == style
@@ -248,9 +252,9 @@
             let running = match old.remove(name) {
                 Some(mut running) if same(&running) => {
                     if running.module.servers != module.servers {
-                        running.pool.driver.list(module.servers.clone());
+                        running.pool.runtime.set_endpoints(module.servers.clone());
                         let servers = module.servers.iter().map(|(server, _)| server.id).collect();
-                        let number = running.pool.driver.number();
+                        let number = running.pool.runtime.number();
                         self.sockets.keep(number, &servers, "its server leaves the cluster");
                         running.module = module;
                     }
@@ -271,24 +275,27 @@
             settings: module.settings.clone(),
             names: Names::default(),
             seed: self.seed,
-            style: style.clone(),
+            protocol: style.clone(),
             peers: None,
             discovery: None,
-            return_ramp: Some(module.return_ramp),
-            tries: module.tries.clone(),
-            most: ConnectionLimits { connections: module.connections, sockets: module.sockets },
+            recovery_ramp: Some(module.return_ramp),
+            retry_policies: module.tries.clone(),
+            connection_limits: ConnectionLimits {
+                connections: scope_limits(module.connections),
+                sockets: scope_limits(module.sockets),
+            },
             socket_weight: module.socket_weight,
             name: Some(name.to_string()),
         };
         let driver = ClusterRuntime::start(spec, self.connections.clone());
-        driver.list(module.servers.clone());
+        driver.set_endpoints(module.servers.clone());
         self.sockets.spread(driver.number(), module.socket_spread);
         let (sockets, number) = (self.sockets.clone(), driver.number());
-        driver.on_doubt(move |server| {
+        driver.on_suspicion(move |server| {
             sockets.doubt(number, server);
         });
         let pool =
-            Rc::new(ClusterHandle { driver: driver.clone(), classes: module.classes.clone() });
+            Rc::new(ClusterHandle { runtime: driver.clone(), classes: module.classes.clone() });
         let run = spawn_local(async move { driver.run().await }).abort_handle();
         Running { pool, module, style, run }
     }
@@ -296,11 +303,11 @@
     /// Lets a cluster that is no longer in force end its requests, then frees it. Its sockets
     /// go on at what took its place, where they may, or are closed.
     fn retire(&self, running: Running) {
-        let (sockets, number) = (self.sockets.clone(), running.pool.driver.number());
+        let (sockets, number) = (self.sockets.clone(), running.pool.runtime.number());
         sockets.keep(number, &HashSet::new(), "its cluster has changed");
         spawn_local(async move {
             // Those that still hold the snapshot may yet begin one: their count tells.
-            while !running.pool.driver.is_idle() || Rc::strong_count(&running.pool) > 1 {
+            while !running.pool.runtime.is_idle() || Rc::strong_count(&running.pool) > 1 {
                 sleep(LOOK).await;
             }
             sockets.forget(number);
@@ -318,11 +325,11 @@
         let count = &self.reloads[usize::from(result.is_err())];
         count.set(count.get() + 1);
         match result {
-            Ok(()) => tracing::info!(file = %self.path.display(), "the file is in force"),
+            Ok(()) => tracing::info!(file = %self.path.display(), "configuration applied"),
             Err(lines) => {
                 lines.iter().for_each(|line| tracing::error!("{line}"));
                 let (file, errors) = (self.path.display(), lines.len());
-                tracing::error!(%file, errors, "the file is refused, and nothing changes");
+                tracing::error!(%file, errors, "configuration rejected");
             }
         }
     }
@@ -336,7 +343,7 @@
     pub fn hits(&self) -> Vec<(String, u64)> {
         let mut all = self.counts.routes.borrow().clone();
         for listening in self.state.borrow().listeners.values() {
-            for (name, hits) in listening.front.serving().hits() {
+            for (name, hits) in listening.front.config().hits() {
                 *all.entry(name.to_string()).or_default() += hits;
             }
         }
@@ -347,8 +354,10 @@
     pub fn pools(&self) -> Vec<(String, [usize; 5])> {
         let state = self.state.borrow();
         let pool = |(name, running): (&String, &Running)| {
-            let (open, timers) = running.pool.driver.open();
-            let (phase, told) = running.pool.driver.recovery().unwrap_or((Phase::Calm, 0));
+            let RuntimeUsage { requests: open, timers } = running.pool.runtime.usage();
+            let recovery = running.pool.runtime.recovery_status();
+            let told = recovery.map_or(0, |recovery| recovery.expected_clients);
+            let phase = recovery.map_or(Phase::Calm, |recovery| recovery.phase);
             let phase = match phase {
                 Phase::Calm => 0,
                 Phase::Out => 1,
@@ -362,7 +371,7 @@
     /// Where a cluster's server listens; empty if it has left.
     pub fn address(&self, cluster: &str, server: ServerId) -> String {
         let state = self.state.borrow();
-        let driver = state.pools.get(cluster).map(|running| &running.pool.driver);
+        let driver = state.pools.get(cluster).map(|running| &running.pool.runtime);
         let address = driver.and_then(|driver| driver.address(server));
         address.map_or(String::new(), |address| address.to_string())
     }
@@ -370,8 +379,10 @@
     /// Each cluster's attempts that were ended for their own time, and second copies.
     pub fn tried(&self) -> Vec<(String, [u64; 2])> {
         let state = self.state.borrow();
-        let tried =
-            |(name, running): (&String, &Running)| (name.clone(), running.pool.driver.tried());
+        let tried = |(name, running): (&String, &Running)| {
+            let AttemptCounts { timed_out, hedged } = running.pool.runtime.attempt_counts();
+            (name.clone(), [timed_out, hedged])
+        };
         state.pools.iter().map(tried).collect()
     }
 
@@ -412,7 +423,7 @@
         // Those whose handshake was under way.
         self.sockets.end(None, self.socket_drain());
         listeners.values().for_each(|listening| listening.accepting.abort());
-        let busy = || self.state.borrow().pools.values().any(|r| !r.pool.driver.is_idle());
+        let busy = || self.state.borrow().pools.values().any(|r| !r.pool.runtime.is_idle());
         let over = async {
             while busy() || !self.clients.is_empty() {
                 sleep(LOOK).await;
@@ -424,6 +435,10 @@
     }
 }
 
+fn scope_limits([cluster, endpoint]: [Option<u32>; 2]) -> ScopeLimits {
+    ScopeLimits { cluster, endpoint }
+}
+
 fn route_in_force(route: &Route) -> serde_json::Value {
     let to: Vec<&str> = match &route.then {
         Then::Forward(forward) => forward.split.clusters().collect(),
--- a/crates/mintshelf/src/explain.rs
+++ b/crates/mintshelf/src/explain.rs
@@ -6,7 +6,7 @@
 use mintshelf_balancer::api::Effect;
 use mintshelf_config::model::{File, Then};
 use mintshelf_config::module::{least, plan};
-use mintshelf_proxy::gateway::handler::effect_of;
+use mintshelf_proxy::gateway::classify::effect_of;
 use mintshelf_retry::attempts::HedgeDelay;
 use mintshelf_retry::schedule::{self, AttemptTimeout, RetryOn};
 use mintshelf_routing::{Probe, Table};
--- a/crates/mintshelf/src/platform.rs
+++ b/crates/mintshelf/src/platform.rs
@@ -5,10 +5,12 @@
 use mintshelf_proxy::client::connection::{ClientTimeouts, Clients};
 use mintshelf_proxy::client::listener::{listen, ClientListener};
 use mintshelf_proxy::cluster::peers::PeerGossip;
-use mintshelf_proxy::cluster::runtime::{ClusterRuntime, ClusterSpec};
+use mintshelf_proxy::cluster::runtime::ClusterRuntime;
+use mintshelf_proxy::cluster::spec::{ClusterSpec, DiscoverySpec};
 use mintshelf_proxy::platform::handler::PlatformHandler;
-use mintshelf_proxy::upstream::connection::ConnectionLimits;
-use mintshelf_proxy::upstream::exchange::{ConnectionPool, UpstreamProtocol};
+use mintshelf_proxy::upstream::connection_limits::ConnectionLimits;
+use mintshelf_proxy::upstream::pool::ConnectionPool;
+use mintshelf_proxy::upstream::response::UpstreamProtocol;
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::Duration;
@@ -53,17 +55,17 @@
     let stay = longest + STAY;
     let Config { name, listen, settings, names, seed, discovery, known, .. } = config;
     let spec = ClusterSpec {
-        return_ramp: None,
-        tries: Vec::new(),
-        most: ConnectionLimits::default(),
+        recovery_ramp: None,
+        retry_policies: Vec::new(),
+        connection_limits: ConnectionLimits::default(),
         socket_weight: 0.0,
         name: None,
         settings: settings.clone(),
         names: names.clone(),
         seed,
-        style: UpstreamProtocol::Platform,
+        protocol: UpstreamProtocol::Platform,
         peers,
-        discovery: Some((discovery, known)),
+        discovery: Some(DiscoverySpec { address: discovery, cached_list: known }),
     };
     let driver = ClusterRuntime::start(spec, ConnectionPool::new(&limits));
     let patience = ClientTimeouts {
@@ -77,13 +79,13 @@
     let clients = Rc::new(Clients::default());
     let inbound =
         ClientListener::new(front.clone(), clients.clone(), &limits, patience, draining.clone());
-    eprintln!("mintshelf: {name} listens on {listen}");
+    eprintln!("mintshelf: {name} listening on {listen}");
     let reloads = async {
         while reload.recv().await.is_some() {
             match Config::read(&file) {
                 Ok(new) => {
                     eprintln!("mintshelf: {name} reloads; discovery is {}", new.discovery);
-                    driver.move_discovery(new.discovery);
+                    driver.set_discovery_address(new.discovery);
                 }
                 // What was in force stays in force.
                 Err(what) => eprintln!("mintshelf: not reloaded: {what}"),
@@ -93,7 +95,7 @@
     let end = async {
         terminated.recv().await;
         draining.cancel();
-        tokio::join!(front.end(longest), sleep(stay));
+        tokio::join!(front.shut_down(longest), sleep(stay));
         while !clients.is_empty() {
             sleep(END_CHECK).await;
         }
--- a/crates/mintshelf/src/service.rs
+++ b/crates/mintshelf/src/service.rs
@@ -37,7 +37,7 @@
         daemon.also(Rc::new(Admin { daemon: daemon.clone() }), listener);
     }
     let _voting = fleet.as_ref().map(fleet::start).transpose()?;
-    tracing::info!("listens on {}", addresses.join(", "));
+    tracing::info!(addresses = addresses.join(", "), "listening");
     let reloads = async {
         while hung_up.recv().await.is_some() {
             daemon.reload();
--- a/crates/mintshelf/tests/limits.rs
+++ b/crates/mintshelf/tests/limits.rs
@@ -257,11 +257,11 @@
         let fields = lines.iter().map(|line| &line["fields"]);
         fields.filter(|fields| fields["message"].as_str().unwrap_or("").contains(what)).collect()
     };
-    let limits = fields("a limit refused a request");
+    let limits = fields("request rejected by limit");
     assert!(limits.iter().all(|f| f["tenant"] == "a" && f["limit"] == "tenant-rate"), "{limits:?}");
     // Ten at once and ten for each second that the requests took.
     assert!((10..200).contains(&limits.len()), "{}", limits.len());
-    let refused = fields("is refused");
+    let refused = fields("configuration rejected");
     assert!(refused[0]["file"].is_string() && refused[0]["errors"] == 1, "{refused:?}");
     assert!(!fields("-5 is not between").is_empty());
 }
--- a/crates/mintshelf/tests/swap.rs
+++ b/crates/mintshelf/tests/swap.rs
@@ -82,8 +82,8 @@
             assert!(["a /a/1 a", "b /b/1 b"].contains(&text.as_str()), "a mix: {text}");
         }
     }
-    assert_eq!(daemon.said().matches("the file is in force").count(), 50);
-    assert_eq!(daemon.said().matches("is refused").count(), 50);
+    assert_eq!(daemon.said().matches("configuration applied").count(), 50);
+    assert_eq!(daemon.said().matches("configuration rejected").count(), 50);
     let most = |of: &[(usize, usize)]| *of.iter().map(|(d, _)| d).max().unwrap();
     let (first, last) = measured.split_at(measured.len() / 2);
     // Four clients may have a connection each to the old pool and to the new one at the moment of
--- /dev/null
+++ b/crates/proxy/src/body.rs
@@ -0,0 +1,64 @@
+//! The body of an HTTP message that is either complete in memory or streamed.
+
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::body::{Body, Frame, SizeHint};
+use std::io;
+use std::pin::Pin;
+use std::task::{Context, Poll};
+
+/// What polling a body for its next frame returns.
+pub type FramePoll = Poll<Option<Result<Frame<Bytes>, io::Error>>>;
+
+/// A complete body in memory; clones share its bytes.
+pub type BufferedBody = Full<Bytes>;
+
+/// A message body; `S` is the kind of stream that it may be.
+#[derive(Clone)]
+pub enum MessageBody<S> {
+    /// Complete in memory, so it can be sent again.
+    Buffered(BufferedBody),
+    /// Passed on as it arrives.
+    Streamed(S),
+}
+
+impl<S> MessageBody<S> {
+    /// A body that is complete in memory.
+    pub fn buffered(bytes: Bytes) -> Self {
+        MessageBody::Buffered(BufferedBody::new(bytes))
+    }
+}
+
+impl<S> Default for MessageBody<S> {
+    fn default() -> Self {
+        MessageBody::Buffered(BufferedBody::default())
+    }
+}
+
+impl<S: Body<Data = Bytes, Error = io::Error> + Unpin> Body for MessageBody<S> {
+    type Data = Bytes;
+    type Error = io::Error;
+
+    fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> FramePoll {
+        match &mut *self {
+            MessageBody::Buffered(body) => {
+                Pin::new(body).poll_frame(cx).map_err(|never| match never {})
+            }
+            MessageBody::Streamed(body) => Pin::new(body).poll_frame(cx),
+        }
+    }
+
+    fn is_end_stream(&self) -> bool {
+        match self {
+            MessageBody::Buffered(body) => body.is_end_stream(),
+            MessageBody::Streamed(body) => body.is_end_stream(),
+        }
+    }
+
+    fn size_hint(&self) -> SizeHint {
+        match self {
+            MessageBody::Buffered(body) => body.size_hint(),
+            MessageBody::Streamed(body) => body.size_hint(),
+        }
+    }
+}
--- a/crates/proxy/src/client/connection.rs
+++ b/crates/proxy/src/client/connection.rs
@@ -1,7 +1,7 @@
 //! Clients' connections as the rest of the program sees them: phases, limits, eviction.
 
 use crate::client::head_scanner::RequestHeadScanner;
-use crate::tcp::{has_ended, is_reset, pending, Pending, Stream, TrafficObserver};
+use crate::tcp::{has_ended, is_reset, pending, Pending, SharedStream, TrafficObserver};
 use bytes::Bytes;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -50,7 +50,7 @@
 /// One connection as seen from outside its task.
 #[derive(Debug)]
 pub struct Client {
-    stream: Stream,
+    stream: SharedStream,
     /// The other side.
     pub peer: SocketAddr,
     phase: Cell<Phase>,
@@ -58,9 +58,9 @@
     since: Cell<Instant>,
     patience: ClientTimeouts,
     /// The messages as they come.
-    pub scan: RefCell<RequestHeadScanner>,
+    pub scanner: RefCell<RequestHeadScanner>,
     /// The library has no more of the answer to ask for.
-    pub handed_over: Cell<bool>,
+    pub is_response_read: Cell<bool>,
     /// Whether it is to make room.
     pub evicted: CancellationToken,
     /// What becomes of it after a 101.
@@ -70,7 +70,7 @@
 /// Takes over a connection after its 101, with what was read behind the request.
 pub struct Upgrade(pub Box<TakeOver>);
 
-type TakeOver = dyn FnOnce(Stream, Bytes) -> Pin<Box<dyn Future<Output = ()>>>;
+type TakeOver = dyn FnOnce(SharedStream, Bytes) -> Pin<Box<dyn Future<Output = ()>>>;
 
 impl fmt::Debug for Upgrade {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -80,15 +80,15 @@
 
 impl Client {
     /// A connection that was just accepted.
-    pub fn new(stream: Stream, peer: SocketAddr, patience: ClientTimeouts) -> Self {
+    pub fn new(stream: SharedStream, peer: SocketAddr, patience: ClientTimeouts) -> Self {
         Client {
             stream,
             peer,
             phase: Cell::new(Phase::Fresh),
             since: Cell::new(Instant::now()),
             patience,
-            scan: RefCell::default(),
-            handed_over: Cell::new(false),
+            scanner: RefCell::default(),
+            is_response_read: Cell::new(false),
             evicted: CancellationToken::new(),
             upgrade: RefCell::default(),
         }
@@ -142,7 +142,7 @@
             self.enter(Phase::Receiving);
         }
         self.progress();
-        self.scan.borrow_mut().read(bytes);
+        self.scanner.borrow_mut().read(bytes);
     }
 
     fn wrote(&self, _bytes: &[u8]) {
@@ -150,7 +150,7 @@
     }
 
     fn flushed(&self) {
-        if self.handed_over.replace(false) {
+        if self.is_response_read.replace(false) {
             self.enter(Phase::Idle);
         }
     }
--- a/crates/proxy/src/client/head_scanner.rs
+++ b/crates/proxy/src/client/head_scanner.rs
@@ -1,303 +1,319 @@
 //! Follows the messages on a client's connection, beside the HTTP library, for what the
 //! library hides or reads leniently.
 //!
-//! Danger: of a request with two framings the library drops one, unseen, and what one reader
+//! Of a request with two framings the library drops one, unseen, and what one reader
 //! takes for the body another takes for a further request (RFC 9112 11.2). Requests that a
-//! client writes behind an open one are looked at too.
+//! client writes behind an open one are scanned too.
 
 use std::collections::VecDeque;
 
-/// What of a line is kept: enough for the fields that matter.
-const LINE_KEPT: usize = 256;
-/// Why a head is doubtful whose lines do not all end in CR LF.
-const NO_BREAK: &str = "a line break that is none";
-/// Digits of a length that fits.
-const DIGITS: usize = 18;
+/// How much of a line is buffered, in bytes: enough for the fields that matter.
+const LINE_MAX: usize = 256;
+/// Why a head is ambiguous whose lines do not all end in CR LF.
+const BARE_LINE_BREAK: &str = "a line break that is none";
+/// Digits of a length that fits a `u64`.
+const LENGTH_DIGITS_MAX: usize = 18;
+/// Chunks are shorter than this, in bytes.
+const CHUNK_SIZE_LIMIT: u64 = 1 << 60;
+
+/// How a head says where its body ends.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub struct Framings {
+    /// There is a Content-Length.
+    pub content_length: bool,
+    /// There is a Transfer-Encoding.
+    pub transfer_encoding: bool,
+}
 
 /// What was seen of one request's head.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ScannedHead {
-    /// Whether a length, and an encoding, were stated.
-    pub framings: [bool; 2],
+    /// How it is framed.
+    pub framings: Framings,
     /// Why two readers might read it in two ways; none if they can't.
-    pub doubtful: Option<&'static str>,
-    length: Option<u64>,
+    pub ambiguity: Option<&'static str>,
+    content_length: Option<u64>,
 }
 
 impl ScannedHead {
     /// Whether it said twice how long the body is.
-    pub fn framed_twice(&self) -> bool {
-        self.framings == [true; 2]
+    pub fn is_framed_twice(&self) -> bool {
+        self.framings.content_length && self.framings.transfer_encoding
     }
 
-    fn doubt(&mut self, why: &'static str) {
-        self.doubtful.get_or_insert(why);
+    fn mark_ambiguous(&mut self, reason: &'static str) {
+        self.ambiguity.get_or_insert(reason);
     }
 
-    fn field(&mut self, line: &[u8]) {
-        if line.first().is_some_and(|b| *b == b' ' || *b == b'\t') {
-            return self.doubt("a folded header line");
+    fn read_field(&mut self, line: &[u8]) {
+        if line.first().is_some_and(|byte| *byte == b' ' || *byte == b'\t') {
+            return self.mark_ambiguous("a folded header line");
         }
-        let Some(colon) = line.iter().position(|b| *b == b':') else {
-            return self.doubt("a header line without a colon");
+        let Some(colon) = line.iter().position(|byte| *byte == b':') else {
+            return self.mark_ambiguous("a header line without a colon");
         };
-        let (name, value) = (&line[..colon], line[colon + 1..].trim_ascii());
+        let name = &line[..colon];
+        let value = line[colon + 1..].trim_ascii();
         if name.trim_ascii() != name || name.is_empty() {
-            self.doubt("space about a header's name");
+            self.mark_ambiguous("space about a header's name");
         }
         let name = name.trim_ascii();
         if name.eq_ignore_ascii_case(b"content-length") {
-            let digits = value.iter().all(u8::is_ascii_digit) && !value.is_empty();
-            if self.framings[0] {
-                self.doubt("two Content-Length");
-            } else if !digits || value.len() > DIGITS {
-                self.doubt("a Content-Length that is no length");
-            }
-            self.framings[0] = true;
-            self.length = std::str::from_utf8(value).ok().and_then(|v| v.parse().ok());
+            self.read_content_length(value);
         } else if name.eq_ignore_ascii_case(b"transfer-encoding") {
-            if self.framings[1] || !value.eq_ignore_ascii_case(b"chunked") {
-                self.doubt("a Transfer-Encoding other than chunked");
-            }
-            self.framings[1] = true;
+            self.read_transfer_encoding(value);
+        }
+    }
+
+    fn read_content_length(&mut self, value: &[u8]) {
+        let is_number = value.iter().all(u8::is_ascii_digit) && !value.is_empty();
+        if self.framings.content_length {
+            self.mark_ambiguous("two Content-Length");
+        } else if !is_number || value.len() > LENGTH_DIGITS_MAX {
+            self.mark_ambiguous("a Content-Length that is no length");
         }
+        self.framings.content_length = true;
+        self.content_length =
+            std::str::from_utf8(value).ok().and_then(|digits| digits.parse().ok());
+    }
+
+    fn read_transfer_encoding(&mut self, value: &[u8]) {
+        if self.framings.transfer_encoding || !value.eq_ignore_ascii_case(b"chunked") {
+            self.mark_ambiguous("a Transfer-Encoding other than chunked");
+        }
+        self.framings.transfer_encoding = true;
     }
 }
 
+/// Where in a message the scanner is.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-enum State {
+enum Position {
     /// In a head, at its first line.
     #[default]
-    Start,
-    /// In a head.
+    RequestLine,
+    /// In the further lines of a head.
     Fields,
-    /// In a body with so many bytes left.
+    /// In a body of a stated length; how many bytes are left.
     Body(u64),
     /// In a line with a chunk's size.
-    Size,
-    /// In a chunk with so many bytes left.
+    ChunkSize,
+    /// In a chunk; how many bytes are left.
     Chunk(u64),
-    /// Behind a chunk, where its line must end; whether half of that has come.
-    ChunkEnd(bool),
+    /// Behind a chunk, where its line must end.
+    ChunkEnd,
+    /// The same, after the carriage return.
+    ChunkLineFeed,
     /// In the lines behind the last chunk.
     Trailers,
     /// Past a message whose end can't be told.
     Lost,
 }
 
-/// The messages of one connection as they come.
+/// A line, as far as it has arrived.
+#[derive(Debug, Default)]
+struct LineBuffer {
+    bytes: Vec<u8>,
+    /// The line is longer than was buffered.
+    is_cut: bool,
+    /// The last byte so far is a carriage return.
+    ends_with_return: bool,
+}
+
+/// A complete line without its line break.
+struct Line {
+    bytes: Vec<u8>,
+    /// Whether it ended in CR LF.
+    ends_in_crlf: bool,
+}
+
+impl LineBuffer {
+    fn push(&mut self, part: &[u8]) {
+        let capacity = LINE_MAX - self.bytes.len();
+        self.ends_with_return = part.last().map_or(self.ends_with_return, |byte| *byte == b'\r');
+        self.bytes.extend_from_slice(&part[..part.len().min(capacity)]);
+        self.is_cut |= part.len() > capacity;
+    }
+
+    fn take_line(&mut self) -> Line {
+        let mut bytes = std::mem::take(&mut self.bytes);
+        let is_cut = std::mem::take(&mut self.is_cut);
+        let ends_in_crlf = std::mem::take(&mut self.ends_with_return);
+        if ends_in_crlf && !is_cut {
+            bytes.pop();
+        }
+        Line { bytes, ends_in_crlf }
+    }
+
+    /// Takes back a line's memory for the next.
+    fn reuse(&mut self, line: Line) {
+        self.bytes = line.bytes;
+        self.bytes.clear();
+    }
+}
+
+impl Line {
+    fn is_empty(&self) -> bool {
+        self.bytes.is_empty()
+    }
+
+    /// Whether it has line breaks that are not CR LF. Where a bare line feed ends a line for one
+    /// reader and not for another, they see different fields (RFC 9112 2.2).
+    fn has_bare_break(&self) -> bool {
+        self.bytes.contains(&b'\r') || !self.ends_in_crlf
+    }
+}
+
+/// Scans the messages of one connection as their bytes arrive.
 #[derive(Debug, Default)]
 pub struct RequestHeadScanner {
-    state: State,
-    line: Vec<u8>,
-    /// The line has more than was kept.
-    long: bool,
-    /// The last byte of the line so far is a carriage return.
-    returned: bool,
+    position: Position,
+    line: LineBuffer,
     head: ScannedHead,
-    /// Heads that are whole and have not been asked for.
+    /// Heads that are complete and that the library has not handed over yet.
     heads: VecDeque<ScannedHead>,
-    /// A body is framed in a way that two readers may read differently.
-    spoilt: bool,
+    is_body_ambiguous: bool,
 }
 
 impl RequestHeadScanner {
-    /// Takes the bytes that were read.
+    /// Scans bytes that were read from the connection.
     pub fn read(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
-            match self.state {
-                State::Lost => return,
-                State::Body(left) => {
-                    let taken = left.min(bytes.len() as u64);
-                    bytes = &bytes[taken as usize..];
-                    self.state = self.body(left - taken);
+            match self.position {
+                Position::Lost => return,
+                Position::Body(left) => {
+                    let left = skip(&mut bytes, left);
+                    self.position = body_position(left);
                 }
-                State::Chunk(left) => {
-                    let taken = left.min(bytes.len() as u64);
-                    bytes = &bytes[taken as usize..];
-                    let left = left - taken;
-                    self.state =
-                        if left == 0 { State::ChunkEnd(false) } else { State::Chunk(left) };
+                Position::Chunk(left) => {
+                    let left = skip(&mut bytes, left);
+                    self.position =
+                        if left == 0 { Position::ChunkEnd } else { Position::Chunk(left) };
                 }
-                State::ChunkEnd(half) => {
-                    self.state = match (half, bytes[0]) {
-                        (false, b'\r') => State::ChunkEnd(true),
-                        (true, b'\n') => State::Size,
-                        _ => self.spoil(),
-                    };
+                Position::ChunkEnd | Position::ChunkLineFeed => {
+                    self.position = self.chunk_end(bytes[0]);
                     bytes = &bytes[1..];
                 }
-                State::Start | State::Fields | State::Size | State::Trailers => {
-                    let end = bytes.iter().position(|b| *b == b'\n');
-                    let part = &bytes[..end.unwrap_or(bytes.len())];
-                    let room = LINE_KEPT - self.line.len();
-                    self.returned = part.last().map_or(self.returned, |b| *b == b'\r');
-                    self.line.extend_from_slice(&part[..part.len().min(room)]);
-                    self.long |= part.len() > room;
-                    bytes = &bytes[end.map_or(bytes.len(), |end| end + 1)..];
-                    if end.is_some() {
-                        self.line_over();
-                    }
-                }
+                Position::RequestLine
+                | Position::Fields
+                | Position::ChunkSize
+                | Position::Trailers => bytes = self.read_line(bytes),
             }
         }
     }
 
-    fn body(&self, left: u64) -> State {
-        if left == 0 {
-            State::Start
-        } else {
-            State::Body(left)
-        }
+    /// Reads up to the end of a line; returns what is behind it.
+    fn read_line<'a>(&mut self, bytes: &'a [u8]) -> &'a [u8] {
+        let Some(end) = bytes.iter().position(|byte| *byte == b'\n') else {
+            self.line.push(bytes);
+            return &[];
+        };
+        self.line.push(&bytes[..end]);
+        self.line_ended();
+        &bytes[end + 1..]
     }
 
-    fn line_over(&mut self) {
-        let mut line = std::mem::take(&mut self.line);
-        let long = std::mem::take(&mut self.long);
-        // Danger: where a bare line feed ends a line for one reader and not for another, they
-        // see different fields (RFC 9112 2.2).
-        let ended = std::mem::take(&mut self.returned);
-        if ended && !long {
-            line.pop();
+    fn chunk_end(&mut self, byte: u8) -> Position {
+        match (self.position, byte) {
+            (Position::ChunkEnd, b'\r') => Position::ChunkLineFeed,
+            (Position::ChunkLineFeed, b'\n') => Position::ChunkSize,
+            _ => self.lose_body(),
         }
-        let bare = line.contains(&b'\r') || !ended;
-        self.state = match self.state {
+    }
+
+    fn line_ended(&mut self) {
+        let line = self.line.take_line();
+        let has_bare_break = line.has_bare_break();
+        self.position = match self.position {
             // An empty line before a request is passed over (RFC 9112 2.2).
-            State::Start if line.is_empty() => State::Start,
-            State::Start => {
-                if bare {
-                    self.head.doubt(NO_BREAK);
-                }
-                State::Fields
-            }
-            State::Fields if line.is_empty() => {
-                if bare {
-                    self.head.doubt(NO_BREAK);
-                }
-                self.head_over()
-            }
-            State::Fields => {
-                if bare {
-                    self.head.doubt(NO_BREAK);
-                }
-                self.head.field(&line);
-                State::Fields
-            }
-            State::Size => self.size(&line, ended),
-            State::Trailers if bare => self.spoil(),
-            State::Trailers if line.is_empty() => State::Start,
+            Position::RequestLine if line.is_empty() => Position::RequestLine,
+            Position::RequestLine | Position::Fields => self.head_line_ended(&line),
+            Position::ChunkSize => self.read_chunk_size(&line),
+            Position::Trailers if has_bare_break => self.lose_body(),
+            Position::Trailers if line.is_empty() => Position::RequestLine,
             other => other,
         };
-        line.clear();
-        self.line = line;
+        self.line.reuse(line);
     }
 
-    fn head_over(&mut self) -> State {
+    fn head_line_ended(&mut self, line: &Line) -> Position {
+        if line.has_bare_break() {
+            self.head.mark_ambiguous(BARE_LINE_BREAK);
+        }
+        if self.position == Position::RequestLine {
+            return Position::Fields;
+        }
+        if line.is_empty() {
+            return self.head_ended();
+        }
+        self.head.read_field(&line.bytes);
+        Position::Fields
+    }
+
+    fn head_ended(&mut self) -> Position {
         let mut head = std::mem::take(&mut self.head);
-        if head.framed_twice() {
-            head.doubt("Content-Length and Transfer-Encoding");
+        if head.is_framed_twice() {
+            head.mark_ambiguous("Content-Length and Transfer-Encoding");
         }
-        let next = match (head.doubtful, head.framings[1], head.length) {
-            (Some(_), ..) => State::Lost,
-            (_, true, _) => State::Size,
-            (.., length) => self.body(length.unwrap_or(0)),
+        let next = if head.ambiguity.is_some() {
+            Position::Lost
+        } else if head.framings.transfer_encoding {
+            Position::ChunkSize
+        } else {
+            body_position(head.content_length.unwrap_or(0))
         };
         self.heads.push_back(head);
         next
     }
 
-    /// Reads a line with a chunk's size. Danger: signs, spaces, a bare line feed and sizes
+    /// Reads a line with a chunk's size (RFC 9112 7.1). Signs, spaces, a bare line feed and sizes
     /// that overflow are read by some as another size.
-    fn size(&mut self, line: &[u8], ended: bool) -> State {
-        let digits = line.split(|b| *b == b';').next().unwrap_or_default();
+    fn read_chunk_size(&mut self, line: &Line) -> Position {
+        let digits = line.bytes.split(|byte| *byte == b';').next().unwrap_or_default();
         let text = std::str::from_utf8(digits).unwrap_or_default();
-        let hex = !text.is_empty() && text.bytes().all(|b| b.is_ascii_hexdigit());
-        let size = u64::from_str_radix(text, 16).ok().filter(|n| hex && *n < 1 << 60);
-        match size {
-            Some(0) if ended => State::Trailers,
-            Some(size) if ended => State::Chunk(size),
-            _ => self.spoil(),
+        let is_hex = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_hexdigit());
+        let size = u64::from_str_radix(text, 16).ok();
+        match size.filter(|size| is_hex && *size < CHUNK_SIZE_LIMIT) {
+            Some(0) if line.ends_in_crlf => Position::Trailers,
+            Some(size) if line.ends_in_crlf => Position::Chunk(size),
+            _ => self.lose_body(),
         }
     }
 
-    fn spoil(&mut self) -> State {
-        self.spoilt = true;
-        State::Lost
+    fn lose_body(&mut self) -> Position {
+        self.is_body_ambiguous = true;
+        Position::Lost
     }
 
     /// The head of the next request that the library hands over.
     pub fn next_head(&mut self) -> ScannedHead {
-        let lost = (self.state == State::Lost).then_some("it comes behind what can't be read");
-        let unseen = ScannedHead { doubtful: lost, ..ScannedHead::default() };
+        let is_lost = self.position == Position::Lost;
+        let ambiguity = is_lost.then_some("it comes behind what can't be read");
+        let unseen = ScannedHead { ambiguity, ..ScannedHead::default() };
         self.heads.pop_front().unwrap_or(unseen)
     }
 
-    /// Whether a body came framed so that its end can't be told for sure.
-    pub fn spoilt(&self) -> bool {
-        self.spoilt
+    /// The heads that are complete and that [`RequestHeadScanner::next_head`] has not returned.
+    pub fn pending_heads(&self) -> impl Iterator<Item = &ScannedHead> {
+        self.heads.iter()
     }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
 
-    fn heads(bytes: &[u8], cut: usize) -> (Vec<ScannedHead>, bool) {
-        let mut scan = RequestHeadScanner::default();
-        scan.read(&bytes[..cut]);
-        scan.read(&bytes[cut..]);
-        (scan.heads.iter().cloned().collect(), scan.spoilt)
+    /// Whether a body came framed so that its end can't be told for sure.
+    pub fn is_body_ambiguous(&self) -> bool {
+        self.is_body_ambiguous
     }
+}
 
-    #[test]
-    fn heads_are_found_however_the_bytes_are_cut() {
-        let bytes = b"\r\nPOST / HTTP/1.1\r\nContent-Length: 23\r\n\r\nTransfer-Encoding: a\r\n\r\n\
-            POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1a;x=y\r\nContent-Length: 9\r\n\r\n12345\r\n\
-            0\r\nT: 1\r\n\r\nGET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\nCONTENT-length:3\r\n\r\n";
-        for cut in 0..bytes.len() {
-            let (heads, spoilt) = heads(bytes, cut);
-            let framings: Vec<_> = heads.iter().map(|h| h.framings).collect();
-            assert_eq!(framings, [[true, false], [false, true], [true, true]], "{cut}");
-            assert!(!spoilt && heads[0].doubtful.is_none() && heads[1].doubtful.is_none());
-            assert!(heads[2].framed_twice() && heads[2].doubtful.is_some());
-        }
-    }
+/// Skips at most `left` bytes; how many are left to skip.
+fn skip(bytes: &mut &[u8], left: u64) -> u64 {
+    let skipped = left.min(bytes.len() as u64);
+    *bytes = &bytes[skipped as usize..];
+    left - skipped
+}
 
-    #[test]
-    fn what_can_be_read_in_two_ways_is_doubtful() {
-        for field in [
-            "Content-Length: 3\r\nContent-Length: 3",
-            "Content-Length: 3\r\nContent-Length: 4",
-            "Content-Length: +3",
-            "Content-Length: 3, 3",
-            "Content-Length: 99999999999999999999",
-            "Content-Length : 3",
-            "Transfer-Encoding: chunked, gzip",
-            "Transfer-Encoding: xchunked",
-            "A: b\r\n folded: c",
-            "A: b\rC: d",
-            "A: b\nC: d",
-            "X: y\nTransfer-Encoding: chunked",
-            "no colon",
-        ] {
-            let bytes = format!("GET / HTTP/1.1\r\n{field}\r\n\r\n");
-            let (heads, _) = heads(bytes.as_bytes(), 5);
-            assert!(heads[0].doubtful.is_some(), "{field}");
-        }
-        for size in ["", "+1", "0x1", " 1", "1 ", "-1", "fffffffffffffffff", "g"] {
-            let bytes = format!("GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n{size}\r\nx");
-            assert!(heads(bytes.as_bytes(), 7).1, "{size}");
-        }
-        let endless = b"GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nxy\r\n0\r\n\r\n";
-        assert!(heads(endless, 7).1);
-        let long = format!("GET / HTTP/1.1\r\nA: {}\nB: c\r\n\r\n", "b".repeat(400));
-        for cut in [5, 100, 300, 417, 418, 419] {
-            assert!(heads(long.as_bytes(), cut).0[0].doubtful.is_some(), "{cut}");
-            let good =
-                long.replacen('\n', "\r\n", 2).replace("\r\r", "\r").replace("b\nB", "b\r\nB");
-            assert_eq!(heads(good.as_bytes(), cut).0[0].doubtful, None, "{cut}");
-        }
-        let bare = b"GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\nx\r\n0\r\n\r\n";
-        assert!(heads(bare, 7).1);
+fn body_position(left: u64) -> Position {
+    if left == 0 {
+        Position::RequestLine
+    } else {
+        Position::Body(left)
     }
 }
--- a/crates/proxy/src/client/listener.rs
+++ b/crates/proxy/src/client/listener.rs
@@ -2,9 +2,8 @@
 
 use crate::budget::ResourceBudget;
 use crate::client::connection::{Client, ClientTimeouts, Clients, Phase, Upgrade};
-use crate::client::handler::TrackedBody;
-pub use crate::client::handler::{RequestHandler, ResponseBody};
-use crate::tcp::{close_gently, is_reset, pending, Pending, Socket, Stream};
+use crate::client::handler::{ClientRequest, RequestHandler, TrackedBody};
+use crate::tcp::{close_gently, is_reset, pending, ObservedStream, Pending, SharedStream};
 use bytes::Bytes;
 use hyper::header::{self, HeaderValue};
 use hyper::server::conn::http1;
@@ -145,7 +144,7 @@
                 Close::Now => break,
                 Close::Upgraded(rest) => {
                     // No further head is to come.
-                    client.scan.take();
+                    client.scanner.take();
                     let upgrade = client.upgrade.borrow_mut().take();
                     if let Some(Upgrade(upgrade)) = upgrade {
                         upgrade(stream.clone(), rest).await;
@@ -158,14 +157,20 @@
     }
 
     /// Serves a connection until a side ends it.
-    async fn serve(self: &Rc<Self>, stream: &Stream, client: &Rc<Client>, prefix: Bytes) -> Close {
-        let socket = Socket::new(stream.clone(), client.clone(), prefix);
+    async fn serve(
+        self: &Rc<Self>,
+        stream: &SharedStream,
+        client: &Rc<Client>,
+        prefix: Bytes,
+    ) -> Close {
+        let socket = ObservedStream::new(stream.clone(), client.clone(), prefix);
         let service = service_fn(|request| {
             let (front, client) = (self.front.clone(), client.clone());
             let draining = self.draining.clone();
             Box::pin(async move {
-                let before = draining.is_cancelled();
-                let mut response = front.respond(client.clone(), request, before).await;
+                let is_draining = draining.is_cancelled();
+                let request = ClientRequest { client: client.clone(), request, is_draining };
+                let mut response = front.respond(request).await;
                 // Danger: asked again, since a request may wait for longer than the end is
                 // announced. Its client would go on with a connection that is about to die.
                 let upgraded = response.status() == StatusCode::SWITCHING_PROTOCOLS;
@@ -212,7 +217,7 @@
 
     /// Waits until the other side of a connection that is answered to its end has reset it.
     /// The library does not look while a request is open.
-    async fn reset(&self, stream: &Stream, client: &Client) {
+    async fn reset(&self, stream: &SharedStream, client: &Client) {
         poll_fn(|cx| {
             if !self.patience.half_close || client.phase() != Phase::Busy {
                 return Poll::Pending;
--- a/crates/proxy/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -9,41 +9,38 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     origin: Instant,
-    unix: Nanos,
+    origin_unix_ns: Nanos,
 }
 
 impl Clock {
     /// A clock that agrees with the system's now.
     pub fn start() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { origin: Instant::now(), unix: nanos(unix) }
+        Clock { origin: Instant::now(), origin_unix_ns: nanos(unix) }
     }
 
-    /// The time now.
+    /// The instant from which the clock counts.
+    pub fn origin(&self) -> Instant {
+        self.origin
+    }
+
+    /// What the clock shows at its origin: Unix time in nanoseconds.
+    pub fn origin_unix_ns(&self) -> Nanos {
+        self.origin_unix_ns
+    }
+
+    /// The time now, in nanoseconds of Unix time.
     pub fn now(&self) -> Nanos {
-        self.unix + nanos(self.origin.elapsed())
+        self.origin_unix_ns + nanos(self.origin.elapsed())
     }
 
     /// The instant at which the clock shows a time; the origin for any before it.
     pub fn instant(&self, at: Nanos) -> Instant {
-        self.origin + Duration::from_nanos(at.saturating_sub(self.unix))
+        self.origin + Duration::from_nanos(at.saturating_sub(self.origin_unix_ns))
     }
 }
 
-/// A span in nanoseconds.
-pub fn nanos(span: Duration) -> Nanos {
-    u64::try_from(span.as_nanos()).unwrap_or(u64::MAX)
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn times_and_instants_agree() {
-        let clock = Clock::start();
-        let at = clock.now() + 5_000_000_000;
-        assert_eq!(clock.unix + nanos(clock.instant(at) - clock.origin), at);
-        assert_eq!(clock.instant(0), clock.origin);
-    }
+/// A duration in nanoseconds; the longest that fits for any longer.
+pub fn nanos(duration: Duration) -> Nanos {
+    u64::try_from(duration.as_nanos()).unwrap_or(u64::MAX)
 }
--- /dev/null
+++ b/crates/proxy/src/cluster/attempt_observer.rs
@@ -0,0 +1,83 @@
+//! Who learns of attempts that did not go well: the log, and the owners of other connections to
+//! the same server.
+
+use super::pending_requests::EndedAttempt;
+use crate::clock::Clock;
+use crate::endpoints::Endpoints;
+use crate::request_log::RequestLog;
+use mintshelf_balancer::api::{Outcome, ServerId};
+use std::cell::RefCell;
+use tracing::Level;
+
+type SuspicionCallback = Box<dyn Fn(ServerId)>;
+
+/// Where attempts are logged.
+struct ClusterLog {
+    cluster: String,
+    log: RequestLog,
+}
+
+/// Observes the ends of a cluster's attempts.
+pub(crate) struct AttemptObserver {
+    clock: Clock,
+    /// Absent where single requests are not logged.
+    log: Option<ClusterLog>,
+    on_suspicion: RefCell<Option<SuspicionCallback>>,
+}
+
+impl AttemptObserver {
+    /// Logs under the name of a cluster, if there is one.
+    pub(crate) fn new(cluster: Option<String>, clock: Clock) -> Self {
+        let log = cluster.map(|cluster| ClusterLog { cluster, log: RequestLog::new(&clock) });
+        AttemptObserver { clock, log, on_suspicion: RefCell::default() }
+    }
+
+    /// Calls this with each server at which an attempt has broken off.
+    pub(crate) fn on_suspicion(&self, callback: SuspicionCallback) {
+        *self.on_suspicion.borrow_mut() = Some(callback);
+    }
+
+    /// Reports how an attempt ended.
+    pub(crate) fn attempt_ended(
+        &self,
+        number: u32,
+        outcome: Outcome,
+        ended: &EndedAttempt,
+        endpoints: &Endpoints,
+    ) {
+        self.log_fault(number, outcome, ended, endpoints);
+        if matches!(outcome, Outcome::Reset | Outcome::ConnectFailed | Outcome::TimedOut) {
+            if let Some(callback) = &*self.on_suspicion.borrow() {
+                callback(ended.server);
+            }
+        }
+    }
+
+    fn log_fault(
+        &self,
+        number: u32,
+        outcome: Outcome,
+        ended: &EndedAttempt,
+        endpoints: &Endpoints,
+    ) {
+        if matches!(outcome, Outcome::Ok | Outcome::Rejected | Outcome::Cancelled) {
+            return;
+        }
+        let Some(ClusterLog { cluster, log }) = &self.log else { return };
+        if !tracing::enabled!(Level::INFO) {
+            return;
+        }
+        let Some(omitted) = log.try_write(&self.clock) else { return };
+        let endpoint = endpoints.address(ended.server);
+        let endpoint = endpoint.map(|address| address.to_string()).unwrap_or_default();
+        tracing::info!(
+            %cluster,
+            endpoint,
+            attempt = number + 1,
+            ?outcome,
+            took_ms = ended.took / 1_000_000,
+            omitted,
+            "attempt ended"
+        );
+    }
+}
--- a/crates/proxy/src/cluster/attempt_timeouts.rs
+++ b/crates/proxy/src/cluster/attempt_timeouts.rs
@@ -1,69 +1,77 @@
-//! One attempt under its own time-out, and the second copy that may go beside it.
+//! One attempt under its own timeout, and the hedge that may go beside it.
 
-use crate::cluster::pending_response::AttemptControl;
-use crate::upstream::exchange::AttemptResult;
+use crate::upstream::attempt_control::AttemptControl;
+use crate::upstream::response::AttemptResult;
 use mintshelf_balancer::api::{Nanos, Outcome};
 use mintshelf_retry::attempts::TimeoutAction;
-use std::future::Future;
+use std::future::{pending, Future};
 use std::pin::pin;
 use std::time::Duration;
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// How often an attempt that is not connected yet is looked at: its time counts from there.
-const LOOK: Duration = Duration::from_millis(5);
+/// How often an attempt without a connection is looked at: its time counts from there.
+const CONNECTION_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// What limits an attempt beside its request's deadline.
 #[derive(Debug, Clone, Copy)]
 pub struct AttemptTimeouts {
-    /// How long it may take from its connection on.
-    pub limit: Option<Nanos>,
-    /// When a second copy may go beside it.
-    pub copy_after: Option<Nanos>,
+    /// How long it may take from its connection on, in nanoseconds.
+    pub timeout_ns: Option<Nanos>,
+    /// When a hedge may go beside it, in nanoseconds from its start.
+    pub hedge_after_ns: Option<Nanos>,
 }
 
-/// Carries an attempt. `expired` decides what becomes of it when its own time is up; `copy`
-/// asks for a second copy.
+/// Carries an attempt. `on_timeout` decides what becomes of it when its own time is up; `hedge`
+/// asks for a hedge.
 pub async fn run(
     attempt: impl Future<Output = AttemptResult>,
-    trial: AttemptTimeouts,
-    cancel: &AttemptControl,
-    expired: impl Fn(Nanos) -> TimeoutAction,
-    copy: impl Fn(),
+    timeouts: AttemptTimeouts,
+    control: &AttemptControl,
+    on_timeout: impl Fn(Nanos) -> TimeoutAction,
+    hedge: impl Fn(),
 ) -> AttemptResult {
     let mut attempt = pin!(attempt);
-    let begun = Instant::now();
-    let copies = async {
-        if let Some(after) = trial.copy_after {
-            sleep_until(begun + Duration::from_nanos(after)).await;
-            copy();
-        }
-        std::future::pending::<()>().await;
-    };
-    let cuts = async {
-        let Some(limit) = trial.limit else { return std::future::pending().await };
-        let connected = loop {
-            match cancel.connected_at() {
-                Some(at) => break at,
-                // Bounded by the longest wait for a connection: then the attempt has ended.
-                None => sleep(LOOK).await,
-            }
-        };
-        sleep_until(connected + Duration::from_nanos(limit)).await;
-        while let TimeoutAction::Wait(span) = expired(limit) {
-            sleep(Duration::from_nanos(span)).await;
-        }
-    };
+    let started_at = Instant::now();
     tokio::select! {
         biased;
-        ended = attempt.as_mut() => return ended,
-        () = copies => {}
-        () = cuts => {}
+        result = attempt.as_mut() => return result,
+        () = hedge_when_due(started_at, timeouts.hedge_after_ns, hedge) => {}
+        () = timed_out(timeouts.timeout_ns, control, on_timeout) => {}
     }
     // What was written of it tells whether it may have run.
-    cancel.cancel();
-    let ended = attempt.await;
-    match ended.outcome {
+    control.cancel();
+    let result = attempt.await;
+    match result.outcome {
         Outcome::Cancelled => Outcome::TimedOut.into(),
-        _ => ended,
+        _ => result,
+    }
+}
+
+/// Asks for a hedge when it is due; never ends.
+async fn hedge_when_due(started_at: Instant, after_ns: Option<Nanos>, hedge: impl Fn()) {
+    if let Some(after_ns) = after_ns {
+        sleep_until(started_at + Duration::from_nanos(after_ns)).await;
+        hedge();
+    }
+    pending().await
+}
+
+/// Waits until an attempt is to end for its own time, counted from its connection.
+async fn timed_out(
+    timeout_ns: Option<Nanos>,
+    control: &AttemptControl,
+    on_timeout: impl Fn(Nanos) -> TimeoutAction,
+) {
+    let Some(timeout_ns) = timeout_ns else { return pending().await };
+    let connected_at = loop {
+        match control.connected_at() {
+            Some(connected_at) => break connected_at,
+            // Bounded by the connect timeout, with which the attempt ends.
+            None => sleep(CONNECTION_POLL_INTERVAL).await,
+        }
+    };
+    sleep_until(connected_at + Duration::from_nanos(timeout_ns)).await;
+    while let TimeoutAction::Wait(wait_ns) = on_timeout(timeout_ns) {
+        sleep(Duration::from_nanos(wait_ns)).await;
     }
 }
--- /dev/null
+++ b/crates/proxy/src/cluster/endpoint_source.rs
@@ -0,0 +1,73 @@
+//! Where a cluster's endpoints come from: discovery, or lists that others set.
+
+use crate::discovery::list::Fleet;
+use crate::discovery::Discovery;
+use crate::endpoints::{EndpointListObserver, Endpoints};
+use crate::upstream::connection::Target;
+use mintshelf_balancer::api::ServerId;
+use mintshelf_config::platform::Names;
+use std::cell::RefCell;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use tokio::task::{spawn_local, AbortHandle};
+
+/// The endpoints of a cluster, and the discovery service that lists them.
+pub(crate) struct EndpointSource {
+    pub(crate) endpoints: Endpoints,
+    /// Absent where lists are set from elsewhere.
+    discovery: Option<Rc<Discovery>>,
+    watch: RefCell<Option<AbortHandle>>,
+}
+
+impl EndpointSource {
+    /// Endpoints from the discovery service at `address`, if there is one.
+    pub(crate) fn new(names: Names, address: Option<SocketAddr>) -> Self {
+        let endpoints = Endpoints::default();
+        let reader = Fleet::new(names, endpoints.clone());
+        let discovery = address.map(|address| Rc::new(Discovery::new(reader, address)));
+        EndpointSource { endpoints, discovery, watch: RefCell::default() }
+    }
+
+    /// A server with its address, if it is listed.
+    pub(crate) fn target(&self, server: ServerId) -> Option<Target> {
+        let address = self.endpoints.address(server)?;
+        Some(Target { server, address })
+    }
+
+    /// Passes on the cached list, and follows an agent that lists are pushed to where
+    /// the decision module does not poll.
+    pub(crate) fn start<O>(&self, cached_list: Option<&str>, observer: &O, must_poll: bool)
+    where
+        O: EndpointListObserver + Clone,
+    {
+        let Some(discovery) = &self.discovery else { return };
+        discovery.cached(cached_list, observer);
+        if !must_poll {
+            spawn_local(discovery.clone().follow(observer.clone()));
+        }
+    }
+
+    /// Stops watching; watches anew if `is_on`.
+    pub(crate) fn set_watch(&self, is_on: bool, observer: impl EndpointListObserver) {
+        let mut watch = self.watch.borrow_mut();
+        if let Some(watch) = watch.take() {
+            watch.abort();
+        }
+        if let Some(discovery) = self.discovery.clone().filter(|_| is_on) {
+            *watch = Some(spawn_local(discovery.watch(observer)).abort_handle());
+        }
+    }
+
+    /// Fetches the complete list once.
+    pub(crate) fn fetch(&self, observer: impl EndpointListObserver) {
+        if let Some(discovery) = self.discovery.clone() {
+            spawn_local(discovery.fetch(observer));
+        }
+    }
+
+    /// Uses another address of the discovery service; whether it is another. Calls in progress go
+    /// on until new ones are started, so that no event is missed in between.
+    pub(crate) fn set_address(&self, address: SocketAddr) -> bool {
+        self.discovery.as_ref().is_some_and(|discovery| discovery.move_to(address))
+    }
+}
--- a/crates/proxy/src/cluster/peers.rs
+++ b/crates/proxy/src/cluster/peers.rs
@@ -1,52 +1,56 @@
-//! Datagrams between sidecars.
+//! Gossip between sidecars, as datagrams.
 
 use std::io;
 use std::net::SocketAddr;
 use tokio::net::UdpSocket;
 
-/// Longest message.
-const LONGEST: usize = 256;
+/// Longest message, in bytes.
+const MESSAGE_MAX: usize = 256;
 
-/// This sidecar's way to the others.
+/// This sidecar's socket for gossip, and where its peers listen.
 #[derive(Debug)]
 pub struct PeerGossip {
     socket: UdpSocket,
     peers: Vec<SocketAddr>,
-    all: Option<SocketAddr>,
+    broadcast: Option<SocketAddr>,
 }
 
 impl PeerGossip {
-    /// Listens for messages.
+    /// Listens for messages; `broadcast` is an address that reaches all peers.
+    ///
+    /// # Errors
+    /// The system's, where the address can't be bound.
     pub async fn bind(
         listen: SocketAddr,
         peers: Vec<SocketAddr>,
-        all: Option<SocketAddr>,
+        broadcast: Option<SocketAddr>,
     ) -> io::Result<Self> {
         let socket = UdpSocket::bind(listen).await?;
-        Ok(PeerGossip { socket, peers, all })
+        Ok(PeerGossip { socket, peers, broadcast })
     }
 
     /// Sends a message to one peer, or to all. Messages may be lost, so one that
-    /// cannot go at once is.
-    pub fn tell(&self, peer: Option<u32>, payload: &[u8]) {
-        let to = match peer {
+    /// cannot be sent at once is dropped.
+    pub fn send(&self, peer: Option<u32>, payload: &[u8]) {
+        let address = match peer {
             Some(number) => self.peers.get(number as usize).copied(),
-            None => self.all,
+            None => self.broadcast,
         };
-        if let Some(to) = to.filter(|_| payload.len() <= LONGEST) {
-            let _ = self.socket.try_send_to(payload, to);
+        if let Some(address) = address.filter(|_| payload.len() <= MESSAGE_MAX) {
+            let _ = self.socket.try_send_to(payload, address);
         }
     }
 
-    /// Passes on what peers send, with their numbers; anything else is ignored.
-    pub async fn listen(&self, mut take: impl FnMut(u32, Vec<u8>)) {
-        let mut buffer = [0; LONGEST + 1];
+    /// Passes the messages of peers to `receive`, with the peers' numbers; never ends.
+    /// Anything else is ignored.
+    pub async fn listen(&self, mut receive: impl FnMut(u32, Vec<u8>)) {
+        let mut buffer = [0; MESSAGE_MAX + 1];
         loop {
             // An error here tells of an earlier datagram that was not delivered.
             let Ok((len, from)) = self.socket.recv_from(&mut buffer).await else { continue };
             let sender = self.peers.iter().position(|peer| *peer == from);
-            if let Some(number) = sender.filter(|_| len <= LONGEST) {
-                take(number as u32, buffer[..len].to_vec());
+            if let Some(number) = sender.filter(|_| len <= MESSAGE_MAX) {
+                receive(number as u32, buffer[..len].to_vec());
             }
         }
     }
--- /dev/null
+++ b/crates/proxy/src/cluster/pending_requests.rs
@@ -0,0 +1,284 @@
+//! The requests that are open, with their attempts: how far each has come.
+
+use super::pending_response::PendingResponse;
+use super::request::{RequestOutcome, UpstreamRequest};
+use crate::upstream::attempt_control::AttemptControl;
+use crate::upstream::response::UpstreamResponse;
+use hyper::header::HeaderValue;
+use mintshelf_balancer::api::{Class, Event, Nanos, Outcome, RequestId, ServerId};
+use std::collections::{HashMap, HashSet};
+use std::rc::Rc;
+
+/// A request from its last byte to its final response and its last attempt.
+pub(crate) struct PendingRequest {
+    pub(crate) request: UpstreamRequest,
+    pub(crate) class: usize,
+    /// A response that takes longer, counted from its attempt's start, is late; in nanoseconds.
+    pub(crate) latency_objective: Nanos,
+    pub(crate) deadline: Nanos,
+    /// Absent once the client has its response, or has disconnected.
+    pub(crate) response: Option<Rc<PendingResponse<RequestOutcome>>>,
+    pub(crate) attempts: Vec<Attempt>,
+    pub(crate) attempts_in_flight: usize,
+    /// A server's response that counts as a failure, passed on if nothing better comes.
+    pub(crate) fallback: Option<UpstreamResponse>,
+    pub(crate) timed_out: bool,
+}
+
+/// An attempt that was just added to its request.
+pub(crate) struct NewAttempt {
+    pub(crate) number: u32,
+    pub(crate) control: Rc<AttemptControl>,
+    /// Whether another attempt is in flight at the same server.
+    pub(crate) is_duplicate: bool,
+}
+
+impl PendingRequest {
+    /// A request without attempts.
+    pub(crate) fn new(
+        request: UpstreamRequest,
+        class: usize,
+        class_settings: Option<&Class>,
+        deadline: Nanos,
+        response: Rc<PendingResponse<RequestOutcome>>,
+    ) -> Self {
+        PendingRequest {
+            request,
+            class,
+            latency_objective: class_settings
+                .map_or(Nanos::MAX, |settings| settings.latency_objective),
+            deadline,
+            response: Some(response),
+            attempts: Vec::new(),
+            attempts_in_flight: 0,
+            fallback: None,
+            timed_out: false,
+        }
+    }
+
+    /// When the first attempt was sent that may have run, if any.
+    pub(crate) fn ran_at(&self) -> Option<Nanos> {
+        self.attempts.iter().find(|attempt| attempt.may_have_run()).map(|attempt| attempt.sent_at)
+    }
+
+    /// Adds an attempt at `server`.
+    pub(crate) fn add_attempt(&mut self, server: ServerId, now: Nanos) -> NewAttempt {
+        let number = self.attempts.len() as u32;
+        let control = Rc::new(AttemptControl::new(self.request.client.clone()));
+        let is_duplicate = self.in_flight().any(|attempt| attempt.server == server);
+        self.attempts.push(Attempt {
+            server,
+            sent_at: now,
+            control: control.clone(),
+            outcome: None,
+        });
+        self.attempts_in_flight += 1;
+        NewAttempt { number, control, is_duplicate }
+    }
+
+    /// The attempts that have not ended.
+    pub(crate) fn in_flight(&self) -> impl Iterator<Item = &Attempt> {
+        self.attempts.iter().filter(|attempt| attempt.is_in_flight())
+    }
+}
+
+/// One attempt of a request.
+pub(crate) struct Attempt {
+    pub(crate) server: ServerId,
+    pub(crate) sent_at: Nanos,
+    pub(crate) control: Rc<AttemptControl>,
+    /// Absent while it is in flight.
+    pub(crate) outcome: Option<Outcome>,
+}
+
+impl Attempt {
+    fn is_in_flight(&self) -> bool {
+        self.outcome.is_none()
+    }
+
+    /// Whether it may have had its effect.
+    fn may_have_run(&self) -> bool {
+        !self.outcome.is_some_and(Outcome::never_ran)
+    }
+}
+
+/// How an attempt ended.
+pub(crate) struct AttemptEnd {
+    pub(crate) number: u32,
+    pub(crate) outcome: Outcome,
+    pub(crate) load_report: Option<Vec<f64>>,
+    /// When the head of its response arrived, where that is not now.
+    pub(crate) responded_at: Option<Nanos>,
+}
+
+impl AttemptEnd {
+    /// The end, now, of an attempt that brought no load report.
+    pub(crate) fn new(number: u32, outcome: Outcome) -> Self {
+        AttemptEnd { number, outcome, load_report: None, responded_at: None }
+    }
+}
+
+/// An attempt whose end was recorded.
+pub(crate) struct EndedAttempt {
+    pub(crate) class: usize,
+    pub(crate) server: ServerId,
+    /// How long it took, in nanoseconds.
+    pub(crate) took: Nanos,
+    /// Whether that was within the class's latency objective.
+    pub(crate) is_in_time: bool,
+    /// The event for the decision module.
+    pub(crate) event: Event,
+}
+
+/// A request that still waits for its response.
+pub(crate) struct WaitingRequest {
+    pub(crate) id: RequestId,
+    pub(crate) class: usize,
+    pub(crate) ran_at: Option<Nanos>,
+}
+
+/// All open requests of a cluster.
+#[derive(Default)]
+pub(crate) struct PendingRequests {
+    by_id: HashMap<RequestId, PendingRequest>,
+    /// Clients' ids of the requests above.
+    transaction_ids: HashSet<HeaderValue>,
+    last_id: u64,
+}
+
+impl PendingRequests {
+    /// Reserves the client's id of a request; false if an open request has it.
+    pub(crate) fn reserve_transaction_id(&mut self, request: &UpstreamRequest) -> bool {
+        match &request.transaction_id {
+            Some(id) => self.transaction_ids.insert(id.clone()),
+            None => true,
+        }
+    }
+
+    /// Adds a request; its id.
+    pub(crate) fn insert(&mut self, request: PendingRequest) -> RequestId {
+        self.last_id += 1;
+        let id: RequestId = self.last_id.to_string().into();
+        self.by_id.insert(id.clone(), request);
+        id
+    }
+
+    pub(crate) fn get(&self, id: &RequestId) -> Option<&PendingRequest> {
+        self.by_id.get(id)
+    }
+
+    pub(crate) fn get_mut(&mut self, id: &RequestId) -> Option<&mut PendingRequest> {
+        self.by_id.get_mut(id)
+    }
+
+    pub(crate) fn len(&self) -> usize {
+        self.by_id.len()
+    }
+
+    pub(crate) fn is_empty(&self) -> bool {
+        self.by_id.is_empty()
+    }
+
+    /// The requests that still wait for their responses, in the order of their ids: the table has
+    /// no order of its own.
+    pub(crate) fn waiting(&self) -> Vec<WaitingRequest> {
+        let is_waiting = |(_, request): &(&RequestId, &PendingRequest)| request.response.is_some();
+        let waiting = self.by_id.iter().filter(is_waiting);
+        let mut waiting: Vec<_> = waiting
+            .map(|(id, request)| WaitingRequest {
+                id: id.clone(),
+                class: request.class,
+                ran_at: request.ran_at(),
+            })
+            .collect();
+        waiting.sort_unstable_by(|first, second| first.id.cmp(&second.id));
+        waiting
+    }
+
+    /// Gives a client its final outcome; returns one that nobody waits for.
+    pub(crate) fn conclude(
+        &mut self,
+        id: &RequestId,
+        outcome: RequestOutcome,
+    ) -> Option<RequestOutcome> {
+        let Some(request) = self.by_id.get_mut(id) else { return Some(outcome) };
+        let outcome = match (outcome, request.fallback.take()) {
+            (RequestOutcome::Rejected { .. } | RequestOutcome::Failed { .. }, Some(fallback)) => {
+                RequestOutcome::Served(Box::new(fallback))
+            }
+            (RequestOutcome::Failed { .. }, None) => {
+                RequestOutcome::Failed { timed_out: request.timed_out }
+            }
+            (outcome, _) => outcome,
+        };
+        let Some(response) = request.response.take() else { return Some(outcome) };
+        response.resolve(outcome);
+        // A hedge that is still in flight has lost.
+        request.in_flight().for_each(|attempt| attempt.control.cancel());
+        self.remove_if_over(id);
+        None
+    }
+
+    /// Records that a client disconnected before its response: the attempts that have begun go
+    /// on to their ends. Whether the client still waited.
+    pub(crate) fn client_disconnected(&mut self, id: &RequestId) -> bool {
+        let Some(request) = self.by_id.get_mut(id) else { return false };
+        if request.response.take().is_none() {
+            return false;
+        }
+        request.in_flight().for_each(|attempt| attempt.control.client_disconnected());
+        self.remove_if_over(id);
+        true
+    }
+
+    /// Records an attempt's end; each has exactly one.
+    pub(crate) fn end_attempt(
+        &mut self,
+        id: &RequestId,
+        end: AttemptEnd,
+        now: Nanos,
+    ) -> Option<EndedAttempt> {
+        let request = self.by_id.get_mut(id)?;
+        let attempt = request.attempts.get_mut(end.number as usize)?;
+        if !attempt.is_in_flight() {
+            return None;
+        }
+        attempt.outcome = Some(end.outcome);
+        request.attempts_in_flight -= 1;
+        request.timed_out = end.outcome == Outcome::TimedOut;
+        // What an attempt took is measured to the head of its response, however long the body.
+        let took = end.responded_at.unwrap_or(now).saturating_sub(attempt.sent_at);
+        let server = attempt.server;
+        let ended = EndedAttempt {
+            class: request.class,
+            server,
+            took,
+            is_in_time: took <= request.latency_objective,
+            event: Event::AttemptEnded {
+                id: id.clone(),
+                attempt: end.number,
+                outcome: end.outcome,
+                finished: request.response.is_none(),
+                took,
+                server,
+                report: end.load_report,
+            },
+        };
+        self.remove_if_over(id);
+        Some(ended)
+    }
+
+    /// Removes a request once nothing more can come of it.
+    fn remove_if_over(&mut self, id: &RequestId) {
+        let is_over = |request: &PendingRequest| {
+            request.response.is_none() && request.attempts_in_flight == 0
+        };
+        if !self.by_id.get(id).is_some_and(is_over) {
+            return;
+        }
+        let removed = self.by_id.remove(id);
+        if let Some(transaction_id) = removed.and_then(|request| request.request.transaction_id) {
+            self.transaction_ids.remove(&transaction_id);
+        }
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/cluster/request.rs
@@ -0,0 +1,59 @@
+//! A request as the cluster's runtime takes it, and what becomes of it in the end.
+
+use crate::client::connection::Client;
+use crate::upstream::request_body::RequestBody;
+use crate::upstream::response::UpstreamResponse;
+use hyper::header::HeaderValue;
+use hyper::Request;
+use mintshelf_balancer::api::Nanos;
+use std::rc::Rc;
+use tokio::sync::OwnedSemaphorePermit;
+
+/// What becomes of a request in the end.
+pub enum RequestOutcome {
+    /// The server's response.
+    Served(Box<UpstreamResponse>),
+    /// It is rejected, and sending it again later is harmless.
+    Rejected {
+        /// When the client may retry, in nanoseconds from now.
+        retry_after: Nanos,
+        /// When the first attempt was sent that may have run, if any.
+        ran_at: Option<Nanos>,
+    },
+    /// The same, while the complete cluster is down or recovering; when the client may retry, in
+    /// nanoseconds from now.
+    Paced(Nanos),
+    /// Nothing is promised: it may have run.
+    Failed {
+        /// Whether the last attempt had no response in time.
+        timed_out: bool,
+    },
+}
+
+/// What the decision module learns of a request.
+pub struct RequestMetadata {
+    /// Its class.
+    pub class: u32,
+    /// Its tenant.
+    pub tenant: u32,
+    /// What it concerns.
+    pub key: Option<u64>,
+    /// Expected work in nanoseconds, if known.
+    pub cost_hint: Option<Nanos>,
+    /// Whether the client marked it as a repeat.
+    pub is_repeat: bool,
+    /// How long the client waits, in nanoseconds.
+    pub client_timeout: Nanos,
+}
+
+/// A request as it goes to servers, with what its body takes of the budget.
+pub struct UpstreamRequest {
+    /// Its head and body.
+    pub request: Request<RequestBody>,
+    /// The id that its client gave it, where no two open requests may share one.
+    pub transaction_id: Option<HeaderValue>,
+    /// The body's bytes in the budget, until the last attempt has ended.
+    pub body_permit: Option<OwnedSemaphorePermit>,
+    /// Who waits for the response, if that is a connection with this request open.
+    pub client: Option<Rc<Client>>,
+}
--- /dev/null
+++ b/crates/proxy/src/cluster/retry_trackers.rs
@@ -0,0 +1,107 @@
+//! What the attempts of each class may do: their timeouts, hedges and connections.
+
+use super::attempt_timeouts::AttemptTimeouts;
+use mintshelf_balancer::api::Nanos;
+use mintshelf_retry::attempts::{AttemptTracker, RetryPolicy, TimeoutAction};
+use std::cell::RefCell;
+use std::time::Duration;
+
+/// Attempts that did not run their course.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub struct AttemptCounts {
+    /// Ended for their own timeout.
+    pub timed_out: u64,
+    /// Hedges that were sent.
+    pub hedged: u64,
+}
+
+/// What bounds the connections of a class's attempts.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct ClassConnectionBounds {
+    /// Longest wait for a new connection.
+    pub(crate) connect_timeout: Duration,
+    /// A connection that has been idle for longer is not used.
+    pub(crate) max_idle: Duration,
+}
+
+/// The attempts of each class; no class on the platform, which says all of that itself.
+pub(crate) struct RetryTrackers(Vec<RefCell<AttemptTracker>>);
+
+impl RetryTrackers {
+    pub(crate) fn new(policies: Vec<RetryPolicy>, now: Nanos) -> Self {
+        let tracker = |policy| RefCell::new(AttemptTracker::new(policy, now));
+        RetryTrackers(policies.into_iter().map(tracker).collect())
+    }
+
+    /// Counts a request.
+    pub(crate) fn begin(&self, class: usize) {
+        if let Some(tracker) = self.0.get(class) {
+            tracker.borrow_mut().begin();
+        }
+    }
+
+    /// What limits an attempt beside its request's deadline; none where nothing does.
+    pub(crate) fn timeouts(
+        &self,
+        class: usize,
+        number: u32,
+        now: Nanos,
+    ) -> Option<AttemptTimeouts> {
+        let mut tracker = self.0.get(class)?.borrow_mut();
+        let hedge_after_ns = tracker.copy_after(now).filter(|_| number == 0);
+        let timeout_ns = tracker.limit(now, number);
+        let is_limited = timeout_ns.is_some() || hedge_after_ns.is_some();
+        is_limited.then_some(AttemptTimeouts { timeout_ns, hedge_after_ns })
+    }
+
+    /// What bounds the connections of a class's attempts.
+    pub(crate) fn connection_bounds(&self, class: usize) -> Option<ClassConnectionBounds> {
+        let tracker = self.0.get(class)?.borrow();
+        let policy = tracker.plan();
+        Some(ClassConnectionBounds {
+            connect_timeout: Duration::from_nanos(policy.connect),
+            max_idle: Duration::from_nanos(policy.idle),
+        })
+    }
+
+    /// What becomes of an attempt whose own timeout has passed. `can_retry`: whether the retry
+    /// budget allows another; `has_other_endpoint`: whether that may go elsewhere.
+    pub(crate) fn on_timeout(
+        &self,
+        class: usize,
+        now: Nanos,
+        timeout_ns: Nanos,
+        can_retry: bool,
+        has_other_endpoint: bool,
+    ) -> TimeoutAction {
+        let Some(tracker) = self.0.get(class) else { return TimeoutAction::Now };
+        tracker.borrow_mut().expired(now, timeout_ns, can_retry, has_other_endpoint)
+    }
+
+    /// Whether a hedge may be sent now; it counts as sent then.
+    pub(crate) fn try_hedge(&self, class: usize) -> bool {
+        self.0.get(class).is_some_and(|tracker| tracker.borrow_mut().may_copy())
+    }
+
+    /// Records how long a server took to respond, in nanoseconds.
+    pub(crate) fn responded(&self, class: usize, now: Nanos, took: Nanos) {
+        if let Some(tracker) = self.0.get(class) {
+            tracker.borrow_mut().answered(now, took);
+        }
+    }
+
+    /// The median latency of a class in nanoseconds; 0 while it is unknown.
+    pub(crate) fn median_latency(&self, class: usize, now: Nanos) -> Nanos {
+        self.0.get(class).map_or(0, |tracker| tracker.borrow_mut().usual(now))
+    }
+
+    pub(crate) fn counts(&self) -> AttemptCounts {
+        let mut counts = AttemptCounts::default();
+        for tracker in &self.0 {
+            let [timed_out, hedged] = tracker.borrow().counts();
+            counts.timed_out += timed_out;
+            counts.hedged += hedged;
+        }
+        counts
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/cluster/serve.rs
@@ -0,0 +1,97 @@
+//! A request's way through a cluster: pacing, the decision module, the final outcome.
+
+use super::pending_requests::PendingRequest;
+use super::pending_response::{AttemptSet, PendingResponse};
+use super::request::{RequestMetadata, RequestOutcome, UpstreamRequest};
+use super::runtime::ClusterRuntime;
+use mintshelf_balancer::api::{Event, Nanos, RequestId};
+use std::rc::Rc;
+
+impl ClusterRuntime {
+    /// Hands a client's request to the module and waits for the final outcome.
+    /// Dropping the future reports to the module that the client has disconnected. `None`
+    /// for a request whose id is that of one still open: a server would
+    /// take it for a hedge of that one.
+    pub async fn serve(
+        self: &Rc<Self>,
+        metadata: RequestMetadata,
+        request: UpstreamRequest,
+    ) -> Option<RequestOutcome> {
+        let now = self.clock.now();
+        let Some(recovery) = &self.recovery else {
+            return self.balance(now, metadata, request).await;
+        };
+        let class = metadata.class;
+        if !recovery.admit(now) {
+            return Some(RequestOutcome::Paced(self.retry_after(class)));
+        }
+        let outcome = self.balance(now, metadata, request).await?;
+        Some(recovery.request_ended(self.clock.now(), self.classes.get(class as usize), outcome))
+    }
+
+    async fn balance(
+        self: &Rc<Self>,
+        now: Nanos,
+        metadata: RequestMetadata,
+        request: UpstreamRequest,
+    ) -> Option<RequestOutcome> {
+        if request.client.as_ref().is_some_and(|client| client.has_left()) {
+            // Nobody reads its response: it costs no server, no credit and no place in a queue.
+            return Some(RequestOutcome::Failed { timed_out: false });
+        }
+        let response = Rc::new(PendingResponse::default());
+        let id = self.open_request(now, metadata, request, response.clone())?;
+        let attempts = AttemptSet::new(response);
+        let mut waiting = WaitingClient { runtime: self, id, attempts };
+        Some(waiting.attempts.response().await)
+    }
+
+    /// Records a request and hands it to the module; none if its id is that of an open one.
+    fn open_request(
+        self: &Rc<Self>,
+        now: Nanos,
+        metadata: RequestMetadata,
+        request: UpstreamRequest,
+        response: Rc<PendingResponse<RequestOutcome>>,
+    ) -> Option<RequestId> {
+        let mut state = self.state.borrow_mut();
+        if !state.requests.reserve_transaction_id(&request) {
+            return None;
+        }
+        let class = metadata.class as usize;
+        let deadline = now.saturating_add(metadata.client_timeout);
+        self.retries.begin(class);
+        let settings = self.classes.get(class);
+        let pending = PendingRequest::new(request, class, settings, deadline, response);
+        let id = state.requests.insert(pending);
+        state.events.push_back(Event::Request {
+            id: id.clone(),
+            class: metadata.class,
+            tenant: metadata.tenant,
+            key: metadata.key,
+            cost_hint: metadata.cost_hint,
+            repeat: metadata.is_repeat,
+            patience: metadata.client_timeout,
+        });
+        self.turn(&mut state);
+        Some(id)
+    }
+}
+
+/// A client's wait; dropped before its response, it reports to the module that the client has
+/// disconnected.
+struct WaitingClient<'a> {
+    runtime: &'a Rc<ClusterRuntime>,
+    id: RequestId,
+    attempts: AttemptSet<RequestOutcome>,
+}
+
+impl Drop for WaitingClient<'_> {
+    fn drop(&mut self) {
+        self.attempts.detach();
+        let mut state = self.runtime.state.borrow_mut();
+        if state.client_disconnected(&self.id) {
+            self.runtime.turn(&mut state);
+        }
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/cluster/spec.rs
@@ -0,0 +1,45 @@
+//! What a cluster's runtime is started with.
+
+use super::peers::PeerGossip;
+use crate::upstream::connection_limits::ConnectionLimits;
+use crate::upstream::response::UpstreamProtocol;
+use mintshelf_balancer::api::{Nanos, Settings};
+use mintshelf_config::platform::Names;
+use mintshelf_retry::attempts::RetryPolicy;
+use std::net::SocketAddr;
+
+/// The discovery service of a cluster.
+pub struct DiscoverySpec {
+    /// Where it listens.
+    pub address: SocketAddr,
+    /// The endpoint list as it was last cached.
+    pub cached_list: Option<String>,
+}
+
+/// What a cluster's runtime is started with.
+pub struct ClusterSpec {
+    /// The decision module's settings.
+    pub settings: Settings,
+    /// Names in them.
+    pub names: Names,
+    /// Seed of the random numbers.
+    pub seed: u64,
+    /// How servers' responses are read.
+    pub protocol: UpstreamProtocol,
+    /// The way to other sidecars.
+    pub peers: Option<PeerGossip>,
+    /// Absent where the endpoints are set by [`super::runtime::ClusterRuntime::set_endpoints`].
+    pub discovery: Option<DiscoverySpec>,
+    /// The ramp in nanoseconds after an outage of the complete cluster, 0 for none; absent where
+    /// the fleet's platform paces its recovery itself.
+    pub recovery_ramp: Option<Nanos>,
+    /// What the attempts of each class may do; empty where the platform says all of that.
+    pub retry_policies: Vec<RetryPolicy>,
+    /// How many connections the cluster may have.
+    pub connection_limits: ConnectionLimits,
+    /// What an open WebSocket counts for beside a request, 0 to 1, where the module compares how
+    /// much is in flight.
+    pub socket_weight: f64,
+    /// The cluster's name in the log; absent where nothing is logged of single requests.
+    pub name: Option<String>,
+}
--- /dev/null
+++ b/crates/proxy/src/cluster/timers.rs
@@ -0,0 +1,47 @@
+//! The timers that the decision module has set.
+
+use mintshelf_balancer::api::Nanos;
+use std::collections::HashMap;
+use std::task::{Context, Poll};
+use std::time::Duration;
+use tokio_util::time::{delay_queue, DelayQueue};
+
+/// Timers by their tokens.
+#[derive(Default)]
+pub(crate) struct TimerQueue {
+    queue: DelayQueue<u64>,
+    keys: HashMap<u64, delay_queue::Key>,
+}
+
+impl TimerQueue {
+    /// Sets a timer that expires `after` nanoseconds from now.
+    pub(crate) fn set(&mut self, token: u64, after: Nanos) {
+        let key = self.queue.insert(token, Duration::from_nanos(after));
+        self.keys.insert(token, key);
+    }
+
+    /// Cancels a timer, if it is set.
+    pub(crate) fn cancel(&mut self, token: u64) {
+        if let Some(key) = self.keys.remove(&token) {
+            self.queue.try_remove(&key);
+        }
+    }
+
+    /// How many timers are set.
+    pub(crate) fn len(&self) -> usize {
+        self.keys.len()
+    }
+
+    /// Waits for the next timer to expire, and removes it; its token.
+    pub(crate) fn poll_expired(&mut self, cx: &mut Context<'_>) -> Poll<u64> {
+        match self.queue.poll_expired(cx) {
+            Poll::Ready(Some(expired)) => {
+                let token = expired.into_inner();
+                self.keys.remove(&token);
+                Poll::Ready(token)
+            }
+            // An empty queue wakes the task when a timer is set.
+            Poll::Ready(None) | Poll::Pending => Poll::Pending,
+        }
+    }
+}
--- a/crates/proxy/src/discovery/call.rs
+++ b/crates/proxy/src/discovery/call.rs
@@ -1,6 +1,6 @@
 //! Calls to discovery, one after the other on one connection.
 
-use crate::tcp::{Socket, TrafficObserver};
+use crate::tcp::{ObservedStream, TrafficObserver};
 use bytes::Bytes;
 use http_body_util::Empty;
 use hyper::body::{Body, Incoming};
@@ -52,7 +52,7 @@
 struct Nothing;
 impl TrafficObserver for Nothing {}
 
-type Driven = Connection<TokioIo<Socket<Nothing>>, Empty<Bytes>>;
+type Driven = Connection<TokioIo<ObservedStream<Nothing>>, Empty<Bytes>>;
 
 /// A connection to discovery, kept between calls.
 struct Line {
@@ -65,7 +65,7 @@
     async fn open(to: SocketAddr) -> Option<Self> {
         let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(to)).await.ok()?.ok()?;
         stream.set_nodelay(true).ok()?;
-        let socket = Socket::new(Rc::new(stream.into()), Rc::new(Nothing), Bytes::new());
+        let socket = ObservedStream::new(Rc::new(stream.into()), Rc::new(Nothing), Bytes::new());
         let (send, driven) = handshake(TokioIo::new(socket)).await.ok()?;
         Some(Line { send, driven: Box::pin(driven), up: true })
     }
--- a/crates/proxy/src/gateway/admission.rs
+++ b/crates/proxy/src/gateway/admission.rs
@@ -1,8 +1,8 @@
-//! Where requests pass the limits of tenants, routes and clusters: what those decide, done.
+//! Where requests pass the limits of tenants, routes and clusters: what those decide is done here.
 
+use super::rejection::Rejection;
 use crate::clock::Clock;
-use crate::cluster::request_log::RequestLog;
-use crate::gateway::rejection::Rejection;
+use crate::request_log::RequestLog;
 use hyper::StatusCode;
 use mintshelf_admission::admission::{Admission, AdmissionConfig, LimitExceeded, LimitUsage};
 use mintshelf_admission::queue::{
@@ -15,97 +15,130 @@
 use std::rc::Rc;
 use std::task::{Poll, Waker};
 use tokio::time::timeout_at;
+use tracing::Level;
 
 const SECOND: Nanos = 1_000_000_000;
 
-type Key = (Rc<str>, QueueTicket);
+/// A request in the queue of a cluster.
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+struct WaiterKey {
+    cluster: Rc<str>,
+    ticket: QueueTicket,
+}
 
-/// One that waits at a cluster.
+/// What became of a wait.
+type WaitResult = Result<(), RejectReason>;
+
+/// A task that waits in the queue of a cluster.
 #[derive(Default)]
 struct Waiter {
-    /// What became of it.
-    end: Option<Result<(), RejectReason>>,
+    result: Option<WaitResult>,
     waker: Option<Waker>,
 }
 
-/// All limits in force, and those that wait.
+/// All limits in force, and the requests that wait for them.
 pub struct AdmissionController {
     admission: RefCell<Admission>,
-    waiters: RefCell<HashMap<Key, Waiter>>,
+    waiters: RefCell<HashMap<WaiterKey, Waiter>>,
     clock: Clock,
-    notes: RequestLog,
+    log: RequestLog,
 }
 
 impl Default for AdmissionController {
     fn default() -> Self {
         let clock = Clock::start();
-        let notes = RequestLog::new(&clock);
         AdmissionController {
             admission: RefCell::default(),
             waiters: RefCell::default(),
             clock,
-            notes,
+            log: RequestLog::new(&clock),
         }
     }
 }
 
 /// A request that counts against its tenant and its route until this is dropped.
+#[must_use = "the request counts for as long as this lives"]
 pub struct TenantPermit {
-    gates: Rc<AdmissionController>,
-    /// Whose it is.
+    controller: Rc<AdmissionController>,
+    /// The tenant.
     pub tenant: Rc<str>,
     route: Rc<str>,
 }
 
 impl Drop for TenantPermit {
     fn drop(&mut self) {
-        self.gates.admission.borrow_mut().leave(&self.tenant, &self.route);
+        self.controller.admission.borrow_mut().leave(&self.tenant, &self.route);
     }
 }
 
 /// A request that has a place at its cluster until this is dropped.
+#[must_use = "the place is given back when this is dropped"]
 pub struct ClusterPermit {
-    gates: Rc<AdmissionController>,
+    controller: Rc<AdmissionController>,
     cluster: Rc<str>,
     tenant: Rc<str>,
 }
 
 impl Drop for ClusterPermit {
     fn drop(&mut self) {
-        let now = self.gates.clock.now();
-        let moves = self.gates.admission.borrow_mut().done(now, &self.cluster, &self.tenant);
-        self.gates.carry(&self.cluster, moves);
+        let controller = &self.controller;
+        let now = controller.clock.now();
+        let transitions = controller.admission.borrow_mut().done(now, &self.cluster, &self.tenant);
+        controller.notify_waiters(&self.cluster, transitions);
     }
 }
 
 /// Bytes of a body that count against its tenant until this is dropped.
+#[must_use = "the bytes count for as long as this lives"]
 pub struct BodyPermit {
-    gates: Rc<AdmissionController>,
+    controller: Rc<AdmissionController>,
     tenant: Rc<str>,
     bytes: u64,
 }
 
 impl Drop for BodyPermit {
     fn drop(&mut self) {
-        self.gates.admission.borrow_mut().empty(&self.tenant, self.bytes);
+        self.controller.admission.borrow_mut().empty(&self.tenant, self.bytes);
     }
 }
 
-/// A wait at a cluster; dropped before its end it gives up the place, or what came of it.
-struct Waiting<'a> {
-    gates: &'a Rc<AdmissionController>,
-    key: Key,
+/// What a request asks of its cluster's queue.
+pub struct QueueRequest {
+    /// Its tenant.
+    pub tenant: Rc<str>,
+    /// Whether its client has sent it before.
+    pub is_repeat: bool,
+    /// Its weight where the queue is full.
+    pub priority_weight: f64,
+    /// How long its client waits, in nanoseconds.
+    pub client_timeout: Nanos,
+    /// How long its response is expected to take, in nanoseconds.
+    pub expected_latency: Nanos,
+}
+
+/// A request that may go to its cluster.
+pub struct AdmittedRequest {
+    /// Its place; none where the cluster has no limit.
+    pub permit: Option<ClusterPermit>,
+    /// How long its client still waits, in nanoseconds.
+    pub remaining_timeout: Nanos,
+}
+
+/// A wait in a queue; dropped before its end it gives up the place, or what came of it.
+struct QueueWait<'a> {
+    controller: &'a Rc<AdmissionController>,
+    key: WaiterKey,
     tenant: Rc<str>,
 }
 
-impl Waiting<'_> {
-    async fn end(&self) -> Result<(), RejectReason> {
+impl QueueWait<'_> {
+    async fn result(&self) -> WaitResult {
         poll_fn(|cx| {
-            let mut waiters = self.gates.waiters.borrow_mut();
+            let mut waiters = self.controller.waiters.borrow_mut();
             let waiter = waiters.entry(self.key.clone()).or_default();
-            if let Some(end) = waiter.end.take() {
+            if let Some(result) = waiter.result.take() {
                 waiters.remove(&self.key);
-                return Poll::Ready(end);
+                return Poll::Ready(result);
             }
             waiter.waker = Some(cx.waker().clone());
             Poll::Pending
@@ -114,145 +147,192 @@
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for QueueWait<'_> {
     fn drop(&mut self) {
-        let waiter = self.gates.waiters.borrow_mut().remove(&self.key);
-        match waiter.map(|waiter| waiter.end) {
-            // Nobody took the place that it was given.
-            Some(Some(Ok(()))) => drop(self.gates.through(&self.key.0, &self.tenant)),
-            Some(None) => self.gates.admission.borrow_mut().give_up(&self.key.0, self.key.1),
+        let WaiterKey { cluster, ticket } = &self.key;
+        let waiter = self.controller.waiters.borrow_mut().remove(&self.key);
+        match waiter.map(|waiter| waiter.result) {
+            // Nobody used the place that it was given.
+            Some(Some(Ok(()))) => drop(self.controller.cluster_permit(cluster, &self.tenant)),
+            Some(None) => self.controller.admission.borrow_mut().give_up(cluster, *ticket),
             Some(Some(Err(_))) | None => {}
         }
     }
 }
 
 impl AdmissionController {
-    /// Puts limits in force; what is under way counts on.
-    pub fn set(&self, set: &AdmissionConfig) {
-        let moves = self.admission.borrow_mut().set(self.clock.now(), set);
-        moves.into_iter().for_each(|(cluster, moves)| self.carry(&cluster, moves));
+    /// Puts limits in force; what is in flight counts on.
+    pub fn configure(&self, config: &AdmissionConfig) {
+        let transitions = self.admission.borrow_mut().set(self.clock.now(), config);
+        for (cluster, transitions) in transitions {
+            self.notify_waiters(&cluster, transitions);
+        }
     }
 
-    /// Tells those that wait what became of them.
-    fn carry(&self, cluster: &Rc<str>, moves: QueueTransitions) {
-        let go = moves.go.into_iter().map(|ticket| (ticket, Ok(())));
-        let refused = moves.refused.into_iter().map(|(ticket, why)| (ticket, Err(why)));
-        for (ticket, end) in go.chain(refused) {
+    /// How much of the limits is used.
+    pub fn usage(&self) -> LimitUsage {
+        self.admission.borrow().levels()
+    }
+
+    /// Gives the tasks that wait what became of their requests.
+    fn notify_waiters(&self, cluster: &Rc<str>, transitions: QueueTransitions) {
+        let admitted = transitions.go.into_iter().map(|ticket| (ticket, Ok(())));
+        let rejected = transitions.refused.into_iter().map(|(ticket, why)| (ticket, Err(why)));
+        for (ticket, result) in admitted.chain(rejected) {
             let mut waiters = self.waiters.borrow_mut();
-            let waiter = waiters.entry((cluster.clone(), ticket)).or_default();
-            waiter.end = Some(end);
+            let key = WaiterKey { cluster: cluster.clone(), ticket };
+            let waiter = waiters.entry(key).or_default();
+            waiter.result = Some(result);
             if let Some(waker) = waiter.waker.take() {
                 waker.wake();
             }
         }
     }
 
-    fn through(self: &Rc<Self>, cluster: &Rc<str>, tenant: &Rc<str>) -> ClusterPermit {
-        ClusterPermit { gates: self.clone(), cluster: cluster.clone(), tenant: tenant.clone() }
+    fn cluster_permit(self: &Rc<Self>, cluster: &Rc<str>, tenant: &Rc<str>) -> ClusterPermit {
+        ClusterPermit { controller: self.clone(), cluster: cluster.clone(), tenant: tenant.clone() }
     }
 
-    /// A request has come; its body has not.
-    pub fn enter(
+    /// Admits a request by the limits of its tenant and route, before its body is read.
+    ///
+    /// # Errors
+    /// The rejection, where one of them is exceeded.
+    pub fn admit_request(
         self: &Rc<Self>,
         tenant: Rc<str>,
         route: &Rc<str>,
     ) -> Result<TenantPermit, Rejection> {
-        let now = self.clock.now();
-        match self.admission.borrow_mut().enter(now, &tenant, route) {
-            Ok(()) => Ok(TenantPermit { gates: self.clone(), tenant, route: route.clone() }),
-            Err(over) => {
-                let (code, what, after) = match over {
-                    LimitExceeded::TenantRate(after) => {
-                        ("tenant-rate", "its tenant asks more than its rate; it has not run", after)
-                    }
-                    LimitExceeded::TenantConcurrency => (
-                        "tenant-concurrency",
-                        "its tenant has as many under way as it may; it has not run",
-                        SECOND,
-                    ),
-                    LimitExceeded::RouteRate(after) => (
-                        "route-rate",
-                        "the route is asked more than its rate; it has not run",
-                        after,
-                    ),
-                    LimitExceeded::RouteConcurrency => (
-                        "route-concurrency",
-                        "the route has as many under way as it may; it has not run",
-                        SECOND,
-                    ),
-                };
-                self.note(&tenant, route, code);
-                Err(Rejection::new(StatusCode::TOO_MANY_REQUESTS, code, what).after(after))
+        let entered = self.admission.borrow_mut().enter(self.clock.now(), &tenant, route);
+        match entered {
+            Ok(()) => Ok(TenantPermit { controller: self.clone(), tenant, route: route.clone() }),
+            Err(exceeded) => {
+                let rejection = limit_rejection(&exceeded);
+                self.log_rejection(&tenant, route, rejection.code);
+                Err(rejection)
             }
         }
     }
 
-    /// Writes which limit refused a request, and at which route or cluster.
-    fn note(&self, tenant: &str, at: &str, limit: &'static str) {
-        if !tracing::enabled!(tracing::Level::INFO) {
+    /// Logs which limit rejected a request, and at which route or cluster.
+    fn log_rejection(&self, tenant: &str, scope: &str, limit: &'static str) {
+        if !tracing::enabled!(Level::INFO) {
             return;
         }
-        if let Some(left_out) = self.notes.may_write(&self.clock) {
-            tracing::info!(tenant, at, limit, left_out, "a limit refused a request");
+        if let Some(omitted) = self.log.try_write(&self.clock) {
+            tracing::info!(tenant, scope, limit, omitted, "request rejected by limit");
         }
     }
 
-    /// Takes so many bytes for a tenant's body.
-    pub fn fill(self: &Rc<Self>, tenant: &Rc<str>, bytes: u64) -> Result<BodyPermit, Rejection> {
+    /// Reserves bytes of a tenant's quota for a body.
+    ///
+    /// # Errors
+    /// The rejection, where its tenant's bodies have used up its quota.
+    pub fn reserve_body(
+        self: &Rc<Self>,
+        tenant: &Rc<str>,
+        bytes: u64,
+    ) -> Result<BodyPermit, Rejection> {
         if self.admission.borrow_mut().fill(tenant, bytes) {
-            return Ok(BodyPermit { gates: self.clone(), tenant: tenant.clone(), bytes });
+            return Ok(BodyPermit { controller: self.clone(), tenant: tenant.clone(), bytes });
         }
-        let what = "its tenant's bodies take all the room that it has; it has not run";
-        self.note(tenant, "", "tenant-room");
-        let refusal = Rejection::new(StatusCode::TOO_MANY_REQUESTS, "tenant-room", what);
+        let detail = "its tenant's bodies take all the room that it has; it has not run";
+        self.log_rejection(tenant, "", "tenant-room");
+        let rejection = Rejection::new(StatusCode::TOO_MANY_REQUESTS, "tenant-room", detail);
         // The body is not read, so nothing can come behind it.
-        Err(refusal.after(SECOND).last())
+        Err(rejection.retry_after(SECOND).closing_connection())
     }
 
-    /// Waits for a place at a cluster: until there is one, or it is refused, which is at once
-    /// when it can't be answered in time any more. No place where the cluster has no limit.
-    /// Back comes what is left of its patience too; `advice` tells when to come back.
-    pub async fn pass(
+    /// Waits for a place at a cluster: until there is one, or the request is rejected, which
+    /// happens at once when it can't be served in time any more. `retry_after` says when its
+    /// client may retry then, in nanoseconds.
+    ///
+    /// # Errors
+    /// The rejection, where the queue is full or the wait took too long.
+    pub async fn admit_to_cluster(
         self: &Rc<Self>,
         cluster: &Rc<str>,
-        patience: Nanos,
-        offer: QueueEntry,
-        advice: impl Fn() -> Nanos,
-    ) -> Result<(Option<ClusterPermit>, Nanos), Rejection> {
-        let now = self.clock.now();
-        let (tenant, needs) = (offer.tenant.clone(), offer.needs);
-        let offer = QueueEntry { deadline: now.saturating_add(patience), ..offer };
-        let offered = self.admission.borrow_mut().offer(now, cluster, offer);
-        let Some((verdict, moves)) = offered else { return Ok((None, patience)) };
-        self.carry(cluster, moves);
-        let end = match verdict {
+        request: QueueRequest,
+        retry_after: impl Fn() -> Nanos,
+    ) -> Result<AdmittedRequest, Rejection> {
+        let started_at = self.clock.now();
+        let QueueRequest { tenant, client_timeout, expected_latency, .. } = request;
+        let entry = QueueEntry {
+            tenant: tenant.clone(),
+            repeat: request.is_repeat,
+            priority_weight: request.priority_weight,
+            deadline: started_at.saturating_add(client_timeout),
+            needs: expected_latency,
+        };
+        let offered = self.admission.borrow_mut().offer(started_at, cluster, entry);
+        let Some((decision, transitions)) = offered else {
+            return Ok(AdmittedRequest { permit: None, remaining_timeout: client_timeout });
+        };
+        self.notify_waiters(cluster, transitions);
+        let max_wait = client_timeout.saturating_sub(expected_latency);
+        let result = match decision {
             QueueDecision::Go => Ok(()),
-            QueueDecision::Rejected(why) => Err(why),
+            QueueDecision::Rejected(reason) => Err(reason),
             QueueDecision::Wait(ticket) => {
-                let key = (cluster.clone(), ticket);
-                self.waiters.borrow_mut().insert(key.clone(), Waiter::default());
-                let waiting = Waiting { gates: self, key, tenant: tenant.clone() };
-                let until = self.clock.instant(now.saturating_add(patience.saturating_sub(needs)));
-                timeout_at(until, waiting.end()).await.unwrap_or(Err(RejectReason::TooLate))
+                let key = WaiterKey { cluster: cluster.clone(), ticket };
+                self.wait_in_queue(key, &tenant, started_at.saturating_add(max_wait)).await
             }
         };
-        let left = || patience.saturating_sub(self.clock.now().saturating_sub(now)).max(1);
-        end.map(|()| (Some(self.through(cluster, &tenant)), left())).map_err(|why| {
-            let (code, what) = match why {
-                RejectReason::Full => {
-                    ("queue-full", "too many wait for the cluster; it has not run")
-                }
-                RejectReason::TooLate => {
-                    ("queue-late", "it waited too long to be answered in time; it has not run")
-                }
-            };
-            self.note(&tenant, cluster, code);
-            Rejection::new(StatusCode::SERVICE_UNAVAILABLE, code, what).after(advice().max(SECOND))
-        })
+        match result {
+            Ok(()) => {
+                let permit = Some(self.cluster_permit(cluster, &tenant));
+                let waited = self.clock.now().saturating_sub(started_at);
+                let remaining_timeout = client_timeout.saturating_sub(waited).max(1);
+                Ok(AdmittedRequest { permit, remaining_timeout })
+            }
+            Err(reason) => {
+                let rejection = queue_rejection(reason);
+                self.log_rejection(&tenant, cluster, rejection.code);
+                Err(rejection.retry_after(retry_after().max(SECOND)))
+            }
+        }
     }
 
-    /// How much is under way.
-    pub fn levels(&self) -> LimitUsage {
-        self.admission.borrow().levels()
+    async fn wait_in_queue(
+        self: &Rc<Self>,
+        key: WaiterKey,
+        tenant: &Rc<str>,
+        deadline: Nanos,
+    ) -> WaitResult {
+        self.waiters.borrow_mut().insert(key.clone(), Waiter::default());
+        let wait = QueueWait { controller: self, key, tenant: tenant.clone() };
+        let deadline = self.clock.instant(deadline);
+        timeout_at(deadline, wait.result()).await.unwrap_or(Err(RejectReason::TooLate))
     }
 }
+
+fn limit_rejection(exceeded: &LimitExceeded) -> Rejection {
+    let (code, detail, retry_after) = match *exceeded {
+        LimitExceeded::TenantRate(retry_after) => {
+            ("tenant-rate", "its tenant asks more than its rate; it has not run", retry_after)
+        }
+        LimitExceeded::TenantConcurrency => (
+            "tenant-concurrency",
+            "its tenant has as many under way as it may; it has not run",
+            SECOND,
+        ),
+        LimitExceeded::RouteRate(retry_after) => {
+            ("route-rate", "the route is asked more than its rate; it has not run", retry_after)
+        }
+        LimitExceeded::RouteConcurrency => (
+            "route-concurrency",
+            "the route has as many under way as it may; it has not run",
+            SECOND,
+        ),
+    };
+    Rejection::new(StatusCode::TOO_MANY_REQUESTS, code, detail).retry_after(retry_after)
+}
+
+fn queue_rejection(reason: RejectReason) -> Rejection {
+    let (code, detail) = match reason {
+        RejectReason::Full => ("queue-full", "too many wait for the cluster; it has not run"),
+        RejectReason::TooLate => {
+            ("queue-late", "it waited too long to be answered in time; it has not run")
+        }
+    };
+    Rejection::new(StatusCode::SERVICE_UNAVAILABLE, code, detail)
+}
--- /dev/null
+++ b/crates/proxy/src/gateway/classify.rs
@@ -0,0 +1,207 @@
+//! Reading and classifying a request: its host and path, its route, its cluster and class.
+
+use super::config::{ClusterHandle, ServingConfig};
+use super::rejection::Rejection;
+use crate::client::connection::Client;
+use crate::headers::cookie_pairs;
+use hyper::body::Incoming;
+use hyper::header::{self, HeaderMap};
+use hyper::{Method, Request, StatusCode, Version};
+use mintshelf_balancer::api::{Effect, Nanos};
+use mintshelf_config::model::{Forward, Route, Sticky, Then};
+use mintshelf_config::module::severity;
+use mintshelf_routing::{pattern, Probe};
+use std::rc::Rc;
+
+/// Header with the key by which a server recognises a repeat.
+const IDEMPOTENCY_KEY: &str = "idempotency-key";
+
+/// What a request is for.
+pub(crate) struct RequestTarget {
+    pub(crate) host: String,
+    pub(crate) path_and_query: String,
+}
+
+impl RequestTarget {
+    /// Reads the target of a request.
+    ///
+    /// # Errors
+    /// The rejection of a request that can be read in two ways, or that is none for a gateway.
+    pub(crate) fn read(client: &Client, request: &Request<Incoming>) -> Result<Self, Rejection> {
+        let head = client.scanner.borrow_mut().next_head();
+        if let Some(reason) = head.ambiguity {
+            return Err(ambiguous_framing(reason));
+        }
+        let host = host_of(request)?;
+        let path_and_query = request.uri().path_and_query();
+        let path_and_query = path_and_query.map_or("/", |path| path.as_str()).to_string();
+        if request.method() == Method::CONNECT {
+            let detail = "this is no tunnel";
+            let rejection = Rejection::new(StatusCode::NOT_IMPLEMENTED, "no-tunnel", detail);
+            return Err(rejection.closing_connection());
+        }
+        if pattern::has_dot_segments(path_and_query.split('?').next().unwrap_or("/")) {
+            let detail = "the path holds an element '.' or '..'";
+            return Err(Rejection::new(StatusCode::BAD_REQUEST, "climbing-path", detail));
+        }
+        let expect = request.headers().get(header::EXPECT);
+        if expect.is_some_and(|expect| !expect.as_bytes().eq_ignore_ascii_case(b"100-continue")) {
+            let detail = "only 100-continue can be expected";
+            return Err(Rejection::new(StatusCode::EXPECTATION_FAILED, "expectation", detail));
+        }
+        Ok(RequestTarget { host, path_and_query })
+    }
+}
+
+/// Rejects a request that two readers may read in two ways.
+pub(crate) fn ambiguous_framing(detail: &'static str) -> Rejection {
+    Rejection::new(StatusCode::BAD_REQUEST, "doubtful-framing", detail).closing_connection()
+}
+
+/// The route of a request.
+pub(crate) struct RouteMatch<'a> {
+    pub(crate) index: usize,
+    pub(crate) route: &'a Route,
+    /// What keeps the requests of one session at one cluster of a split; absent where there is
+    /// none.
+    pub(crate) sticky_key: Option<Vec<u8>>,
+}
+
+impl<'a> RouteMatch<'a> {
+    /// Finds the route of a request.
+    ///
+    /// # Errors
+    /// The rejection, where no route matches.
+    pub(crate) fn find(
+        serving: &'a ServingConfig,
+        target: &RequestTarget,
+        client: &Client,
+        request: &Request<Incoming>,
+    ) -> Result<Self, Rejection> {
+        let RequestTarget { host, path_and_query } = target;
+        let probe = Probe::new(host, path_and_query, request.method(), request.headers());
+        let Some(index) = serving.table.find(&probe) else {
+            let detail = "no route takes this request";
+            return Err(Rejection::new(StatusCode::NOT_FOUND, "no-route", detail));
+        };
+        let route = &serving.routes[index];
+        let sticky_key = match &route.then {
+            Then::Forward(forward) => sticky_key(forward.sticky.as_ref(), &probe, client),
+            _ => None,
+        };
+        Ok(RouteMatch { index, route, sticky_key })
+    }
+}
+
+/// How a request is forwarded: its cluster, and its class there.
+pub(crate) struct ClusterClass<'a> {
+    pub(crate) cluster_name: &'a str,
+    pub(crate) cluster: &'a Rc<ClusterHandle>,
+    pub(crate) effect: Effect,
+    /// The decision module's class.
+    pub(crate) class: u32,
+    pub(crate) priority_weight: f64,
+    pub(crate) client_timeout: Nanos,
+    pub(crate) is_repeat: bool,
+}
+
+impl<'a> ClusterClass<'a> {
+    /// Picks a request's cluster, and finds its class there.
+    ///
+    /// # Errors
+    /// The rejection, where the configuration in force does not have them.
+    pub(crate) fn find(
+        serving: &'a ServingConfig,
+        route: &Route,
+        forward: &'a Forward,
+        balance_key: &[u8],
+        request: &Request<Incoming>,
+    ) -> Result<Self, Rejection> {
+        let cluster_name = forward.split.pick(balance_key);
+        let cluster = serving.clusters.get(cluster_name).ok_or_else(no_cluster)?;
+        let class = cluster.classes.get(&route.policy).ok_or_else(no_cluster)?;
+        let has_key = request.headers().contains_key(IDEMPOTENCY_KEY);
+        let effect = effect_of(class.effect, route.effect, request.method(), has_key);
+        let repeat_header = serving.repeat_header.as_ref();
+        let repeat_mark = repeat_header.and_then(|name| request.headers().get(name));
+        Ok(ClusterClass {
+            cluster_name,
+            cluster,
+            effect,
+            class: class.numbers[severity(effect)].ok_or_else(no_cluster)?,
+            priority_weight: class.priority_weight,
+            client_timeout: class.deadline,
+            is_repeat: repeat_mark.is_some_and(|value| value != "0"),
+        })
+    }
+}
+
+fn no_cluster() -> Rejection {
+    let detail = "the route's cluster is not there";
+    Rejection::new(StatusCode::SERVICE_UNAVAILABLE, "no-cluster", detail)
+}
+
+/// The effect of a request: what its route states, else the graver of its class's and its
+/// method's (RFC 9110 9.2.1). An idempotent one needs its key (`has_key`). It is never taken for
+/// milder than it is: only the client of a PUT or DELETE knows what came between.
+pub fn effect_of(class: Effect, route: Option<Effect>, method: &Method, has_key: bool) -> Effect {
+    let effect = match (route, class) {
+        (Some(effect), _) => effect,
+        (None, Effect::Safe) if !method.is_safe() => Effect::Unsafe,
+        (None, effect) => effect,
+    };
+    match effect {
+        Effect::Idempotent if !has_key => Effect::Unsafe,
+        effect => effect,
+    }
+}
+
+/// The host that a request is for: that of its target, else that of its one Host header
+/// (RFC 9112 3.2). Where they differ, servers choose differently.
+fn host_of(request: &Request<Incoming>) -> Result<String, Rejection> {
+    let header_host = host_header(request.headers())?;
+    let target_host = request.uri().authority().map(|authority| authority.as_str());
+    let host = match (target_host, header_host) {
+        (Some(target_host), Some(header_host))
+            if !target_host.eq_ignore_ascii_case(header_host) =>
+        {
+            return Err(invalid_host("the target and Host name different hosts"));
+        }
+        (Some(target_host), _) => target_host,
+        (None, Some(header_host)) => header_host,
+        (None, None) if request.version() == Version::HTTP_11 => {
+            return Err(invalid_host("Host is missing"));
+        }
+        (None, None) => "",
+    };
+    let is_invalid = |char: char| !char.is_ascii_graphic() || "/?#@\\,\"<>".contains(char);
+    if host.contains(is_invalid) {
+        return Err(invalid_host("Host is no host"));
+    }
+    Ok(host.to_string())
+}
+
+fn host_header(headers: &HeaderMap) -> Result<Option<&str>, Rejection> {
+    let mut hosts = headers.get_all(header::HOST).iter();
+    let first = hosts.next();
+    if hosts.next().is_some() {
+        return Err(invalid_host("there are several Host headers"));
+    }
+    first.map(|host| host.to_str().map_err(|_| invalid_host("Host is no host"))).transpose()
+}
+
+fn invalid_host(detail: &'static str) -> Rejection {
+    Rejection::new(StatusCode::BAD_REQUEST, "host", detail).closing_connection()
+}
+
+fn sticky_key(sticky: Option<&Sticky>, probe: &Probe, client: &Client) -> Option<Vec<u8>> {
+    match sticky? {
+        Sticky::Client => Some(client.peer.ip().to_string().into_bytes()),
+        Sticky::Header(name) => probe.headers.get(name).map(|value| value.as_bytes().to_vec()),
+        Sticky::Query(name) => probe.parameters(name).next().map(|value| value.as_bytes().to_vec()),
+        Sticky::Cookie(name) => {
+            let mut pairs = cookie_pairs(probe.headers).filter_map(|pair| pair.split_once('='));
+            pairs.find(|(key, _)| key == name).map(|(_, value)| value.as_bytes().to_vec())
+        }
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/gateway/dispatch.rs
@@ -0,0 +1,67 @@
+//! The last stages of a request's way: its cluster's queue, then the decision module.
+
+use super::admission::{ClusterPermit, QueueRequest};
+use super::config::{ClusterHandle, ServingConfig};
+use super::rejection::Rejection;
+use crate::cluster::request::{RequestMetadata, RequestOutcome, UpstreamRequest};
+use mintshelf_balancer::api::Nanos;
+use std::rc::Rc;
+
+/// What a request asks of a cluster.
+pub(crate) struct DispatchOptions {
+    /// The module's class.
+    pub(crate) class: u32,
+    /// Its weight where the queue of its cluster is full.
+    pub(crate) priority_weight: f64,
+    /// Whether its client has sent it before.
+    pub(crate) is_repeat: bool,
+    /// How long it may wait, in nanoseconds.
+    pub(crate) client_timeout: Nanos,
+    /// Its tenant, where tenants are told apart.
+    pub(crate) tenant: Option<Rc<str>>,
+}
+
+/// What came of a request at its cluster.
+pub(crate) struct Dispatched {
+    /// The outcome; none if its id is that of an open request.
+    pub(crate) outcome: Option<RequestOutcome>,
+    /// Its place at the cluster.
+    pub(crate) permit: Option<ClusterPermit>,
+}
+
+/// Sends a request to a cluster: through its queue, where it has a limit, to the decision module.
+///
+/// # Errors
+/// The rejection, where the request got no place at the cluster in time.
+pub(crate) async fn dispatch(
+    serving: &ServingConfig,
+    cluster_name: &str,
+    cluster: &ClusterHandle,
+    options: DispatchOptions,
+    request: UpstreamRequest,
+) -> Result<Dispatched, Rejection> {
+    let DispatchOptions { class, priority_weight, is_repeat, client_timeout, tenant } = options;
+    let mut permit = None;
+    let mut client_timeout = client_timeout;
+    let limits = serving.admission.as_ref().and_then(|admission| {
+        Some((&admission.controller, admission.cluster_names.get(cluster_name)?))
+    });
+    if let Some(((controller, cluster_name), tenant)) = limits.zip(tenant) {
+        let runtime = &cluster.runtime;
+        let queued = QueueRequest {
+            tenant,
+            is_repeat,
+            priority_weight,
+            client_timeout,
+            expected_latency: runtime.median_latency(class),
+        };
+        let retry_after = || runtime.retry_after(class);
+        let admitted = controller.admit_to_cluster(cluster_name, queued, retry_after).await?;
+        permit = admitted.permit;
+        client_timeout = admitted.remaining_timeout;
+    }
+    let metadata =
+        RequestMetadata { class, tenant: 0, key: None, cost_hint: None, is_repeat, client_timeout };
+    let outcome = cluster.runtime.serve(metadata, request).await;
+    Ok(Dispatched { outcome, permit })
+}
--- /dev/null
+++ b/crates/proxy/src/gateway/forward.rs
@@ -0,0 +1,245 @@
+//! A request's way to a server, stage by stage.
+
+use super::admission::{BodyPermit, TenantPermit};
+use super::classify::{ClusterClass, RequestTarget};
+use super::config::ServingConfig;
+use super::dispatch::{dispatch, DispatchOptions, Dispatched};
+use super::edits::{append, append_via, apply_edits, invalid_target, rewrite_target};
+use super::handler::GatewayHandler;
+use super::rejection::Rejection;
+use super::request_body::{read_body, BudgetedBody, BufferPlan};
+use super::respond::{client_response, served_response, upstream_failed, RequestPermits};
+use crate::client::connection::{Client, Phase};
+use crate::client::handler::ResponseBody;
+use crate::cluster::request::UpstreamRequest;
+use crate::headers::strip_for_next_hop;
+use crate::sockets::front::{Opening, Place};
+use crate::upstream::response::{UpgradedConnection, UpstreamBody, UpstreamResponse};
+use bytes::Bytes;
+use hyper::body::{Body, Incoming};
+use hyper::header::{self, HeaderMap, HeaderValue};
+use hyper::http::request::Parts;
+use hyper::{Request, Response, Uri, Version};
+use mintshelf_admission::slots::SlotOwner;
+use mintshelf_admission::tenants::OTHER_TENANTS;
+use mintshelf_config::model::{Forward, Route};
+use mintshelf_websocket::handshake;
+use std::net::IpAddr;
+use std::rc::Rc;
+
+/// A request whose route forwards it.
+pub(crate) struct ForwardContext<'a> {
+    pub(crate) serving: &'a ServingConfig,
+    pub(crate) client: &'a Rc<Client>,
+    pub(crate) route_index: usize,
+    pub(crate) route: &'a Route,
+    pub(crate) forward: &'a Forward,
+    /// What picks the cluster of a split.
+    pub(crate) balance_key: Vec<u8>,
+    pub(crate) target: RequestTarget,
+    pub(crate) is_draining: bool,
+}
+
+/// A handshake that waits for its server.
+struct PendingUpgrade {
+    opening: Opening,
+    /// The handshake as it goes to servers.
+    head: Parts,
+}
+
+impl GatewayHandler {
+    /// Forwards a request. This is the list of its stages; a later one never runs where an earlier
+    /// one rejects the request, and what one acquires is held to the end.
+    pub(super) async fn forward(
+        &self,
+        context: ForwardContext<'_>,
+        request: Request<Incoming>,
+    ) -> Result<Response<ResponseBody>, Rejection> {
+        let class = context.classify(&request)?;
+        let tenant_permit = context.admit(&request)?;
+        let opening = self.open_socket(&context, &class, tenant_permit.as_ref(), &request)?;
+        let (head, body) = self.rewrite(&context, opening.as_ref(), request)?;
+        let body_permit = context.reserve_body(tenant_permit.as_ref(), &body)?;
+        let body = read_body(&self.body_budget, context.client, body).await?;
+        context.client.enter(Phase::Busy);
+        let upgrade = opening.map(|opening| PendingUpgrade { opening, head: head.clone() });
+        let tenant = tenant_permit.as_ref().map(|permit| permit.tenant.clone());
+        let dispatched = context.balance(&class, tenant, head, body).await?;
+        drop(body_permit);
+        self.respond_with(&context, &class, dispatched, tenant_permit, upgrade)
+    }
+
+    /// Reserves a slot for a handshake, where the route takes WebSockets.
+    fn open_socket(
+        &self,
+        context: &ForwardContext<'_>,
+        class: &ClusterClass<'_>,
+        tenant_permit: Option<&TenantPermit>,
+        request: &Request<Incoming>,
+    ) -> Result<Option<Opening>, Rejection> {
+        let Some(settings) = &context.forward.websocket else { return Ok(None) };
+        if !handshake::asks(request.headers()) {
+            return Ok(None);
+        }
+        let tenant = tenant_permit.map_or(OTHER_TENANTS.into(), |permit| permit.tenant.clone());
+        let owner = SlotOwner {
+            tenant,
+            route: context.route.name.as_str().into(),
+            cluster: class.cluster_name.into(),
+        };
+        let opening = Opening::begin(&self.sockets, settings, request, owner, context.is_draining)?;
+        Ok(Some(opening))
+    }
+
+    /// The request's head as it goes to servers, and its body as it comes from the client.
+    fn rewrite(
+        &self,
+        context: &ForwardContext<'_>,
+        opening: Option<&Opening>,
+        request: Request<Incoming>,
+    ) -> Result<(Parts, Incoming), Rejection> {
+        let RequestTarget { host, path_and_query } = &context.target;
+        let (mut head, body) = request.into_parts();
+        head.extensions.clear();
+        strip_for_next_hop(&mut head.headers);
+        self.add_hop(context, &mut head.headers);
+        apply_edits(&mut head.headers, &context.forward.request);
+        let prefix = context.forward.rewrite_prefix.as_deref();
+        let target = rewrite_target(prefix, context.route, path_and_query);
+        let target = target.parse::<Uri>();
+        head.uri = target.map_err(|_| invalid_target("the target can't be written"))?;
+        head.version = Version::HTTP_11;
+        if !head.headers.contains_key(header::HOST) {
+            let host = HeaderValue::from_str(host);
+            let host = host.map_err(|_| invalid_target("the host is no host"))?;
+            head.headers.insert(header::HOST, host);
+        }
+        if let Some(opening) = opening {
+            opening.ask(&mut head);
+        }
+        Ok((head, body))
+    }
+
+    /// Adds this hop to the headers (RFC 9110 7.6.3, RFC 7239 4), and an id where there is none.
+    fn add_hop(&self, context: &ForwardContext<'_>, headers: &mut HeaderMap) {
+        let forwarding = &context.serving.forwarding;
+        if let Some(via) = &forwarding.via {
+            append_via(headers, via);
+        }
+        if forwarding.forwarded {
+            let client = match context.client.peer.ip() {
+                IpAddr::V4(ip) => ip.to_string(),
+                IpAddr::V6(ip) => format!("\"[{ip}]\""),
+            };
+            let hop = format!("for={client};host=\"{}\";proto=http", context.target.host);
+            append(headers, header::FORWARDED, &hop);
+        }
+        let request_id = forwarding.request_id.as_ref();
+        if let Some(name) = request_id.filter(|name| !headers.contains_key(*name)) {
+            headers.insert(name, self.new_request_id());
+        }
+    }
+
+    fn respond_with(
+        &self,
+        context: &ForwardContext<'_>,
+        class: &ClusterClass<'_>,
+        dispatched: Dispatched,
+        tenant_permit: Option<TenantPermit>,
+        upgrade: Option<PendingUpgrade>,
+    ) -> Result<Response<ResponseBody>, Rejection> {
+        let permits = tenant_permit
+            .map(|tenant| RequestPermits { _cluster: dispatched.permit, _tenant: tenant });
+        let UpstreamResponse { status, headers, body } = served_response(dispatched.outcome)?;
+        match body {
+            UpstreamBody::Upgraded(connection) => {
+                let body = UpstreamBody::Complete(Bytes::new());
+                let response = UpstreamResponse { status, headers, body };
+                self.upgrade(context, class, response, connection, upgrade)
+            }
+            mut body => {
+                if let (UpstreamBody::Stream(stream), Some(permits)) = (&mut body, permits) {
+                    stream.hold(Box::new(permits));
+                }
+                let response = UpstreamResponse { status, headers, body };
+                Ok(client_response(context.serving, context.forward, response))
+            }
+        }
+    }
+
+    /// The 101 of a handshake; the client's connection is a WebSocket once it is out.
+    fn upgrade(
+        &self,
+        context: &ForwardContext<'_>,
+        class: &ClusterClass<'_>,
+        response: UpstreamResponse,
+        connection: Box<UpgradedConnection>,
+        upgrade: Option<PendingUpgrade>,
+    ) -> Result<Response<ResponseBody>, Rejection> {
+        let Some(PendingUpgrade { opening, head }) = upgrade else {
+            let detail = "the server upgraded what was no handshake; it may have run";
+            return Err(upstream_failed(detail));
+        };
+        let mut response = client_response(context.serving, context.forward, response);
+        opening.answer(response.headers_mut());
+        let place = Place {
+            cluster: class.cluster_name.to_string(),
+            policy: context.route.policy.clone(),
+            effect: class.effect,
+            head,
+            agreed: connection.agreed.clone(),
+        };
+        let upgrade = opening.upgrade(&self.config, class.cluster, class.class, place, connection);
+        *context.client.upgrade.borrow_mut() = Some(upgrade);
+        Ok(response)
+    }
+}
+
+impl<'a> ForwardContext<'a> {
+    fn classify(&self, request: &Request<Incoming>) -> Result<ClusterClass<'a>, Rejection> {
+        ClusterClass::find(self.serving, self.route, self.forward, &self.balance_key, request)
+    }
+
+    fn admit(&self, request: &Request<Incoming>) -> Result<Option<TenantPermit>, Rejection> {
+        let Some(admission) = &self.serving.admission else { return Ok(None) };
+        let listener = &self.serving.listener;
+        let headers = request.headers();
+        admission.admit(self.client, listener, headers, self.route_index).map(Some)
+    }
+
+    fn reserve_body(
+        &self,
+        tenant_permit: Option<&TenantPermit>,
+        body: &Incoming,
+    ) -> Result<Option<BodyPermit>, Rejection> {
+        let limits = self.serving.admission.as_ref().zip(tenant_permit);
+        let Some((admission, permit)) = limits.filter(|_| !body.is_end_stream()) else {
+            return Ok(None);
+        };
+        let bytes = BufferPlan::of(body).max_bytes as u64;
+        admission.controller.reserve_body(&permit.tenant, bytes).map(Some)
+    }
+
+    async fn balance(
+        &self,
+        class: &ClusterClass<'_>,
+        tenant: Option<Rc<str>>,
+        head: Parts,
+        body: BudgetedBody,
+    ) -> Result<Dispatched, Rejection> {
+        let request = UpstreamRequest {
+            request: Request::from_parts(head, body.body),
+            transaction_id: None,
+            body_permit: body.permit,
+            client: Some(self.client.clone()),
+        };
+        let options = DispatchOptions {
+            class: class.class,
+            priority_weight: class.priority_weight,
+            is_repeat: class.is_repeat,
+            client_timeout: class.client_timeout,
+            tenant,
+        };
+        dispatch(self.serving, class.cluster_name, class.cluster, options, request).await
+    }
+}
--- a/crates/proxy/src/gateway/mod.rs
+++ b/crates/proxy/src/gateway/mod.rs
@@ -1,6 +1,13 @@
 //! Ordinary HTTP/1.1: routing, admission and header edits in front of the clusters.
 
 pub mod admission;
+pub mod classify;
+pub mod config;
+pub(crate) mod dispatch;
 pub mod edits;
+mod forward;
 pub mod handler;
 pub mod rejection;
+mod request_body;
+mod respond;
+pub mod stats;
--- a/crates/proxy/src/gateway/rejection.rs
+++ b/crates/proxy/src/gateway/rejection.rs
@@ -1,76 +1,93 @@
-//! Errors of this side's own, as problem details (RFC 9457).
+//! Requests that this side rejects, and its responses to them: problem details (RFC 9457).
 
-use crate::client::listener::ResponseBody;
+use crate::client::handler::ResponseBody;
 use bytes::Bytes;
 use hyper::header::{self, HeaderName, HeaderValue};
 use hyper::{Response, StatusCode};
 use mintshelf_balancer::api::Nanos;
+use thiserror::Error;
 
-/// Why a request gets no server's answer.
-#[derive(Debug)]
+const SECOND: Nanos = 1_000_000_000;
+
+/// Why a request gets no server's response.
+#[derive(Debug, Error)]
+#[error("{code}: {detail}")]
 pub struct Rejection {
-    /// Its status.
+    /// The status of the response.
     pub status: StatusCode,
     /// A stable name, for programs.
     pub code: &'static str,
-    what: &'static str,
-    after: Nanos,
-    last: bool,
-    more: &'static [(HeaderName, HeaderValue)],
+    /// What happened, for people.
+    detail: &'static str,
+    /// When the client may retry, in nanoseconds; 0 where nothing is said of that.
+    retry_after: Nanos,
+    closes_connection: bool,
+    extra_headers: &'static [(HeaderName, HeaderValue)],
 }
 
-/// What a handshake of another version is told (RFC 6455 4.4, RFC 9110 15.5.22).
-static VERSION: [(HeaderName, HeaderValue); 3] = [
+/// What a handshake of another version is answered with (RFC 6455 4.4, RFC 9110 15.5.22).
+static WEBSOCKET_VERSION: [(HeaderName, HeaderValue); 3] = [
     (header::SEC_WEBSOCKET_VERSION, HeaderValue::from_static("13")),
     (header::UPGRADE, HeaderValue::from_static("websocket")),
     (header::CONNECTION, HeaderValue::from_static("upgrade")),
 ];
 
 impl Rejection {
-    /// A refusal; `what` is for people.
-    pub fn new(status: StatusCode, code: &'static str, what: &'static str) -> Self {
-        Rejection { status, code, what, after: 0, last: false, more: &[] }
+    /// A rejection; `detail` is for people.
+    #[must_use]
+    pub fn new(status: StatusCode, code: &'static str, detail: &'static str) -> Self {
+        Rejection {
+            status,
+            code,
+            detail,
+            retry_after: 0,
+            closes_connection: false,
+            extra_headers: &[],
+        }
     }
 
-    /// Tells when to come back; 0 for nothing to tell.
-    pub fn after(self, after: Nanos) -> Self {
-        Rejection { after, ..self }
+    /// Says when the client may retry, in nanoseconds from now; 0 for nothing to say.
+    #[must_use]
+    pub fn retry_after(self, retry_after: Nanos) -> Self {
+        Rejection { retry_after, ..self }
     }
 
     /// Closes the connection: what comes behind such a request can't be trusted.
-    pub fn last(self) -> Self {
-        Rejection { last: true, ..self }
+    #[must_use]
+    pub fn closing_connection(self) -> Self {
+        Rejection { closes_connection: true, ..self }
     }
 
-    /// Tells which version of WebSocket is spoken.
-    pub fn with_version(self) -> Self {
-        Rejection { more: &VERSION, ..self }
+    /// Says which version of WebSocket is spoken.
+    #[must_use]
+    pub fn with_websocket_version(self) -> Self {
+        Rejection { extra_headers: &WEBSOCKET_VERSION, ..self }
     }
 
-    /// As it goes to the client; `bare` for one that may have no body (HEAD).
-    pub fn response(&self, bare: bool) -> Response<ResponseBody> {
+    /// The response to the client; `is_head` for one that may have no body (HEAD).
+    pub fn response(&self, is_head: bool) -> Response<ResponseBody> {
         let problem = serde_json::json!({
             "type": format!("urn:mintshelf:problem:{}", self.code),
             "title": self.status.canonical_reason().unwrap_or("Error"),
             "status": self.status.as_u16(),
-            "detail": self.what,
+            "detail": self.detail,
             "code": self.code,
         });
-        let body = if bare { Bytes::new() } else { Bytes::from(format!("{problem}\n")) };
-        let mut response = Response::new(ResponseBody::whole(body));
+        let body = if is_head { Bytes::new() } else { Bytes::from(format!("{problem}\n")) };
+        let mut response = Response::new(ResponseBody::buffered(body));
         *response.status_mut() = self.status;
         let headers = response.headers_mut();
-        let kind = HeaderValue::from_static("application/problem+json");
-        headers.insert(header::CONTENT_TYPE, kind);
-        if self.after > 0 {
+        let content_type = HeaderValue::from_static("application/problem+json");
+        headers.insert(header::CONTENT_TYPE, content_type);
+        if self.retry_after > 0 {
             // Whole seconds, rounded up (RFC 9110 10.2.3).
-            let seconds = self.after.div_ceil(1_000_000_000);
+            let seconds = self.retry_after.div_ceil(SECOND);
             headers.insert(header::RETRY_AFTER, HeaderValue::from(seconds));
         }
-        for (name, value) in self.more {
+        for (name, value) in self.extra_headers {
             headers.insert(name, value.clone());
         }
-        if self.last {
+        if self.closes_connection {
             headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
         response
--- /dev/null
+++ b/crates/proxy/src/gateway/request_body.rs
@@ -0,0 +1,121 @@
+//! Reading the body of a request: complete if it is short and there, else as it arrives.
+
+use super::classify::ambiguous_framing;
+use super::rejection::Rejection;
+use crate::body::BufferedBody;
+use crate::client::connection::{Client, Phase};
+use crate::headers::BODY_MAX;
+use crate::upstream::request_body::{RequestBody, StreamedBody};
+use bytes::{Bytes, BytesMut};
+use hyper::body::{Body, Frame, Incoming};
+use hyper::StatusCode;
+use mintshelf_balancer::api::Nanos;
+use std::future::poll_fn;
+use std::pin::Pin;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::sync::{OwnedSemaphorePermit, Semaphore};
+use tokio::time::{timeout, timeout_at, Instant};
+
+const SECOND: Nanos = 1_000_000_000;
+
+/// How long a body waits for capacity among the bodies in memory.
+const CAPACITY_WAIT: Duration = Duration::from_secs(1);
+/// How long a body of unknown length may take to be complete before it is passed on as it
+/// arrives. A complete one can be sent again.
+const COMPLETION_WAIT: Duration = Duration::from_millis(5);
+
+/// How much of a body is buffered.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct BufferPlan {
+    /// Whether the body is known to fit.
+    is_short: bool,
+    /// Most bytes that are buffered.
+    pub(crate) max_bytes: usize,
+}
+
+impl BufferPlan {
+    /// The plan for a body that has not been read.
+    pub(crate) fn of(body: &Incoming) -> Self {
+        let is_short = body.size_hint().exact().is_some_and(|size| size <= BODY_MAX as u64);
+        let max_bytes = if is_short { body.size_hint().lower() as usize } else { BODY_MAX };
+        BufferPlan { is_short, max_bytes }
+    }
+}
+
+/// A request's body, and its bytes in the budget of the process.
+#[derive(Default)]
+pub(crate) struct BudgetedBody {
+    pub(crate) body: RequestBody,
+    pub(crate) permit: Option<OwnedSemaphorePermit>,
+}
+
+/// Reads what is there of a body.
+///
+/// # Errors
+/// The rejection, where the budget has no capacity for it or it can't be read.
+pub(crate) async fn read_body(
+    budget: &Arc<Semaphore>,
+    client: &Client,
+    mut body: Incoming,
+) -> Result<BudgetedBody, Rejection> {
+    if body.is_end_stream() {
+        return Ok(BudgetedBody::default());
+    }
+    let plan = BufferPlan::of(&body);
+    let permit = budget.clone().acquire_many_owned(plan.max_bytes.max(1) as u32);
+    let Ok(Ok(permit)) = timeout(CAPACITY_WAIT, permit).await else {
+        return Err(no_capacity());
+    };
+    client.enter(Phase::Busy);
+    let start = read_start(plan, &mut body).await?;
+    if client.scanner.borrow().is_body_ambiguous() {
+        return Err(ambiguous_framing("the body's chunks can be read in two ways"));
+    }
+    let body = if plan.is_short || start.is_complete {
+        RequestBody::Buffered(BufferedBody::new(start.bytes))
+    } else {
+        RequestBody::Streamed(StreamedBody::new(start.bytes, body))
+    };
+    Ok(BudgetedBody { body, permit: Some(permit) })
+}
+
+struct BodyStart {
+    bytes: Bytes,
+    is_complete: bool,
+}
+
+async fn read_start(plan: BufferPlan, body: &mut Incoming) -> Result<BodyStart, Rejection> {
+    let mut buffered = BytesMut::new();
+    let mut is_complete = false;
+    let deadline = Instant::now() + COMPLETION_WAIT;
+    while !is_complete && buffered.len() < plan.max_bytes.max(1) {
+        let next_frame = poll_fn(|cx| Pin::new(&mut *body).poll_frame(cx));
+        let frame = match plan.is_short {
+            true => Some(next_frame.await),
+            false => timeout_at(deadline, next_frame).await.ok(),
+        };
+        match frame {
+            None => break,
+            Some(None) => is_complete = true,
+            Some(Some(Ok(frame))) => buffered.extend_from_slice(&data_of(frame)),
+            Some(Some(Err(_))) => return Err(unreadable_body()),
+        }
+    }
+    Ok(BodyStart { bytes: buffered.freeze(), is_complete })
+}
+
+fn data_of(frame: Frame<Bytes>) -> Bytes {
+    frame.into_data().unwrap_or_default()
+}
+
+fn no_capacity() -> Rejection {
+    let detail = "there is no room for its body now; it has not run";
+    let rejection = Rejection::new(StatusCode::SERVICE_UNAVAILABLE, "no-room", detail);
+    rejection.retry_after(SECOND).closing_connection()
+}
+
+fn unreadable_body() -> Rejection {
+    let detail = "the body can't be read";
+    Rejection::new(StatusCode::BAD_REQUEST, "body", detail).closing_connection()
+}
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,8 +1,21 @@
-//! Sockets: events into the decision module, actions out of it. No decisions here.
+//! Sockets of the sidecar: clients, servers, discovery and peers.
+//!
+//! Events go into the decision module (`mintshelf-balancer`) and its actions come out: nothing is
+//! decided here. Everything runs on one thread in a `tokio::task::LocalSet`.
+//!
+//! - [`client`]: accepts clients' connections and hands their requests to a handler.
+//! - [`gateway`]: the handler of ordinary HTTP/1.1. The stages of a request are listed in
+//!   `gateway/forward.rs`: classify, admit, read, balance, respond.
+//! - [`platform`]: the handler of the platform's protocol.
+//! - [`cluster`]: the runtime of one cluster, around its instance of the decision module.
+//! - [`upstream`]: connections to servers and the exchanges on them.
+//! - [`sockets`]: WebSockets after their handshake.
+//! - [`discovery`]: where the endpoints come from.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+pub mod body;
 pub mod budget;
 pub mod client;
 pub mod clock;
@@ -12,6 +25,7 @@
 pub mod gateway;
 pub mod headers;
 pub mod platform;
+pub mod request_log;
 pub mod sockets;
 pub mod tcp;
 pub mod upstream;
--- /dev/null
+++ b/crates/proxy/src/platform/rejection.rs
@@ -0,0 +1,30 @@
+//! Requests that break the platform's protocol, and the responses to them.
+
+use bytes::Bytes;
+use hyper::StatusCode;
+use thiserror::Error;
+
+/// Why a request goes no further.
+#[derive(Debug, Clone, Copy, Error)]
+#[error("{status}: {detail}")]
+pub(crate) struct RejectedRequest {
+    pub(crate) status: StatusCode,
+    /// The body of the response.
+    detail: &'static str,
+}
+
+impl RejectedRequest {
+    pub(crate) fn new(status: StatusCode, detail: &'static str) -> Self {
+        RejectedRequest { status, detail }
+    }
+
+    /// A request that can't be understood.
+    pub(crate) fn bad_request(detail: &'static str) -> Self {
+        RejectedRequest::new(StatusCode::BAD_REQUEST, detail)
+    }
+
+    /// The body of the response.
+    pub(crate) fn body(&self) -> Bytes {
+        Bytes::from_static(self.detail.as_bytes())
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/platform/request_body.rs
@@ -0,0 +1,66 @@
+//! Reading the body of a platform request, which is always complete before it is sent on.
+
+use super::rejection::RejectedRequest;
+use crate::body::BufferedBody;
+use crate::headers::BODY_MAX;
+use crate::upstream::request_body::RequestBody;
+use bytes::BytesMut;
+use hyper::body::{Body, Incoming};
+use hyper::StatusCode;
+use mintshelf_balancer::api::Nanos;
+use std::future::poll_fn;
+use std::pin::Pin;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::sync::{OwnedSemaphorePermit, Semaphore};
+use tokio::time::timeout;
+
+/// How long a body waits for capacity among the bodies in memory. Its sender is held
+/// back meanwhile, and the client's time has not begun.
+const CAPACITY_WAIT: Duration = Duration::from_secs(1);
+
+/// A request's body, and its bytes in the budget of the process.
+pub(super) struct BudgetedBody {
+    pub(super) body: RequestBody,
+    pub(super) permit: Option<OwnedSemaphorePermit>,
+}
+
+/// Reads a body, as far as there is capacity for it while its client waits.
+///
+/// # Errors
+/// The rejection of a body that is too long, breaks off or finds no capacity.
+pub(super) async fn read_body(
+    budget: &Arc<Semaphore>,
+    body: &mut Incoming,
+    client_timeout: Nanos,
+) -> Result<BudgetedBody, RejectedRequest> {
+    if body.size_hint().lower() > BODY_MAX as u64 {
+        return Err(too_long());
+    }
+    let capacity_wait = CAPACITY_WAIT.min(Duration::from_nanos(client_timeout));
+    let mut buffered = BytesMut::new();
+    let mut permit: Option<OwnedSemaphorePermit> = None;
+    while let Some(frame) = poll_fn(|cx| Pin::new(&mut *body).poll_frame(cx)).await {
+        let frame = frame.map_err(|_| RejectedRequest::bad_request("body\n"))?;
+        let Ok(data) = frame.into_data() else { continue };
+        if buffered.len() + data.len() > BODY_MAX {
+            return Err(too_long());
+        }
+        let more = budget.clone().acquire_many_owned(data.len() as u32);
+        let Ok(Ok(more)) = timeout(capacity_wait, more).await else {
+            // Nothing has been sent for it: the client may try again.
+            return Err(RejectedRequest::new(StatusCode::SERVICE_UNAVAILABLE, "no room\n"));
+        };
+        match &mut permit {
+            Some(permit) => permit.merge(more),
+            None => permit = Some(more),
+        }
+        buffered.extend_from_slice(&data);
+    }
+    let body = RequestBody::Buffered(BufferedBody::new(buffered.freeze()));
+    Ok(BudgetedBody { body, permit })
+}
+
+fn too_long() -> RejectedRequest {
+    RejectedRequest::new(StatusCode::PAYLOAD_TOO_LARGE, "body is too long\n")
+}
--- a/crates/proxy/src/sockets/front.rs
+++ b/crates/proxy/src/sockets/front.rs
@@ -3,11 +3,12 @@
 use super::registry::{Seated, Sockets};
 use super::relay::Relay;
 use crate::client::connection::Upgrade;
-use crate::cluster::runtime::{RequestOutcome, UpstreamRequest};
-use crate::gateway::handler::{send, ClusterHandle, ClusterRequest, GatewayHandler};
+use crate::cluster::request::{RequestOutcome, UpstreamRequest};
+use crate::gateway::config::{ActiveConfig, ClusterHandle};
+use crate::gateway::dispatch::{dispatch, DispatchOptions, Dispatched};
 use crate::gateway::rejection::Rejection;
-use crate::upstream::exchange::{UpgradedConnection, UpstreamBody, UpstreamResponse};
 use crate::upstream::request_body::RequestBody;
+use crate::upstream::response::{UpgradedConnection, UpstreamBody, UpstreamResponse};
 use hyper::body::Incoming;
 use hyper::header::HeaderMap;
 use hyper::http::request::Parts;
@@ -64,7 +65,7 @@
             };
             let refusal = Rejection::new(status, code, bad.reason());
             if bad == HandshakeError::Version {
-                refusal.with_version()
+                refusal.with_websocket_version()
             } else {
                 refusal
             }
@@ -72,7 +73,7 @@
         if draining {
             let what = "the planned end has begun; no server was asked";
             let refusal = Rejection::new(StatusCode::SERVICE_UNAVAILABLE, "draining", what);
-            return Err(refusal.after(SECOND));
+            return Err(refusal.retry_after(SECOND));
         }
         let seated = sockets.seat(&sitter).map_err(|why| {
             let (code, what) = match why {
@@ -89,7 +90,7 @@
                     ("cluster-sockets", "the cluster has as many as it may")
                 }
             };
-            Rejection::new(StatusCode::SERVICE_UNAVAILABLE, code, what).after(SECOND)
+            Rejection::new(StatusCode::SERVICE_UNAVAILABLE, code, what).retry_after(SECOND)
         })?;
         let (sockets, set) = (sockets.clone(), set.clone());
         Ok(Opening { offer, seated, sitter, sockets, set })
@@ -108,28 +109,29 @@
     /// What becomes of the client's connection once its 101 is out.
     pub(crate) fn upgrade(
         self,
-        front: &Rc<GatewayHandler>,
+        config: &Rc<ActiveConfig>,
         pool: &ClusterHandle,
         class: u32,
         place: Place,
         server: Box<UpgradedConnection>,
     ) -> Upgrade {
         let Opening { offer, seated, sitter, sockets, set } = self;
-        let front = front.clone();
-        let driver = Rc::downgrade(&pool.driver);
-        let number = pool.driver.number();
+        let config = config.clone();
+        let driver = Rc::downgrade(&pool.runtime);
+        let number = pool.runtime.number();
         Upgrade(Box::new(move |client, rest| {
             let now = sockets.clock().now();
             let deflate = server.agreed.deflate();
             let session = Session::new(set.session.clone(), deflate, sockets.next_seed(), now);
-            let by = Rc::as_ptr(&front) as usize;
-            let listed = sockets.list(sitter.clone(), by, number, server.to.server);
-            let again = Rc::new(Again { front, place, offer, sockets: sockets.clone(), sitter });
+            let by = config.listener_id();
+            let listed = sockets.list(sitter.clone(), by, number, server.target.server);
+            let again = Rc::new(Again { config, place, offer, sockets: sockets.clone(), sitter });
             let reopen = move || {
                 let again = again.clone();
                 Box::pin(async move { again.open().await }) as std::pin::Pin<Box<_>>
             };
-            let advice = move || driver.upgrade().map_or(1, |d| d.advice(class) / SECOND).max(1);
+            let advice =
+                move || driver.upgrade().map_or(1, |d| d.retry_after(class) / SECOND).max(1);
             let relay = Relay { session, client, server, sockets, listed, seated };
             Box::pin(relay.run(rest, Box::new(reopen), Box::new(advice)))
         }))
@@ -146,7 +148,7 @@
 
 /// Opens a socket again.
 struct Again {
-    front: Rc<GatewayHandler>,
+    config: Rc<ActiveConfig>,
     place: Place,
     offer: Offer,
     sockets: Rc<Sockets>,
@@ -156,28 +158,33 @@
 impl Again {
     /// At another server of what is in force now, through the same limits and decisions.
     async fn open(&self) -> Option<(u32, UpgradedConnection)> {
-        let serving = self.front.serving();
+        let serving = self.config.current();
         let Place { cluster, policy, effect, head, agreed } = &self.place;
         let pool = serving.clusters.get(cluster)?;
         let class = pool.classes.get(policy)?;
         let mut head = head.clone();
         ask(&self.offer, &self.sockets, &mut head);
-        let asks = ClusterRequest {
+        let options = DispatchOptions {
             class: class.numbers[severity(*effect)]?,
             priority_weight: class.priority_weight,
-            repeat: true,
-            patience: class.deadline,
+            is_repeat: true,
+            client_timeout: class.deadline,
             tenant: Some(self.sitter.tenant.clone()),
         };
-        let request = Request::from_parts(head, RequestBody::default());
-        let message = UpstreamRequest { request, txn: None, _room: None, client: None };
-        let (reply, _through) = send(&serving, cluster, pool, asks, message).await.ok()?;
-        match reply? {
+        let request = UpstreamRequest {
+            request: Request::from_parts(head, RequestBody::default()),
+            transaction_id: None,
+            body_permit: None,
+            client: None,
+        };
+        let dispatched = dispatch(&serving, cluster, pool, options, request).await.ok()?;
+        let Dispatched { outcome, permit: _permit } = dispatched;
+        match outcome? {
             RequestOutcome::Served(answer) => match *answer {
-                UpstreamResponse { body: UpstreamBody::Socket(socket), .. }
+                UpstreamResponse { body: UpstreamBody::Upgraded(socket), .. }
                     if socket.agreed == *agreed =>
                 {
-                    Some((pool.driver.number(), *socket))
+                    Some((pool.runtime.number(), *socket))
                 }
                 _ => None,
             },
--- a/crates/proxy/src/sockets/relay.rs
+++ b/crates/proxy/src/sockets/relay.rs
@@ -1,8 +1,8 @@
 //! One socket's two connections: bytes into its session, bytes and closes out of it.
 
 use super::registry::{Listed, Order, Seated, Sockets};
-use crate::tcp::{close_gently, Stream};
-use crate::upstream::exchange::UpgradedConnection;
+use crate::tcp::{close_gently, SharedStream};
+use crate::upstream::response::UpgradedConnection;
 use bytes::Bytes;
 use mintshelf_balancer::api::Nanos;
 use mintshelf_websocket::frame::Peer;
@@ -25,7 +25,7 @@
     /// What it has come to.
     pub session: Session,
     /// The client's connection.
-    pub client: Stream,
+    pub client: SharedStream,
     /// The server's.
     pub server: Box<UpgradedConnection>,
     /// All sockets.
@@ -49,7 +49,7 @@
         let clock = self.sockets.clock();
         self.session.received(Peer::Client, &rest, clock.now());
         drop(rest);
-        let ahead = std::mem::take(&mut self.server.rest);
+        let ahead = std::mem::take(&mut self.server.read_ahead);
         self.session.received(Peer::Server, &ahead, clock.now());
         drop(ahead);
         let mut timer = Box::pin(sleep_until(clock.instant(self.session.next())));
@@ -69,11 +69,11 @@
                     Some((pool, server)) => {
                         let farewell = self.session.moved(clock.now());
                         let old = std::mem::replace(&mut self.server, Box::new(server));
-                        self.listed.entry.at(pool, self.server.to.server);
+                        self.listed.entry.at(pool, self.server.target.server);
                         self.listed.moved();
                         // An order to leave the one that it has left is carried out.
                         leave = leave.filter(|(_, order): &(_, LeaveRequest)| !order.moves);
-                        let ahead = std::mem::take(&mut self.server.rest);
+                        let ahead = std::mem::take(&mut self.server.read_ahead);
                         self.session.received(Peer::Server, &ahead, clock.now());
                         spawn_local(part(old, farewell));
                     }
@@ -148,7 +148,7 @@
         progress
     }
 
-    fn stream(&self, end: Peer) -> &Stream {
+    fn stream(&self, end: Peer) -> &SharedStream {
         match end {
             Peer::Client => &self.client,
             Peer::Server => &self.server.stream,
--- a/crates/proxy/src/tcp.rs
+++ b/crates/proxy/src/tcp.rs
@@ -27,25 +27,25 @@
 }
 
 /// A stream that the library uses while others look at it; never borrowed over a wait.
-pub type Stream = Rc<RefCell<TcpStream>>;
+pub type SharedStream = Rc<RefCell<TcpStream>>;
 
 /// The socket as the HTTP library sees it.
 #[derive(Debug)]
-pub struct Socket<W> {
-    stream: Stream,
+pub struct ObservedStream<W> {
+    stream: SharedStream,
     watcher: Rc<W>,
     /// Bytes that are to be read before the socket's own.
     prefix: Bytes,
 }
 
-impl<W> Socket<W> {
+impl<W> ObservedStream<W> {
     /// Wraps a stream; `prefix` is read first.
-    pub fn new(stream: Stream, watcher: Rc<W>, prefix: Bytes) -> Self {
-        Socket { stream, watcher, prefix }
+    pub fn new(stream: SharedStream, watcher: Rc<W>, prefix: Bytes) -> Self {
+        ObservedStream { stream, watcher, prefix }
     }
 }
 
-impl<W: TrafficObserver> AsyncRead for Socket<W> {
+impl<W: TrafficObserver> AsyncRead for ObservedStream<W> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -67,7 +67,7 @@
     }
 }
 
-impl<W: TrafficObserver> AsyncWrite for Socket<W> {
+impl<W: TrafficObserver> AsyncWrite for ObservedStream<W> {
     fn poll_write(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -100,7 +100,7 @@
 }
 
 /// Asks the kernel itself, since the reactor may not have heard yet.
-pub fn pending(stream: &Stream) -> Pending {
+pub fn pending(stream: &SharedStream) -> Pending {
     let mut byte = [MaybeUninit::uninit()];
     match SockRef::from(&*stream.borrow()).peek(&mut byte) {
         Ok(0) => Pending::End,
@@ -112,7 +112,7 @@
 
 /// Whether the other side has ended its sending or reset the connection, also where bytes that
 /// it sent before still wait to be read: a look at those alone would not show it.
-pub fn has_ended(stream: &Stream) -> bool {
+pub fn has_ended(stream: &SharedStream) -> bool {
     match pending(stream) {
         Pending::End => true,
         Pending::Nothing => false,
@@ -126,7 +126,7 @@
 }
 
 /// Whether the other side has reset the connection: it can't take an answer any more.
-pub fn is_reset(stream: &Stream) -> bool {
+pub fn is_reset(stream: &SharedStream) -> bool {
     let mut byte = [MaybeUninit::uninit()];
     let peeked = SockRef::from(&*stream.borrow()).peek(&mut byte);
     peeked.is_err_and(|error| error.kind() != io::ErrorKind::WouldBlock)
@@ -140,7 +140,7 @@
 /// Ends sending, then reads what still comes, for a while. Danger: a socket
 /// closed with bytes unread is reset, and the reset may destroy an answer that
 /// the peer has not read yet.
-pub async fn close_gently(stream: &Stream) {
+pub async fn close_gently(stream: &SharedStream) {
     if SockRef::from(&*stream.borrow()).shutdown(Shutdown::Write).is_err() {
         return;
     }
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -1,15 +1,15 @@
-//! One connection to a server: what passes on it, and one exchange at a time.
+//! One connection to a server, and one exchange at a time on it.
 
-use crate::tcp::{pending, Pending, Socket, Stream, TrafficObserver};
-use crate::upstream::request_body::RequestBody;
+use super::connection_limits::ConnectionPermit;
+use super::request_body::RequestBody;
+use super::write_progress::WriteProgress;
+use crate::tcp::{pending, ObservedStream, Pending, SharedStream};
 use bytes::{Bytes, BytesMut};
 use hyper::body::{Body, Incoming};
 use hyper::client::conn::http1::{Connection, SendRequest};
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
 use mintshelf_balancer::api::{Outcome, ServerId};
-use std::cell::{Cell, RefCell};
-use std::collections::HashMap;
 use std::future::{poll_fn, Future};
 use std::net::SocketAddr;
 use std::pin::{pin, Pin};
@@ -19,66 +19,13 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::{sleep_until, timeout, Instant};
 
-/// An answer that stops half-way for so long will not be whole. Servers write one
+/// A response that pauses half-way for this long will not be completed. Servers write one
 /// in one go, so this catches lengths that are too long, heads that don't end and
 /// servers cut off while they write; it would harm one that writes bit by bit.
-const ANSWER_STALL: Duration = Duration::from_millis(400);
+const RESPONSE_STALL: Duration = Duration::from_millis(400);
 
-/// Follows one exchange: what the kernel took of the request, when bytes came back.
-#[derive(Debug, Default)]
-pub(crate) struct WriteProgress {
-    body: Cell<u64>,
-    /// How much of the head's closing blank line has passed.
-    matched: Cell<usize>,
-    body_taken: Cell<u64>,
-    /// Something of it has been written.
-    begun: Cell<bool>,
-    /// When part of an answer last came, while the rest is awaited.
-    answering: Cell<Option<Instant>>,
-}
-
-impl WriteProgress {
-    fn expect(&self, body: u64) {
-        self.body.set(body);
-        self.matched.set(0);
-        self.body_taken.set(0);
-        self.begun.set(false);
-        self.answering.set(None);
-    }
-
-    /// Whether the last byte may have reached the server.
-    pub(crate) fn whole(&self) -> bool {
-        self.matched.get() == HEAD_END.len() && self.body_taken.get() >= self.body.get()
-    }
-}
-
-const HEAD_END: &[u8] = b"\r\n\r\n";
-
-impl TrafficObserver for WriteProgress {
-    fn read(&self, bytes: &[u8]) {
-        // What ends in a blank line may be an answer ahead of the answer.
-        let rest = !bytes.is_empty() && !bytes.ends_with(HEAD_END);
-        self.answering.set(rest.then(Instant::now));
-    }
-
-    fn wrote(&self, bytes: &[u8]) {
-        self.begun.set(true);
-        let mut matched = self.matched.get();
-        let mut rest = bytes.iter();
-        while matched < HEAD_END.len() {
-            let Some(byte) = rest.next() else { break };
-            matched = match *byte {
-                b if b == HEAD_END[matched] => matched + 1,
-                b'\r' => 1,
-                _ => 0,
-            };
-        }
-        self.matched.set(matched);
-        self.body_taken.set(self.body_taken.get() + rest.len() as u64);
-    }
-}
-
-pub(crate) type Driven = Connection<TokioIo<Socket<WriteProgress>>, RequestBody>;
+/// The HTTP library's half of a connection, which has to be polled for anything to pass.
+pub(crate) type ConnectionDriver = Connection<TokioIo<ObservedStream<WriteProgress>>, RequestBody>;
 
 /// A server and where it listens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -89,231 +36,191 @@
     pub address: SocketAddr,
 }
 
-/// What a connection counts in until this is dropped.
+/// Which server of which cluster an idle connection leads to.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
+pub(crate) struct PoolKey {
+    pub(crate) cluster: u32,
+    pub(crate) server: ServerId,
+}
+
+/// What a connection counts in until this is dropped: the process's descriptors and the
+/// cluster's limits.
 #[derive(Debug)]
-pub(crate) struct UpgradedPermits {
-    _permit: OwnedSemaphorePermit,
-    _counted: ConnectionPermit,
+#[must_use = "the connection counts for as long as this lives"]
+pub(crate) struct ConnectionGuards {
+    pub(crate) _descriptor: OwnedSemaphorePermit,
+    pub(crate) _connection: ConnectionPermit,
 }
 
 /// One connection. It is driven by whoever uses it, so that dropping it closes
 /// the socket then and there: no copy of a request outlives its attempt.
 pub(crate) struct UpstreamConnection {
-    pub(crate) send: SendRequest<RequestBody>,
-    pub(crate) driven: Option<Pin<Box<Driven>>>,
-    pub(crate) stream: Stream,
-    pub(crate) meter: Rc<WriteProgress>,
-    pub(crate) to: Target,
-    /// Its place among the idle ones.
-    pub(crate) key: (u32, ServerId),
-    pub(crate) rested: Instant,
-    pub(crate) idle_max: Duration,
-    pub(crate) _permit: OwnedSemaphorePermit,
-    pub(crate) _counted: ConnectionPermit,
+    pub(crate) sender: SendRequest<RequestBody>,
+    /// Absent once the library has ended the connection.
+    pub(crate) driver: Option<Pin<Box<ConnectionDriver>>>,
+    pub(crate) stream: SharedStream,
+    pub(crate) progress: Rc<WriteProgress>,
+    pub(crate) target: Target,
+    pub(crate) key: PoolKey,
+    pub(crate) idle_since: Instant,
+    pub(crate) idle_timeout: Duration,
+    pub(crate) guards: ConnectionGuards,
+}
+
+/// A connection that has left HTTP after a 101.
+pub(crate) struct UpgradedStream {
+    pub(crate) stream: SharedStream,
+    /// Bytes that were read behind the 101.
+    pub(crate) read_ahead: Bytes,
+    pub(crate) guards: ConnectionGuards,
 }
 
 impl UpstreamConnection {
-    /// Sends a request and waits for the head of its answer.
-    pub(crate) async fn ask(
+    /// Sends a request and waits for the head of its response; `may_run_early` where the server
+    /// may begin to work on it before its last byte.
+    ///
+    /// # Errors
+    /// How the attempt ended, if no head arrived.
+    pub(crate) async fn send(
         &mut self,
         request: Request<RequestBody>,
-        runs_early: bool,
+        may_run_early: bool,
     ) -> Result<Response<Incoming>, Outcome> {
-        let body = if runs_early { 0 } else { request.body().size_hint().lower() };
-        self.head(request, body, drive).await
+        let body_bytes = if may_run_early { 0 } else { request.body().size_hint().lower() };
+        self.send_with(request, body_bytes, drive).await
     }
 
-    /// The same for a body of so many bytes, with the library's work left to `work`.
-    async fn head(
+    /// Sends a request that is complete with `body_bytes` of its body; `poll_driver` polls the
+    /// HTTP library.
+    async fn send_with(
         &mut self,
         request: Request<RequestBody>,
-        body: u64,
-        mut work: impl FnMut(&mut Option<Pin<Box<Driven>>>, &mut Context<'_>),
+        body_bytes: u64,
+        mut poll_driver: impl FnMut(&mut Option<Pin<Box<ConnectionDriver>>>, &mut Context<'_>),
     ) -> Result<Response<Incoming>, Outcome> {
-        self.meter.expect(body);
-        let mut response = pin!(self.send.send_request(request));
-        let (driven, meter) = (&mut self.driven, &self.meter);
-        let answered = poll_fn(|cx| {
-            work(driven, cx);
+        self.progress.expect(body_bytes);
+        let mut response = pin!(self.sender.send_request(request));
+        let driver = &mut self.driver;
+        let progress = &self.progress;
+        let response_head = poll_fn(|cx| {
+            poll_driver(driver, cx);
             response.as_mut().poll(cx)
         });
         tokio::select! {
             biased;
-            answered = answered => answered.map_err(|error| broken(meter, &error)),
-            () = stalled(meter) => Err(Outcome::Error),
+            result = response_head => result.map_err(|error| outcome_of_error(progress, &error)),
+            () = response_stalled(progress) => Err(Outcome::Error),
         }
     }
 
-    /// Reads an answer's body; spoilt if it is longer than `most` or stops.
-    pub(crate) async fn body(&mut self, mut body: Incoming, most: usize) -> Result<Bytes, Outcome> {
-        if body.size_hint().lower() > most as u64 {
+    /// Reads the body of a response to its end.
+    ///
+    /// # Errors
+    /// How the attempt ended, if the body is longer than `max_bytes`, stalls or breaks off.
+    pub(crate) async fn read_body(
+        &mut self,
+        mut body: Incoming,
+        max_bytes: usize,
+    ) -> Result<Bytes, Outcome> {
+        if body.size_hint().lower() > max_bytes as u64 {
             return Err(Outcome::Error);
         }
-        let mut read = BytesMut::new();
-        let whole = async {
+        let mut received = BytesMut::new();
+        let read_to_end = async {
             loop {
                 let frame = poll_fn(|cx| {
-                    drive(&mut self.driven, cx);
+                    drive(&mut self.driver, cx);
                     Pin::new(&mut body).poll_frame(cx)
                 });
                 let Some(frame) = frame.await else { return Ok(()) };
-                let frame = frame.map_err(|error| broken(&self.meter, &error))?;
-                read.extend_from_slice(&frame.into_data().unwrap_or_default());
-                if read.len() > most {
+                let frame = frame.map_err(|error| outcome_of_error(&self.progress, &error))?;
+                received.extend_from_slice(&frame.into_data().unwrap_or_default());
+                if received.len() > max_bytes {
                     return Err(Outcome::Error);
                 }
             }
         };
-        timeout(ANSWER_STALL, whole).await.unwrap_or(Err(Outcome::Error))?;
-        Ok(read.freeze())
+        timeout(RESPONSE_STALL, read_to_end).await.unwrap_or(Err(Outcome::Error))?;
+        Ok(received.freeze())
     }
 
-    /// Sends a handshake and waits for the head of its answer. If that is a 101, the
-    /// connection is given up by [`UpstreamConnection::into_socket`]; else it goes on as after
-    /// [`UpstreamConnection::ask`].
-    pub(crate) async fn ask_upgrade(
+    /// Sends a handshake and waits for the head of its response. After a 101 the connection is
+    /// taken over by [`UpstreamConnection::into_upgraded`]; else it goes on as after
+    /// [`UpstreamConnection::send`].
+    ///
+    /// # Errors
+    /// How the attempt ended, if no head arrived.
+    pub(crate) async fn send_handshake(
         &mut self,
         request: Request<RequestBody>,
     ) -> Result<Response<Incoming>, Outcome> {
         // The library ends with the 101, and what it read behind that is still in it.
-        let mut ended = false;
-        let work = |driven: &mut Option<Pin<Box<Driven>>>, cx: &mut Context<'_>| {
-            if let Some(driven) = driven.as_mut().filter(|_| !ended) {
-                ended = driven.poll_without_shutdown(cx).is_ready();
+        let mut has_ended = false;
+        let poll_driver = |driver: &mut Option<Pin<Box<ConnectionDriver>>>,
+                           cx: &mut Context<'_>| {
+            if let Some(driver) = driver.as_mut().filter(|_| !has_ended) {
+                has_ended = driver.poll_without_shutdown(cx).is_ready();
             }
         };
-        let answered = self.head(request, 0, work).await?;
-        if ended && answered.status() != StatusCode::SWITCHING_PROTOCOLS {
-            self.driven = None;
+        let response = self.send_with(request, 0, poll_driver).await?;
+        if has_ended && response.status() != StatusCode::SWITCHING_PROTOCOLS {
+            self.driver = None;
         }
-        Ok(answered)
+        Ok(response)
     }
 
-    /// The bare connection, and what was read behind the 101.
-    pub(crate) async fn into_socket(self) -> Option<(Stream, Bytes, UpgradedPermits)> {
-        let mut driven = Pin::into_inner(self.driven?);
-        let over = poll_fn(|cx| driven.poll_without_shutdown(cx));
-        timeout(ANSWER_STALL, over).await.ok()?.ok()?;
-        let rest = driven.into_parts().read_buf;
-        Some((
-            self.stream,
-            rest,
-            UpgradedPermits { _permit: self._permit, _counted: self._counted },
-        ))
+    /// The connection without the HTTP library, once that has ended with a 101.
+    pub(crate) async fn into_upgraded(self) -> Option<UpgradedStream> {
+        let mut driver = Pin::into_inner(self.driver?);
+        let ended = poll_fn(|cx| driver.poll_without_shutdown(cx));
+        timeout(RESPONSE_STALL, ended).await.ok()?.ok()?;
+        let read_ahead = driver.into_parts().read_buf;
+        Some(UpgradedStream { stream: self.stream, read_ahead, guards: self.guards })
     }
 
     /// Whether the connection can carry another request at once.
-    pub(crate) fn settle(&mut self, cx: &mut Context<'_>) -> bool {
-        drive(&mut self.driven, cx);
-        self.driven.is_some()
-            && (self.meter.whole() || !self.meter.begun.get())
-            && matches!(self.send.poll_ready(cx), Poll::Ready(Ok(())))
+    pub(crate) fn is_reusable(&mut self, cx: &mut Context<'_>) -> bool {
+        drive(&mut self.driver, cx);
+        self.driver.is_some()
+            && (self.progress.is_complete() || !self.progress.is_begun())
+            && matches!(self.sender.poll_ready(cx), Poll::Ready(Ok(())))
     }
 
-    /// Lets the library work on the connection.
+    /// Lets the HTTP library work on the connection.
     pub(crate) fn drive(&mut self, cx: &mut Context<'_>) {
-        drive(&mut self.driven, cx);
+        drive(&mut self.driver, cx);
     }
 
-    /// Danger: an idle connection may have been closed, or reset, unheard.
-    pub(crate) fn alive(&self) -> bool {
-        let rested = self.rested.elapsed() < self.idle_max;
-        self.driven.is_some() && rested && pending(&self.stream) == Pending::Nothing
+    /// Whether an idle connection is still up, which the kernel is asked for: the reactor may not
+    /// have reported yet that its server closed or reset it.
+    pub(crate) fn is_alive(&self) -> bool {
+        let may_idle = self.idle_since.elapsed() < self.idle_timeout;
+        self.driver.is_some() && may_idle && pending(&self.stream) == Pending::Nothing
     }
 }
 
-pub(crate) fn drive(connection: &mut Option<Pin<Box<Driven>>>, cx: &mut Context<'_>) {
-    if let Some(driven) = connection {
-        if driven.as_mut().poll(cx).is_ready() {
-            *connection = None;
+fn drive(driver: &mut Option<Pin<Box<ConnectionDriver>>>, cx: &mut Context<'_>) {
+    if let Some(connection) = driver {
+        if connection.as_mut().poll(cx).is_ready() {
+            *driver = None;
         }
     }
 }
 
-/// Waits until an answer that has begun stops coming.
-async fn stalled(meter: &WriteProgress) {
+/// Waits until a response that has begun stalls.
+async fn response_stalled(progress: &WriteProgress) {
     loop {
-        let due = meter.answering.get().map(|at| at + ANSWER_STALL);
-        match due {
-            Some(due) if due <= Instant::now() => return,
-            _ => sleep_until(due.unwrap_or(Instant::now() + ANSWER_STALL)).await,
-        }
-    }
-}
-
-/// Connections of one cluster, all and by server, against what it may have.
-#[derive(Debug, Default)]
-pub(crate) struct Count {
-    most: ConnectionLimits,
-    all: Cell<[u32; 2]>,
-    by_server: RefCell<HashMap<ServerId, [u32; 2]>>,
-}
-
-/// Most connections that a cluster may have.
-#[derive(Debug, Clone, Copy, Default)]
-pub struct ConnectionLimits {
-    /// To all servers, and to each.
-    pub connections: [Option<u32>; 2],
-    /// Those of them that are sockets.
-    pub sockets: [Option<u32>; 2],
-}
-
-/// A connection that counts until this is dropped.
-#[derive(Debug)]
-pub(crate) struct ConnectionPermit {
-    count: Rc<Count>,
-    server: ServerId,
-    socket: bool,
-}
-
-impl Count {
-    /// None yet, and at most so many.
-    pub(crate) fn new(most: ConnectionLimits) -> Rc<Self> {
-        Rc::new(Count { most, ..Count::default() })
-    }
-
-    /// Whether all connections, or those of one server, are as many as they may be; `socket`:
-    /// whether one more socket would be too many.
-    pub(crate) fn is_full(&self, server: Option<ServerId>, socket: bool) -> bool {
-        let (at, [open, sockets]) = match server {
-            None => (0, self.all.get()),
-            Some(server) => (1, self.of(server)),
-        };
-        let over = |most: Option<u32>, open| most.is_some_and(|most| open >= most);
-        over(self.most.connections[at], open) || socket && over(self.most.sockets[at], sockets)
-    }
-
-    fn of(&self, server: ServerId) -> [u32; 2] {
-        self.by_server.borrow().get(&server).copied().unwrap_or_default()
-    }
-
-    pub(crate) fn one(self: &Rc<Self>, server: ServerId, socket: bool) -> ConnectionPermit {
-        let plus = |[open, sockets]: [u32; 2]| [open + 1, sockets + u32::from(socket)];
-        self.all.set(plus(self.all.get()));
-        let mut by_server = self.by_server.borrow_mut();
-        let of = by_server.entry(server).or_default();
-        *of = plus(*of);
-        ConnectionPermit { count: self.clone(), server, socket }
-    }
-}
-
-impl Drop for ConnectionPermit {
-    fn drop(&mut self) {
-        let minus = |[open, sockets]: [u32; 2]| {
-            [open.saturating_sub(1), sockets.saturating_sub(u32::from(self.socket))]
-        };
-        self.count.all.set(minus(self.count.all.get()));
-        let mut by_server = self.count.by_server.borrow_mut();
-        match by_server.get_mut(&self.server) {
-            Some(of) if of[0] > 1 => *of = minus(*of),
-            _ => drop(by_server.remove(&self.server)),
+        let deadline = progress.response_part_at().map(|at| at + RESPONSE_STALL);
+        match deadline {
+            Some(deadline) if deadline <= Instant::now() => return,
+            _ => sleep_until(deadline.unwrap_or(Instant::now() + RESPONSE_STALL)).await,
         }
     }
 }
 
-/// The outcome when an exchange breaks off.
-pub(crate) fn broken(meter: &WriteProgress, error: &hyper::Error) -> Outcome {
-    if !meter.whole() {
+/// How an attempt ended whose exchange broke off.
+pub(crate) fn outcome_of_error(progress: &WriteProgress, error: &hyper::Error) -> Outcome {
+    if !progress.is_complete() {
         Outcome::ConnectFailed
     } else if error.is_parse() {
         Outcome::Error
@@ -321,22 +228,3 @@
         Outcome::Reset
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn the_meter_knows_the_last_byte() {
-        let request = b"POST / HTTP/1.1\r\nA: b\r\r\n\r\nbo\r\n\r\ndy";
-        let body = b"bo\r\n\r\ndy".len() as u64;
-        for cut in 1..request.len() {
-            let meter = WriteProgress::default();
-            meter.expect(body);
-            meter.wrote(&request[..cut]);
-            assert!(!meter.whole(), "{cut}");
-            meter.wrote(&request[cut..]);
-            assert!(meter.whole(), "{cut}");
-        }
-    }
-}
--- /dev/null
+++ b/crates/proxy/src/upstream/connection_limits.rs
@@ -0,0 +1,127 @@
+//! How many connections a cluster may have, and how many it has.
+
+use mintshelf_balancer::api::ServerId;
+use std::cell::{Cell, RefCell};
+use std::collections::HashMap;
+use std::rc::Rc;
+
+/// Limits at two scopes; absent where there is none.
+#[derive(Debug, Clone, Copy, Default)]
+pub struct ScopeLimits {
+    /// To all endpoints of the cluster together.
+    pub cluster: Option<u32>,
+    /// To each endpoint.
+    pub endpoint: Option<u32>,
+}
+
+/// How many connections a cluster may have.
+#[derive(Debug, Clone, Copy, Default)]
+pub struct ConnectionLimits {
+    /// All connections.
+    pub connections: ScopeLimits,
+    /// Those of them that carry WebSockets.
+    pub sockets: ScopeLimits,
+}
+
+/// What a new connection is for.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) enum ConnectionUse {
+    /// Requests, one after the other.
+    Requests,
+    /// One WebSocket.
+    Socket,
+}
+
+/// Open connections at one scope.
+#[derive(Debug, Clone, Copy, Default)]
+struct OpenConnections {
+    connections: u32,
+    sockets: u32,
+}
+
+impl OpenConnections {
+    fn add(&mut self, usage: ConnectionUse) {
+        self.connections += 1;
+        self.sockets += u32::from(usage == ConnectionUse::Socket);
+    }
+
+    fn remove(&mut self, usage: ConnectionUse) {
+        self.connections = self.connections.saturating_sub(1);
+        let sockets = u32::from(usage == ConnectionUse::Socket);
+        self.sockets = self.sockets.saturating_sub(sockets);
+    }
+}
+
+/// Counts the connections of one cluster against its limits.
+#[derive(Debug, Default)]
+pub(crate) struct ConnectionCounter {
+    limits: ConnectionLimits,
+    cluster: Cell<OpenConnections>,
+    endpoints: RefCell<HashMap<ServerId, OpenConnections>>,
+}
+
+/// Counts as an open connection until dropped.
+#[derive(Debug)]
+#[must_use = "the connection counts for as long as this lives"]
+pub(crate) struct ConnectionPermit {
+    counter: Rc<ConnectionCounter>,
+    server: ServerId,
+    usage: ConnectionUse,
+}
+
+impl ConnectionCounter {
+    /// A cluster without connections.
+    pub(crate) fn new(limits: ConnectionLimits) -> Rc<Self> {
+        Rc::new(ConnectionCounter { limits, ..ConnectionCounter::default() })
+    }
+
+    /// Whether the cluster may not have one more connection for this use.
+    pub(crate) fn is_cluster_full(&self, usage: ConnectionUse) -> bool {
+        let limits = &self.limits;
+        is_full(self.cluster.get(), usage, limits.connections.cluster, limits.sockets.cluster)
+    }
+
+    /// Whether an endpoint may not have one more connection for this use.
+    pub(crate) fn is_endpoint_full(&self, server: ServerId, usage: ConnectionUse) -> bool {
+        let open = self.endpoints.borrow().get(&server).copied().unwrap_or_default();
+        let limits = &self.limits;
+        is_full(open, usage, limits.connections.endpoint, limits.sockets.endpoint)
+    }
+
+    /// Counts one more connection.
+    pub(crate) fn acquire(
+        self: &Rc<Self>,
+        server: ServerId,
+        usage: ConnectionUse,
+    ) -> ConnectionPermit {
+        let mut cluster = self.cluster.get();
+        cluster.add(usage);
+        self.cluster.set(cluster);
+        self.endpoints.borrow_mut().entry(server).or_default().add(usage);
+        ConnectionPermit { counter: self.clone(), server, usage }
+    }
+}
+
+fn is_full(
+    open: OpenConnections,
+    usage: ConnectionUse,
+    max_connections: Option<u32>,
+    max_sockets: Option<u32>,
+) -> bool {
+    let reached = |open: u32, max: Option<u32>| max.is_some_and(|max| open >= max);
+    reached(open.connections, max_connections)
+        || usage == ConnectionUse::Socket && reached(open.sockets, max_sockets)
+}
+
+impl Drop for ConnectionPermit {
+    fn drop(&mut self) {
+        let mut cluster = self.counter.cluster.get();
+        cluster.remove(self.usage);
+        self.counter.cluster.set(cluster);
+        let mut endpoints = self.counter.endpoints.borrow_mut();
+        match endpoints.get_mut(&self.server) {
+            Some(open) if open.connections > 1 => open.remove(self.usage),
+            _ => drop(endpoints.remove(&self.server)),
+        }
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/upstream/receive.rs
@@ -0,0 +1,203 @@
+//! Reading a server's response, as the protocol of its cluster has it.
+
+use super::connection::{outcome_of_error, UpstreamConnection};
+use super::pool::Upstream;
+use super::response::{
+    AttemptResult, UpgradedConnection, UpstreamBody, UpstreamProtocol, UpstreamResponse,
+};
+use super::response_stream::{Remainder, ResponseStream};
+use crate::headers::{text, BODY_MAX};
+use bytes::{Bytes, BytesMut};
+use hyper::body::{Body, Frame, Incoming};
+use hyper::header::{self, HeaderMap, HeaderName};
+use hyper::{Response, StatusCode};
+use mintshelf_balancer::api::Outcome;
+use mintshelf_websocket::handshake::HandshakeRequest;
+use std::collections::VecDeque;
+use std::future::poll_fn;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::{timeout_at, Instant};
+
+/// How long the remainder of a short response is awaited before it is passed on as it arrives.
+const SHORT_RESPONSE_WAIT: Duration = Duration::from_millis(100);
+/// Longest body of a load report, or of a platform response that is not 200, in bytes.
+pub(super) const SMALL_BODY_MAX: usize = 4 << 10;
+/// Header that marks a platform response whose request was never run.
+const TURNED_AWAY: &str = "x-turned-away";
+/// Header that carries a load report.
+const LOAD_REPORT: &str = "x-pressure";
+
+impl Upstream {
+    /// Reads a response of the platform's protocol: short and complete.
+    pub(super) async fn receive_platform(
+        &self,
+        mut connection: UpstreamConnection,
+        response: Response<Incoming>,
+    ) -> AttemptResult {
+        let (head, body) = response.into_parts();
+        let load_report = text(&head.headers, LOAD_REPORT).map(str::to_string);
+        let never_ran = text(&head.headers, TURNED_AWAY) == Some("1");
+        if !has_sure_end(&head.headers) {
+            return AttemptResult { outcome: Outcome::Error, load_report, response: None };
+        }
+        let outcome = match head.status.as_u16() {
+            200 => Outcome::Ok,
+            503 | 504 if never_ran => Outcome::Full,
+            400..=499 => Outcome::Rejected,
+            _ => Outcome::Error,
+        };
+        let max_bytes = if outcome == Outcome::Ok { BODY_MAX } else { SMALL_BODY_MAX };
+        match connection.read_body(body, max_bytes).await {
+            Ok(body) => {
+                self.release(connection);
+                let body = UpstreamBody::Complete(body);
+                let response =
+                    UpstreamResponse { status: head.status, headers: head.headers, body };
+                let response = (outcome == Outcome::Ok).then_some(response);
+                AttemptResult { outcome, load_report, response }
+            }
+            Err(body_outcome) if outcome == Outcome::Ok => {
+                AttemptResult { outcome: body_outcome, load_report, response: None }
+            }
+            // The head has said what became of the request.
+            Err(_) => AttemptResult { outcome, load_report, response: None },
+        }
+    }
+
+    /// Takes a 101 for the WebSocket that it begins, if it fits its handshake.
+    pub(super) async fn receive_upgrade(
+        &self,
+        connection: UpstreamConnection,
+        response: Response<Incoming>,
+        handshake: &HandshakeRequest,
+    ) -> AttemptResult {
+        let (head, _) = response.into_parts();
+        let target = connection.target;
+        let body = match (handshake.check(&head.headers), connection.into_upgraded().await) {
+            (Ok(agreed), Some(upgraded)) => UpstreamBody::Upgraded(Box::new(UpgradedConnection {
+                stream: upgraded.stream,
+                read_ahead: upgraded.read_ahead,
+                agreed,
+                target,
+                _guards: upgraded.guards,
+                load_guard: None,
+            })),
+            _ => UpstreamBody::InvalidUpgrade,
+        };
+        let response = UpstreamResponse { status: head.status, headers: head.headers, body };
+        AttemptResult { outcome: Outcome::Ok, load_report: None, response: Some(response) }
+    }
+
+    /// Reads the response of any HTTP/1.1 service: complete if it is short and arrives at once,
+    /// else as it arrives.
+    pub(super) async fn receive_plain(
+        self: &Rc<Self>,
+        mut connection: UpstreamConnection,
+        response: Response<Incoming>,
+    ) -> AttemptResult {
+        let UpstreamProtocol::Plain { failure_statuses, never_ran_header, stall_timeout } =
+            &self.protocol
+        else {
+            return Outcome::Error.into();
+        };
+        let (head, mut body) = response.into_parts();
+        if !is_readable(head.status, &head.headers) {
+            return Outcome::Error.into();
+        }
+        let never_ran = never_ran_header.as_ref().and_then(|name| head.headers.get(name));
+        let outcome = match head.status.as_u16() {
+            _ if never_ran.is_some_and(|value| value == "1") => Outcome::Full,
+            status if failure_statuses.contains(&status) => Outcome::Error,
+            400..=499 => Outcome::Rejected,
+            _ => Outcome::Ok,
+        };
+        let start = match read_start(&mut connection, &mut body).await {
+            Ok(start) => start,
+            Err(outcome) => return outcome.into(),
+        };
+        let remainder = if start.is_complete {
+            self.release(connection);
+            None
+        } else {
+            Some(Remainder { connection, body })
+        };
+        let body = if remainder.is_none() && start.frames.iter().all(Frame::is_data) {
+            UpstreamBody::Complete(join_frames(start.frames))
+        } else {
+            let upstream = self.clone();
+            let return_connection = Box::new(move |connection| upstream.release(connection));
+            let stream = ResponseStream::new(
+                start.frames,
+                remainder,
+                *stall_timeout,
+                outcome,
+                return_connection,
+            );
+            UpstreamBody::Stream(Box::new(stream))
+        };
+        let response = UpstreamResponse { status: head.status, headers: head.headers, body };
+        AttemptResult { outcome, load_report: None, response: Some(response) }
+    }
+}
+
+/// What has arrived of a body.
+struct BodyStart {
+    frames: VecDeque<Frame<Bytes>>,
+    is_complete: bool,
+}
+
+/// Reads a short body to its end, so that a break can still be retried elsewhere; of any other
+/// what is there at once.
+async fn read_start(
+    connection: &mut UpstreamConnection,
+    body: &mut Incoming,
+) -> Result<BodyStart, Outcome> {
+    let is_short = body.size_hint().exact().is_some_and(|size| size <= BODY_MAX as u64);
+    let wait = if is_short { SHORT_RESPONSE_WAIT } else { Duration::ZERO };
+    let deadline = Instant::now() + wait;
+    let mut start = BodyStart { frames: VecDeque::new(), is_complete: body.is_end_stream() };
+    let mut size_bytes = 0;
+    while !start.is_complete && size_bytes <= BODY_MAX {
+        let frame = poll_fn(|cx| {
+            connection.drive(cx);
+            Pin::new(&mut *body).poll_frame(cx)
+        });
+        match timeout_at(deadline, frame).await {
+            Err(_) => break,
+            Ok(None) => start.is_complete = true,
+            Ok(Some(Err(error))) => return Err(outcome_of_error(&connection.progress, &error)),
+            Ok(Some(Ok(frame))) => {
+                size_bytes += frame.data_ref().map_or(0, Bytes::len);
+                start.frames.push_back(frame);
+            }
+        }
+    }
+    Ok(start)
+}
+
+fn join_frames(mut frames: VecDeque<Frame<Bytes>>) -> Bytes {
+    let mut data = frames.drain(..).filter_map(|frame| frame.into_data().ok());
+    let Some(first) = data.next() else { return Bytes::new() };
+    let Some(second) = data.next() else { return first };
+    let mut joined = BytesMut::from(first);
+    joined.extend_from_slice(&second);
+    data.for_each(|part| joined.extend_from_slice(&part));
+    joined.freeze()
+}
+
+/// Whether a response can be read in one way only: nothing was asked for that would answer
+/// with another protocol, and with both framings two readers may take it for two responses
+/// (RFC 9112 6.3).
+fn is_readable(status: StatusCode, headers: &HeaderMap) -> bool {
+    let framings: [HeaderName; 2] = [header::TRANSFER_ENCODING, header::CONTENT_LENGTH];
+    let has_both_framings = framings.iter().all(|framing| headers.contains_key(framing));
+    status != StatusCode::SWITCHING_PROTOCOLS && !has_both_framings
+}
+
+/// Whether a response's end can be told from a break: it has exactly one framing. One that ends
+/// with its connection may be cut short, and one with both framings may be read in two ways.
+fn has_sure_end(headers: &HeaderMap) -> bool {
+    headers.contains_key(header::TRANSFER_ENCODING) != headers.contains_key(header::CONTENT_LENGTH)
+}
