--- a/crates/proxy/src/upstream/request_body.rs
+++ b/crates/proxy/src/upstream/request_body.rs
@@ -1,6 +1,6 @@
-//! The body of a request on its way to servers: held whole, or passed on as it comes.
+//! The body of a request on its way to servers: buffered, or streamed from its client.
 
-use crate::headers::BufferedBody;
+use crate::body::{FramePoll, MessageBody};
 use bytes::Bytes;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use std::cell::{Cell, RefCell};
@@ -11,144 +11,118 @@
 use std::time::Duration;
 use tokio::time::{sleep_until, Instant};
 
-/// A request's body; clones are for further attempts.
-#[derive(Clone)]
-pub enum RequestBody {
-    /// All of it is here and can be sent again.
-    Buffered(BufferedBody),
-    /// It is still coming.
-    Streamed(StreamedBody),
-}
-
-impl Default for RequestBody {
-    fn default() -> Self {
-        RequestBody::Buffered(BufferedBody::default())
-    }
-}
+/// A request's body; each attempt sends a clone of it.
+pub type RequestBody = MessageBody<StreamedBody>;
 
-/// A body that is passed on as its client sends it.
+/// A body that is passed on as its client sends it. Its clones, one for each attempt, share the
+/// client's stream: whichever attempt takes the first frame from it is the only one that can
+/// send the body from then on.
 #[derive(Clone)]
 pub struct StreamedBody {
-    /// What had come before the first attempt; every attempt can send it.
+    /// What had arrived before the first attempt; every attempt can send it.
     prefix: Option<Bytes>,
-    /// This attempt has taken bytes that can't be had again.
-    mine: bool,
-    shared: Rc<Shared>,
+    /// Whether this attempt has taken frames from the client's stream.
+    owns_stream: bool,
+    source: Rc<BodySource>,
 }
 
-struct Shared {
-    prefix: usize,
-    rest: RefCell<Incoming>,
-    /// Bytes have gone that can't be sent again.
-    begun: Cell<bool>,
-    finished: Cell<bool>,
-    /// When bytes last came.
-    progress: Cell<Instant>,
-    on_begin: RefCell<Option<Box<dyn FnOnce()>>>,
+/// The client's stream, shared by the attempts.
+struct BodySource {
+    prefix_bytes: usize,
+    stream: RefCell<Incoming>,
+    /// Whether frames were taken, which can't be sent again.
+    is_consumed: Cell<bool>,
+    is_finished: Cell<bool>,
+    last_progress: Cell<Instant>,
+    on_first_frame: RefCell<Option<Box<dyn FnOnce()>>>,
 }
 
 impl StreamedBody {
-    /// A body whose first bytes are here.
-    pub fn new(prefix: Bytes, rest: Incoming) -> Self {
-        let shared = Shared {
-            prefix: prefix.len(),
-            rest: RefCell::new(rest),
-            begun: Cell::new(false),
-            finished: Cell::new(false),
-            progress: Cell::new(Instant::now()),
-            on_begin: RefCell::default(),
+    /// A body of which `prefix` has arrived and `stream` is still to come.
+    pub fn new(prefix: Bytes, stream: Incoming) -> Self {
+        let source = BodySource {
+            prefix_bytes: prefix.len(),
+            stream: RefCell::new(stream),
+            is_consumed: Cell::new(false),
+            is_finished: Cell::new(false),
+            last_progress: Cell::new(Instant::now()),
+            on_first_frame: RefCell::default(),
         };
-        StreamedBody { prefix: Some(prefix), mine: false, shared: Rc::new(shared) }
+        StreamedBody { prefix: Some(prefix), owns_stream: false, source: Rc::new(source) }
     }
 
-    /// Whether bytes have gone that can't be sent again.
-    pub fn begun(&self) -> bool {
-        self.shared.begun.get()
+    /// Whether an attempt has taken frames from the client's stream: no other attempt can send
+    /// the body then.
+    pub fn is_consumed(&self) -> bool {
+        self.source.is_consumed.get()
     }
 
-    /// Calls this when the first such bytes go.
-    pub fn on_begin(&self, call: impl FnOnce() + 'static) {
-        if !self.begun() {
-            *self.shared.on_begin.borrow_mut() = Some(Box::new(call));
+    /// Calls `callback` when the first frame is taken from the client's stream, unless one was.
+    pub fn on_first_frame(&self, callback: impl FnOnce() + 'static) {
+        if !self.is_consumed() {
+            *self.source.on_first_frame.borrow_mut() = Some(Box::new(callback));
         }
     }
 
-    /// Waits until the client has stopped sending for `stall`, or has sent all and an answer
-    /// has been awaited for `patience` since.
-    pub async fn overdue(&self, stall: Duration, patience: Duration) {
+    /// Waits until the client has sent nothing for `stall`, or has sent all of its body and
+    /// waited for `response_timeout` since.
+    pub async fn overdue(&self, stall: Duration, response_timeout: Duration) {
         loop {
-            let wait = if self.shared.finished.get() { patience } else { stall };
-            let at = self.shared.progress.get() + wait;
-            if at <= Instant::now() {
+            let wait = if self.source.is_finished.get() { response_timeout } else { stall };
+            let deadline = self.source.last_progress.get() + wait;
+            if deadline <= Instant::now() {
                 return;
             }
-            sleep_until(at).await;
+            sleep_until(deadline).await;
         }
     }
 
-    fn poll_rest(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
-        if self.shared.begun.get() && !self.mine {
-            let gone = io::Error::other("the body has gone to another server");
-            return Poll::Ready(Some(Err(gone)));
+    fn poll_stream(&mut self, cx: &mut Context<'_>) -> FramePoll {
+        if self.source.is_consumed.get() && !self.owns_stream {
+            let error = io::Error::other("the body was sent to another server");
+            return Poll::Ready(Some(Err(error)));
         }
-        let polled = Pin::new(&mut *self.shared.rest.borrow_mut()).poll_frame(cx);
+        let polled = Pin::new(&mut *self.source.stream.borrow_mut()).poll_frame(cx);
         match &polled {
             Poll::Pending => {}
-            Poll::Ready(Some(Ok(_))) => {
-                self.mine = true;
-                self.shared.progress.set(Instant::now());
-                if !self.shared.begun.replace(true) {
-                    let call = self.shared.on_begin.borrow_mut().take();
-                    call.into_iter().for_each(|call| call());
-                }
-            }
+            Poll::Ready(Some(Ok(_))) => self.frame_taken(),
             Poll::Ready(Some(Err(_)) | None) => {
-                self.shared.progress.set(Instant::now());
-                self.shared.finished.set(true);
+                self.source.last_progress.set(Instant::now());
+                self.source.is_finished.set(true);
             }
         }
         polled.map_err(io::Error::other)
     }
+
+    fn frame_taken(&mut self) {
+        self.owns_stream = true;
+        self.source.last_progress.set(Instant::now());
+        if self.source.is_consumed.replace(true) {
+            return;
+        }
+        let callback = self.source.on_first_frame.borrow_mut().take();
+        if let Some(callback) = callback {
+            callback();
+        }
+    }
 }
 
-impl Body for RequestBody {
+impl Body for StreamedBody {
     type Data = Bytes;
     type Error = io::Error;
 
-    fn poll_frame(
-        mut self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
-        match &mut *self {
-            RequestBody::Buffered(held) => {
-                Pin::new(held).poll_frame(cx).map_err(|never| match never {})
-            }
-            RequestBody::Streamed(upload) => {
-                if let Some(prefix) = upload.prefix.take().filter(|p| !p.is_empty()) {
-                    return Poll::Ready(Some(Ok(Frame::data(prefix))));
-                }
-                upload.poll_rest(cx)
-            }
-        }
-    }
-
-    fn is_end_stream(&self) -> bool {
-        match self {
-            RequestBody::Buffered(held) => held.is_end_stream(),
-            RequestBody::Streamed(_) => false,
+    fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> FramePoll {
+        if let Some(prefix) = self.prefix.take().filter(|prefix| !prefix.is_empty()) {
+            return Poll::Ready(Some(Ok(Frame::data(prefix))));
         }
+        self.poll_stream(cx)
     }
 
     fn size_hint(&self) -> SizeHint {
-        match self {
-            RequestBody::Buffered(held) => held.size_hint(),
-            RequestBody::Streamed(upload) => {
-                let prefix = upload.prefix.as_ref().map_or(0, |_| upload.shared.prefix as u64);
-                match upload.shared.rest.borrow().size_hint().exact() {
-                    Some(rest) => SizeHint::with_exact(prefix + rest),
-                    None => SizeHint::default(),
-                }
-            }
+        let prefix_bytes = self.prefix.as_ref().map_or(0, |_| self.source.prefix_bytes as u64);
+        match self.source.stream.borrow().size_hint().exact() {
+            Some(stream_bytes) => SizeHint::with_exact(prefix_bytes + stream_bytes),
+            None => SizeHint::default(),
         }
     }
 }
--- a/crates/proxy/src/upstream/response_stream.rs
+++ b/crates/proxy/src/upstream/response_stream.rs
@@ -1,6 +1,7 @@
-//! The body of an answer, passed on as its server sends it.
+//! The body of a response, passed on as its server sends it.
 
-use crate::upstream::connection::UpstreamConnection;
+use super::connection::UpstreamConnection;
+use crate::body::FramePoll;
 use bytes::Bytes;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use mintshelf_balancer::api::Outcome;
@@ -13,83 +14,110 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant, Sleep};
 
-type OnEnd = Box<dyn FnOnce(Outcome)>;
-type GiveBack = Box<dyn FnOnce(UpstreamConnection)>;
+type EndCallback = Box<dyn FnOnce(Outcome)>;
+type ReturnConnection = Box<dyn FnOnce(UpstreamConnection)>;
 
-/// An answer that is still coming, with the connection that it comes on. Dropping it closes
+/// What is still to come of a response, and the connection that it comes on.
+pub(crate) struct Remainder {
+    pub(crate) connection: UpstreamConnection,
+    pub(crate) body: Incoming,
+}
+
+/// A response that is still coming, with the connection that it comes on. Dropping it closes
 /// that connection; memory is bounded by the buffers of the two connections.
 pub struct ResponseStream {
-    /// Takes the connection back when the answer has ended.
-    give_back: Option<GiveBack>,
-    /// Read before the answer was passed on.
+    /// Takes the connection back when the response has ended.
+    return_connection: Option<ReturnConnection>,
+    /// Read before the response was passed on.
     queued: VecDeque<Frame<Bytes>>,
     queued_bytes: u64,
-    /// Absent once all has come.
-    rest: Option<(UpstreamConnection, Incoming)>,
-    /// A server that sends nothing for so long, while it is asked, has stopped.
-    stall: Duration,
-    stalled: Pin<Box<Sleep>>,
-    waiting: bool,
-    /// How the attempt ends if all comes.
+    /// Absent once everything has arrived.
+    remainder: Option<Remainder>,
+    /// A server that is polled and sends nothing for this long has stalled.
+    stall_timeout: Duration,
+    stall_timer: Pin<Box<Sleep>>,
+    is_waiting: bool,
+    /// How the attempt ends if the response completes.
     outcome: Outcome,
-    on_end: Option<OnEnd>,
-    /// Given back when it is over.
-    kept: Option<Box<dyn Any>>,
+    on_end: Option<EndCallback>,
+    /// Dropped with the stream.
+    guard: Option<Box<dyn Any>>,
 }
 
 impl ResponseStream {
-    /// An answer of which a part is here already.
+    /// A response of which a part, `queued`, has arrived.
     pub(crate) fn new(
         queued: VecDeque<Frame<Bytes>>,
-        rest: Option<(UpstreamConnection, Incoming)>,
-        stall: Duration,
+        remainder: Option<Remainder>,
+        stall_timeout: Duration,
         outcome: Outcome,
-        give_back: GiveBack,
+        return_connection: ReturnConnection,
     ) -> Self {
-        let queued_bytes = queued.iter().filter_map(Frame::data_ref).map(|d| d.len() as u64).sum();
-        let stalled = Box::pin(sleep(stall));
-        let (waiting, on_end, kept) = (false, None, None);
+        let data = queued.iter().filter_map(Frame::data_ref);
+        let queued_bytes = data.map(|data| data.len() as u64).sum();
         ResponseStream {
-            give_back: Some(give_back),
+            return_connection: Some(return_connection),
             queued,
             queued_bytes,
-            rest,
-            stall,
-            stalled,
-            waiting,
+            remainder,
+            stall_timeout,
+            stall_timer: Box::pin(sleep(stall_timeout)),
+            is_waiting: false,
             outcome,
-            on_end,
-            kept,
+            on_end: None,
+            guard: None,
         }
     }
 
-    /// Keeps something until it is over.
-    pub fn keep(&mut self, kept: Box<dyn Any>) {
-        self.kept = Some(kept);
+    /// Holds `guard` for as long as the stream lives.
+    pub fn hold(&mut self, guard: Box<dyn Any>) {
+        self.guard = Some(guard);
     }
 
-    /// Calls this once, with how the attempt ended, when all has gone or it is dropped.
-    pub fn on_end(&mut self, call: impl FnOnce(Outcome) + 'static) {
-        self.on_end = Some(Box::new(call));
+    /// Calls `callback` once, with how the attempt ended, when everything has been read or the
+    /// stream is dropped.
+    pub fn on_end(&mut self, callback: impl FnOnce(Outcome) + 'static) {
+        self.on_end = Some(Box::new(callback));
     }
 
     fn end(&mut self, outcome: Outcome) {
-        if let Some(call) = self.on_end.take() {
-            call(outcome);
+        if let Some(callback) = self.on_end.take() {
+            callback(outcome);
         }
     }
 
-    fn broken(&mut self, outcome: Outcome, error: io::Error) -> io::Error {
-        self.rest = None;
+    fn fail(&mut self, outcome: Outcome, error: io::Error) -> io::Error {
+        self.remainder = None;
         self.end(outcome);
         error
     }
+
+    /// Ends a response that has arrived completely: its connection can be used again.
+    fn complete(&mut self) {
+        let return_connection = self.return_connection.take();
+        if let Some((remainder, callback)) = self.remainder.take().zip(return_connection) {
+            callback(remainder.connection);
+        }
+        self.end(self.outcome);
+    }
+
+    /// Waits for a server that has nothing at the moment, up to the stall timeout.
+    fn poll_stall(&mut self, cx: &mut Context<'_>) -> FramePoll {
+        if !std::mem::replace(&mut self.is_waiting, true) {
+            self.stall_timer.as_mut().reset(Instant::now() + self.stall_timeout);
+        }
+        if self.stall_timer.as_mut().poll(cx).is_pending() {
+            return Poll::Pending;
+        }
+        let error = io::Error::new(io::ErrorKind::TimedOut, "the server has stalled");
+        Poll::Ready(Some(Err(self.fail(Outcome::TimedOut, error))))
+    }
 }
 
 impl Drop for ResponseStream {
     fn drop(&mut self) {
-        let whole = self.rest.take().is_none();
-        self.end(if whole { self.outcome } else { Outcome::Cancelled });
+        let is_complete = self.remainder.take().is_none();
+        self.end(if is_complete { self.outcome } else { Outcome::Cancelled });
     }
 }
 
@@ -97,61 +125,45 @@
     type Data = Bytes;
     type Error = io::Error;
 
-    fn poll_frame(
-        mut self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
+    fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> FramePoll {
         let this = &mut *self;
         if let Some(frame) = this.queued.pop_front() {
             this.queued_bytes -= frame.data_ref().map_or(0, |data| data.len() as u64);
             return Poll::Ready(Some(Ok(frame)));
         }
-        let Some((link, incoming)) = &mut this.rest else {
+        let Some(remainder) = &mut this.remainder else {
             this.end(this.outcome);
             return Poll::Ready(None);
         };
-        link.drive(cx);
-        match Pin::new(incoming).poll_frame(cx) {
+        remainder.connection.drive(cx);
+        match Pin::new(&mut remainder.body).poll_frame(cx) {
             Poll::Ready(Some(Ok(frame))) => {
-                this.waiting = false;
+                this.is_waiting = false;
                 Poll::Ready(Some(Ok(frame)))
             }
             Poll::Ready(Some(Err(error))) => {
-                let error = this.broken(Outcome::Reset, io::Error::other(error));
-                Poll::Ready(Some(Err(error)))
+                Poll::Ready(Some(Err(this.fail(Outcome::Reset, io::Error::other(error)))))
             }
             Poll::Ready(None) => {
-                if let Some(((link, _), give_back)) = this.rest.take().zip(this.give_back.take()) {
-                    give_back(link);
-                }
-                this.end(this.outcome);
+                this.complete();
                 Poll::Ready(None)
             }
-            Poll::Pending => {
-                if !std::mem::replace(&mut this.waiting, true) {
-                    this.stalled.as_mut().reset(Instant::now() + this.stall);
-                }
-                if this.stalled.as_mut().poll(cx).is_pending() {
-                    return Poll::Pending;
-                }
-                let stopped = io::Error::new(io::ErrorKind::TimedOut, "the server has stopped");
-                Poll::Ready(Some(Err(this.broken(Outcome::TimedOut, stopped))))
-            }
+            Poll::Pending => this.poll_stall(cx),
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        self.queued.is_empty() && self.rest.is_none()
+        self.queued.is_empty() && self.remainder.is_none()
     }
 
     fn size_hint(&self) -> SizeHint {
-        let rest = match &self.rest {
-            Some((_, incoming)) => incoming.size_hint().exact(),
+        let remaining_bytes = match &self.remainder {
+            Some(remainder) => remainder.body.size_hint().exact(),
             None => Some(0),
         };
-        let trailers = self.queued.iter().any(Frame::is_trailers);
-        match rest.filter(|_| !trailers) {
-            Some(rest) => SizeHint::with_exact(self.queued_bytes + rest),
+        let has_trailers = self.queued.iter().any(Frame::is_trailers);
+        match remaining_bytes.filter(|_| !has_trailers) {
+            Some(remaining_bytes) => SizeHint::with_exact(self.queued_bytes + remaining_bytes),
             None => SizeHint::default(),
         }
     }
--- /dev/null
+++ b/crates/proxy/src/upstream/write_progress.rs
@@ -0,0 +1,73 @@
+//! How far a request has been written to its server, and whether its response has stalled.
+
+use crate::tcp::TrafficObserver;
+use std::cell::Cell;
+use tokio::time::Instant;
+
+/// The end of a message's head (RFC 9112 2.1).
+const HEAD_END: &[u8] = b"\r\n\r\n";
+
+/// Follows one exchange on a connection: what the kernel took of the request, and when bytes of
+/// a response arrived. A request of which the last byte was never written can't have run.
+#[derive(Debug, Default)]
+pub struct WriteProgress {
+    /// Bytes of the request's body that make it complete.
+    body_bytes: Cell<u64>,
+    body_bytes_written: Cell<u64>,
+    /// How much of [`HEAD_END`] has been written.
+    head_end_matched: Cell<usize>,
+    is_begun: Cell<bool>,
+    /// When part of a response last arrived, while the remainder is awaited.
+    response_part_at: Cell<Option<Instant>>,
+}
+
+impl WriteProgress {
+    /// Begins a request that is complete with its head and `body_bytes` of its body.
+    pub fn expect(&self, body_bytes: u64) {
+        self.body_bytes.set(body_bytes);
+        self.body_bytes_written.set(0);
+        self.head_end_matched.set(0);
+        self.is_begun.set(false);
+        self.response_part_at.set(None);
+    }
+
+    /// Whether the last byte may have reached the server.
+    pub fn is_complete(&self) -> bool {
+        self.head_end_matched.get() == HEAD_END.len()
+            && self.body_bytes_written.get() >= self.body_bytes.get()
+    }
+
+    /// Whether any byte of the request has been written.
+    pub(crate) fn is_begun(&self) -> bool {
+        self.is_begun.get()
+    }
+
+    /// When part of a response last arrived, while the remainder is awaited.
+    pub(crate) fn response_part_at(&self) -> Option<Instant> {
+        self.response_part_at.get()
+    }
+}
+
+impl TrafficObserver for WriteProgress {
+    fn read(&self, bytes: &[u8]) {
+        // Bytes that end in a blank line may be an interim response (RFC 9110 15.2).
+        let is_partial = !bytes.is_empty() && !bytes.ends_with(HEAD_END);
+        self.response_part_at.set(is_partial.then(Instant::now));
+    }
+
+    fn wrote(&self, bytes: &[u8]) {
+        self.is_begun.set(true);
+        let mut matched = self.head_end_matched.get();
+        let mut unread = bytes.iter();
+        while matched < HEAD_END.len() {
+            let Some(byte) = unread.next() else { break };
+            matched = match *byte {
+                byte if byte == HEAD_END[matched] => matched + 1,
+                b'\r' => 1,
+                _ => 0,
+            };
+        }
+        self.head_end_matched.set(matched);
+        self.body_bytes_written.set(self.body_bytes_written.get() + unread.len() as u64);
+    }
+}
--- /dev/null
+++ b/crates/proxy/tests/pending_response.rs
@@ -0,0 +1,66 @@
+//! A client's wait for its response, and the attempts that its task carries.
+
+use mintshelf_proxy::cluster::pending_response::{AttemptSet, PendingResponse};
+use mintshelf_proxy::upstream::attempt_control::AttemptControl;
+use std::cell::Cell;
+use std::future::Future;
+use std::rc::Rc;
+use tokio::task::{spawn_local, yield_now, LocalSet};
+
+fn run(test: impl Future<Output = ()>) {
+    let runtime = tokio::runtime::Builder::new_current_thread().build().unwrap();
+    LocalSet::new().block_on(&runtime, test);
+}
+
+#[test]
+fn an_attempt_that_ends_starts_the_next_and_that_one_answers() {
+    run(async {
+        let pending = Rc::new(PendingResponse::default());
+        let first = pending.clone();
+        pending.start(Box::pin(async move {
+            yield_now().await;
+            let second = first.clone();
+            first.start(Box::pin(async move {
+                yield_now().await;
+                second.resolve(7);
+            }));
+        }));
+        assert_eq!(AttemptSet::new(pending).response().await, 7);
+    });
+}
+
+#[test]
+fn an_attempt_begun_from_elsewhere_wakes_the_client() {
+    run(async {
+        let pending = Rc::new(PendingResponse::default());
+        let (starter, answerer) = (pending.clone(), pending.clone());
+        spawn_local(async move {
+            yield_now().await;
+            starter.start(Box::pin(async move { answerer.resolve("here") }));
+        });
+        assert_eq!(AttemptSet::new(pending).response().await, "here");
+    });
+}
+
+#[test]
+fn attempts_go_on_when_the_client_leaves_and_hear_that_they_are_to_stop() {
+    run(async {
+        let pending: Rc<PendingResponse<()>> = Rc::default();
+        let (cancel, ended) = (Rc::new(AttemptControl::default()), Rc::new(Cell::new(0)));
+        for _ in 0..2 {
+            let (cancel, ended) = (cancel.clone(), ended.clone());
+            pending.start(Box::pin(async move {
+                if ended.get() == 0 {
+                    cancel.cancelled().await;
+                }
+                ended.set(ended.get() + 1);
+            }));
+        }
+        let mut attempts = AttemptSet::new(pending);
+        attempts.detach();
+        cancel.cancel();
+        while ended.get() < 2 {
+            yield_now().await;
+        }
+    });
+}
--- /dev/null
+++ b/crates/proxy/tests/socket_load.rs
@@ -0,0 +1,33 @@
+//! What open WebSockets count for beside requests.
+
+use mintshelf_proxy::cluster::socket_load::SocketLoad;
+use std::cell::Cell;
+use std::rc::Rc;
+
+#[test]
+fn so_many_stay_in_flight_as_the_open_ones_weigh() {
+    let runtime = tokio::runtime::Builder::new_current_thread().build().unwrap();
+    tokio::task::LocalSet::new().block_on(&runtime, async {
+        let load = SocketLoad::new(0.25);
+        let in_flight = Rc::new(Cell::new(0));
+        let open = |server| {
+            in_flight.set(in_flight.get() + 1);
+            let count = in_flight.clone();
+            let guard = load.open(server, Box::new(move || count.set(count.get() - 1)));
+            load.report_due();
+            guard
+        };
+        let mut all: Vec<_> = (0..9).map(|_| open(1)).collect();
+        assert_eq!(in_flight.get(), 2);
+        all.push(open(2));
+        assert_eq!(in_flight.get(), 2, "one alone weighs less than a request");
+        // Whichever ends: what is left weighs what it weighs.
+        all.drain(0..3);
+        tokio::task::yield_now().await;
+        assert_eq!(in_flight.get(), 1);
+        drop(all);
+        tokio::task::yield_now().await;
+        assert_eq!(in_flight.get(), 0);
+        assert!(load.is_empty());
+    });
+}
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -366,7 +366,7 @@
             }
         });
         let daemon = Daemon { at, child, file, errors };
-        wait_until("the daemon listens", || daemon.said().contains("listens on"));
+        wait_until("the daemon listens", || daemon.said().contains("listening"));
         daemon
     }
 
@@ -378,7 +378,8 @@
     /// Replaces the file, sends SIGHUP and waits until it says what came of it.
     pub fn reload(&self, text: &str) {
         let told = |said: &str| {
-            said.matches("the file is in force").count() + said.matches("is refused").count()
+            said.matches("configuration applied").count()
+                + said.matches("configuration rejected").count()
         };
         let before = told(&self.said());
         std::fs::write(&self.file, text).unwrap();
