--- a/crates/mintshelf/src/daemon.rs
+++ b/crates/mintshelf/src/daemon.rs
@@ -18,10 +18,10 @@
 use mintshelf_proxy::gateway::config::{ClusterHandle, ListenerAdmission, ServingConfig};
 use mintshelf_proxy::gateway::handler::GatewayHandler;
 use mintshelf_proxy::gateway::stats::ProxyStats;
-use mintshelf_proxy::sockets::registry::Sockets;
 use mintshelf_proxy::upstream::connection_limits::{ConnectionLimits, ScopeLimits};
 use mintshelf_proxy::upstream::pool::ConnectionPool;
 use mintshelf_proxy::upstream::response::UpstreamProtocol;
+use mintshelf_proxy::websocket::registry::SocketRegistry;
 use mintshelf_recovery::Phase;
 use mintshelf_routing::Table;
 use std::cell::{Cell, RefCell};
@@ -78,7 +78,7 @@
     /// The planned end has begun.
     ending: CancellationToken,
     /// All open WebSockets.
-    pub sockets: Rc<Sockets>,
+    pub sockets: Rc<SocketRegistry>,
     /// All clients' connections.
     pub clients: Rc<Clients>,
     /// What was done.
@@ -115,7 +115,7 @@
                 by_progress: true,
                 half_close: !file.limits.abort_on_close,
             },
-            sockets: Sockets::new(queues, RandomState::new().build_hasher().finish()),
+            sockets: SocketRegistry::new(queues, RandomState::new().build_hasher().finish()),
             fixed: (file.limits.clone(), file.admin, file.fleet.clone()),
             ending: CancellationToken::new(),
             clients: Rc::default(),
@@ -180,7 +180,7 @@
             if let Some(listening) = state.listeners.remove(&address) {
                 listening.draining.cancel();
                 let listener = listening.front.listener_id();
-                self.sockets.end(Some(listener), self.socket_drain());
+                self.sockets.drain(Some(listener), self.socket_drain());
                 spawn_local(async move {
                     sleep(LINGER).await;
                     listening.accepting.abort();
@@ -189,7 +189,7 @@
         }
         let set = admission(&file);
         self.gates.configure(&set);
-        self.sockets.set(SlotConfig { most: self.fixed.0.websockets, ..seats(&file) });
+        self.sockets.configure(SlotConfig { most: self.fixed.0.websockets, ..seats(&file) });
         let tenants = tenants(&file).map(Rc::new);
         for (listener, routes, table) in tables {
             let admission = (!set.is_empty()).then(|| ListenerAdmission {
@@ -255,7 +255,11 @@
                         running.pool.runtime.set_endpoints(module.servers.clone());
                         let servers = module.servers.iter().map(|(server, _)| server.id).collect();
                         let number = running.pool.runtime.number();
-                        self.sockets.keep(number, &servers, "its server leaves the cluster");
+                        self.sockets.retain_servers(
+                            number,
+                            &servers,
+                            "its server leaves the cluster",
+                        );
                         running.module = module;
                     }
                     running
@@ -289,10 +293,10 @@
         };
         let driver = ClusterRuntime::start(spec, self.connections.clone());
         driver.set_endpoints(module.servers.clone());
-        self.sockets.spread(driver.number(), module.socket_spread);
+        self.sockets.set_migration_window(driver.number(), module.socket_spread);
         let (sockets, number) = (self.sockets.clone(), driver.number());
         driver.on_suspicion(move |server| {
-            sockets.doubt(number, server);
+            sockets.probe_server(number, server);
         });
         let pool =
             Rc::new(ClusterHandle { runtime: driver.clone(), classes: module.classes.clone() });
@@ -304,13 +308,13 @@
     /// go on at what took its place, where they may, or are closed.
     fn retire(&self, running: Running) {
         let (sockets, number) = (self.sockets.clone(), running.pool.runtime.number());
-        sockets.keep(number, &HashSet::new(), "its cluster has changed");
+        sockets.retain_servers(number, &HashSet::new(), "its cluster has changed");
         spawn_local(async move {
             // Those that still hold the snapshot may yet begin one: their count tells.
             while !running.pool.runtime.is_idle() || Rc::strong_count(&running.pool) > 1 {
                 sleep(LOOK).await;
             }
-            sockets.forget(number);
+            sockets.remove_cluster(number);
             running.run.abort();
         });
     }
@@ -357,11 +361,11 @@
             let RuntimeUsage { requests: open, timers } = running.pool.runtime.usage();
             let recovery = running.pool.runtime.recovery_status();
             let told = recovery.map_or(0, |recovery| recovery.expected_clients);
-            let phase = recovery.map_or(Phase::Calm, |recovery| recovery.phase);
+            let phase = recovery.map_or(Phase::Normal, |recovery| recovery.phase);
             let phase = match phase {
-                Phase::Calm => 0,
-                Phase::Out => 1,
-                Phase::Return => 2,
+                Phase::Normal => 0,
+                Phase::Outage => 1,
+                Phase::Recovering => 2,
             };
             (name.clone(), [open, timers, running.module.servers.len(), phase, told as usize])
         };
@@ -418,10 +422,10 @@
         self.ending.cancel();
         let listeners = std::mem::take(&mut self.state.borrow_mut().listeners);
         listeners.values().for_each(|listening| listening.draining.cancel());
-        self.sockets.end(None, self.socket_drain());
+        self.sockets.drain(None, self.socket_drain());
         sleep(LINGER).await;
         // Those whose handshake was under way.
-        self.sockets.end(None, self.socket_drain());
+        self.sockets.drain(None, self.socket_drain());
         listeners.values().for_each(|listening| listening.accepting.abort());
         let busy = || self.state.borrow().pools.values().any(|r| !r.pool.runtime.is_idle());
         let over = async {
--- a/crates/proxy/src/client/listener.rs
+++ b/crates/proxy/src/client/listener.rs
@@ -3,7 +3,7 @@
 use crate::budget::ResourceBudget;
 use crate::client::connection::{Client, ClientTimeouts, Clients, Phase, Upgrade};
 use crate::client::handler::{ClientRequest, RequestHandler, TrackedBody};
-use crate::tcp::{close_gently, is_reset, pending, ObservedStream, Pending, SharedStream};
+use crate::tcp::{close_gracefully, is_reset, pending, ObservedStream, Pending, SharedStream};
 use bytes::Bytes;
 use hyper::header::{self, HeaderValue};
 use hyper::server::conn::http1;
@@ -136,7 +136,7 @@
                     client.enter(Phase::Closing);
                     tokio::select! {
                         biased;
-                        () = close_gently(&stream) => {}
+                        () = close_gracefully(&stream) => {}
                         () = self.in_the_way(&client) => {}
                     }
                     break;
--- a/crates/proxy/src/cluster/endpoint_source.rs
+++ b/crates/proxy/src/cluster/endpoint_source.rs
@@ -1,6 +1,6 @@
 //! Where a cluster's endpoints come from: discovery, or lists that others set.
 
-use crate::discovery::list::Fleet;
+use crate::discovery::reader::EndpointListReader;
 use crate::discovery::Discovery;
 use crate::endpoints::{EndpointListObserver, Endpoints};
 use crate::upstream::connection::Target;
@@ -23,7 +23,7 @@
     /// Endpoints from the discovery service at `address`, if there is one.
     pub(crate) fn new(names: Names, address: Option<SocketAddr>) -> Self {
         let endpoints = Endpoints::default();
-        let reader = Fleet::new(names, endpoints.clone());
+        let reader = EndpointListReader::new(names, endpoints.clone());
         let discovery = address.map(|address| Rc::new(Discovery::new(reader, address)));
         EndpointSource { endpoints, discovery, watch: RefCell::default() }
     }
@@ -41,9 +41,9 @@
         O: EndpointListObserver + Clone,
     {
         let Some(discovery) = &self.discovery else { return };
-        discovery.cached(cached_list, observer);
+        discovery.load_cached_list(cached_list, observer);
         if !must_poll {
-            spawn_local(discovery.clone().follow(observer.clone()));
+            spawn_local(discovery.clone().follow_agent(observer.clone()));
         }
     }
 
@@ -68,6 +68,6 @@
     /// Uses another address of the discovery service; whether it is another. Calls in progress go
     /// on until new ones are started, so that no event is missed in between.
     pub(crate) fn set_address(&self, address: SocketAddr) -> bool {
-        self.discovery.as_ref().is_some_and(|discovery| discovery.move_to(address))
+        self.discovery.as_ref().is_some_and(|discovery| discovery.set_address(address))
     }
 }
--- a/crates/proxy/src/cluster/recovery.rs
+++ b/crates/proxy/src/cluster/recovery.rs
@@ -3,7 +3,7 @@
 
 use super::request::RequestOutcome;
 use mintshelf_balancer::api::{Class, Nanos, Outcome};
-use mintshelf_recovery::{End, Phase, Recovery, WINDOW_PART};
+use mintshelf_recovery::{OutageSignal, Phase, Recovery, DEDUP_WINDOW_DIVISOR};
 use std::cell::RefCell;
 
 const SECOND: Nanos = 1_000_000_000;
@@ -30,21 +30,21 @@
 
     /// Whether a request may go to the cluster now.
     pub(crate) fn admit(&self, now: Nanos) -> bool {
-        self.0.borrow_mut().pace.admit(now)
+        self.0.borrow_mut().ramp.admit(now)
     }
 
     pub(crate) fn status(&self) -> RecoveryStatus {
         let recovery = self.0.borrow();
         RecoveryStatus {
-            phase: recovery.pace.phase(),
-            expected_clients: recovery.calendar.expected(),
+            phase: recovery.ramp.phase(),
+            expected_clients: recovery.retry_after.expected_clients(),
         }
     }
 
     /// Records how an attempt ended.
     pub(crate) fn attempt_ended(&self, now: Nanos, outcome: Outcome, is_in_time: bool) {
-        if let Some(end) = End::of(outcome, is_in_time) {
-            self.0.borrow_mut().pace.ended(now, end);
+        if let Some(signal) = OutageSignal::from_outcome(outcome, is_in_time) {
+            self.0.borrow_mut().ramp.record(now, signal);
         }
     }
 
@@ -61,7 +61,7 @@
                 None => RequestOutcome::Failed { timed_out: false },
             },
             RequestOutcome::Served(response) if !response.status.is_server_error() => {
-                self.0.borrow_mut().calendar.served(now);
+                self.0.borrow_mut().retry_after.record_served(now);
                 RequestOutcome::Served(response)
             }
             outcome => outcome,
@@ -81,8 +81,8 @@
         if let Some((window_ns, ran_at)) = window.zip(ran_at) {
             let remaining = ran_at.saturating_add(window_ns).saturating_sub(now);
             let max = remaining.checked_sub(RETRY_AFTER_MARGIN).filter(|max| *max >= SECOND)?;
-            window = Some(window_ns.min(max.saturating_mul(WINDOW_PART)));
+            window = Some(window_ns.min(max.saturating_mul(DEDUP_WINDOW_DIVISOR)));
         }
-        Some(self.0.borrow_mut().calendar.advise(now, window) * SECOND)
+        Some(self.0.borrow_mut().retry_after.advise_seconds(now, window) * SECOND)
     }
 }
--- a/crates/proxy/src/cluster/runtime.rs
+++ b/crates/proxy/src/cluster/runtime.rs
@@ -110,7 +110,7 @@
                 timeout: connect_timeout,
             },
             report_fields: (settings.report_mode == ReportMode::Answers).then_some(report_fields),
-            peers: spec.peers.filter(|_| settings.peers),
+            peers: spec.peers.filter(|_| settings.has_peers),
             recovery,
             observer: AttemptObserver::new(spec.name, clock),
             classes: settings.classes,
@@ -140,7 +140,7 @@
     /// the module starts new ones, so that no event is missed in between.
     pub fn set_discovery_address(self: &Rc<Self>, address: SocketAddr) {
         if self.source.set_address(address) {
-            self.post(Event::DiscoveryMoved);
+            self.post(Event::DiscoveryAddressChanged);
         }
     }
 
--- a/crates/proxy/src/cluster/serve.rs
+++ b/crates/proxy/src/cluster/serve.rs
@@ -71,7 +71,7 @@
             key: metadata.key,
             cost_hint: metadata.cost_hint,
             repeat: metadata.is_repeat,
-            patience: metadata.client_timeout,
+            client_timeout: metadata.client_timeout,
         });
         self.turn(&mut state);
         Some(id)
--- a/crates/proxy/src/cluster/socket_load.rs
+++ b/crates/proxy/src/cluster/socket_load.rs
@@ -1,4 +1,4 @@
-//! What open WebSockets count for where the decision module compares requests in flight.
+//! What open WebSocket connections count for where the decision module compares requests in flight.
 //!
 //! The module counts each request as one. An idle socket is less than a request in progress, and
 //! many of them are not nothing either. So of the handshakes at one server only as many stay in
--- a/crates/proxy/src/gateway/forward.rs
+++ b/crates/proxy/src/gateway/forward.rs
@@ -13,8 +13,9 @@
 use crate::client::handler::ResponseBody;
 use crate::cluster::request::UpstreamRequest;
 use crate::headers::strip_for_next_hop;
-use crate::sockets::front::{Opening, Place};
 use crate::upstream::response::{UpgradedConnection, UpstreamBody, UpstreamResponse};
+use crate::websocket::reconnect::ReconnectTarget;
+use crate::websocket::upgrade::PendingUpgrade;
 use bytes::Bytes;
 use hyper::body::{Body, Incoming};
 use hyper::header::{self, HeaderMap, HeaderValue};
@@ -41,8 +42,8 @@
 }
 
 /// A handshake that waits for its server.
-struct PendingUpgrade {
-    opening: Opening,
+struct SentHandshake {
+    upgrade: PendingUpgrade,
     /// The handshake as it goes to servers.
     head: Parts,
 }
@@ -57,28 +58,28 @@
     ) -> Result<Response<ResponseBody>, Rejection> {
         let class = context.classify(&request)?;
         let tenant_permit = context.admit(&request)?;
-        let opening = self.open_socket(&context, &class, tenant_permit.as_ref(), &request)?;
-        let (head, body) = self.rewrite(&context, opening.as_ref(), request)?;
+        let upgrade = self.accept_handshake(&context, &class, tenant_permit.as_ref(), &request)?;
+        let (head, body) = self.rewrite(&context, upgrade.as_ref(), request)?;
         let body_permit = context.reserve_body(tenant_permit.as_ref(), &body)?;
         let body = read_body(&self.body_budget, context.client, body).await?;
         context.client.enter(Phase::Busy);
-        let upgrade = opening.map(|opening| PendingUpgrade { opening, head: head.clone() });
+        let handshake = upgrade.map(|upgrade| SentHandshake { upgrade, head: head.clone() });
         let tenant = tenant_permit.as_ref().map(|permit| permit.tenant.clone());
         let dispatched = context.balance(&class, tenant, head, body).await?;
         drop(body_permit);
-        self.respond_with(&context, &class, dispatched, tenant_permit, upgrade)
+        self.respond_with(&context, &class, dispatched, tenant_permit, handshake)
     }
 
-    /// Reserves a slot for a handshake, where the route takes WebSockets.
-    fn open_socket(
+    /// Reserves a slot for a handshake, where the route takes WebSocket connections.
+    fn accept_handshake(
         &self,
         context: &ForwardContext<'_>,
         class: &ClusterClass<'_>,
         tenant_permit: Option<&TenantPermit>,
         request: &Request<Incoming>,
-    ) -> Result<Option<Opening>, Rejection> {
+    ) -> Result<Option<PendingUpgrade>, Rejection> {
         let Some(settings) = &context.forward.websocket else { return Ok(None) };
-        if !handshake::asks(request.headers()) {
+        if !handshake::is_upgrade_request(request.headers()) {
             return Ok(None);
         }
         let tenant = tenant_permit.map_or(OTHER_TENANTS.into(), |permit| permit.tenant.clone());
@@ -87,15 +88,15 @@
             route: context.route.name.as_str().into(),
             cluster: class.cluster_name.into(),
         };
-        let opening = Opening::begin(&self.sockets, settings, request, owner, context.is_draining)?;
-        Ok(Some(opening))
+        let is_draining = context.is_draining;
+        PendingUpgrade::accept(&self.sockets, settings, request, owner, is_draining).map(Some)
     }
 
     /// The request's head as it goes to servers, and its body as it comes from the client.
     fn rewrite(
         &self,
         context: &ForwardContext<'_>,
-        opening: Option<&Opening>,
+        upgrade: Option<&PendingUpgrade>,
         request: Request<Incoming>,
     ) -> Result<(Parts, Incoming), Rejection> {
         let RequestTarget { host, path_and_query } = &context.target;
@@ -114,8 +115,8 @@
             let host = host.map_err(|_| invalid_target("the host is no host"))?;
             head.headers.insert(header::HOST, host);
         }
-        if let Some(opening) = opening {
-            opening.ask(&mut head);
+        if let Some(upgrade) = upgrade {
+            upgrade.prepare_request(&mut head);
         }
         Ok((head, body))
     }
@@ -146,7 +147,7 @@
         class: &ClusterClass<'_>,
         dispatched: Dispatched,
         tenant_permit: Option<TenantPermit>,
-        upgrade: Option<PendingUpgrade>,
+        handshake: Option<SentHandshake>,
     ) -> Result<Response<ResponseBody>, Rejection> {
         let permits = tenant_permit
             .map(|tenant| RequestPermits { _cluster: dispatched.permit, _tenant: tenant });
@@ -155,7 +156,7 @@
             UpstreamBody::Upgraded(connection) => {
                 let body = UpstreamBody::Complete(Bytes::new());
                 let response = UpstreamResponse { status, headers, body };
-                self.upgrade(context, class, response, connection, upgrade)
+                self.upgrade(context, class, response, connection, handshake)
             }
             mut body => {
                 if let (UpstreamBody::Stream(stream), Some(permits)) = (&mut body, permits) {
@@ -174,22 +175,23 @@
         class: &ClusterClass<'_>,
         response: UpstreamResponse,
         connection: Box<UpgradedConnection>,
-        upgrade: Option<PendingUpgrade>,
+        handshake: Option<SentHandshake>,
     ) -> Result<Response<ResponseBody>, Rejection> {
-        let Some(PendingUpgrade { opening, head }) = upgrade else {
+        let Some(SentHandshake { upgrade, head }) = handshake else {
             let detail = "the server upgraded what was no handshake; it may have run";
             return Err(upstream_failed(detail));
         };
         let mut response = client_response(context.serving, context.forward, response);
-        opening.answer(response.headers_mut());
-        let place = Place {
+        upgrade.finish_response(response.headers_mut());
+        let target = ReconnectTarget {
             cluster: class.cluster_name.to_string(),
             policy: context.route.policy.clone(),
             effect: class.effect,
             head,
-            agreed: connection.agreed.clone(),
+            negotiated: connection.agreed.clone(),
         };
-        let upgrade = opening.upgrade(&self.config, class.cluster, class.class, place, connection);
+        let runtime = &class.cluster.runtime;
+        let upgrade = upgrade.into_upgrade(&self.config, runtime, class.class, target, connection);
         *context.client.upgrade.borrow_mut() = Some(upgrade);
         Ok(response)
     }
--- a/crates/proxy/src/gateway/handler.rs
+++ b/crates/proxy/src/gateway/handler.rs
@@ -8,7 +8,7 @@
 use super::rejection::Rejection;
 use super::stats::ProxyStats;
 use crate::client::handler::{ClientRequest, RequestHandler, ResponseBody};
-use crate::sockets::registry::Sockets;
+use crate::websocket::registry::SocketRegistry;
 use hyper::header::HeaderValue;
 use hyper::{Method, Response};
 use mintshelf_config::model::Then;
@@ -23,7 +23,7 @@
     /// Bytes of bodies that the process may have in memory.
     pub(super) body_budget: Arc<Semaphore>,
     stats: Rc<ProxyStats>,
-    pub(super) sockets: Rc<Sockets>,
+    pub(super) sockets: Rc<SocketRegistry>,
     last_number: Cell<u64>,
     seed: u64,
 }
@@ -34,7 +34,7 @@
         config: Rc<ServingConfig>,
         body_budget: Arc<Semaphore>,
         stats: Rc<ProxyStats>,
-        sockets: Rc<Sockets>,
+        sockets: Rc<SocketRegistry>,
         seed: u64,
     ) -> Rc<Self> {
         Rc::new(GatewayHandler {
--- a/crates/proxy/src/gateway/mod.rs
+++ b/crates/proxy/src/gateway/mod.rs
@@ -10,4 +10,5 @@
 pub mod rejection;
 mod request_body;
 mod respond;
+mod socket_connector;
 pub mod stats;
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -9,7 +9,7 @@
 //! - [`platform`]: the handler of the platform's protocol.
 //! - [`cluster`]: the runtime of one cluster, around its instance of the decision module.
 //! - [`upstream`]: connections to servers and the exchanges on them.
-//! - [`sockets`]: WebSockets after their handshake.
+//! - [`websocket`]: WebSocket connections, from their handshake on.
 //! - [`discovery`]: where the endpoints come from.
 
 #![forbid(unsafe_code)]
@@ -26,6 +26,6 @@
 pub mod headers;
 pub mod platform;
 pub mod request_log;
-pub mod sockets;
 pub mod tcp;
 pub mod upstream;
+pub mod websocket;
--- a/crates/proxy/src/upstream/connection_limits.rs
+++ b/crates/proxy/src/upstream/connection_limits.rs
@@ -19,7 +19,7 @@
 pub struct ConnectionLimits {
     /// All connections.
     pub connections: ScopeLimits,
-    /// Those of them that carry WebSockets.
+    /// Those of them that carry a WebSocket.
     pub sockets: ScopeLimits,
 }
 
--- a/crates/proxy/src/upstream/receive.rs
+++ b/crates/proxy/src/upstream/receive.rs
@@ -75,17 +75,20 @@
     ) -> AttemptResult {
         let (head, _) = response.into_parts();
         let target = connection.target;
-        let body = match (handshake.check(&head.headers), connection.into_upgraded().await) {
-            (Ok(agreed), Some(upgraded)) => UpstreamBody::Upgraded(Box::new(UpgradedConnection {
-                stream: upgraded.stream,
-                read_ahead: upgraded.read_ahead,
-                agreed,
-                target,
-                _guards: upgraded.guards,
-                load_guard: None,
-            })),
-            _ => UpstreamBody::InvalidUpgrade,
-        };
+        let body =
+            match (handshake.verify_response(&head.headers), connection.into_upgraded().await) {
+                (Ok(agreed), Some(upgraded)) => {
+                    UpstreamBody::Upgraded(Box::new(UpgradedConnection {
+                        stream: upgraded.stream,
+                        read_ahead: upgraded.read_ahead,
+                        agreed,
+                        target,
+                        _guards: upgraded.guards,
+                        load_guard: None,
+                    }))
+                }
+                _ => UpstreamBody::InvalidUpgrade,
+            };
         let response = UpstreamResponse { status: head.status, headers: head.headers, body };
         AttemptResult { outcome: Outcome::Ok, load_report: None, response: Some(response) }
     }
