--- a/crates/proxy/src/budget.rs
+++ b/crates/proxy/src/budget.rs
@@ -1,4 +1,4 @@
-//! Budgets: descriptors and the bytes of bodies held.
+//! What the process may hold at one time: descriptors, and the bytes of bodies in memory.
 
 use crate::headers::BODY_MAX;
 use mintshelf_config::model::{BODY_SHARE, UPSTREAM_SHARE};
@@ -9,7 +9,8 @@
 /// streams, the reactor's own, the signal pipe, the listener, the datagram
 /// socket, discovery's two connections, one being accepted; doubled for margin.
 const OTHER_DESCRIPTORS: usize = 32;
-/// What the process may hold at one time.
+
+/// The resources of the process, divided by what they are for.
 #[derive(Debug)]
 pub struct ResourceBudget {
     /// Connections of clients.
@@ -21,15 +22,15 @@
 }
 
 impl ResourceBudget {
-    /// Divides so many descriptors and bytes of memory.
-    pub fn new(sockets: usize, memory: usize) -> Self {
-        let sockets = sockets.saturating_sub(OTHER_DESCRIPTORS);
-        let upstream = (sockets as f64 * UPSTREAM_SHARE) as usize;
-        let bodies = (memory as f64 * BODY_SHARE) as usize;
+    /// Divides so many descriptors, and bytes of memory.
+    pub fn new(descriptors: usize, memory_bytes: usize) -> Self {
+        let connections = descriptors.saturating_sub(OTHER_DESCRIPTORS);
+        let upstream = (connections as f64 * UPSTREAM_SHARE) as usize;
+        let body_bytes = (memory_bytes as f64 * BODY_SHARE) as usize;
         ResourceBudget {
-            clients: Arc::new(Semaphore::new(sockets - upstream)),
+            clients: Arc::new(Semaphore::new(connections - upstream)),
             upstream: Arc::new(Semaphore::new(upstream)),
-            bodies: Arc::new(Semaphore::new(bodies.clamp(BODY_MAX, Semaphore::MAX_PERMITS))),
+            bodies: Arc::new(Semaphore::new(body_bytes.clamp(BODY_MAX, Semaphore::MAX_PERMITS))),
         }
     }
 }
--- a/crates/proxy/src/discovery/reader.rs
+++ b/crates/proxy/src/discovery/reader.rs
@@ -3,7 +3,7 @@
 
 use super::list::{EndpointEntry, EndpointList, EntryState};
 use crate::clock::nanos;
-use crate::endpoints::{number, Endpoints};
+use crate::endpoints::{stable_id, Endpoints};
 use mintshelf_balancer::api::{EndpointState, ListKind, ListedServer};
 use mintshelf_config::platform::Names;
 use mintshelf_discovery::revision::{RevisionTracker, Verdict};
@@ -15,7 +15,7 @@
 /// The index of a name in the settings; for an unknown one, a number above all indices.
 fn name_index(names: &[String], name: &str) -> u32 {
     let index = names.iter().position(|known| known == name);
-    index.map_or_else(|| number(name) | UNKNOWN_NAME, |index| index as u32)
+    index.map_or_else(|| stable_id(name) | UNKNOWN_NAME, |index| index as u32)
 }
 
 /// What a list has for the balancer.
@@ -43,7 +43,7 @@
 
     fn listed_server(&self, entry: &EndpointEntry) -> ListedServer {
         ListedServer {
-            id: number(&entry.uid),
+            id: stable_id(&entry.uid),
             zone: name_index(&self.names.zones, &entry.az),
             kind: name_index(&self.names.kinds, &entry.model),
             cell: entry.pod_group,
@@ -82,7 +82,7 @@
     }
 
     fn update_address(&self, entry: &EndpointEntry) {
-        let server = number(&entry.uid);
+        let server = stable_id(&entry.uid);
         match entry.state {
             EntryState::Deleted => self.addresses.remove(server),
             EntryState::Serving | EntryState::Draining => {
--- a/crates/proxy/src/endpoints.rs
+++ b/crates/proxy/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! Where servers listen, and how what lists them reaches the driver.
+//! Where servers listen, and how the lists of them reach a cluster's runtime.
 
 use mintshelf_balancer::api::{ListKind, ListedServer, ServerId};
 use std::cell::RefCell;
@@ -6,7 +6,8 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Addresses of the servers listed now, shared by a source and a driver.
+/// Addresses of the servers that are listed now, shared by the source of the list and the
+/// cluster's runtime.
 #[derive(Debug, Clone, Default)]
 pub struct Endpoints(Rc<RefCell<HashMap<ServerId, SocketAddr>>>);
 
@@ -16,17 +17,17 @@
         self.0.borrow().get(&server).copied()
     }
 
-    /// Lists a server, or moves it.
+    /// Lists a server, or changes its address.
     pub fn insert(&self, server: ServerId, address: SocketAddr) {
         self.0.borrow_mut().insert(server, address);
     }
 
-    /// Takes a server off the list.
+    /// Removes a server.
     pub fn remove(&self, server: ServerId) {
         self.0.borrow_mut().remove(&server);
     }
 
-    /// Takes all servers off the list.
+    /// Removes all servers.
     pub fn clear(&self) {
         self.0.borrow_mut().clear();
     }
@@ -42,16 +43,20 @@
     }
 }
 
-/// Takes what a source of endpoints has to say: discovery, a file, a static list.
+/// Learns of the lists of a source of endpoints: discovery, a file, a static list.
 pub trait EndpointListObserver: 'static {
-    /// News of servers, in the version of the source's list.
+    /// A list, or a change of one, with the version that it has at its source.
     fn listed(&self, kind: ListKind, version: u64, servers: Vec<ListedServer>);
 }
 
+/// Constants of the 64-bit FNV-1a hash.
+const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+const FNV_PRIME: u64 = 0x0100_0000_01b3;
+
 /// A stable number for a name, the same at every sidecar (FNV-1a, folded).
-pub fn number(name: &str) -> u32 {
-    let hash = name.bytes().fold(0xcbf2_9ce4_8422_2325_u64, |hash, byte| {
-        (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
-    });
+pub fn stable_id(name: &str) -> u32 {
+    let hash = name
+        .bytes()
+        .fold(FNV_OFFSET_BASIS, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME));
     (hash ^ (hash >> 32)) as u32
 }
--- a/crates/proxy/src/gateway/admission.rs
+++ b/crates/proxy/src/gateway/admission.rs
@@ -1,10 +1,10 @@
 //! Where requests pass the limits of tenants, routes and clusters: what those decide is done here.
 
+use super::limit_rejections::{body_rejection, limit_rejection, queue_rejection, MIN_RETRY_AFTER};
 use super::rejection::Rejection;
 use crate::clock::Clock;
 use crate::request_log::RequestLog;
-use hyper::StatusCode;
-use mintshelf_admission::admission::{Admission, AdmissionConfig, LimitExceeded, LimitUsage};
+use mintshelf_admission::admission::{Admission, AdmissionConfig, LimitUsage};
 use mintshelf_admission::queue::{
     QueueDecision, QueueEntry, QueueTicket, QueueTransitions, RejectReason,
 };
@@ -17,8 +17,6 @@
 use tokio::time::timeout_at;
 use tracing::Level;
 
-const SECOND: Nanos = 1_000_000_000;
-
 /// A request in the queue of a cluster.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct WaiterKey {
@@ -202,8 +200,8 @@
         tenant: Rc<str>,
         route: &Rc<str>,
     ) -> Result<TenantPermit, Rejection> {
-        let entered = self.admission.borrow_mut().enter(self.clock.now(), &tenant, route);
-        match entered {
+        let admitted = self.admission.borrow_mut().enter(self.clock.now(), &tenant, route);
+        match admitted {
             Ok(()) => Ok(TenantPermit { controller: self.clone(), tenant, route: route.clone() }),
             Err(exceeded) => {
                 let rejection = limit_rejection(&exceeded);
@@ -235,11 +233,9 @@
         if self.admission.borrow_mut().fill(tenant, bytes) {
             return Ok(BodyPermit { controller: self.clone(), tenant: tenant.clone(), bytes });
         }
-        let detail = "its tenant's bodies take all the room that it has; it has not run";
-        self.log_rejection(tenant, "", "tenant-room");
-        let rejection = Rejection::new(StatusCode::TOO_MANY_REQUESTS, "tenant-room", detail);
-        // The body is not read, so nothing can come behind it.
-        Err(rejection.retry_after(SECOND).closing_connection())
+        let rejection = body_rejection();
+        self.log_rejection(tenant, "", rejection.code);
+        Err(rejection)
     }
 
     /// Waits for a place at a cluster: until there is one, or the request is rejected, which
@@ -277,19 +273,15 @@
                 self.wait_in_queue(key, &tenant, started_at.saturating_add(max_wait)).await
             }
         };
-        match result {
-            Ok(()) => {
-                let permit = Some(self.cluster_permit(cluster, &tenant));
-                let waited = self.clock.now().saturating_sub(started_at);
-                let remaining_timeout = client_timeout.saturating_sub(waited).max(1);
-                Ok(AdmittedRequest { permit, remaining_timeout })
-            }
-            Err(reason) => {
-                let rejection = queue_rejection(reason);
-                self.log_rejection(&tenant, cluster, rejection.code);
-                Err(rejection.retry_after(retry_after().max(SECOND)))
-            }
+        if let Err(reason) = result {
+            let rejection = queue_rejection(reason);
+            self.log_rejection(&tenant, cluster, rejection.code);
+            return Err(rejection.retry_after(retry_after().max(MIN_RETRY_AFTER)));
         }
+        let permit = Some(self.cluster_permit(cluster, &tenant));
+        let waited = self.clock.now().saturating_sub(started_at);
+        let remaining_timeout = client_timeout.saturating_sub(waited).max(1);
+        Ok(AdmittedRequest { permit, remaining_timeout })
     }
 
     async fn wait_in_queue(
@@ -304,35 +296,3 @@
         timeout_at(deadline, wait.result()).await.unwrap_or(Err(RejectReason::TooLate))
     }
 }
-
-fn limit_rejection(exceeded: &LimitExceeded) -> Rejection {
-    let (code, detail, retry_after) = match *exceeded {
-        LimitExceeded::TenantRate(retry_after) => {
-            ("tenant-rate", "its tenant asks more than its rate; it has not run", retry_after)
-        }
-        LimitExceeded::TenantConcurrency => (
-            "tenant-concurrency",
-            "its tenant has as many under way as it may; it has not run",
-            SECOND,
-        ),
-        LimitExceeded::RouteRate(retry_after) => {
-            ("route-rate", "the route is asked more than its rate; it has not run", retry_after)
-        }
-        LimitExceeded::RouteConcurrency => (
-            "route-concurrency",
-            "the route has as many under way as it may; it has not run",
-            SECOND,
-        ),
-    };
-    Rejection::new(StatusCode::TOO_MANY_REQUESTS, code, detail).retry_after(retry_after)
-}
-
-fn queue_rejection(reason: RejectReason) -> Rejection {
-    let (code, detail) = match reason {
-        RejectReason::Full => ("queue-full", "too many wait for the cluster; it has not run"),
-        RejectReason::TooLate => {
-            ("queue-late", "it waited too long to be answered in time; it has not run")
-        }
-    };
-    Rejection::new(StatusCode::SERVICE_UNAVAILABLE, code, detail)
-}
--- a/crates/proxy/src/gateway/mod.rs
+++ b/crates/proxy/src/gateway/mod.rs
@@ -7,6 +7,7 @@
 pub mod edits;
 mod forward;
 pub mod handler;
+mod limit_rejections;
 pub mod rejection;
 mod request_body;
 mod respond;
--- a/crates/proxy/src/upstream/request_body.rs
+++ b/crates/proxy/src/upstream/request_body.rs
@@ -85,7 +85,7 @@
         let polled = Pin::new(&mut *self.source.stream.borrow_mut()).poll_frame(cx);
         match &polled {
             Poll::Pending => {}
-            Poll::Ready(Some(Ok(_))) => self.frame_taken(),
+            Poll::Ready(Some(Ok(_))) => self.on_frame(),
             Poll::Ready(Some(Err(_)) | None) => {
                 self.source.last_progress.set(Instant::now());
                 self.source.is_finished.set(true);
@@ -94,7 +94,7 @@
         polled.map_err(io::Error::other)
     }
 
-    fn frame_taken(&mut self) {
+    fn on_frame(&mut self) {
         self.owns_stream = true;
         self.source.last_progress.set(Instant::now());
         if self.source.is_consumed.replace(true) {
--- a/crates/proxy/tests/head_scanner.rs
+++ b/crates/proxy/tests/head_scanner.rs
@@ -3,10 +3,10 @@
 use mintshelf_proxy::client::head_scanner::{RequestHeadScanner, ScannedHead};
 
 fn heads(bytes: &[u8], cut: usize) -> (Vec<ScannedHead>, bool) {
-    let mut scan = RequestHeadScanner::default();
-    scan.read(&bytes[..cut]);
-    scan.read(&bytes[cut..]);
-    (scan.pending_heads().cloned().collect(), scan.is_body_ambiguous())
+    let mut scanner = RequestHeadScanner::default();
+    scanner.read(&bytes[..cut]);
+    scanner.read(&bytes[cut..]);
+    (scanner.pending_heads().cloned().collect(), scanner.is_body_ambiguous())
 }
 
 #[test]
@@ -15,19 +15,19 @@
         POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1a;x=y\r\nContent-Length: 9\r\n\r\n12345\r\n\
         0\r\nT: 1\r\n\r\nGET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\nCONTENT-length:3\r\n\r\n";
     for cut in 0..bytes.len() {
-        let (heads, spoilt) = heads(bytes, cut);
+        let (heads, is_body_ambiguous) = heads(bytes, cut);
         let framings: Vec<_> = heads
             .iter()
-            .map(|h| [h.framings.content_length, h.framings.transfer_encoding])
+            .map(|head| [head.framings.content_length, head.framings.transfer_encoding])
             .collect();
         assert_eq!(framings, [[true, false], [false, true], [true, true]], "{cut}");
-        assert!(!spoilt && heads[0].ambiguity.is_none() && heads[1].ambiguity.is_none());
+        assert!(!is_body_ambiguous && heads[0].ambiguity.is_none() && heads[1].ambiguity.is_none());
         assert!(heads[2].is_framed_twice() && heads[2].ambiguity.is_some());
     }
 }
 
 #[test]
-fn what_can_be_read_in_two_ways_is_doubtful() {
+fn what_can_be_read_in_two_ways_is_ambiguous() {
     for field in [
         "Content-Length: 3\r\nContent-Length: 3",
         "Content-Length: 3\r\nContent-Length: 4",
--- a/crates/proxy/tests/headers.rs
+++ b/crates/proxy/tests/headers.rs
@@ -1,10 +1,10 @@
-//! Headers that stay behind, and load reports.
+//! Hop-by-hop headers, and load reports.
 
 use hyper::header::{HeaderMap, HeaderName};
 use mintshelf_proxy::headers::{parse_load_report, strip_hop_by_hop};
 
 #[test]
-fn reports_are_read_in_the_settings_order() {
+fn load_reports_are_read_in_the_order_of_the_settings() {
     let fields = ["eps".to_string(), "queue".to_string()];
     assert_eq!(parse_load_report("TEXT queue=2, eps=0.5, x=1", &fields), Some(vec![0.5, 2.0]));
     assert_eq!(parse_load_report("queue=2,eps=0", &fields), Some(vec![0.0, 2.0]));
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn hop_by_hop_headers_stay_behind() {
+fn hop_by_hop_headers_are_removed() {
     let mut headers = HeaderMap::new();
     for (name, value) in [
         ("connection", "keep-alive, X-Private"),
--- a/crates/proxy/tests/pending_response.rs
+++ b/crates/proxy/tests/pending_response.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn an_attempt_that_ends_starts_the_next_and_that_one_answers() {
+fn an_attempt_that_ends_starts_the_next_which_resolves_the_response() {
     run(async {
         let pending = Rc::new(PendingResponse::default());
         let first = pending.clone();
@@ -30,35 +30,35 @@
 }
 
 #[test]
-fn an_attempt_begun_from_elsewhere_wakes_the_client() {
+fn an_attempt_started_from_another_task_wakes_the_client() {
     run(async {
         let pending = Rc::new(PendingResponse::default());
-        let (starter, answerer) = (pending.clone(), pending.clone());
+        let (starter, responder) = (pending.clone(), pending.clone());
         spawn_local(async move {
             yield_now().await;
-            starter.start(Box::pin(async move { answerer.resolve("here") }));
+            starter.start(Box::pin(async move { responder.resolve("here") }));
         });
         assert_eq!(AttemptSet::new(pending).response().await, "here");
     });
 }
 
 #[test]
-fn attempts_go_on_when_the_client_leaves_and_hear_that_they_are_to_stop() {
+fn attempts_continue_after_the_client_disconnects_and_see_their_cancellation() {
     run(async {
         let pending: Rc<PendingResponse<()>> = Rc::default();
-        let (cancel, ended) = (Rc::new(AttemptControl::default()), Rc::new(Cell::new(0)));
+        let (control, ended) = (Rc::new(AttemptControl::default()), Rc::new(Cell::new(0)));
         for _ in 0..2 {
-            let (cancel, ended) = (cancel.clone(), ended.clone());
+            let (control, ended) = (control.clone(), ended.clone());
             pending.start(Box::pin(async move {
                 if ended.get() == 0 {
-                    cancel.cancelled().await;
+                    control.cancelled().await;
                 }
                 ended.set(ended.get() + 1);
             }));
         }
         let mut attempts = AttemptSet::new(pending);
         attempts.detach();
-        cancel.cancel();
+        control.cancel();
         while ended.get() < 2 {
             yield_now().await;
         }
--- a/crates/proxy/tests/request_log.rs
+++ b/crates/proxy/tests/request_log.rs
@@ -4,7 +4,7 @@
 use mintshelf_proxy::request_log::RequestLog;
 
 #[test]
-fn a_flood_of_lines_is_cut_and_counted() {
+fn a_flood_of_lines_is_bounded_and_the_omitted_are_counted() {
     let clock = Clock::start();
     let log = RequestLog::new(&clock);
     let written: Vec<u64> = (0..10_000).filter_map(|_| log.try_write(&clock)).collect();
--- a/crates/proxy/tests/socket_load.rs
+++ b/crates/proxy/tests/socket_load.rs
@@ -1,11 +1,11 @@
-//! What open WebSockets count for beside requests.
+//! What open WebSocket connections count for beside requests.
 
 use mintshelf_proxy::cluster::socket_load::SocketLoad;
 use std::cell::Cell;
 use std::rc::Rc;
 
 #[test]
-fn so_many_stay_in_flight_as_the_open_ones_weigh() {
+fn handshakes_stay_in_flight_up_to_the_weight_of_the_open_sockets() {
     let runtime = tokio::runtime::Builder::new_current_thread().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let load = SocketLoad::new(0.25);
