--- a/crates/mintshelf/src/daemon.rs
+++ b/crates/mintshelf/src/daemon.rs
@@ -3,27 +3,28 @@
 use crate::check;
 use mintshelf_admission::slots::SlotConfig;
 use mintshelf_balancer::api::{ListedServer, ServerId};
-use mintshelf_config::admission::{admission, seats, tenants};
-use mintshelf_config::model::{self, File, Route, Then, SOCKET_QUEUE_SHARE};
-use mintshelf_config::module::{module, nanos, Module};
+use mintshelf_config::admission::{admission_config, slot_config, tenant_resolver};
+use mintshelf_config::balancer::{balancer_config, to_nanos, BalancerConfig};
+use mintshelf_config::model::{self, OperatorConfig, Route, RouteAction, SOCKET_QUEUE_SHARE};
 use mintshelf_config::platform::Names;
 use mintshelf_proxy::budget::ResourceBudget;
-use mintshelf_proxy::client::connection::{ClientTimeouts, Clients};
+use mintshelf_proxy::client::connection::ClientTimeouts;
 use mintshelf_proxy::client::handler::RequestHandler;
 use mintshelf_proxy::client::listener::{listen, ClientListener};
-use mintshelf_proxy::cluster::retry_trackers::AttemptCounts;
+use mintshelf_proxy::client::registry::Clients;
 use mintshelf_proxy::cluster::runtime::{ClusterRuntime, RuntimeUsage};
 use mintshelf_proxy::cluster::spec::ClusterSpec;
 use mintshelf_proxy::gateway::admission::AdmissionController;
 use mintshelf_proxy::gateway::config::{ClusterHandle, ListenerAdmission, ServingConfig};
 use mintshelf_proxy::gateway::handler::GatewayHandler;
 use mintshelf_proxy::gateway::stats::ProxyStats;
-use mintshelf_proxy::upstream::connection_limits::{ConnectionLimits, ScopeLimits};
+use mintshelf_proxy::upstream::connection_limits::ClusterLimits;
 use mintshelf_proxy::upstream::pool::ConnectionPool;
-use mintshelf_proxy::upstream::response::UpstreamProtocol;
+use mintshelf_proxy::upstream::response::{PlainProtocol, UpstreamProtocol};
 use mintshelf_proxy::websocket::registry::SocketRegistry;
 use mintshelf_recovery::Phase;
-use mintshelf_routing::Table;
+use mintshelf_retry::attempts::AttemptCounts;
+use mintshelf_routing::RouteTable;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::hash::{BuildHasher, Hasher, RandomState};
@@ -51,14 +52,14 @@
 
 struct Running {
     pool: Rc<ClusterHandle>,
-    module: Module,
+    module: BalancerConfig,
     style: UpstreamProtocol,
     run: AbortHandle,
 }
 
 #[derive(Default)]
 struct State {
-    file: Option<Rc<File>>,
+    file: Option<Rc<OperatorConfig>>,
     taken: Option<SystemTime>,
     listeners: BTreeMap<SocketAddr, Listening>,
     pools: BTreeMap<String, Running>,
@@ -74,7 +75,7 @@
     connections: Rc<ConnectionPool>,
     patience: ClientTimeouts,
     /// What the first file said of what can't change while the program runs.
-    fixed: (model::Limits, Option<SocketAddr>, Option<model::Fleet>),
+    fixed: (model::ProcessLimits, Option<SocketAddr>, Option<model::FleetConfig>),
     /// The planned end has begun.
     ending: CancellationToken,
     /// All open WebSockets.
@@ -91,16 +92,16 @@
 pub type Refused = Vec<String>;
 
 /// Reads a file; the errors are lines.
-pub fn read(path: &Path) -> Result<File, Refused> {
+pub fn read(path: &Path) -> Result<OperatorConfig, Refused> {
     check::read(path).map_err(|unusable| unusable.lines())
 }
 
 impl Daemon {
     /// Puts a first file in force.
-    pub fn start(path: PathBuf, file: File) -> Result<Rc<Self>, Refused> {
-        let limits = ResourceBudget::new(file.limits.sockets, file.limits.memory);
+    pub fn start(path: PathBuf, file: OperatorConfig) -> Result<Rc<Self>, Refused> {
+        let limits = ResourceBudget::new(file.limits.file_descriptors, file.limits.memory_bytes);
         let longest = file.classes.values().map(|class| class.deadline).max();
-        let queues = (file.limits.memory as f64 * SOCKET_QUEUE_SHARE) as usize;
+        let queues = (file.limits.memory_bytes as f64 * SOCKET_QUEUE_SHARE) as usize;
         let daemon = Rc::new(Daemon {
             path,
             state: RefCell::default(),
@@ -112,8 +113,8 @@
                 idle: file.limits.idle_timeout,
                 // Bytes that pass give it anew, so it bounds silence and not size.
                 busy: longest.unwrap_or_default() + file.limits.stream_timeout,
-                by_progress: true,
-                half_close: !file.limits.abort_on_close,
+                is_extended_by_progress: true,
+                allows_half_close: !file.limits.abort_on_close,
             },
             sockets: SocketRegistry::new(queues, RandomState::new().build_hasher().finish()),
             fixed: (file.limits.clone(), file.admin, file.fleet.clone()),
@@ -146,7 +147,7 @@
 
     /// Puts a file in force, whole or not at all. All of it happens in one turn: no request
     /// sees a part of it.
-    fn apply(&self, file: File) -> Result<(), Refused> {
+    fn apply(&self, file: OperatorConfig) -> Result<(), Refused> {
         let file = Rc::new(file);
         let mut tables = Vec::new();
         for listener in &file.listeners {
@@ -154,8 +155,8 @@
                 route.listeners.is_empty() || route.listeners.contains(&listener.name)
             };
             let routes: Vec<Route> = file.routes.iter().filter(on).cloned().collect();
-            let table = Table::new(routes.iter().map(|route| route.rule.clone()));
-            tables.push((listener, routes, table.map_err(|e| vec![e])?));
+            let table = RouteTable::new(routes.iter().map(|route| route.rule.clone()));
+            tables.push((listener, routes, table.map_err(|e| vec![e.to_string()])?));
         }
         let mut bound = HashMap::new();
         for listener in &file.listeners {
@@ -187,10 +188,11 @@
                 });
             }
         }
-        let set = admission(&file);
+        let set = admission_config(&file);
         self.gates.configure(&set);
-        self.sockets.configure(SlotConfig { most: self.fixed.0.websockets, ..seats(&file) });
-        let tenants = tenants(&file).map(Rc::new);
+        self.sockets
+            .configure(SlotConfig { capacity: self.fixed.0.max_websockets, ..slot_config(&file) });
+        let tenants = tenant_resolver(&file).map(Rc::new);
         for (listener, routes, table) in tables {
             let admission = (!set.is_empty()).then(|| ListenerAdmission {
                 controller: self.gates.clone(),
@@ -237,15 +239,15 @@
 
     /// Keeps the clusters that stay as they are, with all that was learned; a change of
     /// endpoints alone is news to the module like any other list.
-    fn apply_clusters(&self, state: &mut State, file: &File) {
+    fn apply_clusters(&self, state: &mut State, file: &OperatorConfig) {
         let mut old = std::mem::take(&mut state.pools);
         for (name, cluster) in &file.clusters {
-            let module = module(file, name, cluster);
-            let style = UpstreamProtocol::Plain {
+            let module = balancer_config(file, name, cluster);
+            let style = UpstreamProtocol::Plain(PlainProtocol {
                 failure_statuses: cluster.failure_statuses.clone(),
                 never_ran_header: cluster.never_ran_header.clone(),
                 stall_timeout: self.fixed.0.stream_timeout,
-            };
+            });
             let same = |running: &Running| {
                 running.module.differs_in_servers_only(&module) && running.style == style
             };
@@ -274,7 +276,7 @@
         old.into_values().for_each(|running| self.retire(running));
     }
 
-    fn start_pool(&self, name: &str, module: Module, style: UpstreamProtocol) -> Running {
+    fn start_pool(&self, name: &str, module: BalancerConfig, style: UpstreamProtocol) -> Running {
         let spec = ClusterSpec {
             settings: module.settings.clone(),
             names: Names::default(),
@@ -282,11 +284,11 @@
             protocol: style.clone(),
             peers: None,
             discovery: None,
-            recovery_ramp: Some(module.return_ramp),
-            retry_policies: module.tries.clone(),
-            connection_limits: ConnectionLimits {
-                connections: scope_limits(module.connections),
-                sockets: scope_limits(module.sockets),
+            recovery_ramp: Some(module.recovery_ramp),
+            retry_policies: module.retry_policies.clone(),
+            connection_limits: ClusterLimits {
+                connections: module.connections,
+                sockets: module.sockets,
             },
             socket_weight: module.socket_weight,
             name: Some(name.to_string()),
@@ -320,7 +322,7 @@
     }
 
     fn socket_drain(&self) -> u64 {
-        nanos(self.fixed.0.websocket_drain)
+        to_nanos(self.fixed.0.websocket_drain)
     }
 
     /// Reads the file again; one that is refused changes nothing.
@@ -439,13 +441,9 @@
     }
 }
 
-fn scope_limits([cluster, endpoint]: [Option<u32>; 2]) -> ScopeLimits {
-    ScopeLimits { cluster, endpoint }
-}
-
 fn route_in_force(route: &Route) -> serde_json::Value {
-    let to: Vec<&str> = match &route.then {
-        Then::Forward(forward) => forward.split.clusters().collect(),
+    let to: Vec<&str> = match &route.action {
+        RouteAction::Forward(forward) => forward.split.clusters().collect(),
         _ => Vec::new(),
     };
     serde_json::json!({"name": route.name, "line": route.line, "class": route.class, "clusters": to})
--- a/crates/mintshelf/src/platform.rs
+++ b/crates/mintshelf/src/platform.rs
@@ -1,14 +1,15 @@
 //! The platform's sidecar: configured by `RELAY_CONFIG`, fed by discovery.
 
-use mintshelf_config::platform::Config;
+use mintshelf_config::platform::PlatformConfig;
 use mintshelf_proxy::budget::ResourceBudget;
-use mintshelf_proxy::client::connection::{ClientTimeouts, Clients};
+use mintshelf_proxy::client::connection::ClientTimeouts;
 use mintshelf_proxy::client::listener::{listen, ClientListener};
+use mintshelf_proxy::client::registry::Clients;
 use mintshelf_proxy::cluster::peers::PeerGossip;
 use mintshelf_proxy::cluster::runtime::ClusterRuntime;
 use mintshelf_proxy::cluster::spec::{ClusterSpec, DiscoverySpec};
 use mintshelf_proxy::platform::handler::PlatformHandler;
-use mintshelf_proxy::upstream::connection_limits::ConnectionLimits;
+use mintshelf_proxy::upstream::connection_limits::ClusterLimits;
 use mintshelf_proxy::upstream::pool::ConnectionPool;
 use mintshelf_proxy::upstream::response::UpstreamProtocol;
 use std::path::PathBuf;
@@ -35,7 +36,7 @@
 pub async fn run() -> Result<(), String> {
     let file = std::env::var_os("RELAY_CONFIG").ok_or("environment: RELAY_CONFIG: is not set")?;
     let file = PathBuf::from(file);
-    let config = Config::read(&file).map_err(|e| e.to_string())?;
+    let config = PlatformConfig::read(&file).map_err(|e| e.to_string())?;
     let unusable = |field: &str, e: std::io::Error| format!("{}: {field}: {e}", file.display());
     // Danger: taken before anything else, so that an early SIGTERM is not deadly.
     let mut terminated = signal(SignalKind::terminate()).map_err(|e| format!("SIGTERM: {e}"))?;
@@ -43,21 +44,22 @@
     let peers = match config.peer_listen.filter(|_| config.settings.has_peers) {
         None => None,
         Some(address) => {
-            let peers = PeerGossip::bind(address, config.peers.clone(), config.peers_all).await;
+            let peers =
+                PeerGossip::bind(address, config.peers.clone(), config.broadcast_address).await;
             Some(peers.map_err(|e| unusable("peer_listen", e))?)
         }
     };
     let listener = listen(config.listen).map_err(|e| unusable("listen", e))?;
-    let limits = ResourceBudget::new(config.sockets, config.memory);
+    let limits = ResourceBudget::new(config.file_descriptors, config.memory_bytes);
     let draining = CancellationToken::new();
     let deadlines = config.settings.classes.iter().map(|class| class.deadline);
     let longest = Duration::from_nanos(deadlines.max().unwrap_or(0));
     let stay = longest + STAY;
-    let Config { name, listen, settings, names, seed, discovery, known, .. } = config;
+    let PlatformConfig { name, listen, settings, names, seed, discovery, cached_list, .. } = config;
     let spec = ClusterSpec {
         recovery_ramp: None,
         retry_policies: Vec::new(),
-        connection_limits: ConnectionLimits::default(),
+        connection_limits: ClusterLimits::default(),
         socket_weight: 0.0,
         name: None,
         settings: settings.clone(),
@@ -65,15 +67,15 @@
         seed,
         protocol: UpstreamProtocol::Platform,
         peers,
-        discovery: Some(DiscoverySpec { address: discovery, cached_list: known }),
+        discovery: Some(DiscoverySpec { address: discovery, cached_list }),
     };
     let driver = ClusterRuntime::start(spec, ConnectionPool::new(&limits));
     let patience = ClientTimeouts {
         receive: RECEIVE_LIMIT,
         idle: IDLE_LIMIT,
         busy: longest + SEND_LIMIT,
-        by_progress: false,
-        half_close: false,
+        is_extended_by_progress: false,
+        allows_half_close: false,
     };
     let front = PlatformHandler::new(driver.clone(), settings, names, &limits);
     let clients = Rc::new(Clients::default());
@@ -82,7 +84,7 @@
     eprintln!("mintshelf: {name} listening on {listen}");
     let reloads = async {
         while reload.recv().await.is_some() {
-            match Config::read(&file) {
+            match PlatformConfig::read(&file) {
                 Ok(new) => {
                     eprintln!("mintshelf: {name} reloads; discovery is {}", new.discovery);
                     driver.set_discovery_address(new.discovery);
--- a/crates/mintshelf/tests/compatibility/bindings.rs
+++ b/crates/mintshelf/tests/compatibility/bindings.rs
@@ -5,12 +5,15 @@
 use super::fixtures::hex;
 use mintshelf_balancer::api::{Action, EndpointState};
 use mintshelf_balancer::gossip::GossipMessage;
-use mintshelf_config::platform::{Config, Names};
-use mintshelf_consensus::replica::{Status, Stored, Ticket, Voter};
-use mintshelf_consensus::state_machine::Machine;
+use mintshelf_config::platform::{Names, PlatformConfig};
+use mintshelf_consensus::persistent_state::PersistentState;
+use mintshelf_consensus::replica::{Replica, ReplicaStatus};
+use mintshelf_consensus::state_machine::StateMachine;
+use mintshelf_consensus::write_batch::ProposalId;
 use mintshelf_consensus_node::frame::{pack, unpack, Frame, Hello, Report, Speaker};
 use mintshelf_consensus_node::store::{Identity, Opened, Store};
-use mintshelf_lease::lease::{Answer, Command, Held, Lease, Owner, Refusal, Waiter};
+use mintshelf_lease::command::{Command, Owner, Rejection, Response};
+use mintshelf_lease::lease::{Lease, LeaseHolder, Waiter};
 use mintshelf_lease::timing::{ClockError, Timing};
 use mintshelf_proxy::discovery::list::EndpointList;
 use mintshelf_proxy::discovery::reader::EndpointListReader;
@@ -68,7 +71,7 @@
     let acquire = |owner: &Owner, wait| Command::Acquire {
         lease: lease(),
         owner: owner.clone(),
-        span: 30 * SECOND,
+        duration: 30 * SECOND,
         wait,
     };
     let (holder, token) = (alpha.clone(), NEXT_TOKEN);
@@ -76,37 +79,49 @@
         ("acquire", acquire(&alpha, false)),
         ("acquire and wait", acquire(&beta, true)),
         ("renew", Command::Renew { lease: lease(), owner: holder.clone(), token }),
-        ("forget", Command::Forget { lease: lease(), owner: beta.clone(), asks: 2 }),
-        ("leave", Command::Leave { lease: lease(), owner: beta }),
-        ("expire", Command::Expire { lease: lease(), token, renewal: 300 }),
+        ("forget", Command::ExpireWaiter { lease: lease(), owner: beta.clone(), requests: 2 }),
+        ("leave", Command::CancelWait { lease: lease(), owner: beta }),
+        ("expire", Command::Expire { lease: lease(), token, renewals: 300 }),
         ("revoke", Command::Revoke { lease: lease() }),
         ("release", Command::Release { lease: lease(), owner: holder, token }),
     ]
 }
 
-fn lease_answers() -> [(&'static str, Answer); 10] {
+fn lease_answers() -> [(&'static str, Response); 10] {
     let by = Some(owner("alpha", 3));
     [
-        ("granted", Answer::Granted { token: NEXT_TOKEN }),
-        ("held", Answer::Held { by: by.clone(), place: None }),
-        ("held, waiting", Answer::Held { by, place: Some(2) }),
-        ("done", Answer::Done),
-        ("refused, not held", Answer::Refused(Refusal::NotHeld)),
-        ("refused, revoked", Answer::Refused(Refusal::Revoked)),
-        ("refused, too many", Answer::Refused(Refusal::TooMany)),
-        ("refused, queue full", Answer::Refused(Refusal::QueueFull)),
-        ("refused, name", Answer::Refused(Refusal::Name)),
-        ("refused, span", Answer::Refused(Refusal::Span)),
+        ("granted", Response::Granted { token: NEXT_TOKEN }),
+        ("held", Response::Unavailable { holder: by.clone(), queue_position: None }),
+        ("held, waiting", Response::Unavailable { holder: by, queue_position: Some(2) }),
+        ("done", Response::Done),
+        ("refused, not held", Response::Rejected(Rejection::NotHolder)),
+        ("refused, revoked", Response::Rejected(Rejection::Revoked)),
+        ("refused, too many", Response::Rejected(Rejection::TooManyLeases)),
+        ("refused, queue full", Response::Rejected(Rejection::QueueFull)),
+        ("refused, name", Response::Rejected(Rejection::InvalidName)),
+        ("refused, span", Response::Rejected(Rejection::InvalidDuration)),
     ]
 }
 
 fn report() -> Report {
-    let holder =
-        Held { owner: owner("alpha", 3), token: 7, span: 30 * SECOND, renewal: 400, revoked: true };
-    let waiter = Waiter { owner: owner("beta", 1), asks: 2, span: SECOND };
-    let lease = Lease { held: Some(holder), queue: [waiter].into() };
+    let holder = LeaseHolder {
+        owner: owner("alpha", 3),
+        token: 7,
+        duration: 30 * SECOND,
+        renewals: 400,
+        is_revoked: true,
+    };
+    let waiter = Waiter { owner: owner("beta", 1), requests: 2, duration: SECOND };
+    let lease = Lease { holder: Some(holder), queue: [waiter].into() };
     let leases = vec![("berth".into(), lease), ("free".into(), Lease::default())];
-    let status = Status { id: 1, term: 5, leader: 2, leads: false, applied: 300, committed: 301 };
+    let status = ReplicaStatus {
+        id: 1,
+        term: 5,
+        leader: 2,
+        is_leader: false,
+        applied_index: 300,
+        committed_index: 301,
+    };
     Report { status, life: 4, members: 6, leases }
 }
 
@@ -117,7 +132,7 @@
         sample("status question", Frame::Tell),
         sample("status answer", Frame::Told(Box::new(report()))),
         sample("not now", Frame::NotNow { number: 300 }),
-        sample("proposal's origin", Ticket { voter: 1, life: 2, number: 300 }),
+        sample("proposal's origin", ProposalId { replica: 1, incarnation: 2, sequence: 300 }),
     ];
     for (label, command) in lease_commands() {
         samples.push(sample(label, Frame::Ask { number: 300, command }));
@@ -163,7 +178,7 @@
     ];
     let mut state = Agreed::default();
     for order in &orders {
-        Machine::apply(&mut state, order);
+        StateMachine::apply(&mut state, order);
     }
     let [lease, budget, beat] = orders;
     let promise = Promise { grant: 300, units: 500 };
@@ -172,7 +187,7 @@
         sample("lease command", lease),
         sample("budget", budget),
         sample("beat", beat),
-        sample("lease answer", Reply::Lease(Answer::Done)),
+        sample("lease answer", Reply::Lease(Response::Done)),
         sample("budget in force", Reply::Budget(Ok(()))),
         sample("budget refused", Reply::Budget(Err(Unfit::Problem("why".into())))),
         sample("budget with other figures", Reply::Budget(Err(Unfit::OtherFigures))),
@@ -229,7 +244,7 @@
 
 /// Why a platform configuration is refused, without the file's name.
 pub fn platform_refusal(file: &Path) -> Option<String> {
-    let error = Config::read(file).err()?.to_string();
+    let error = PlatformConfig::read(file).err()?.to_string();
     Some(error.replacen(&format!("{}: ", file.display()), "", 1))
 }
 
@@ -284,7 +299,7 @@
 /// What a replica's directory holds: the log as stored, and the leases once it is applied.
 pub fn described_store(directory: &Path) -> String {
     let (store, Opened::Stored(stored)) = open(directory) else { panic!("an empty store") };
-    let (state, snapshot, entries) = stored.parts();
+    let (state, snapshot, entries) = (stored.hard_state(), stored.snapshot(), stored.entries());
     let place = snapshot.get_metadata();
     let mut lines = format!(
         "opened {}\nterm {} vote {} commit {}\nsnapshot index {} term {} replicas {:?}\n  {}\n",
@@ -301,7 +316,8 @@
         let (data, context) = (hex(&entry.data), hex(&entry.context));
         lines.push_str(&format!("entry {} term {} {data} {context}\n", entry.index, entry.term));
     }
-    let mut replica: Voter = Voter::new(1, &stored, &Timing::default(), store.opened()).unwrap();
+    let mut replica: Replica =
+        Replica::new(1, &stored, &Timing::default(), store.opened()).unwrap();
     settle(&mut replica, &store, SECOND);
     lines.push_str(&format!("last token {}\n", replica.leases().last_token()));
     for (name, lease) in replica.leases().iter() {
@@ -311,48 +327,48 @@
 }
 
 fn described_lease(name: &str, lease: &Lease) -> String {
-    let mut lines = match &lease.held {
+    let mut lines = match &lease.holder {
         None => format!("lease {name} held by nobody\n"),
         Some(held) => format!(
             "lease {name} held by {}/{} token {} span {} renewals {} revoked {}\n",
             held.owner.member,
             held.owner.incarnation,
             held.token,
-            held.span,
-            held.renewal,
-            held.revoked
+            held.duration,
+            held.renewals,
+            held.is_revoked
         ),
     };
     for waiter in &lease.queue {
         let Owner { member, incarnation } = &waiter.owner;
-        let (asks, span) = (waiter.asks, waiter.span);
+        let (asks, span) = (waiter.requests, waiter.duration);
         lines.push_str(&format!("  waits {member}/{incarnation} asks {asks} span {span}\n"));
     }
     lines
 }
 
-fn settle(replica: &mut Voter, store: &Store, now: u64) {
-    while let Some(batch) = replica.batch(now).unwrap() {
+fn settle(replica: &mut Replica, store: &Store, now: u64) {
+    while let Some(batch) = replica.next_batch(now).unwrap() {
         store.write(&batch).unwrap();
-        replica.synced(now);
+        replica.batch_synced(now);
     }
 }
 
 /// A single replica that is given commands and time.
 struct Session {
     store: Store,
-    replica: Voter,
+    replica: Replica,
     now: u64,
 }
 
 impl Session {
     fn begin(directory: &Path) -> Self {
         let (store, Opened::Empty) = open(directory) else { panic!("a store is there already") };
-        let stored = Stored::new_fleet(&[1]);
+        let stored = PersistentState::new_fleet(&[1]);
         store.begin_fleet(&stored).unwrap();
-        let replica = Voter::new(1, &stored, &Timing::default(), store.opened()).unwrap();
+        let replica = Replica::new(1, &stored, &Timing::default(), store.opened()).unwrap();
         let mut session = Session { store, replica, now: SECOND };
-        while !session.replica.status().leads {
+        while !session.replica.status().is_leader {
             session.pass(100 * MILLISECOND);
         }
         session
@@ -374,7 +390,7 @@
 
     fn acquire(&mut self, lease: &str, member: &str, span: u64) {
         let (lease, owner) = (lease.to_owned(), owner(member, 3));
-        self.agree(Command::Acquire { lease, owner, span, wait: true });
+        self.agree(Command::Acquire { lease, owner, duration: span, wait: true });
     }
 
     fn renew(&mut self, lease: &str, member: &str, token: u64) {
@@ -409,5 +425,5 @@
     session.acquire("quay", "epsilon", DAY);
     session.pass(2 * SECOND);
     session.renew("quay", "gamma", 6);
-    session.agree(Command::Leave { lease: "crane".into(), owner: owner("gamma", 3) });
+    session.agree(Command::CancelWait { lease: "crane".into(), owner: owner("gamma", 3) });
 }
--- a/crates/proxy/src/client/connection.rs
+++ b/crates/proxy/src/client/connection.rs
@@ -1,52 +1,66 @@
-//! Clients' connections as the rest of the program sees them: phases, limits, eviction.
+//! One client's connection as the rest of the program sees it: its phase and its timeouts.
 
-use crate::client::head_scanner::RequestHeadScanner;
+use super::head_scanner::RequestHeadScanner;
 use crate::tcp::{has_ended, is_reset, pending, Pending, SharedStream, TrafficObserver};
 use bytes::Bytes;
 use std::cell::{Cell, RefCell};
-use std::collections::BTreeMap;
 use std::fmt;
 use std::future::Future;
 use std::net::SocketAddr;
 use std::pin::Pin;
-use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
+/// Waits in the listener's queue that are shorter are not counted.
+const MIN_QUEUED: Duration = Duration::from_millis(5);
+
 /// How long a connection may be in its phases.
 #[derive(Debug, Clone, Copy)]
 pub struct ClientTimeouts {
-    /// A request is whole so long after its first byte, and the first one of a
-    /// connection so long after the connection. Guards against clients that say
-    /// nothing, stop half-way or go on for ever; it would harm one that sends a
-    /// request slower than this.
+    /// A request has to be complete this long after its first byte, and the first one of a
+    /// connection this long after the connection. Guards against clients that send nothing, stop
+    /// half-way or go on for ever; it would harm one that sends a request slower than this.
     pub receive: Duration,
     /// An idle connection is closed after this.
     pub idle: Duration,
-    /// How long a request may hold the connection.
+    /// How long a request may occupy the connection.
     pub busy: Duration,
-    /// Whether bytes that pass, either way, give a request its time anew.
-    pub by_progress: bool,
-    /// A client that has ended its sending still gets its answer; else it counts as gone.
-    pub half_close: bool,
+    /// Whether bytes that pass, either way, start the time of a request anew.
+    pub is_extended_by_progress: bool,
+    /// Whether a client that has ended its sending still gets its response; else it counts as
+    /// disconnected.
+    pub allows_half_close: bool,
 }
 
 /// What a client's connection is doing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// Its last answer is out; only its client's end is awaited.
+    /// Its last response is out; only its client's end is awaited.
     Closing,
-    /// Nothing, or part of its first request, has come.
-    Fresh,
+    /// Nothing, or part of its first request, has arrived.
+    New,
     /// Between requests.
     Idle,
-    /// Part of a further request has come.
+    /// Part of a further request has arrived.
     Receiving,
-    /// A request is whole, and its answer not out.
+    /// A request is complete, and its response not out.
     Busy,
 }
 
+/// How readily a connection makes room for others, the most readily first.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) enum EvictionPriority {
+    /// Its last response is out.
+    Closing,
+    /// It has sent nothing.
+    Silent,
+    /// Between requests: a request that crosses the close is sent again.
+    Idle,
+    /// Its first request has begun, and would be lost.
+    Begun,
+}
+
 /// One connection as seen from outside its task.
 #[derive(Debug)]
 pub struct Client {
@@ -55,14 +69,18 @@
     pub peer: SocketAddr,
     phase: Cell<Phase>,
     /// When that phase began, or bytes last passed in it.
-    since: Cell<Instant>,
-    patience: ClientTimeouts,
-    /// The messages as they come.
+    phase_since: Cell<Instant>,
+    timeouts: ClientTimeouts,
+    /// The messages as they arrive.
     pub scanner: RefCell<RequestHeadScanner>,
-    /// The library has no more of the answer to ask for.
+    /// Whether the HTTP library has read all of the response.
     pub is_response_read: Cell<bool>,
-    /// Whether it is to make room.
-    pub evicted: CancellationToken,
+    /// Whether it has sent anything.
+    has_sent: Cell<bool>,
+    /// How long the request that came with the connection may have waited to be accepted.
+    queued: Cell<Duration>,
+    /// Cancelled when the connection is to make room for others.
+    pub eviction: CancellationToken,
     /// What becomes of it after a 101.
     pub upgrade: RefCell<Option<Upgrade>>,
 }
@@ -73,23 +91,34 @@
 type TakeOver = dyn FnOnce(SharedStream, Bytes) -> Pin<Box<dyn Future<Output = ()>>>;
 
 impl fmt::Debug for Upgrade {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("Upgrade")
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str("Upgrade")
     }
 }
 
 impl Client {
-    /// A connection that was just accepted.
-    pub fn new(stream: SharedStream, peer: SocketAddr, patience: ClientTimeouts) -> Self {
+    /// A connection that was just accepted, after a wait in the listener's queue of at most
+    /// `queued`.
+    pub fn new(
+        stream: SharedStream,
+        peer: SocketAddr,
+        timeouts: ClientTimeouts,
+        queued: Duration,
+    ) -> Self {
+        // A request that is not there yet was sent after the connection was accepted.
+        let came_with_request = queued >= MIN_QUEUED && pending(&stream) == Pending::Bytes;
+        let queued = if came_with_request { queued } else { Duration::ZERO };
         Client {
             stream,
             peer,
-            phase: Cell::new(Phase::Fresh),
-            since: Cell::new(Instant::now()),
-            patience,
+            phase: Cell::new(Phase::New),
+            phase_since: Cell::new(Instant::now()),
+            timeouts,
             scanner: RefCell::default(),
             is_response_read: Cell::new(false),
-            evicted: CancellationToken::new(),
+            has_sent: Cell::new(false),
+            queued: Cell::new(queued),
+            eviction: CancellationToken::new(),
             upgrade: RefCell::default(),
         }
     }
@@ -99,10 +128,31 @@
         self.phase.get()
     }
 
+    /// When that phase began, or bytes last passed in it.
+    pub fn phase_since(&self) -> Instant {
+        self.phase_since.get()
+    }
+
+    /// How long its first request may have waited to be accepted; zero for later ones.
+    pub fn take_queued(&self) -> Duration {
+        self.queued.take()
+    }
+
     /// Begins a phase.
     pub fn enter(&self, phase: Phase) {
         self.phase.set(phase);
-        self.since.set(Instant::now());
+        self.phase_since.set(Instant::now());
+    }
+
+    /// How readily it makes room; none while it has a further request or a response in progress.
+    pub(super) fn eviction_priority(&self) -> Option<EvictionPriority> {
+        match self.phase.get() {
+            Phase::Closing => Some(EvictionPriority::Closing),
+            Phase::New if self.has_sent.get() => Some(EvictionPriority::Begun),
+            Phase::New => Some(EvictionPriority::Silent),
+            Phase::Idle => Some(EvictionPriority::Idle),
+            Phase::Receiving | Phase::Busy => None,
+        }
     }
 
     /// Whether bytes wait to be read.
@@ -110,10 +160,10 @@
         pending(&self.stream) == Pending::Bytes
     }
 
-    /// Whether nobody waits for an answer any more. Asked of the socket itself: the HTTP library
+    /// Whether nobody waits for a response any more. The socket itself is asked: the HTTP library
     /// does not look for the end of a connection behind bytes that it has not handed on.
     pub fn has_left(&self) -> bool {
-        match self.patience.half_close {
+        match self.timeouts.allows_half_close {
             true => is_reset(&self.stream),
             false => has_ended(&self.stream),
         }
@@ -121,32 +171,35 @@
 
     /// When the connection has been in its phase for too long.
     pub fn dead_at(&self) -> Instant {
-        self.since.get()
-            + match self.phase.get() {
-                Phase::Closing | Phase::Fresh | Phase::Receiving => self.patience.receive,
-                Phase::Idle => self.patience.idle,
-                Phase::Busy => self.patience.busy,
-            }
+        let timeout = match self.phase.get() {
+            Phase::Closing | Phase::New | Phase::Receiving => self.timeouts.receive,
+            Phase::Idle => self.timeouts.idle,
+            Phase::Busy => self.timeouts.busy,
+        };
+        self.phase_since.get() + timeout
     }
 
-    fn progress(&self) {
-        if self.patience.by_progress && self.phase.get() == Phase::Busy {
-            self.since.set(Instant::now());
+    fn progressed(&self) {
+        if self.timeouts.is_extended_by_progress && self.phase.get() == Phase::Busy {
+            self.phase_since.set(Instant::now());
         }
     }
 }
 
 impl TrafficObserver for Client {
     fn read(&self, bytes: &[u8]) {
+        if !bytes.is_empty() {
+            self.has_sent.set(true);
+        }
         if !bytes.is_empty() && self.phase.get() == Phase::Idle {
             self.enter(Phase::Receiving);
         }
-        self.progress();
+        self.progressed();
         self.scanner.borrow_mut().read(bytes);
     }
 
     fn wrote(&self, _bytes: &[u8]) {
-        self.progress();
+        self.progressed();
     }
 
     fn flushed(&self) {
@@ -155,52 +208,3 @@
         }
     }
 }
-
-/// All clients' connections, oldest first.
-#[derive(Debug, Default)]
-pub struct Clients {
-    by_number: RefCell<BTreeMap<u64, Rc<Client>>>,
-    last: Cell<u64>,
-}
-
-impl Clients {
-    /// Takes a connection in; its number.
-    pub fn add(&self, client: Rc<Client>) -> u64 {
-        self.last.set(self.last.get() + 1);
-        self.by_number.borrow_mut().insert(self.last.get(), client);
-        self.last.get()
-    }
-
-    /// Forgets a connection that has ended.
-    pub fn remove(&self, number: u64) {
-        self.by_number.borrow_mut().remove(&number);
-    }
-
-    /// Whether there is none.
-    pub fn is_empty(&self) -> bool {
-        self.by_number.borrow().is_empty()
-    }
-
-    /// How many there are.
-    pub fn len(&self) -> usize {
-        self.by_number.borrow().len()
-    }
-
-    /// Closes a connection to make room: of those whose last answer is out, else
-    /// of those that have sent nothing, else of the idle ones, the one that is so
-    /// for longest, if it has been for `least`. Danger: a crowd that connects and
-    /// sends nothing would shut out the rest, and one whose request waits to be
-    /// read must not be closed for it.
-    pub fn evict_one(&self, least: Duration) -> bool {
-        let clients = self.by_number.borrow();
-        let unwanted = |c: &&Rc<Client>| {
-            c.phase.get() <= Phase::Idle
-                && c.since.get().elapsed() >= least
-                && !c.evicted.is_cancelled()
-                && (c.phase.get() == Phase::Closing || !c.has_pending())
-        };
-        let victim =
-            clients.values().filter(unwanted).min_by_key(|c| (c.phase.get(), c.since.get()));
-        victim.inspect(|client| client.evicted.cancel()).is_some()
-    }
-}
--- /dev/null
+++ b/crates/proxy/src/client/serve.rs
@@ -0,0 +1,159 @@
+//! One client's connection from its accept to its end.
+
+use super::accept_queue::AcceptedConnection;
+use super::closing::{close_due, read_deadline, reset_by_client, CloseMode};
+use super::connection::{Client, Phase};
+use super::handler::{ClientRequest, RequestHandler, ResponseBody, TrackedBody};
+use super::listener::ClientListener;
+use crate::tcp::{close_gracefully, pending, ObservedStream, Pending, SharedStream};
+use bytes::Bytes;
+use hyper::body::Incoming;
+use hyper::header::{self, HeaderValue};
+use hyper::server::conn::http1::Builder;
+use hyper::service::service_fn;
+use hyper::{Request, Response, StatusCode};
+use hyper_util::rt::TokioIo;
+use std::cell::RefCell;
+use std::convert::Infallible;
+use std::future::poll_fn;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::OwnedSemaphorePermit;
+use tokio::time::sleep_until;
+
+/// Largest head of a request, and the most that the library buffers each way, in bytes.
+const BUFFER_MAX: usize = 32 << 10;
+
+/// What follows when the HTTP library is done with a connection.
+enum NextStep {
+    /// It is served further; these bytes were read past the last response.
+    ServeAgain(Bytes),
+    Close(CloseMode),
+    /// It speaks another protocol now; these bytes were read past the 101.
+    Upgrade(Bytes),
+}
+
+impl<H: RequestHandler> ClientListener<H> {
+    /// Serves a connection to its end. It waited to be accepted for at most `queued`, and counts in
+    /// the budget by `_permit`.
+    pub(super) async fn serve_connection(
+        self: Rc<Self>,
+        accepted: AcceptedConnection,
+        queued: Duration,
+        _permit: OwnedSemaphorePermit,
+    ) {
+        if accepted.stream.set_nodelay(true).is_err() {
+            return;
+        }
+        let stream = Rc::new(RefCell::new(accepted.stream));
+        let client = Client::new(stream.clone(), accepted.peer, self.timeouts, queued);
+        let client = Rc::new(client);
+        let number = self.clients.add(client.clone());
+        let mut read_ahead = Bytes::new();
+        loop {
+            // In a box: a WebSocket that follows lives long, and has no use for its memory.
+            match Box::pin(self.serve_requests(&stream, &client, read_ahead)).await {
+                NextStep::ServeAgain(bytes) => read_ahead = bytes,
+                NextStep::Close(CloseMode::Immediate) => break,
+                NextStep::Close(CloseMode::Graceful) => {
+                    close(&stream, &client).await;
+                    break;
+                }
+                NextStep::Upgrade(bytes) => {
+                    upgrade(&stream, &client, bytes).await;
+                    break;
+                }
+            }
+        }
+        self.clients.remove(number);
+    }
+
+    /// Serves requests until a side ends the connection.
+    async fn serve_requests(
+        self: &Rc<Self>,
+        stream: &SharedStream,
+        client: &Rc<Client>,
+        read_ahead: Bytes,
+    ) -> NextStep {
+        let observed = ObservedStream::new(stream.clone(), client.clone(), read_ahead);
+        let service = service_fn(|request| Box::pin(self.respond(client.clone(), request)));
+        let mut builder = Builder::new();
+        builder.max_buf_size(BUFFER_MAX);
+        builder.half_close(self.timeouts.allows_half_close);
+        if let Some(max) = H::HEADERS_MAX {
+            builder.max_headers(max);
+        }
+        let mut connection = builder.serve_connection(TokioIo::new(observed), service);
+        let result = tokio::select! {
+            biased;
+            result = poll_fn(|cx| connection.poll_without_shutdown(cx)) => result,
+            mode = close_due(client, &self.draining) => return NextStep::Close(mode),
+            () = reset_by_client(stream, client, self.timeouts.allows_half_close) => {
+                return NextStep::Close(CloseMode::Immediate);
+            }
+        };
+        match result {
+            Ok(()) => self.next_step(connection.into_parts().read_buf, stream, client),
+            // A malformed request has had its response, 400.
+            Err(_) => NextStep::Close(CloseMode::Graceful),
+        }
+    }
+
+    fn next_step(&self, read_ahead: Bytes, stream: &SharedStream, client: &Client) -> NextStep {
+        if client.upgrade.borrow().is_some() {
+            return NextStep::Upgrade(read_ahead);
+        }
+        // A further request that was written before the client
+        // could read "close" has been accepted, and must have a response.
+        let has_more = !read_ahead.is_empty() || pending(stream) == Pending::Bytes;
+        if has_more && self.draining.is_cancelled() {
+            NextStep::ServeAgain(read_ahead)
+        } else {
+            NextStep::Close(CloseMode::Graceful)
+        }
+    }
+
+    async fn respond(
+        self: &Rc<Self>,
+        client: Rc<Client>,
+        request: Request<Incoming>,
+    ) -> Result<Response<TrackedBody>, Infallible> {
+        let is_draining = self.draining.is_cancelled();
+        let request = ClientRequest { client: client.clone(), request, is_draining };
+        let mut response = self.handler.clone().respond(request).await;
+        // Looked at again, since a request may wait for longer than the shutdown is
+        // announced: its client would go on with a connection that is about to end.
+        let is_upgrade = response.status() == StatusCode::SWITCHING_PROTOCOLS;
+        if self.draining.is_cancelled() && !is_upgrade {
+            let close = HeaderValue::from_static("close");
+            response.headers_mut().insert(header::CONNECTION, close);
+        }
+        client.enter(Phase::Busy);
+        Ok(response.map(|body: ResponseBody| TrackedBody::new(body, client)))
+    }
+}
+
+/// Closes a connection after its client has read all, or when it has to make room.
+async fn close(stream: &SharedStream, client: &Client) {
+    let read_deadline = read_deadline(client);
+    client.enter(Phase::Closing);
+    let must_make_room = async {
+        client.eviction.cancelled().await;
+        sleep_until(read_deadline).await;
+    };
+    tokio::select! {
+        biased;
+        () = close_gracefully(stream) => {}
+        () = must_make_room => {}
+    }
+}
+
+/// Hands a connection over to what its 101 has made of it, and waits for the end of that.
+async fn upgrade(stream: &SharedStream, client: &Client, read_ahead: Bytes) {
+    // No further head is to come.
+    client.scanner.take();
+    let upgrade = client.upgrade.borrow_mut().take();
+    if let Some(upgrade) = upgrade {
+        (upgrade.0)(stream.clone(), read_ahead).await;
+    }
+}
--- a/crates/proxy/src/cluster/attempt.rs
+++ b/crates/proxy/src/cluster/attempt.rs
@@ -11,17 +11,13 @@
 use crate::upstream::exchange::AttemptDeadlines;
 use crate::upstream::request_body::RequestBody;
 use crate::upstream::response::{
-    AttemptResult, UpgradedConnection, UpstreamBody, UpstreamProtocol, UpstreamResponse,
+    AttemptResult, UpgradedConnection, UpstreamBody, UpstreamResponse,
 };
-use hyper::header::{HeaderName, HeaderValue};
 use hyper::Request;
 use mintshelf_balancer::api::{Event, Nanos, Outcome, RequestId, ServerId};
-use mintshelf_retry::attempts::TimeoutAction;
+use mintshelf_retry::attempts::{RetryConditions, TimeoutAction};
 use std::rc::Rc;
 
-/// Tells a server of the platform how long this sidecar will wait, in milliseconds.
-const REMAINING_MS: HeaderName = HeaderName::from_static("x-remaining-ms");
-
 impl ClusterRuntime {
     /// Starts an attempt; `timeout_at` is 0 where only the request's deadline bounds it. It ends
     /// at once, unused, where it may not be sent.
@@ -61,7 +57,7 @@
             class: request.class,
             timeouts: self.timeouts(request, number, now),
         };
-        let message = self.message(request, id, number, end_at - now);
+        let message = self.message(request, id, number);
         let deadlines = self.deadlines(request.class, end_at, send_by);
         let target = self.source.target(server);
         response.start(Box::pin(attempt.run(target, message, deadlines, control)));
@@ -80,13 +76,8 @@
         request: &PendingRequest,
         id: &RequestId,
         number: u32,
-        remaining_ns: Nanos,
     ) -> Request<RequestBody> {
-        let mut message = request.request.request.clone();
-        if self.protocol == UpstreamProtocol::Platform {
-            let remaining_ms = HeaderValue::from(remaining_ns / 1_000_000);
-            message.headers_mut().insert(REMAINING_MS, remaining_ms);
-        }
+        let message = request.request.request.clone();
         if let RequestBody::Streamed(body) = message.body() {
             // A body of which a part was taken can't be sent again: the module may not retry.
             let runtime = Rc::downgrade(self);
@@ -125,10 +116,11 @@
 
     /// Whether an attempt whose own timeout has passed is to end now; else when to look again.
     fn on_timeout(&self, class: usize, timeout_ns: Nanos) -> TimeoutAction {
-        let can_retry = self.state.borrow().balancer.can_retry();
-        let has_other_endpoint = self.source.endpoints.len() > 1;
-        let now = self.clock.now();
-        self.retries.on_timeout(class, now, timeout_ns, can_retry, has_other_endpoint)
+        let conditions = RetryConditions {
+            has_budget: self.state.borrow().balancer.can_retry(),
+            has_other_endpoint: self.source.endpoints.len() > 1,
+        };
+        self.retries.on_timeout(class, self.clock.now(), timeout_ns, conditions)
     }
 
     /// Asks the module for a hedge of a request, if their share allows one.
--- a/crates/proxy/src/cluster/attempt_timeouts.rs
+++ b/crates/proxy/src/cluster/attempt_timeouts.rs
@@ -71,7 +71,7 @@
         }
     };
     sleep_until(connected_at + Duration::from_nanos(timeout_ns)).await;
-    while let TimeoutAction::Wait(wait_ns) = on_timeout(timeout_ns) {
+    while let TimeoutAction::RecheckAfter(wait_ns) = on_timeout(timeout_ns) {
         sleep(Duration::from_nanos(wait_ns)).await;
     }
 }
--- a/crates/proxy/src/cluster/mod.rs
+++ b/crates/proxy/src/cluster/mod.rs
@@ -10,7 +10,7 @@
 pub mod pending_response;
 pub mod recovery;
 pub mod request;
-pub mod retry_trackers;
+mod retry_trackers;
 pub mod runtime;
 mod serve;
 pub mod socket_load;
--- a/crates/proxy/src/cluster/runtime.rs
+++ b/crates/proxy/src/cluster/runtime.rs
@@ -8,18 +8,19 @@
 use super::pending_requests::AttemptEnd;
 use super::recovery::{RecoveryStatus, RecoveryTracker};
 use super::request::RequestOutcome;
-use super::retry_trackers::{AttemptCounts, RetryTrackers};
+use super::retry_trackers::RetryTrackers;
 use super::socket_load::SocketLoad;
 use super::spec::{ClusterSpec, DiscoverySpec};
 use super::state::RuntimeState;
 use crate::clock::Clock;
 use crate::endpoints::EndpointListObserver;
 use crate::upstream::pool::{ConnectionPool, Upstream};
-use crate::upstream::response::UpstreamProtocol;
 use mintshelf_balancer::api::{
     Action, Class, Event, ListKind, ListedServer, Nanos, Outcome, ReportMode, RequestId, ServerId,
+    Settings,
 };
 use mintshelf_balancer::decide::Balancer;
+use mintshelf_retry::attempts::AttemptCounts;
 use std::cell::RefCell;
 use std::future::poll_fn;
 use std::io::Write;
@@ -52,7 +53,6 @@
     pub(super) max_attempts: usize,
     pub(super) source: EndpointSource,
     pub(super) upstream: Rc<Upstream>,
-    pub(super) protocol: UpstreamProtocol,
     pub(super) retries: RetryTrackers,
     pub(super) socket_load: Rc<SocketLoad>,
     /// Fields of the load reports in responses, where there are any.
@@ -80,7 +80,7 @@
         let settings = spec.settings;
         let connect_timeout = Duration::from_nanos(settings.connect_timeout);
         let idle_timeout = Duration::from_nanos(settings.idle_timeout);
-        let report_fields = spec.names.report.clone();
+        let report_fields = spec.names.report_fields.clone();
         let discovery_address = spec.discovery.as_ref().map(|discovery| discovery.address);
         let recovery_tracker =
             |ramp| RecoveryTracker::new(spec.seed, ramp, settings.max_retry_after);
@@ -96,19 +96,12 @@
                 pool,
                 connect_timeout,
                 idle_timeout,
-                spec.protocol.clone(),
+                spec.protocol,
                 spec.connection_limits,
             ),
-            protocol: spec.protocol,
             retries: RetryTrackers::new(spec.retry_policies, clock.now()),
             socket_load: SocketLoad::new(spec.socket_weight),
-            health_checker: HealthChecker {
-                report_fields: match settings.report_mode {
-                    ReportMode::Absent => Vec::new(),
-                    _ => report_fields.clone(),
-                },
-                timeout: connect_timeout,
-            },
+            health_checker: health_checker(&settings, &report_fields),
             report_fields: (settings.report_mode == ReportMode::Answers).then_some(report_fields),
             peers: spec.peers.filter(|_| settings.has_peers),
             recovery,
@@ -313,6 +306,16 @@
     }
 }
 
+fn health_checker(settings: &Settings, report_fields: &[String]) -> HealthChecker {
+    HealthChecker {
+        report_fields: match settings.report_mode {
+            ReportMode::Absent => Vec::new(),
+            _ => report_fields.to_vec(),
+        },
+        timeout: Duration::from_nanos(settings.connect_timeout),
+    }
+}
+
 fn cancel_attempt(state: &RuntimeState, id: &RequestId, number: u32) {
     let request = state.requests.get(id);
     if let Some(attempt) = request.and_then(|request| request.attempts.get(number as usize)) {
--- a/crates/proxy/src/cluster/spec.rs
+++ b/crates/proxy/src/cluster/spec.rs
@@ -1,11 +1,11 @@
 //! What a cluster's runtime is started with.
 
 use super::peers::PeerGossip;
-use crate::upstream::connection_limits::ConnectionLimits;
+use crate::upstream::connection_limits::ClusterLimits;
 use crate::upstream::response::UpstreamProtocol;
 use mintshelf_balancer::api::{Nanos, Settings};
 use mintshelf_config::platform::Names;
-use mintshelf_retry::attempts::RetryPolicy;
+use mintshelf_retry::policy::RetryPolicy;
 use std::net::SocketAddr;
 
 /// The discovery service of a cluster.
@@ -36,7 +36,7 @@
     /// What the attempts of each class may do; empty where the platform says all of that.
     pub retry_policies: Vec<RetryPolicy>,
     /// How many connections the cluster may have.
-    pub connection_limits: ConnectionLimits,
+    pub connection_limits: ClusterLimits,
     /// What an open WebSocket counts for beside a request, 0 to 1, where the module compares how
     /// much is in flight.
     pub socket_weight: f64,
--- a/crates/proxy/src/cluster/state.rs
+++ b/crates/proxy/src/cluster/state.rs
@@ -5,7 +5,7 @@
 use super::timers::TimerQueue;
 use mintshelf_balancer::api::{Class, Effect, Event, Nanos, RequestId};
 use mintshelf_balancer::decide::Balancer;
-use mintshelf_retry::shutdown::{ShutdownDeadlines, Verdict};
+use mintshelf_retry::shutdown::{FinalResponse, ShutdownDeadlines};
 use std::collections::VecDeque;
 
 /// What the turns of a cluster's runtime change.
@@ -41,9 +41,9 @@
             let class = classes.get(request.class);
             let effect = class.map_or(Effect::Unsafe, |class| class.effect);
             let ran_at = request.ran_at;
-            let outcome = match ShutdownDeadlines::verdict(effect, ran_at.is_some()) {
-                Verdict::Refuse => RequestOutcome::Rejected { retry_after, ran_at },
-                Verdict::Fail => RequestOutcome::Failed { timed_out: false },
+            let outcome = match ShutdownDeadlines::final_response(effect, ran_at.is_some()) {
+                FinalResponse::Reject => RequestOutcome::Rejected { retry_after, ran_at },
+                FinalResponse::Fail => RequestOutcome::Failed { timed_out: false },
             };
             self.abort(&request.id, outcome);
         }
--- a/crates/proxy/src/gateway/admission.rs
+++ b/crates/proxy/src/gateway/admission.rs
@@ -6,7 +6,7 @@
 use crate::request_log::RequestLog;
 use mintshelf_admission::admission::{Admission, AdmissionConfig, LimitUsage};
 use mintshelf_admission::queue::{
-    QueueDecision, QueueEntry, QueueTicket, QueueTransitions, RejectReason,
+    QueueDecision, QueueEntry, QueueTicket, QueueTransitions, RejectReason, RejectedTicket,
 };
 use mintshelf_balancer::api::Nanos;
 use std::cell::RefCell;
@@ -65,7 +65,7 @@
 
 impl Drop for TenantPermit {
     fn drop(&mut self) {
-        self.controller.admission.borrow_mut().leave(&self.tenant, &self.route);
+        self.controller.admission.borrow_mut().end_request(&self.tenant, &self.route);
     }
 }
 
@@ -81,7 +81,8 @@
     fn drop(&mut self) {
         let controller = &self.controller;
         let now = controller.clock.now();
-        let transitions = controller.admission.borrow_mut().done(now, &self.cluster, &self.tenant);
+        let transitions =
+            controller.admission.borrow_mut().complete(now, &self.cluster, &self.tenant);
         controller.notify_waiters(&self.cluster, transitions);
     }
 }
@@ -96,7 +97,7 @@
 
 impl Drop for BodyPermit {
     fn drop(&mut self) {
-        self.controller.admission.borrow_mut().empty(&self.tenant, self.bytes);
+        self.controller.admission.borrow_mut().release_body(&self.tenant, self.bytes);
     }
 }
 
@@ -152,7 +153,7 @@
         match waiter.map(|waiter| waiter.result) {
             // Nobody used the place that it was given.
             Some(Some(Ok(()))) => drop(self.controller.cluster_permit(cluster, &self.tenant)),
-            Some(None) => self.controller.admission.borrow_mut().give_up(cluster, *ticket),
+            Some(None) => self.controller.admission.borrow_mut().cancel(cluster, *ticket),
             Some(Some(Err(_))) | None => {}
         }
     }
@@ -161,7 +162,7 @@
 impl AdmissionController {
     /// Puts limits in force; what is in flight counts on.
     pub fn configure(&self, config: &AdmissionConfig) {
-        let transitions = self.admission.borrow_mut().set(self.clock.now(), config);
+        let transitions = self.admission.borrow_mut().configure(self.clock.now(), config);
         for (cluster, transitions) in transitions {
             self.notify_waiters(&cluster, transitions);
         }
@@ -169,13 +170,14 @@
 
     /// How much of the limits is used.
     pub fn usage(&self) -> LimitUsage {
-        self.admission.borrow().levels()
+        self.admission.borrow().usage()
     }
 
     /// Gives the tasks that wait what became of their requests.
     fn notify_waiters(&self, cluster: &Rc<str>, transitions: QueueTransitions) {
-        let admitted = transitions.go.into_iter().map(|ticket| (ticket, Ok(())));
-        let rejected = transitions.refused.into_iter().map(|(ticket, why)| (ticket, Err(why)));
+        let admitted = transitions.admitted.into_iter().map(|ticket| (ticket, Ok(())));
+        let rejected = transitions.rejected.into_iter();
+        let rejected = rejected.map(|RejectedTicket { ticket, reason }| (ticket, Err(reason)));
         for (ticket, result) in admitted.chain(rejected) {
             let mut waiters = self.waiters.borrow_mut();
             let key = WaiterKey { cluster: cluster.clone(), ticket };
@@ -200,7 +202,7 @@
         tenant: Rc<str>,
         route: &Rc<str>,
     ) -> Result<TenantPermit, Rejection> {
-        let admitted = self.admission.borrow_mut().enter(self.clock.now(), &tenant, route);
+        let admitted = self.admission.borrow_mut().begin_request(self.clock.now(), &tenant, route);
         match admitted {
             Ok(()) => Ok(TenantPermit { controller: self.clone(), tenant, route: route.clone() }),
             Err(exceeded) => {
@@ -230,7 +232,7 @@
         tenant: &Rc<str>,
         bytes: u64,
     ) -> Result<BodyPermit, Rejection> {
-        if self.admission.borrow_mut().fill(tenant, bytes) {
+        if self.admission.borrow_mut().try_reserve_body(tenant, bytes) {
             return Ok(BodyPermit { controller: self.clone(), tenant: tenant.clone(), bytes });
         }
         let rejection = body_rejection();
@@ -254,20 +256,20 @@
         let QueueRequest { tenant, client_timeout, expected_latency, .. } = request;
         let entry = QueueEntry {
             tenant: tenant.clone(),
-            repeat: request.is_repeat,
+            is_repeat: request.is_repeat,
             priority_weight: request.priority_weight,
             deadline: started_at.saturating_add(client_timeout),
-            needs: expected_latency,
+            expected_latency,
         };
-        let offered = self.admission.borrow_mut().offer(started_at, cluster, entry);
+        let offered = self.admission.borrow_mut().enqueue(started_at, cluster, entry);
         let Some((decision, transitions)) = offered else {
             return Ok(AdmittedRequest { permit: None, remaining_timeout: client_timeout });
         };
         self.notify_waiters(cluster, transitions);
         let max_wait = client_timeout.saturating_sub(expected_latency);
         let result = match decision {
-            QueueDecision::Go => Ok(()),
-            QueueDecision::Rejected(reason) => Err(reason),
+            QueueDecision::Admit => Ok(()),
+            QueueDecision::Reject(reason) => Err(reason),
             QueueDecision::Wait(ticket) => {
                 let key = WaiterKey { cluster: cluster.clone(), ticket };
                 self.wait_in_queue(key, &tenant, started_at.saturating_add(max_wait)).await
--- a/crates/proxy/src/gateway/classify.rs
+++ b/crates/proxy/src/gateway/classify.rs
@@ -8,9 +8,9 @@
 use hyper::header::{self, HeaderMap};
 use hyper::{Method, Request, StatusCode, Version};
 use mintshelf_balancer::api::{Effect, Nanos};
-use mintshelf_config::model::{Forward, Route, Sticky, Then};
-use mintshelf_config::module::severity;
-use mintshelf_routing::{pattern, Probe};
+use mintshelf_config::model::{Forward, Route, RouteAction, Sticky};
+use mintshelf_routing::path::has_dot_segments;
+use mintshelf_routing::RequestView;
 use std::rc::Rc;
 
 /// Header with the key by which a server recognises a repeat.
@@ -40,7 +40,7 @@
             let rejection = Rejection::new(StatusCode::NOT_IMPLEMENTED, "no-tunnel", detail);
             return Err(rejection.closing_connection());
         }
-        if pattern::has_dot_segments(path_and_query.split('?').next().unwrap_or("/")) {
+        if has_dot_segments(path_and_query.split('?').next().unwrap_or("/")) {
             let detail = "the path holds an element '.' or '..'";
             return Err(Rejection::new(StatusCode::BAD_REQUEST, "climbing-path", detail));
         }
@@ -79,14 +79,14 @@
         request: &Request<Incoming>,
     ) -> Result<Self, Rejection> {
         let RequestTarget { host, path_and_query } = target;
-        let probe = Probe::new(host, path_and_query, request.method(), request.headers());
-        let Some(index) = serving.table.find(&probe) else {
+        let view = RequestView::new(host, path_and_query, request.method(), request.headers());
+        let Some(index) = serving.table.find(&view) else {
             let detail = "no route takes this request";
             return Err(Rejection::new(StatusCode::NOT_FOUND, "no-route", detail));
         };
         let route = &serving.routes[index];
-        let sticky_key = match &route.then {
-            Then::Forward(forward) => sticky_key(forward.sticky.as_ref(), &probe, client),
+        let sticky_key = match &route.action {
+            RouteAction::Forward(forward) => sticky_key(forward.sticky.as_ref(), &view, client),
             _ => None,
         };
         Ok(RouteMatch { index, route, sticky_key })
@@ -128,7 +128,7 @@
             cluster_name,
             cluster,
             effect,
-            class: class.numbers[severity(effect)].ok_or_else(no_cluster)?,
+            class: class.class_number(effect).ok_or_else(no_cluster)?,
             priority_weight: class.priority_weight,
             client_timeout: class.deadline,
             is_repeat: repeat_mark.is_some_and(|value| value != "0"),
@@ -194,13 +194,15 @@
     Rejection::new(StatusCode::BAD_REQUEST, "host", detail).closing_connection()
 }
 
-fn sticky_key(sticky: Option<&Sticky>, probe: &Probe, client: &Client) -> Option<Vec<u8>> {
+fn sticky_key(sticky: Option<&Sticky>, view: &RequestView, client: &Client) -> Option<Vec<u8>> {
     match sticky? {
         Sticky::Client => Some(client.peer.ip().to_string().into_bytes()),
-        Sticky::Header(name) => probe.headers.get(name).map(|value| value.as_bytes().to_vec()),
-        Sticky::Query(name) => probe.parameters(name).next().map(|value| value.as_bytes().to_vec()),
+        Sticky::Header(name) => view.headers.get(name).map(|value| value.as_bytes().to_vec()),
+        Sticky::Query(name) => {
+            view.query_values(name).next().map(|value| value.as_bytes().to_vec())
+        }
         Sticky::Cookie(name) => {
-            let mut pairs = cookie_pairs(probe.headers).filter_map(|pair| pair.split_once('='));
+            let mut pairs = cookie_pairs(view.headers).filter_map(|pair| pair.split_once('='));
             pairs.find(|(key, _)| key == name).map(|(_, value)| value.as_bytes().to_vec())
         }
     }
--- a/crates/proxy/src/gateway/config.rs
+++ b/crates/proxy/src/gateway/config.rs
@@ -5,10 +5,10 @@
 use crate::client::connection::Client;
 use crate::cluster::runtime::ClusterRuntime;
 use hyper::header::{HeaderMap, HeaderName};
-use mintshelf_admission::tenants::{Tenants, OTHER_TENANTS};
+use mintshelf_admission::tenants::{TenantResolver, OTHER_TENANTS};
+use mintshelf_config::balancer::BalancerClass;
 use mintshelf_config::model::{Forwarding, Route};
-use mintshelf_config::module::ModuleClass;
-use mintshelf_routing::Table;
+use mintshelf_routing::RouteTable;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
@@ -17,7 +17,7 @@
 /// the one they began with.
 pub struct ServingConfig {
     /// Finds a route's index.
-    pub table: Table,
+    pub table: RouteTable,
     /// The routes, in the table's order.
     pub routes: Vec<Route>,
     /// Requests of each route, in the same order.
@@ -53,7 +53,7 @@
     /// The instance.
     pub runtime: Rc<ClusterRuntime>,
     /// The module's classes by their names in the operator's file.
-    pub classes: BTreeMap<String, ModuleClass>,
+    pub classes: BTreeMap<String, BalancerClass>,
 }
 
 /// The limits that requests of one listener pass.
@@ -61,7 +61,7 @@
     /// The limits.
     pub controller: Rc<AdmissionController>,
     /// Tells tenants apart; absent where there are none.
-    pub tenants: Option<Rc<Tenants>>,
+    pub tenants: Option<Rc<TenantResolver>>,
     /// The header that names a tenant.
     pub tenant_header: Option<HeaderName>,
     /// The routes' names, in the order of [`ServingConfig::routes`].
@@ -89,7 +89,7 @@
     fn tenant_of(&self, client: &Client, listener: &str, headers: &HeaderMap) -> Rc<str> {
         let Some(tenants) = &self.tenants else { return OTHER_TENANTS.into() };
         let value = self.tenant_header.as_ref().and_then(|name| headers.get(name));
-        tenants.of(client.peer.ip(), listener, value.and_then(|value| value.to_str().ok()))
+        tenants.resolve(client.peer.ip(), listener, value.and_then(|value| value.to_str().ok()))
     }
 }
 
--- a/crates/proxy/src/gateway/edits.rs
+++ b/crates/proxy/src/gateway/edits.rs
@@ -5,11 +5,12 @@
 use bytes::Bytes;
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::{Response, StatusCode};
-use mintshelf_config::model::{Edits, Redirect, Respond, Route};
-use mintshelf_routing::{pattern, PathMatch};
+use mintshelf_config::model::{HeaderEdits, Redirect, Respond, Route};
+use mintshelf_routing::path::after_prefix;
+use mintshelf_routing::PathMatch;
 
 /// Changes headers as a route says.
-pub(crate) fn apply_edits(headers: &mut HeaderMap, edits: &Edits) {
+pub(crate) fn apply_edits(headers: &mut HeaderMap, edits: &HeaderEdits) {
     for name in &edits.remove {
         headers.remove(name);
     }
@@ -44,7 +45,7 @@
         return path_and_query.to_string();
     };
     let Some(replacement) = replacement else { return path_and_query.to_string() };
-    let Some(remainder) = pattern::after_prefix(prefix, path) else {
+    let Some(remainder) = after_prefix(prefix, path) else {
         return path_and_query.to_string();
     };
     let path = format!("{}{remainder}", replacement.trim_end_matches('/'));
--- a/crates/proxy/src/gateway/forward.rs
+++ b/crates/proxy/src/gateway/forward.rs
@@ -127,7 +127,7 @@
         if let Some(via) = &forwarding.via {
             append_via(headers, via);
         }
-        if forwarding.forwarded {
+        if forwarding.adds_forwarded {
             let client = match context.client.peer.ip() {
                 IpAddr::V4(ip) => ip.to_string(),
                 IpAddr::V6(ip) => format!("\"[{ip}]\""),
--- a/crates/proxy/src/gateway/handler.rs
+++ b/crates/proxy/src/gateway/handler.rs
@@ -11,7 +11,7 @@
 use crate::websocket::registry::SocketRegistry;
 use hyper::header::HeaderValue;
 use hyper::{Method, Response};
-use mintshelf_config::model::Then;
+use mintshelf_config::model::RouteAction;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -89,8 +89,8 @@
         let RouteMatch { index, route, sticky_key } =
             RouteMatch::find(serving, &target, &client, &request)?;
         serving.count_hit(index);
-        match &route.then {
-            Then::Forward(forward) => {
+        match &route.action {
+            RouteAction::Forward(forward) => {
                 let context = ForwardContext {
                     serving,
                     client: &client,
@@ -104,10 +104,10 @@
                 };
                 self.forward(context, request).await
             }
-            Then::Redirect(redirect) => {
+            RouteAction::Redirect(redirect) => {
                 redirect_response(redirect, route, &target.host, &target.path_and_query)
             }
-            Then::Respond(respond) => Ok(fixed_response(respond)),
+            RouteAction::Respond(respond) => Ok(fixed_response(respond)),
         }
     }
 }
--- a/crates/proxy/src/gateway/limit_rejections.rs
+++ b/crates/proxy/src/gateway/limit_rejections.rs
@@ -35,7 +35,7 @@
 /// The rejection by the queue of a cluster.
 pub(super) fn queue_rejection(reason: RejectReason) -> Rejection {
     let (code, detail) = match reason {
-        RejectReason::Full => ("queue-full", "too many wait for the cluster; it has not run"),
+        RejectReason::QueueFull => ("queue-full", "too many wait for the cluster; it has not run"),
         RejectReason::TooLate => {
             ("queue-late", "it waited too long to be answered in time; it has not run")
         }
--- a/crates/proxy/src/gateway/socket_connector.rs
+++ b/crates/proxy/src/gateway/socket_connector.rs
@@ -7,7 +7,6 @@
 use crate::upstream::response::{UpstreamBody, UpstreamResponse};
 use crate::websocket::reconnect::{ReconnectRequest, ServerConnection, SocketConnector};
 use hyper::Request;
-use mintshelf_config::module::severity;
 
 impl SocketConnector for ActiveConfig {
     async fn connect(&self, request: &ReconnectRequest) -> Option<ServerConnection> {
@@ -17,7 +16,7 @@
         let class = cluster.classes.get(&target.policy)?;
         let head = request.handshake_head();
         let options = DispatchOptions {
-            class: class.numbers[severity(target.effect)]?,
+            class: class.class_number(target.effect)?,
             priority_weight: class.priority_weight,
             is_repeat: true,
             client_timeout: class.deadline,
--- a/crates/proxy/src/platform/handler.rs
+++ b/crates/proxy/src/platform/handler.rs
@@ -61,7 +61,7 @@
         let clock = self.runtime.clock();
         let deadlines = ShutdownDeadlines::new(clock.now(), nanos(longest_deadline));
         self.shutdown.set(Some(deadlines));
-        sleep_until(clock.instant(deadlines.cut_at())).await;
+        sleep_until(clock.instant(deadlines.final_response_at())).await;
         self.runtime.conclude_all(self.restart_retry_after());
     }
 
@@ -70,17 +70,20 @@
     }
 
     /// Reads a request completely and gets it its final outcome. The stages of its way: its head,
-    /// its body, the shutdown's deadlines, the decision module.
+    /// its body, the shutdown's deadlines, the decision module. The client has waited for up to
+    /// `queued` since it sent the request.
     async fn handle(
         &self,
         client: &Rc<Client>,
         request: Request<Incoming>,
+        queued: Duration,
     ) -> Result<RequestOutcome, RejectedRequest> {
         let (mut head, mut body) = request.into_parts();
         if client.scanner.borrow_mut().next_head().is_framed_twice() {
             return Err(RejectedRequest::bad_request("Content-Length and Transfer-Encoding\n"));
         }
         let mut metadata = read_metadata(&head.headers, &self.settings, &self.names)?;
+        metadata.client_timeout = metadata.client_timeout.saturating_sub(nanos(queued));
         let transaction_id = head.headers.get(TRANSACTION_ID).cloned();
         let transaction_id = transaction_id.ok_or_else(missing_transaction_id)?;
         let body = read_body(&self.body_budget, &mut body, metadata.client_timeout).await?;
@@ -104,7 +107,7 @@
     fn apply_shutdown(&self, metadata: &mut RequestMetadata) -> Option<RequestOutcome> {
         let deadlines = self.shutdown.get()?;
         let now = self.runtime.clock().now();
-        match deadlines.patience(now, metadata.client_timeout) {
+        match deadlines.limit_timeout(now, metadata.client_timeout) {
             Some(client_timeout) => {
                 metadata.client_timeout = client_timeout;
                 None
@@ -131,10 +134,11 @@
 
     async fn respond(self: Rc<Self>, request: ClientRequest) -> Response<ResponseBody> {
         let ClientRequest { client, request, is_draining } = request;
+        let queued = client.take_queued();
         if request.uri().path() == READY_PATH {
             return ready_response(is_draining);
         }
-        match self.handle(&client, request).await {
+        match self.handle(&client, request, queued).await {
             Ok(outcome) => outcome_response(outcome),
             Err(rejected) => rejected_response(&rejected),
         }
--- a/crates/proxy/src/request_log.rs
+++ b/crates/proxy/src/request_log.rs
@@ -21,7 +21,7 @@
     pub fn new(clock: &Clock) -> Self {
         let config = RateConfig {
             count: LINES_PER_SECOND,
-            per: Duration::from_secs(1),
+            period: Duration::from_secs(1),
             burst: LINES_PER_SECOND,
         };
         RequestLog { rate: RateLimit::new(config, clock.now()), omitted: Cell::new(0) }
@@ -29,7 +29,7 @@
 
     /// Whether a line may be written now; if so, how many were omitted before it.
     pub fn try_write(&self, clock: &Clock) -> Option<u64> {
-        if self.rate.take(clock.now()).is_ok() {
+        if self.rate.try_acquire(clock.now()).is_ok() {
             return Some(self.omitted.take());
         }
         self.omitted.set(self.omitted.get() + 1);
--- a/crates/proxy/src/upstream/connection_limits.rs
+++ b/crates/proxy/src/upstream/connection_limits.rs
@@ -1,26 +1,18 @@
 //! How many connections a cluster may have, and how many it has.
 
 use mintshelf_balancer::api::ServerId;
+use mintshelf_config::model::ConnectionLimits;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Limits at two scopes; absent where there is none.
-#[derive(Debug, Clone, Copy, Default)]
-pub struct ScopeLimits {
-    /// To all endpoints of the cluster together.
-    pub cluster: Option<u32>,
-    /// To each endpoint.
-    pub endpoint: Option<u32>,
-}
-
 /// How many connections a cluster may have.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct ConnectionLimits {
+pub struct ClusterLimits {
     /// All connections.
-    pub connections: ScopeLimits,
+    pub connections: ConnectionLimits,
     /// Those of them that carry a WebSocket.
-    pub sockets: ScopeLimits,
+    pub sockets: ConnectionLimits,
 }
 
 /// What a new connection is for.
@@ -55,7 +47,7 @@
 /// Counts the connections of one cluster against its limits.
 #[derive(Debug, Default)]
 pub(crate) struct ConnectionCounter {
-    limits: ConnectionLimits,
+    limits: ClusterLimits,
     cluster: Cell<OpenConnections>,
     endpoints: RefCell<HashMap<ServerId, OpenConnections>>,
 }
@@ -71,21 +63,21 @@
 
 impl ConnectionCounter {
     /// A cluster without connections.
-    pub(crate) fn new(limits: ConnectionLimits) -> Rc<Self> {
+    pub(crate) fn new(limits: ClusterLimits) -> Rc<Self> {
         Rc::new(ConnectionCounter { limits, ..ConnectionCounter::default() })
     }
 
     /// Whether the cluster may not have one more connection for this use.
     pub(crate) fn is_cluster_full(&self, usage: ConnectionUse) -> bool {
         let limits = &self.limits;
-        is_full(self.cluster.get(), usage, limits.connections.cluster, limits.sockets.cluster)
+        is_full(self.cluster.get(), usage, limits.connections.total, limits.sockets.total)
     }
 
     /// Whether an endpoint may not have one more connection for this use.
     pub(crate) fn is_endpoint_full(&self, server: ServerId, usage: ConnectionUse) -> bool {
         let open = self.endpoints.borrow().get(&server).copied().unwrap_or_default();
         let limits = &self.limits;
-        is_full(open, usage, limits.connections.endpoint, limits.sockets.endpoint)
+        is_full(open, usage, limits.connections.per_endpoint, limits.sockets.per_endpoint)
     }
 
     /// Counts one more connection.
--- a/crates/proxy/src/upstream/exchange.rs
+++ b/crates/proxy/src/upstream/exchange.rs
@@ -9,6 +9,7 @@
 use super::response::{AttemptResult, UpstreamProtocol};
 use super::write_progress::WriteProgress;
 use bytes::Bytes;
+use hyper::header::{HeaderName, HeaderValue};
 use hyper::{Request, StatusCode};
 use mintshelf_balancer::api::Outcome;
 use mintshelf_websocket::handshake::HandshakeRequest;
@@ -19,6 +20,9 @@
 use std::time::Duration;
 use tokio::time::{sleep_until, Instant};
 
+/// Tells a server of the platform how long this sidecar will wait, in milliseconds.
+const REMAINING_MS: HeaderName = HeaderName::from_static("x-remaining-ms");
+
 /// How long an attempt may take.
 #[derive(Debug, Clone, Copy)]
 pub struct AttemptDeadlines {
@@ -82,8 +86,8 @@
 
     fn upload_of(&self, request: &Request<RequestBody>) -> Option<Upload> {
         match (request.body(), &self.protocol) {
-            (RequestBody::Streamed(body), UpstreamProtocol::Plain { stall_timeout, .. }) => {
-                Some(Upload { body: body.clone(), stall_timeout: *stall_timeout })
+            (RequestBody::Streamed(body), UpstreamProtocol::Plain(protocol)) => {
+                Some(Upload { body: body.clone(), stall_timeout: protocol.stall_timeout })
             }
             _ => None,
         }
@@ -92,7 +96,7 @@
     async fn exchange(
         self: &Rc<Self>,
         target: Target,
-        request: Request<RequestBody>,
+        mut request: Request<RequestBody>,
         progress: &ExchangeProgress,
         deadlines: AttemptDeadlines,
         control: &AttemptControl,
@@ -116,6 +120,9 @@
             return Outcome::Unused.into();
         }
         progress.follow(connection.progress.clone());
+        if self.protocol == UpstreamProtocol::Platform {
+            set_remaining(&mut request, deadlines.end);
+        }
         match handshake {
             Some(handshake) => self.exchange_handshake(connection, request, &handshake).await,
             None => self.exchange_request(connection, request).await,
@@ -200,3 +207,11 @@
         pending().await
     }
 }
+
+/// Tells the server how long this sidecar will wait; not before the connection is there, as
+/// waiting for that has used up part of the time.
+fn set_remaining(request: &mut Request<RequestBody>, end: Instant) {
+    let remaining = end.saturating_duration_since(Instant::now()).as_millis();
+    let remaining_ms = u64::try_from(remaining).unwrap_or(u64::MAX);
+    request.headers_mut().insert(REMAINING_MS, HeaderValue::from(remaining_ms));
+}
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -1,7 +1,7 @@
 //! Connections to servers: idle ones, and how new ones are opened within the budgets.
 
 use super::connection::{ConnectionGuards, PoolKey, Target, UpstreamConnection};
-use super::connection_limits::{ConnectionCounter, ConnectionLimits, ConnectionUse};
+use super::connection_limits::{ClusterLimits, ConnectionCounter, ConnectionUse};
 use super::response::UpstreamProtocol;
 use super::write_progress::WriteProgress;
 use crate::budget::ResourceBudget;
@@ -90,7 +90,7 @@
         connect_timeout: Duration,
         idle_timeout: Duration,
         protocol: UpstreamProtocol,
-        limits: ConnectionLimits,
+        limits: ClusterLimits,
     ) -> Rc<Self> {
         let cluster = pool.last_cluster.get() + 1;
         pool.last_cluster.set(cluster);
--- a/crates/proxy/src/upstream/receive.rs
+++ b/crates/proxy/src/upstream/receive.rs
@@ -3,7 +3,8 @@
 use super::connection::{outcome_of_error, UpstreamConnection};
 use super::pool::Upstream;
 use super::response::{
-    AttemptResult, UpgradedConnection, UpstreamBody, UpstreamProtocol, UpstreamResponse,
+    AttemptResult, PlainProtocol, UpgradedConnection, UpstreamBody, UpstreamProtocol,
+    UpstreamResponse,
 };
 use super::response_stream::{Remainder, ResponseStream};
 use crate::headers::{text, BODY_MAX};
@@ -100,22 +101,14 @@
         mut connection: UpstreamConnection,
         response: Response<Incoming>,
     ) -> AttemptResult {
-        let UpstreamProtocol::Plain { failure_statuses, never_ran_header, stall_timeout } =
-            &self.protocol
-        else {
+        let UpstreamProtocol::Plain(protocol) = &self.protocol else {
             return Outcome::Error.into();
         };
         let (head, mut body) = response.into_parts();
         if !is_readable(head.status, &head.headers) {
             return Outcome::Error.into();
         }
-        let never_ran = never_ran_header.as_ref().and_then(|name| head.headers.get(name));
-        let outcome = match head.status.as_u16() {
-            _ if never_ran.is_some_and(|value| value == "1") => Outcome::Full,
-            status if failure_statuses.contains(&status) => Outcome::Error,
-            400..=499 => Outcome::Rejected,
-            _ => Outcome::Ok,
-        };
+        let outcome = protocol.outcome(head.status, &head.headers);
         let start = match read_start(&mut connection, &mut body).await {
             Ok(start) => start,
             Err(outcome) => return outcome.into(),
@@ -129,20 +122,39 @@
         let body = if remainder.is_none() && start.frames.iter().all(Frame::is_data) {
             UpstreamBody::Complete(join_frames(start.frames))
         } else {
-            let upstream = self.clone();
-            let return_connection = Box::new(move |connection| upstream.release(connection));
-            let stream = ResponseStream::new(
-                start.frames,
-                remainder,
-                *stall_timeout,
-                outcome,
-                return_connection,
-            );
-            UpstreamBody::Stream(Box::new(stream))
+            self.stream_body(start.frames, remainder, protocol.stall_timeout, outcome)
         };
         let response = UpstreamResponse { status: head.status, headers: head.headers, body };
         AttemptResult { outcome, load_report: None, response: Some(response) }
     }
+
+    /// A body that is passed on as it arrives, and returns its connection at its end.
+    fn stream_body(
+        self: &Rc<Self>,
+        frames: VecDeque<Frame<Bytes>>,
+        remainder: Option<Remainder>,
+        stall_timeout: Duration,
+        outcome: Outcome,
+    ) -> UpstreamBody {
+        let upstream = self.clone();
+        let return_connection = Box::new(move |connection| upstream.release(connection));
+        let stream =
+            ResponseStream::new(frames, remainder, stall_timeout, outcome, return_connection);
+        UpstreamBody::Stream(Box::new(stream))
+    }
+}
+
+impl PlainProtocol {
+    /// What the head of a response says of its attempt.
+    fn outcome(&self, status: StatusCode, headers: &HeaderMap) -> Outcome {
+        let never_ran = self.never_ran_header.as_ref().and_then(|name| headers.get(name));
+        match status.as_u16() {
+            _ if never_ran.is_some_and(|value| value == "1") => Outcome::Full,
+            status if self.failure_statuses.contains(&status) => Outcome::Error,
+            400..=499 => Outcome::Rejected,
+            _ => Outcome::Ok,
+        }
+    }
 }
 
 /// What has arrived of a body.
--- a/crates/proxy/src/upstream/response.rs
+++ b/crates/proxy/src/upstream/response.rs
@@ -80,12 +80,16 @@
     /// As the platform's protocol has it: 200 or nothing, short and complete.
     Platform,
     /// Any HTTP/1.1 service.
-    Plain {
-        /// Statuses that count as a failure of the endpoint.
-        failure_statuses: Vec<u16>,
-        /// A header by which a server says, with the value 1, that it never ran the request.
-        never_ran_header: Option<HeaderName>,
-        /// A body that pauses for this long, either way, is given up.
-        stall_timeout: Duration,
-    },
+    Plain(PlainProtocol),
+}
+
+/// What an HTTP/1.1 service says by its responses.
+#[derive(Debug, Clone, PartialEq)]
+pub struct PlainProtocol {
+    /// Statuses that count as a failure of the endpoint.
+    pub failure_statuses: Vec<u16>,
+    /// A header by which a server says, with the value 1, that it never ran the request.
+    pub never_ran_header: Option<HeaderName>,
+    /// A body that pauses for this long, either way, is given up.
+    pub stall_timeout: Duration,
 }
--- a/crates/proxy/src/websocket/registry.rs
+++ b/crates/proxy/src/websocket/registry.rs
@@ -44,7 +44,7 @@
 
 impl Drop for SlotReservation {
     fn drop(&mut self) {
-        self.registry.slots.borrow_mut().leave(&self.owner);
+        self.registry.slots.borrow_mut().release(&self.owner);
     }
 }
 
@@ -115,7 +115,7 @@
 
     /// Applies the limits of a configuration. Open sockets stay.
     pub fn configure(&self, config: SlotConfig) {
-        self.slots.borrow_mut().set(config);
+        self.slots.borrow_mut().configure(config);
     }
 
     /// The clock of all times of sockets.
@@ -151,14 +151,14 @@
     /// above its own is evicted, so that a later call may succeed.
     pub fn reserve(self: &Rc<Self>, owner: &SlotOwner) -> Result<SlotReservation, SlotUnavailable> {
         let now = self.clock.now();
-        let taken = self.slots.borrow_mut().take(now, owner);
+        let taken = self.slots.borrow_mut().acquire(now, owner);
         match taken {
             Ok(()) => Ok(SlotReservation { registry: self.clone(), owner: owner.clone() }),
             Err(rejected) => {
-                if let Some(tenant) = rejected.reclaim {
+                if let Some(tenant) = rejected.reclaim_from {
                     self.reclaim_slot(now, &tenant);
                 }
-                Err(rejected.why)
+                Err(rejected.reason)
             }
         }
     }
--- a/crates/proxy/tests/edits.rs
+++ b/crates/proxy/tests/edits.rs
@@ -2,7 +2,7 @@
 
 use hyper::header::HeaderValue;
 use hyper::StatusCode;
-use mintshelf_config::model::{Respond, Route, Then};
+use mintshelf_config::model::{Respond, Route, RouteAction};
 use mintshelf_proxy::gateway::edits::rewrite_target;
 use std::sync::Arc;
 
@@ -12,7 +12,7 @@
         name: String::new(),
         line: 0,
         listeners: Vec::new(),
-        rule: Arc::new(mintshelf_routing::Rule {
+        rule: Arc::new(mintshelf_routing::RouteRule {
             path: mintshelf_routing::PathMatch::Prefix(prefix.into()),
             ..Default::default()
         }),
@@ -20,7 +20,7 @@
         policy: String::new(),
         limit: Default::default(),
         effect: None,
-        then: Then::Respond(Respond {
+        action: RouteAction::Respond(Respond {
             status: StatusCode::OK,
             body: String::new(),
             content_type: HeaderValue::from_static("a/b"),
