--- a/crates/proxy/src/websocket/relay.rs
+++ b/crates/proxy/src/websocket/relay.rs
@@ -8,7 +8,7 @@
 use crate::upstream::response::UpgradedConnection;
 use bytes::Bytes;
 use mintshelf_balancer::api::Nanos;
-use mintshelf_websocket::frame::Peer;
+use mintshelf_websocket::peer::Peer;
 use mintshelf_websocket::session::{ClosedBy, Session, SessionAction, SessionEnd};
 use std::future::{poll_fn, Future};
 use std::pin::Pin;
