--- a/crates/proxy/src/gateway/forward.rs
+++ b/crates/proxy/src/gateway/forward.rs
@@ -2,12 +2,12 @@
 
 use super::admission::{BodyPermit, TenantPermit};
 use super::classify::{ClusterClass, RequestTarget};
-use super::config::ServingConfig;
+use super::config::{ActiveConfig, ServingConfig};
 use super::dispatch::{dispatch, DispatchOptions, Dispatched};
 use super::edits::{append, append_via, apply_edits, invalid_target, rewrite_target};
-use super::handler::GatewayHandler;
 use super::rejection::Rejection;
 use super::request_body::{read_body, BudgetedBody, BufferPlan};
+use super::request_ids::RequestIds;
 use super::respond::{client_response, served_response, upstream_failed, RequestPermits};
 use crate::client::connection::{Client, Phase};
 use crate::client::handler::ResponseBody;
@@ -15,6 +15,7 @@
 use crate::headers::strip_for_next_hop;
 use crate::upstream::response::{UpgradedConnection, UpstreamBody, UpstreamResponse};
 use crate::websocket::reconnect::ReconnectTarget;
+use crate::websocket::registry::SocketRegistry;
 use crate::websocket::upgrade::PendingUpgrade;
 use bytes::Bytes;
 use hyper::body::{Body, Incoming};
@@ -27,6 +28,17 @@
 use mintshelf_websocket::handshake;
 use std::net::IpAddr;
 use std::rc::Rc;
+use std::sync::Arc;
+use tokio::sync::Semaphore;
+
+/// Forwards the requests of one listener to its clusters.
+pub(super) struct Forwarder {
+    pub(super) config: Rc<ActiveConfig>,
+    pub(super) ids: RequestIds,
+    /// Bytes of bodies that the process may have in memory.
+    pub(super) body_budget: Arc<Semaphore>,
+    pub(super) sockets: Rc<SocketRegistry>,
+}
 
 /// A request whose route forwards it.
 pub(crate) struct ForwardContext<'a> {
@@ -48,9 +60,22 @@
     head: Parts,
 }
 
-impl GatewayHandler {
-    /// Forwards a request. This is the list of its stages; a later one never runs where an earlier
-    /// one rejects the request, and what one acquires is held to the end.
+impl Forwarder {
+    /// Forwards a request whose head was read and whose route was found. These are the stages of
+    /// its way:
+    ///
+    /// 1. classify: its cluster, its class there, its effect;
+    /// 2. admit: the limits of its tenant and route, and a slot for a WebSocket;
+    /// 3. rewrite: its head as servers get it;
+    /// 4. read: its body, as far as the quota of its tenant and the process's budget allow;
+    /// 5. balance: its cluster's queue, then the decision module and its attempts;
+    /// 6. respond: the server's response, or the rejection.
+    ///
+    /// A stage that rejects the request ends it. What a stage acquires is given back when its
+    /// guard is dropped, however the request ends.
+    ///
+    /// # Errors
+    /// The rejection of the first stage that does not let it pass.
     pub(super) async fn forward(
         &self,
         context: ForwardContext<'_>,
@@ -137,7 +162,7 @@
         }
         let request_id = forwarding.request_id.as_ref();
         if let Some(name) = request_id.filter(|name| !headers.contains_key(*name)) {
-            headers.insert(name, self.new_request_id());
+            headers.insert(name, self.ids.next_id());
         }
     }
 
--- a/crates/proxy/src/gateway/handler.rs
+++ b/crates/proxy/src/gateway/handler.rs
@@ -4,28 +4,22 @@
 use super::classify::{RequestTarget, RouteMatch};
 use super::config::{ActiveConfig, ServingConfig};
 use super::edits::{fixed_response, redirect_response};
-use super::forward::ForwardContext;
+use super::forward::{ForwardContext, Forwarder};
 use super::rejection::Rejection;
+use super::request_ids::RequestIds;
 use super::stats::ProxyStats;
 use crate::client::handler::{ClientRequest, RequestHandler, ResponseBody};
 use crate::websocket::registry::SocketRegistry;
-use hyper::header::HeaderValue;
 use hyper::{Method, Response};
 use mintshelf_config::model::RouteAction;
-use std::cell::Cell;
 use std::rc::Rc;
 use std::sync::Arc;
 use tokio::sync::Semaphore;
 
 /// Responds to the requests of one listener.
 pub struct GatewayHandler {
-    pub(super) config: Rc<ActiveConfig>,
-    /// Bytes of bodies that the process may have in memory.
-    pub(super) body_budget: Arc<Semaphore>,
+    forwarder: Forwarder,
     stats: Rc<ProxyStats>,
-    pub(super) sockets: Rc<SocketRegistry>,
-    last_number: Cell<u64>,
-    seed: u64,
 }
 
 impl GatewayHandler {
@@ -38,18 +32,19 @@
         seed: u64,
     ) -> Rc<Self> {
         Rc::new(GatewayHandler {
-            config: ActiveConfig::new(config),
-            body_budget,
+            forwarder: Forwarder {
+                config: ActiveConfig::new(config),
+                ids: RequestIds::new(seed),
+                body_budget,
+                sockets,
+            },
             stats,
-            sockets,
-            last_number: Cell::new(0),
-            seed,
         })
     }
 
     /// Puts another configuration in force for the requests that come from now on.
     pub fn replace_config(&self, config: Rc<ServingConfig>) {
-        let old = self.config.replace(config);
+        let old = self.forwarder.config.replace(config);
         let mut routes = self.stats.routes.borrow_mut();
         for (name, hits) in old.hits() {
             *routes.entry(name.to_string()).or_default() += hits;
@@ -58,23 +53,12 @@
 
     /// The configuration in force.
     pub fn config(&self) -> Rc<ServingConfig> {
-        self.config.current()
+        self.forwarder.config.current()
     }
 
     /// A number of this listener among those of the process, by which its sockets are found.
     pub fn listener_id(&self) -> usize {
-        self.config.listener_id()
-    }
-
-    fn next_number(&self) -> u64 {
-        self.last_number.set(self.last_number.get() + 1);
-        self.last_number.get()
-    }
-
-    /// An id for a request that brought none: 32 hexadecimal digits.
-    pub(super) fn new_request_id(&self) -> HeaderValue {
-        let id = format!("{:016x}{:016x}", self.seed, self.next_number());
-        HeaderValue::from_str(&id).unwrap_or(HeaderValue::from_static("0"))
+        self.forwarder.config.listener_id()
     }
 
     /// Reads a request's head, finds its route and does what that says; the stages of a request
@@ -98,11 +82,11 @@
                     route,
                     forward,
                     balance_key: sticky_key
-                        .unwrap_or_else(|| self.next_number().to_le_bytes().to_vec()),
+                        .unwrap_or_else(|| self.forwarder.ids.next_number().to_le_bytes().to_vec()),
                     target,
                     is_draining,
                 };
-                self.forward(context, request).await
+                self.forwarder.forward(context, request).await
             }
             RouteAction::Redirect(redirect) => {
                 redirect_response(redirect, route, &target.host, &target.path_and_query)
@@ -114,7 +98,7 @@
 
 impl RequestHandler for GatewayHandler {
     async fn respond(self: Rc<Self>, request: ClientRequest) -> Response<ResponseBody> {
-        let serving = self.config.current();
+        let serving = self.forwarder.config.current();
         let is_head = request.request.method() == Method::HEAD;
         let response = match self.handle(&serving, request).await {
             Ok(response) => response,
--- a/crates/proxy/src/gateway/mod.rs
+++ b/crates/proxy/src/gateway/mod.rs
@@ -10,6 +10,7 @@
 mod limit_rejections;
 pub mod rejection;
 mod request_body;
+mod request_ids;
 mod respond;
 mod socket_connector;
 pub mod stats;
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -5,7 +5,7 @@
 //!
 //! - [`client`]: accepts clients' connections and hands their requests to a handler.
 //! - [`gateway`]: the handler of ordinary HTTP/1.1. The stages of a request are listed in
-//!   `gateway/forward.rs`: classify, admit, read, balance, respond.
+//!   `gateway/forward.rs`: classify, admit, rewrite, read, balance, respond.
 //! - [`platform`]: the handler of the platform's protocol.
 //! - [`cluster`]: the runtime of one cluster, around its instance of the decision module.
 //! - [`upstream`]: connections to servers and the exchanges on them.
