--- a/crates/mintshelf/src/service.rs
+++ b/crates/mintshelf/src/service.rs
@@ -36,7 +36,8 @@
         let listener = listen(address).map_err(|e| format!("admin {address}: {e}"))?;
         daemon.also(Rc::new(Admin { daemon: daemon.clone() }), listener);
     }
-    let _voting = fleet.as_ref().map(fleet::start).transpose()?;
+    let replica = fleet.as_ref().map(fleet::start).transpose();
+    let _replica_thread = replica.map_err(|error| error.to_string())?;
     tracing::info!(addresses = addresses.join(", "), "listening");
     let reloads = async {
         while hung_up.recv().await.is_some() {
@@ -59,7 +60,7 @@
         _ = terminated.recv() => {}
         _ = interrupted.recv() => {}
     }
-    tracing::info!("ends");
+    tracing::info!("shutting down");
     daemon.end().await;
     Ok(())
 }
--- a/crates/mintshelf/tests/compatibility/bindings.rs
+++ b/crates/mintshelf/tests/compatibility/bindings.rs
@@ -10,17 +10,21 @@
 use mintshelf_consensus::replica::{Replica, ReplicaStatus};
 use mintshelf_consensus::state_machine::StateMachine;
 use mintshelf_consensus::write_batch::ProposalId;
-use mintshelf_consensus_node::frame::{pack, unpack, Frame, Hello, Report, Speaker};
-use mintshelf_consensus_node::store::{Identity, Opened, Store};
+use mintshelf_consensus_node::frame::{
+    decode, encode, Frame, Hello, NamedLease, PeerIdentity, StatusReport,
+};
+use mintshelf_consensus_node::store::{Identity, OpenedStore, Store, StoreContent};
 use mintshelf_lease::command::{Command, Owner, Rejection, Response};
 use mintshelf_lease::lease::{Lease, LeaseHolder, Waiter};
 use mintshelf_lease::timing::{ClockError, Timing};
 use mintshelf_proxy::discovery::list::EndpointList;
 use mintshelf_proxy::discovery::reader::EndpointListReader;
 use mintshelf_proxy::endpoints::Endpoints;
-use mintshelf_quota::config::Budget;
-use mintshelf_quota::ledger::{self, Ask, Beat, Ended, Promise};
-use mintshelf_quota::state_machine::{self as quota_commands, Agreed, Unfit};
+use mintshelf_quota::allocation::{
+    AllocationBatch, AllocationRequest, AllocationResponse, Grant, GrantExpired,
+};
+use mintshelf_quota::config::Quota;
+use mintshelf_quota::state_machine::{self as quota_commands, QuotaRejection, QuotaStateMachine};
 use mintshelf_simulator_adapter::host::Host;
 use mintshelf_simulator_adapter::wire::write_action;
 use serde::de::DeserializeOwned;
@@ -47,8 +51,8 @@
 where
     T: Serialize + DeserializeOwned + PartialEq + Debug,
 {
-    let bytes = pack(&value).to_vec();
-    assert_eq!(unpack::<T>(&bytes), Ok(value), "{label}");
+    let bytes = encode(&value).to_vec();
+    assert_eq!(decode::<T>(&bytes), Ok(value), "{label}");
     (label, bytes)
 }
 
@@ -58,10 +62,10 @@
 
 /// The first message in each direction.
 pub fn encoded_greetings() -> Vec<Sample> {
-    let hello = |speaker| Hello { version: 1, fleet: "harbour".into(), speaker };
+    let hello = |sender| Hello { version: 1, fleet: "harbour".into(), sender };
     vec![
-        sample("greeting of a replica", hello(Speaker::Voter(1))),
-        sample("greeting of a member", hello(Speaker::Member(owner("alpha", 3)))),
+        sample("greeting of a replica", hello(PeerIdentity::Replica(1))),
+        sample("greeting of a member", hello(PeerIdentity::Member(owner("alpha", 3)))),
     ]
 }
 
@@ -103,7 +107,7 @@
     ]
 }
 
-fn report() -> Report {
+fn report() -> StatusReport {
     let holder = LeaseHolder {
         owner: owner("alpha", 3),
         token: 7,
@@ -113,7 +117,8 @@
     };
     let waiter = Waiter { owner: owner("beta", 1), requests: 2, duration: SECOND };
     let lease = Lease { holder: Some(holder), queue: [waiter].into() };
-    let leases = vec![("berth".into(), lease), ("free".into(), Lease::default())];
+    let named = |name: &str, lease| NamedLease { name: name.into(), lease };
+    let leases = vec![named("berth", lease), named("free", Lease::default())];
     let status = ReplicaStatus {
         id: 1,
         term: 5,
@@ -122,23 +127,23 @@
         applied_index: 300,
         committed_index: 301,
     };
-    Report { status, life: 4, members: 6, leases }
+    StatusReport { status, incarnation: 4, members: 6, leases }
 }
 
 /// All messages after the greeting, and the parts of entries in the log.
 pub fn encoded_frames() -> Vec<Sample> {
     let mut samples = vec![
         sample("replication", Frame::Raft(vec![8, 1, 16, 2])),
-        sample("status question", Frame::Tell),
-        sample("status answer", Frame::Told(Box::new(report()))),
-        sample("not now", Frame::NotNow { number: 300 }),
+        sample("status question", Frame::StatusRequest),
+        sample("status answer", Frame::StatusResponse(Box::new(report()))),
+        sample("not now", Frame::Unavailable { request_id: 300 }),
         sample("proposal's origin", ProposalId { replica: 1, incarnation: 2, sequence: 300 }),
     ];
     for (label, command) in lease_commands() {
-        samples.push(sample(label, Frame::Ask { number: 300, command }));
+        samples.push(sample(label, Frame::Request { request_id: 300, command }));
     }
     for (label, answer) in lease_answers() {
-        samples.push(sample(label, Frame::Answer { number: 300, answer }));
+        samples.push(sample(label, Frame::Response { request_id: 300, response: answer }));
     }
     samples
 }
@@ -148,52 +153,66 @@
     lease_commands().into_iter().map(|(label, command)| sample(label, command)).collect()
 }
 
-fn budget() -> Budget {
-    let error = ClockError { ppm: 1_000 };
-    let (span, hold) = (3 * SECOND, 2 * SECOND);
-    Budget { whole: 1_000, floor: 10, members: 20, reserve: 100, span, hold, error }
+fn quota() -> Quota {
+    let clock_error = ClockError { ppm: 1_000 };
+    Quota {
+        total: 1_000,
+        floor: 10,
+        max_members: 20,
+        headroom_per_mille: 100,
+        grant_duration: 3 * SECOND,
+        max_use_duration: 2 * SECOND,
+        clock_error,
+    }
 }
 
-fn beat() -> Beat {
-    let ask = |member, need, leaves| Ask {
+fn batch() -> AllocationBatch {
+    let request = |member, demand, is_leaving| AllocationRequest {
         owner: owner(member, 3),
-        number: 300,
-        need,
+        sequence: 300,
+        demand,
         weight: 2,
-        confirms: 5,
-        leaves,
+        confirmed_grant: 5,
+        is_leaving,
     };
-    let ended = vec![Ended { owner: owner("gamma", 7), grant: 400 }];
-    Beat { asks: vec![ask("alpha", 600, false), ask("beta", 50, true)], ended }
+    let expired = vec![GrantExpired { owner: owner("gamma", 7), grant: 400 }];
+    AllocationBatch {
+        requests: vec![request("alpha", 600, false), request("beta", 50, true)],
+        expired,
+    }
 }
 
 /// Commands, answers and the snapshot of a fleet that divides budgets.
 pub fn encoded_budget_messages() -> Vec<Sample> {
-    use quota_commands::{Answer as Reply, Command as Order};
+    use quota_commands::{Command as Order, QuotaBatch, QuotaResponse, Response as Reply};
     let [(_, acquire), ..] = lease_commands();
     let orders = [
         Order::Lease(acquire),
-        Order::Budget { name: "calls".into(), budget: budget() },
-        Order::Beat(vec![("calls".into(), beat())]),
+        Order::SetQuota { name: "calls".into(), quota: quota() },
+        Order::Allocate(vec![QuotaBatch { quota: "calls".into(), batch: batch() }]),
     ];
-    let mut state = Agreed::default();
+    let mut state = QuotaStateMachine::default();
     for order in &orders {
         StateMachine::apply(&mut state, order);
     }
     let [lease, budget, beat] = orders;
-    let promise = Promise { grant: 300, units: 500 };
-    let shares = ledger::Answer { owner: owner("alpha", 3), number: 300, promise };
+    let grant = Grant { number: 300, units: 500 };
+    let response = AllocationResponse { owner: owner("alpha", 3), sequence: 300, grant };
+    let shares = QuotaResponse { quota: "calls".into(), response };
     vec![
         sample("lease command", lease),
         sample("budget", budget),
         sample("beat", beat),
         sample("lease answer", Reply::Lease(Response::Done)),
-        sample("budget in force", Reply::Budget(Ok(()))),
-        sample("budget refused", Reply::Budget(Err(Unfit::Problem("why".into())))),
-        sample("budget with other figures", Reply::Budget(Err(Unfit::OtherFigures))),
-        sample("too many budgets", Reply::Budget(Err(Unfit::TooMany))),
-        sample("budget's name", Reply::Budget(Err(Unfit::Name))),
-        sample("shares", Reply::Shares(vec![("calls".into(), shares)])),
+        sample("budget in force", Reply::SetQuota(Ok(()))),
+        sample("budget refused", Reply::SetQuota(Err(QuotaRejection::Invalid("why".into())))),
+        sample(
+            "budget with other figures",
+            Reply::SetQuota(Err(QuotaRejection::IncompatibleChange)),
+        ),
+        sample("too many budgets", Reply::SetQuota(Err(QuotaRejection::TooMany))),
+        sample("budget's name", Reply::SetQuota(Err(QuotaRejection::InvalidName))),
+        sample("shares", Reply::Allocations(vec![shares])),
         sample("snapshot", state),
     ]
 }
@@ -255,8 +274,8 @@
 pub fn simulator_replies(input: &str) -> String {
     let (mut host, mut replies) = (Host::default(), String::new());
     for line in input.lines() {
-        match host.line(line) {
-            Ok(true) => replies.push_str(&host.reply()),
+        match host.read_line(line) {
+            Ok(true) => replies.push_str(&host.take_reply()),
             Ok(false) => {}
             Err(error) => return replies + &format!("error: {error}\n"),
         }
@@ -295,13 +314,15 @@
     actions.into_iter().map(written).collect()
 }
 
-fn open(directory: &Path) -> (Store, Opened) {
-    Store::open(directory, &Identity { fleet: "harbour".into(), voter: 1 }).unwrap()
+fn open(directory: &Path) -> (Store, StoreContent) {
+    let identity = Identity { fleet: "harbour".into(), replica: 1 };
+    let OpenedStore { store, content } = Store::open(directory, &identity).unwrap();
+    (store, content)
 }
 
 /// What a replica's directory holds: the log as stored, and the leases once it is applied.
 pub fn described_store(directory: &Path) -> String {
-    let (store, Opened::Stored(stored)) = open(directory) else { panic!("an empty store") };
+    let (store, StoreContent::State(stored)) = open(directory) else { panic!("an empty store") };
     let (state, snapshot, entries) = (stored.hard_state(), stored.snapshot(), stored.entries());
     let place = snapshot.get_metadata();
     let mut lines = format!(
@@ -353,7 +374,8 @@
 fn settle(replica: &mut Replica, store: &Store, now: u64) {
     while let Some(batch) = replica.next_batch(now).unwrap() {
         store.write(&batch).unwrap();
-        replica.batch_synced(now);
+        let messages = replica.batch_synced(now);
+        assert!(messages.is_empty(), "a single replica has nobody to send to");
     }
 }
 
@@ -366,9 +388,11 @@
 
 impl Session {
     fn begin(directory: &Path) -> Self {
-        let (store, Opened::Empty) = open(directory) else { panic!("a store is there already") };
+        let (store, StoreContent::Empty) = open(directory) else {
+            panic!("a store is there already")
+        };
         let stored = PersistentState::new_fleet(&[1]);
-        store.begin_fleet(&stored).unwrap();
+        store.initialize(&stored).unwrap();
         let replica = Replica::new(1, &stored, &Timing::default(), store.opened()).unwrap();
         let mut session = Session { store, replica, now: SECOND };
         while !session.replica.status().is_leader {
