--- a/crates/proxy/src/client/closing.rs
+++ b/crates/proxy/src/client/closing.rs
@@ -8,7 +8,7 @@
 use tokio::time::{sleep, sleep_until, Instant};
 use tokio_util::sync::CancellationToken;
 
-/// What a client has from its response on to read it, before its connection makes room.
+/// What a client has from its response on to read it, before its connection is evicted.
 const READ_TIME: Duration = Duration::from_millis(20);
 /// How often a connection that is to be closed is looked at for bytes that wait to be read.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
@@ -21,7 +21,7 @@
 pub(super) enum CloseMode {
     /// After its client has read all.
     Graceful,
-    /// At once: its client can't be told anything, or would not read it.
+    /// At once: its client can't get a response, or would not read it.
     Immediate,
 }
 
--- a/crates/proxy/src/client/connection.rs
+++ b/crates/proxy/src/client/connection.rs
@@ -48,7 +48,7 @@
     Busy,
 }
 
-/// How readily a connection makes room for others, the most readily first.
+/// In which order connections are evicted, the first one first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum EvictionPriority {
     /// Its last response is out.
@@ -79,7 +79,7 @@
     has_sent: Cell<bool>,
     /// How long the request that came with the connection may have waited to be accepted.
     queued: Cell<Duration>,
-    /// Cancelled when the connection is to make room for others.
+    /// Cancelled when the connection is evicted, for lack of capacity for others.
     pub eviction: CancellationToken,
     /// What becomes of it after a 101.
     pub upgrade: RefCell<Option<Upgrade>>,
@@ -144,7 +144,8 @@
         self.phase_since.set(Instant::now());
     }
 
-    /// How readily it makes room; none while it has a further request or a response in progress.
+    /// When it is evicted among others; never while it has a further request or a response in
+    /// progress.
     pub(super) fn eviction_priority(&self) -> Option<EvictionPriority> {
         match self.phase.get() {
             Phase::Closing => Some(EvictionPriority::Closing),
--- a/crates/proxy/src/client/head_scanner.rs
+++ b/crates/proxy/src/client/head_scanner.rs
@@ -105,7 +105,7 @@
     ChunkLineFeed,
     /// In the lines behind the last chunk.
     Trailers,
-    /// Past a message whose end can't be told.
+    /// Past a message whose end is unknown.
     Lost,
 }
 
@@ -297,7 +297,7 @@
         self.heads.iter()
     }
 
-    /// Whether a body came framed so that its end can't be told for sure.
+    /// Whether a body was framed so that two readers may see different ends.
     pub fn is_body_ambiguous(&self) -> bool {
         self.is_body_ambiguous
     }
--- a/crates/proxy/src/client/registry.rs
+++ b/crates/proxy/src/client/registry.rs
@@ -1,4 +1,4 @@
-//! All clients' connections, and which of them makes room for others.
+//! All clients' connections, and which of them is evicted where there is no capacity for others.
 
 use super::connection::{Client, EvictionPriority};
 use std::cell::{Cell, RefCell};
@@ -37,7 +37,7 @@
         self.by_number.borrow().len()
     }
 
-    /// Closes a connection to make room: of those whose last response is out, else
+    /// Evicts a connection: of those whose last response is out, else
     /// of those that have sent nothing, else of the idle ones, else of those whose
     /// first request has begun, the one that is so for longest, if it has been for `min_age`.
     /// Whether there was one.
@@ -59,7 +59,7 @@
     }
 }
 
-/// A connection that may make room.
+/// A connection that may be evicted.
 struct EvictionCandidate<'a> {
     client: &'a Client,
     priority: EvictionPriority,
--- a/crates/proxy/src/client/serve.rs
+++ b/crates/proxy/src/client/serve.rs
@@ -133,18 +133,18 @@
     }
 }
 
-/// Closes a connection after its client has read all, or when it has to make room.
+/// Closes a connection after its client has read all, or when it is evicted.
 async fn close(stream: &SharedStream, client: &Client) {
     let read_deadline = read_deadline(client);
     client.enter(Phase::Closing);
-    let must_make_room = async {
+    let evicted = async {
         client.eviction.cancelled().await;
         sleep_until(read_deadline).await;
     };
     tokio::select! {
         biased;
         () = close_gracefully(stream) => {}
-        () = must_make_room => {}
+        () = evicted => {}
     }
 }
 
--- a/crates/proxy/src/cluster/recovery.rs
+++ b/crates/proxy/src/cluster/recovery.rs
@@ -7,7 +7,7 @@
 use std::cell::RefCell;
 
 const SECOND: Nanos = 1_000_000_000;
-/// A client may come back this much later than it was told, in nanoseconds.
+/// A client may retry this much later than Retry-After says, in nanoseconds.
 const RETRY_AFTER_MARGIN: Nanos = SECOND;
 
 /// What is known of a cluster's outage.
@@ -15,7 +15,7 @@
 pub struct RecoveryStatus {
     /// Whether the cluster is up, down or recovering.
     pub phase: Phase,
-    /// Clients that were told to retry at a time that is still ahead.
+    /// Rejected clients whose Retry-After has not passed yet.
     pub expected_clients: u64,
 }
 
@@ -69,8 +69,8 @@
     }
 
     /// When a client that is rejected now may retry, in nanoseconds. None if it could only come
-    /// when servers have forgotten the key of what may have run at `ran_at`: it may not be
-    /// told to repeat that.
+    /// when servers have forgotten the key of what may have run at `ran_at`: it must not
+    /// repeat that.
     pub(crate) fn retry_after(
         &self,
         now: Nanos,
--- a/crates/proxy/src/cluster/state.rs
+++ b/crates/proxy/src/cluster/state.rs
@@ -34,8 +34,9 @@
         drop(self.requests.conclude(id, RequestOutcome::Rejected { retry_after, ran_at }));
     }
 
-    /// Gives every request that still waits its final outcome: whether that class may be told to
-    /// retry depends on whether it may have run. Rejected clients may retry `after` nanoseconds.
+    /// Gives every request that still waits its final outcome: whether its client may
+    /// retry depends on whether it may have run, and on its class. Rejected clients may retry
+    /// `retry_after` nanoseconds later.
     pub(crate) fn conclude_all(&mut self, classes: &[Class], retry_after: Nanos) {
         for request in self.requests.waiting() {
             let class = classes.get(request.class);
--- a/crates/proxy/src/gateway/dispatch.rs
+++ b/crates/proxy/src/gateway/dispatch.rs
@@ -17,7 +17,7 @@
     pub(crate) is_repeat: bool,
     /// How long it may wait, in nanoseconds.
     pub(crate) client_timeout: Nanos,
-    /// Its tenant, where tenants are told apart.
+    /// Its tenant, where the listener has limits.
     pub(crate) tenant: Option<Rc<str>>,
 }
 
--- a/crates/proxy/src/gateway/handler.rs
+++ b/crates/proxy/src/gateway/handler.rs
@@ -1,4 +1,4 @@
-//! Ordinary HTTP/1.1 in front of the clusters: a listener's requests, each from its head to the
+//! Ordinary HTTP/1.1: a listener's requests, each from its head to the
 //! response.
 
 use super::classify::{RequestTarget, RouteMatch};
--- a/crates/proxy/src/gateway/mod.rs
+++ b/crates/proxy/src/gateway/mod.rs
@@ -1,4 +1,4 @@
-//! Ordinary HTTP/1.1: routing, admission and header edits in front of the clusters.
+//! Ordinary HTTP/1.1: routing, admission and header edits on the way to the clusters.
 
 pub mod admission;
 pub mod classify;
--- a/crates/proxy/src/platform/handler.rs
+++ b/crates/proxy/src/platform/handler.rs
@@ -1,4 +1,4 @@
-//! The platform's requests in front of its one cluster, each from its head to the response.
+//! The platform's requests to its one cluster, each from its head to the response.
 
 use super::metadata::{missing_transaction_id, read_metadata, TRANSACTION_ID};
 use super::rejection::RejectedRequest;
@@ -43,7 +43,7 @@
 }
 
 impl PlatformHandler {
-    /// In front of a cluster.
+    /// A handler whose requests go to one cluster.
     pub fn new(
         runtime: Rc<ClusterRuntime>,
         settings: Settings,
