--- a/crates/mintshelf/src/daemon.rs
+++ b/crates/mintshelf/src/daemon.rs
@@ -7,16 +7,23 @@
 use mintshelf_config::balancer::{balancer_config, to_nanos, BalancerConfig};
 use mintshelf_config::model::{self, OperatorConfig, Route, RouteAction, SOCKET_QUEUE_SHARE};
 use mintshelf_config::platform::Names;
-use mintshelf_proxy::clients::{Clients, Patience};
-use mintshelf_proxy::driver::{Driver, Spec};
-use mintshelf_proxy::gates::Gates;
-use mintshelf_proxy::inbound::{listen, Front, Inbound};
-use mintshelf_proxy::limits::Limits;
-use mintshelf_proxy::link::Most;
-use mintshelf_proxy::plain::{Counts, Limited, Plain, Pool, Serving};
-use mintshelf_proxy::upstream::{Connections, Style};
+use mintshelf_proxy::budget::ResourceBudget;
+use mintshelf_proxy::client::connection::ClientTimeouts;
+use mintshelf_proxy::client::handler::RequestHandler;
+use mintshelf_proxy::client::listener::{listen, ClientListener};
+use mintshelf_proxy::client::registry::Clients;
+use mintshelf_proxy::cluster::runtime::{ClusterRuntime, RuntimeUsage};
+use mintshelf_proxy::cluster::spec::ClusterSpec;
+use mintshelf_proxy::gateway::admission::AdmissionController;
+use mintshelf_proxy::gateway::config::{ClusterHandle, ListenerAdmission, ServingConfig};
+use mintshelf_proxy::gateway::handler::GatewayHandler;
+use mintshelf_proxy::gateway::stats::ProxyStats;
+use mintshelf_proxy::upstream::connection_limits::ClusterLimits;
+use mintshelf_proxy::upstream::pool::ConnectionPool;
+use mintshelf_proxy::upstream::response::{PlainProtocol, UpstreamProtocol};
 use mintshelf_proxy::websocket::registry::SocketRegistry;
 use mintshelf_recovery::Phase;
+use mintshelf_retry::attempts::AttemptCounts;
 use mintshelf_routing::RouteTable;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -37,16 +44,16 @@
 const LOOK: Duration = Duration::from_millis(50);
 
 struct Listening {
-    front: Rc<Plain>,
+    front: Rc<GatewayHandler>,
     name: String,
     accepting: AbortHandle,
     draining: CancellationToken,
 }
 
 struct Running {
-    pool: Rc<Pool>,
+    pool: Rc<ClusterHandle>,
     module: BalancerConfig,
-    style: Style,
+    style: UpstreamProtocol,
     run: AbortHandle,
 }
 
@@ -62,11 +69,11 @@
 pub struct Daemon {
     path: PathBuf,
     state: RefCell<State>,
-    limits: Limits,
+    limits: ResourceBudget,
     /// Limits of tenants, routes and clusters, with what counts against them.
-    pub gates: Rc<Gates>,
-    connections: Rc<Connections>,
-    patience: Patience,
+    pub gates: Rc<AdmissionController>,
+    connections: Rc<ConnectionPool>,
+    patience: ClientTimeouts,
     /// What the first file said of what can't change while the program runs.
     fixed: (model::ProcessLimits, Option<SocketAddr>, Option<model::FleetConfig>),
     /// The planned end has begun.
@@ -76,7 +83,7 @@
     /// All clients' connections.
     pub clients: Rc<Clients>,
     /// What was done.
-    pub counts: Rc<Counts>,
+    pub counts: Rc<ProxyStats>,
     reloads: [Cell<u64>; 2],
     seed: u64,
 }
@@ -92,22 +99,22 @@
 impl Daemon {
     /// Puts a first file in force.
     pub fn start(path: PathBuf, file: OperatorConfig) -> Result<Rc<Self>, Refused> {
-        let limits = Limits::new(file.limits.file_descriptors, file.limits.memory_bytes);
+        let limits = ResourceBudget::new(file.limits.file_descriptors, file.limits.memory_bytes);
         let longest = file.classes.values().map(|class| class.deadline).max();
         let queues = (file.limits.memory_bytes as f64 * SOCKET_QUEUE_SHARE) as usize;
         let daemon = Rc::new(Daemon {
             path,
             state: RefCell::default(),
-            connections: Connections::new(&limits),
+            connections: ConnectionPool::new(&limits),
             limits,
             gates: Rc::default(),
-            patience: Patience {
+            patience: ClientTimeouts {
                 receive: file.limits.head_timeout,
                 idle: file.limits.idle_timeout,
                 // Bytes that pass give it anew, so it bounds silence and not size.
                 busy: longest.unwrap_or_default() + file.limits.stream_timeout,
-                by_progress: true,
-                half_close: !file.limits.abort_on_close,
+                is_extended_by_progress: true,
+                allows_half_close: !file.limits.abort_on_close,
             },
             sockets: SocketRegistry::new(queues, RandomState::new().build_hasher().finish()),
             fixed: (file.limits.clone(), file.admin, file.fleet.clone()),
@@ -123,18 +130,18 @@
     }
 
     /// Serves a front beside the file's listeners, to the end.
-    pub fn also(&self, front: Rc<impl Front>, listener: TcpListener) {
+    pub fn also(&self, front: Rc<impl RequestHandler>, listener: TcpListener) {
         self.accept(front, listener, self.ending.clone());
     }
 
-    fn accept<F: Front>(
+    fn accept<F: RequestHandler>(
         &self,
         front: Rc<F>,
         listener: TcpListener,
         draining: CancellationToken,
     ) -> AbortHandle {
         let clients = self.clients.clone();
-        let inbound = Inbound::new(front, clients, &self.limits, self.patience, draining);
+        let inbound = ClientListener::new(front, clients, &self.limits, self.patience, draining);
         spawn_local(async move { inbound.accept(listener).await }).abort_handle()
     }
 
@@ -163,7 +170,7 @@
         // From here on nothing can fail.
         let state = &mut *self.state.borrow_mut();
         self.apply_clusters(state, &file);
-        let clusters: HashMap<String, Rc<Pool>> = state
+        let clusters: HashMap<String, Rc<ClusterHandle>> = state
             .pools
             .iter()
             .map(|(name, running)| (name.clone(), running.pool.clone()))
@@ -173,8 +180,8 @@
         for address in gone {
             if let Some(listening) = state.listeners.remove(&address) {
                 listening.draining.cancel();
-                let front = Rc::as_ptr(&listening.front) as usize;
-                self.sockets.drain(Some(front), self.socket_drain());
+                let listener = listening.front.listener_id();
+                self.sockets.drain(Some(listener), self.socket_drain());
                 spawn_local(async move {
                     sleep(LINGER).await;
                     listening.accepting.abort();
@@ -182,22 +189,22 @@
             }
         }
         let set = admission_config(&file);
-        self.gates.set(&set);
+        self.gates.configure(&set);
         self.sockets
             .configure(SlotConfig { capacity: self.fixed.0.max_websockets, ..slot_config(&file) });
         let tenants = tenant_resolver(&file).map(Rc::new);
         for (listener, routes, table) in tables {
-            let limited = (!set.is_empty()).then(|| Limited {
-                gates: self.gates.clone(),
+            let admission = (!set.is_empty()).then(|| ListenerAdmission {
+                controller: self.gates.clone(),
                 tenants: tenants.clone(),
                 tenant_header: file.tenant_header.clone(),
-                routes: routes.iter().map(|route| Rc::from(route.name.as_str())).collect(),
-                clusters: clusters.keys().map(|n| (n.clone(), Rc::from(n.as_str()))).collect(),
+                route_names: routes.iter().map(|route| Rc::from(route.name.as_str())).collect(),
+                cluster_names: clusters.keys().map(|n| (n.clone(), Rc::from(n.as_str()))).collect(),
             });
-            let serving = Rc::new(Serving {
+            let serving = Rc::new(ServingConfig {
                 table,
                 listener: listener.name.clone(),
-                limited,
+                admission,
                 repeat_header: file.repeat_header.clone(),
                 hits: routes.iter().map(|_| Cell::new(0)).collect(),
                 routes,
@@ -206,13 +213,13 @@
             });
             match (state.listeners.get_mut(&listener.address), bound.remove(&listener.address)) {
                 (Some(listening), _) => {
-                    listening.front.swap(serving);
+                    listening.front.replace_config(serving);
                     listening.name = listener.name.clone();
                 }
                 (None, Some(socket)) => {
                     let (room, counts) = (self.limits.bodies.clone(), self.counts.clone());
                     let sockets = self.sockets.clone();
-                    let front = Plain::new(serving, room, counts, sockets, self.seed);
+                    let front = GatewayHandler::new(serving, room, counts, sockets, self.seed);
                     let draining = CancellationToken::new();
                     let accepting = self.accept(front.clone(), socket, draining.clone());
                     let name = listener.name.clone();
@@ -236,20 +243,20 @@
         let mut old = std::mem::take(&mut state.pools);
         for (name, cluster) in &file.clusters {
             let module = balancer_config(file, name, cluster);
-            let style = Style::Plain {
-                failures: cluster.failure_statuses.clone(),
-                never_ran: cluster.never_ran_header.clone(),
-                stall: self.fixed.0.stream_timeout,
-            };
+            let style = UpstreamProtocol::Plain(PlainProtocol {
+                failure_statuses: cluster.failure_statuses.clone(),
+                never_ran_header: cluster.never_ran_header.clone(),
+                stall_timeout: self.fixed.0.stream_timeout,
+            });
             let same = |running: &Running| {
                 running.module.differs_in_servers_only(&module) && running.style == style
             };
             let running = match old.remove(name) {
                 Some(mut running) if same(&running) => {
                     if running.module.servers != module.servers {
-                        running.pool.driver.list(module.servers.clone());
+                        running.pool.runtime.set_endpoints(module.servers.clone());
                         let servers = module.servers.iter().map(|(server, _)| server.id).collect();
-                        let number = running.pool.driver.number();
+                        let number = running.pool.runtime.number();
                         self.sockets.retain_servers(
                             number,
                             &servers,
@@ -269,31 +276,32 @@
         old.into_values().for_each(|running| self.retire(running));
     }
 
-    fn start_pool(&self, name: &str, module: BalancerConfig, style: Style) -> Running {
-        let spec = Spec {
+    fn start_pool(&self, name: &str, module: BalancerConfig, style: UpstreamProtocol) -> Running {
+        let spec = ClusterSpec {
             settings: module.settings.clone(),
             names: Names::default(),
             seed: self.seed,
-            style: style.clone(),
+            protocol: style.clone(),
             peers: None,
             discovery: None,
-            return_ramp: Some(module.recovery_ramp),
-            tries: module.retry_policies.clone(),
-            most: Most {
-                connections: [module.connections.total, module.connections.per_endpoint],
-                sockets: [module.sockets.total, module.sockets.per_endpoint],
+            recovery_ramp: Some(module.recovery_ramp),
+            retry_policies: module.retry_policies.clone(),
+            connection_limits: ClusterLimits {
+                connections: module.connections,
+                sockets: module.sockets,
             },
             socket_weight: module.socket_weight,
             name: Some(name.to_string()),
         };
-        let driver = Driver::start(spec, self.connections.clone());
-        driver.list(module.servers.clone());
+        let driver = ClusterRuntime::start(spec, self.connections.clone());
+        driver.set_endpoints(module.servers.clone());
         self.sockets.set_migration_window(driver.number(), module.socket_spread);
         let (sockets, number) = (self.sockets.clone(), driver.number());
-        driver.on_doubt(move |server| {
+        driver.on_suspicion(move |server| {
             sockets.probe_server(number, server);
         });
-        let pool = Rc::new(Pool { driver: driver.clone(), classes: module.classes.clone() });
+        let pool =
+            Rc::new(ClusterHandle { runtime: driver.clone(), classes: module.classes.clone() });
         let run = spawn_local(async move { driver.run().await }).abort_handle();
         Running { pool, module, style, run }
     }
@@ -301,11 +309,11 @@
     /// Lets a cluster that is no longer in force end its requests, then frees it. Its sockets
     /// go on at what took its place, where they may, or are closed.
     fn retire(&self, running: Running) {
-        let (sockets, number) = (self.sockets.clone(), running.pool.driver.number());
+        let (sockets, number) = (self.sockets.clone(), running.pool.runtime.number());
         sockets.retain_servers(number, &HashSet::new(), "its cluster has changed");
         spawn_local(async move {
             // Those that still hold the snapshot may yet begin one: their count tells.
-            while !running.pool.driver.is_idle() || Rc::strong_count(&running.pool) > 1 {
+            while !running.pool.runtime.is_idle() || Rc::strong_count(&running.pool) > 1 {
                 sleep(LOOK).await;
             }
             sockets.remove_cluster(number);
@@ -341,7 +349,7 @@
     pub fn hits(&self) -> Vec<(String, u64)> {
         let mut all = self.counts.routes.borrow().clone();
         for listening in self.state.borrow().listeners.values() {
-            for (name, hits) in listening.front.serving().hits() {
+            for (name, hits) in listening.front.config().hits() {
                 *all.entry(name.to_string()).or_default() += hits;
             }
         }
@@ -352,8 +360,10 @@
     pub fn pools(&self) -> Vec<(String, [usize; 5])> {
         let state = self.state.borrow();
         let pool = |(name, running): (&String, &Running)| {
-            let (open, timers) = running.pool.driver.open();
-            let (phase, told) = running.pool.driver.recovery().unwrap_or((Phase::Normal, 0));
+            let RuntimeUsage { requests: open, timers } = running.pool.runtime.usage();
+            let recovery = running.pool.runtime.recovery_status();
+            let told = recovery.map_or(0, |recovery| recovery.expected_clients);
+            let phase = recovery.map_or(Phase::Normal, |recovery| recovery.phase);
             let phase = match phase {
                 Phase::Normal => 0,
                 Phase::Outage => 1,
@@ -367,7 +377,7 @@
     /// Where a cluster's server listens; empty if it has left.
     pub fn address(&self, cluster: &str, server: ServerId) -> String {
         let state = self.state.borrow();
-        let driver = state.pools.get(cluster).map(|running| &running.pool.driver);
+        let driver = state.pools.get(cluster).map(|running| &running.pool.runtime);
         let address = driver.and_then(|driver| driver.address(server));
         address.map_or(String::new(), |address| address.to_string())
     }
@@ -375,8 +385,10 @@
     /// Each cluster's attempts that were ended for their own time, and second copies.
     pub fn tried(&self) -> Vec<(String, [u64; 2])> {
         let state = self.state.borrow();
-        let tried =
-            |(name, running): (&String, &Running)| (name.clone(), running.pool.driver.tried());
+        let tried = |(name, running): (&String, &Running)| {
+            let AttemptCounts { timed_out, hedged } = running.pool.runtime.attempt_counts();
+            (name.clone(), [timed_out, hedged])
+        };
         state.pools.iter().map(tried).collect()
     }
 
@@ -417,7 +429,7 @@
         // Those whose handshake was under way.
         self.sockets.drain(None, self.socket_drain());
         listeners.values().for_each(|listening| listening.accepting.abort());
-        let busy = || self.state.borrow().pools.values().any(|r| !r.pool.driver.is_idle());
+        let busy = || self.state.borrow().pools.values().any(|r| !r.pool.runtime.is_idle());
         let over = async {
             while busy() || !self.clients.is_empty() {
                 sleep(LOOK).await;
--- a/crates/mintshelf/src/explain.rs
+++ b/crates/mintshelf/src/explain.rs
@@ -6,7 +6,7 @@
 use mintshelf_balancer::api::Effect;
 use mintshelf_config::balancer::{attempt_schedule, effective_timeout};
 use mintshelf_config::model::{OperatorConfig, RouteAction};
-use mintshelf_proxy::plain::effect_of;
+use mintshelf_proxy::gateway::classify::effect_of;
 use mintshelf_retry::duration::format_nanos;
 use mintshelf_retry::policy::HedgeDelay;
 use mintshelf_retry::schedule::{AttemptTimeout, RetryOn};
--- a/crates/mintshelf/src/platform.rs
+++ b/crates/mintshelf/src/platform.rs
@@ -1,14 +1,17 @@
 //! The platform's sidecar: configured by `RELAY_CONFIG`, fed by discovery.
 
 use mintshelf_config::platform::PlatformConfig;
-use mintshelf_proxy::clients::{Clients, Patience};
-use mintshelf_proxy::driver::{Driver, Spec};
-use mintshelf_proxy::inbound::{listen, Inbound};
-use mintshelf_proxy::limits::Limits;
-use mintshelf_proxy::link::Most;
-use mintshelf_proxy::peers::Peers;
-use mintshelf_proxy::platform::Platform;
-use mintshelf_proxy::upstream::{Connections, Style};
+use mintshelf_proxy::budget::ResourceBudget;
+use mintshelf_proxy::client::connection::ClientTimeouts;
+use mintshelf_proxy::client::listener::{listen, ClientListener};
+use mintshelf_proxy::client::registry::Clients;
+use mintshelf_proxy::cluster::peers::PeerGossip;
+use mintshelf_proxy::cluster::runtime::ClusterRuntime;
+use mintshelf_proxy::cluster::spec::{ClusterSpec, DiscoverySpec};
+use mintshelf_proxy::platform::handler::PlatformHandler;
+use mintshelf_proxy::upstream::connection_limits::ClusterLimits;
+use mintshelf_proxy::upstream::pool::ConnectionPool;
+use mintshelf_proxy::upstream::response::UpstreamProtocol;
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::Duration;
@@ -41,48 +44,50 @@
     let peers = match config.peer_listen.filter(|_| config.settings.has_peers) {
         None => None,
         Some(address) => {
-            let peers = Peers::bind(address, config.peers.clone(), config.broadcast_address).await;
+            let peers =
+                PeerGossip::bind(address, config.peers.clone(), config.broadcast_address).await;
             Some(peers.map_err(|e| unusable("peer_listen", e))?)
         }
     };
     let listener = listen(config.listen).map_err(|e| unusable("listen", e))?;
-    let limits = Limits::new(config.file_descriptors, config.memory_bytes);
+    let limits = ResourceBudget::new(config.file_descriptors, config.memory_bytes);
     let draining = CancellationToken::new();
     let deadlines = config.settings.classes.iter().map(|class| class.deadline);
     let longest = Duration::from_nanos(deadlines.max().unwrap_or(0));
     let stay = longest + STAY;
     let PlatformConfig { name, listen, settings, names, seed, discovery, cached_list, .. } = config;
-    let spec = Spec {
-        return_ramp: None,
-        tries: Vec::new(),
-        most: Most::default(),
+    let spec = ClusterSpec {
+        recovery_ramp: None,
+        retry_policies: Vec::new(),
+        connection_limits: ClusterLimits::default(),
         socket_weight: 0.0,
         name: None,
         settings: settings.clone(),
         names: names.clone(),
         seed,
-        style: Style::Platform,
+        protocol: UpstreamProtocol::Platform,
         peers,
-        discovery: Some((discovery, cached_list)),
+        discovery: Some(DiscoverySpec { address: discovery, cached_list }),
     };
-    let driver = Driver::start(spec, Connections::new(&limits));
-    let patience = Patience {
+    let driver = ClusterRuntime::start(spec, ConnectionPool::new(&limits));
+    let patience = ClientTimeouts {
         receive: RECEIVE_LIMIT,
         idle: IDLE_LIMIT,
         busy: longest + SEND_LIMIT,
-        by_progress: false,
-        half_close: false,
+        is_extended_by_progress: false,
+        allows_half_close: false,
     };
-    let front = Platform::new(driver.clone(), settings, names, &limits);
+    let front = PlatformHandler::new(driver.clone(), settings, names, &limits);
     let clients = Rc::new(Clients::default());
-    let inbound = Inbound::new(front.clone(), clients.clone(), &limits, patience, draining.clone());
-    eprintln!("mintshelf: {name} listens on {listen}");
+    let inbound =
+        ClientListener::new(front.clone(), clients.clone(), &limits, patience, draining.clone());
+    eprintln!("mintshelf: {name} listening on {listen}");
     let reloads = async {
         while reload.recv().await.is_some() {
             match PlatformConfig::read(&file) {
                 Ok(new) => {
                     eprintln!("mintshelf: {name} reloads; discovery is {}", new.discovery);
-                    driver.move_discovery(new.discovery);
+                    driver.set_discovery_address(new.discovery);
                 }
                 // What was in force stays in force.
                 Err(what) => eprintln!("mintshelf: not reloaded: {what}"),
@@ -92,7 +97,7 @@
     let end = async {
         terminated.recv().await;
         draining.cancel();
-        tokio::join!(front.end(longest), sleep(stay));
+        tokio::join!(front.shut_down(longest), sleep(stay));
         while !clients.is_empty() {
             sleep(END_CHECK).await;
         }
--- /dev/null
+++ b/crates/proxy/src/client/accept_queue.rs
@@ -0,0 +1,51 @@
+//! The connections that wait in the kernel for a listener's accept.
+
+use std::future::poll_fn;
+use std::io;
+use std::net::SocketAddr;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::task::unconstrained;
+use tokio::time::Instant;
+
+/// A connection that was accepted.
+pub(super) struct AcceptedConnection {
+    pub(super) stream: TcpStream,
+    pub(super) peer: SocketAddr,
+    /// It arrived no earlier.
+    pub(super) arrived_after: Instant,
+}
+
+/// The queue of a listening socket.
+pub(super) struct AcceptQueue {
+    listener: TcpListener,
+    /// Whether it was empty at the last look, and the reactor watches it since.
+    is_watched: bool,
+    /// The first connection that has not been accepted yet arrived no earlier.
+    nonempty_since: Instant,
+}
+
+impl AcceptQueue {
+    pub(super) fn new(listener: TcpListener) -> Self {
+        AcceptQueue { listener, is_watched: false, nonempty_since: Instant::now() }
+    }
+
+    /// Accepts the next connection. The earliest moment at which it may have arrived is when the
+    /// first one arrived after the queue was last empty.
+    ///
+    /// # Errors
+    /// The system's, as where the process has no descriptor left.
+    pub(super) async fn accept(&mut self) -> io::Result<AcceptedConnection> {
+        // Unconstrained, as out of its budget a poll would be pending although connections wait.
+        let accepted = unconstrained(poll_fn(|cx| {
+            let polled = self.listener.poll_accept(cx);
+            if polled.is_pending() {
+                self.is_watched = true;
+            } else if std::mem::take(&mut self.is_watched) {
+                self.nonempty_since = Instant::now();
+            }
+            polled
+        }));
+        let (stream, peer) = accepted.await?;
+        Ok(AcceptedConnection { stream, peer, arrived_after: self.nonempty_since })
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/cluster/pending_response.rs
@@ -0,0 +1,91 @@
+//! Where a client's task waits for its response, and carries the attempts meanwhile: one
+//! task for both saves a hand-over between tasks, twice a request.
+
+use std::cell::{Cell, RefCell};
+use std::future::{poll_fn, Future};
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{Context, Poll, Waker};
+use tokio::task::spawn_local;
+
+/// The future that carries an attempt.
+pub type AttemptFuture = Pin<Box<dyn Future<Output = ()>>>;
+
+/// A place for one response, and for the attempts that are to begin.
+pub struct PendingResponse<R> {
+    response: Cell<Option<R>>,
+    new_attempts: RefCell<Vec<AttemptFuture>>,
+    waker: Cell<Option<Waker>>,
+}
+
+impl<R> Default for PendingResponse<R> {
+    fn default() -> Self {
+        PendingResponse {
+            response: Cell::new(None),
+            new_attempts: RefCell::default(),
+            waker: Cell::new(None),
+        }
+    }
+}
+
+impl<R> PendingResponse<R> {
+    /// Gives the response.
+    pub fn resolve(&self, response: R) {
+        self.response.set(Some(response));
+        self.wake();
+    }
+
+    /// Has the waiting task carry an attempt.
+    pub fn start(&self, attempt: AttemptFuture) {
+        self.new_attempts.borrow_mut().push(attempt);
+        self.wake();
+    }
+
+    fn wake(&self) {
+        if let Some(waker) = self.waker.take() {
+            waker.wake();
+        }
+    }
+}
+
+/// The attempts of a [`PendingResponse`], in the task that waits for it.
+pub struct AttemptSet<R> {
+    pending: Rc<PendingResponse<R>>,
+    running: Vec<AttemptFuture>,
+}
+
+impl<R> AttemptSet<R> {
+    /// No attempt is running yet.
+    pub fn new(pending: Rc<PendingResponse<R>>) -> Self {
+        AttemptSet { pending, running: Vec::new() }
+    }
+
+    /// Carries the attempts until the response is there.
+    pub async fn response(&mut self) -> R {
+        poll_fn(|cx| self.poll(cx)).await
+    }
+
+    fn poll(&mut self, cx: &mut Context<'_>) -> Poll<R> {
+        loop {
+            self.running.append(&mut self.pending.new_attempts.borrow_mut());
+            self.running.retain_mut(|attempt| attempt.as_mut().poll(cx).is_pending());
+            if let Some(response) = self.pending.response.take() {
+                return Poll::Ready(response);
+            }
+            // An attempt that ends may start the next one.
+            if self.pending.new_attempts.borrow().is_empty() {
+                self.pending.waker.set(Some(cx.waker().clone()));
+                return Poll::Pending;
+            }
+        }
+    }
+
+    /// Lets the attempts that have not ended go on without a client: each still has to
+    /// report how it ended.
+    pub fn detach(&mut self) {
+        self.running.append(&mut self.pending.new_attempts.borrow_mut());
+        for attempt in self.running.drain(..) {
+            spawn_local(attempt);
+        }
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/gateway/edits.rs
@@ -0,0 +1,94 @@
+//! What routes change of requests and responses, and the responses that they give by themselves.
+
+use super::rejection::Rejection;
+use crate::client::handler::ResponseBody;
+use bytes::Bytes;
+use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
+use hyper::{Response, StatusCode};
+use mintshelf_config::model::{HeaderEdits, Redirect, Respond, Route};
+use mintshelf_routing::path::after_prefix;
+use mintshelf_routing::PathMatch;
+
+/// Changes headers as a route says.
+pub(crate) fn apply_edits(headers: &mut HeaderMap, edits: &HeaderEdits) {
+    for name in &edits.remove {
+        headers.remove(name);
+    }
+    for (name, value) in &edits.set {
+        headers.insert(name, value.clone());
+    }
+    for (name, value) in &edits.add {
+        headers.append(name, value.clone());
+    }
+}
+
+/// Adds a member to a list in a header, if it can stand in one.
+pub(crate) fn append(headers: &mut HeaderMap, name: HeaderName, member: &str) {
+    if let Ok(value) = HeaderValue::from_str(member) {
+        headers.append(name, value);
+    }
+}
+
+/// Adds this hop to Via (RFC 9110 7.6.3).
+pub(crate) fn append_via(headers: &mut HeaderMap, via: &str) {
+    append(headers, header::VIA, &format!("1.1 {via}"));
+}
+
+/// A request's path and query with the route's prefix replaced by `replacement`, where both are
+/// there.
+pub fn rewrite_target(replacement: Option<&str>, route: &Route, path_and_query: &str) -> String {
+    let (path, query) = match path_and_query.find('?') {
+        Some(position) => path_and_query.split_at(position),
+        None => (path_and_query, ""),
+    };
+    let PathMatch::Prefix(prefix) = &route.rule.path else {
+        return path_and_query.to_string();
+    };
+    let Some(replacement) = replacement else { return path_and_query.to_string() };
+    let Some(remainder) = after_prefix(prefix, path) else {
+        return path_and_query.to_string();
+    };
+    let path = format!("{}{remainder}", replacement.trim_end_matches('/'));
+    format!("{}{query}", if path.is_empty() { "/" } else { &path })
+}
+
+/// The response that redirects a client.
+///
+/// # Errors
+/// A rejection, where the target can't be written in a header.
+pub(crate) fn redirect_response(
+    redirect: &Redirect,
+    route: &Route,
+    host: &str,
+    path_and_query: &str,
+) -> Result<Response<ResponseBody>, Rejection> {
+    let scheme = redirect.scheme.as_deref().unwrap_or("http");
+    let host = redirect.host.as_deref().unwrap_or(host);
+    let target = match &redirect.path {
+        Some(path) => path.clone(),
+        None => rewrite_target(redirect.prefix.as_deref(), route, path_and_query),
+    };
+    let location = HeaderValue::from_str(&format!("{scheme}://{host}{target}"));
+    let location = location.map_err(|_| invalid_target("the target can't be written"))?;
+    let mut response = Response::new(ResponseBody::default());
+    *response.status_mut() = redirect.status;
+    response.headers_mut().insert(header::LOCATION, location);
+    Ok(response)
+}
+
+/// Rejects a request whose target can't be written.
+pub(crate) fn invalid_target(detail: &'static str) -> Rejection {
+    Rejection::new(StatusCode::BAD_REQUEST, "target", detail)
+}
+
+/// The response that a route gives by itself.
+pub(crate) fn fixed_response(respond: &Respond) -> Response<ResponseBody> {
+    let body = Bytes::copy_from_slice(respond.body.as_bytes());
+    let mut response = Response::new(ResponseBody::buffered(body));
+    *response.status_mut() = respond.status;
+    if !respond.body.is_empty() {
+        let content_type = respond.content_type.clone();
+        response.headers_mut().insert(header::CONTENT_TYPE, content_type);
+    }
+    response
+}
--- /dev/null
+++ b/crates/proxy/src/gateway/mod.rs
@@ -0,0 +1,16 @@
+//! Ordinary HTTP/1.1: routing, admission and header edits on the way to the clusters.
+
+pub mod admission;
+pub mod classify;
+pub mod config;
+pub(crate) mod dispatch;
+pub mod edits;
+mod forward;
+pub mod handler;
+mod limit_rejections;
+pub mod rejection;
+mod request_body;
+mod request_ids;
+mod respond;
+mod socket_connector;
+pub mod stats;
--- a/crates/proxy/src/websocket/relay.rs
+++ b/crates/proxy/src/websocket/relay.rs
@@ -4,8 +4,8 @@
 use super::entry::{ScheduledEviction, ServerLocation, SocketCommand};
 use super::reconnect::ServerConnection;
 use super::registry::{RegisteredSocket, SlotReservation, SocketRegistry};
-use crate::socket::{close_gently, Stream};
-use crate::upstream::ServerSocket;
+use crate::tcp::{close_gracefully, SharedStream};
+use crate::upstream::response::UpgradedConnection;
 use bytes::Bytes;
 use mintshelf_balancer::api::Nanos;
 use mintshelf_websocket::peer::Peer;
@@ -31,9 +31,9 @@
     /// The state of the protocol.
     pub session: Session,
     /// The connection to the client.
-    pub client: Stream,
+    pub client: SharedStream,
     /// The connection to the server.
-    pub server: Box<ServerSocket>,
+    pub server: Box<UpgradedConnection>,
     /// All sockets.
     pub registry: Rc<SocketRegistry>,
     /// This one among them.
@@ -89,7 +89,7 @@
 
     /// Passes on what the server sent behind its handshake.
     fn receive_server_prefix(&mut self) {
-        let prefix = std::mem::take(&mut self.server.rest);
+        let prefix = std::mem::take(&mut self.server.read_ahead);
         self.session.receive(Peer::Server, &prefix, self.registry.clock().now());
     }
 
@@ -98,7 +98,7 @@
         let farewell = self.session.complete_migration(self.registry.clock().now());
         let old_server = std::mem::replace(&mut self.server, Box::new(connection.socket));
         let location =
-            ServerLocation { cluster: connection.cluster, server: self.server.to.server };
+            ServerLocation { cluster: connection.cluster, server: self.server.target.server };
         self.socket.entry.set_location(location);
         self.socket.record_migration();
         // An eviction from the old server has been carried out.
@@ -196,7 +196,7 @@
         has_progressed
     }
 
-    fn stream(&self, peer: Peer) -> &Stream {
+    fn stream(&self, peer: Peer) -> &SharedStream {
         match peer {
             Peer::Client => &self.client,
             Peer::Server => &self.server.stream,
@@ -261,12 +261,12 @@
         tokio::join!(
             async {
                 if linger_for_client {
-                    close_gently(&client).await;
+                    close_gracefully(&client).await;
                 }
             },
             async {
                 if server_closed_cleanly {
-                    close_gently(&server.stream).await;
+                    close_gracefully(&server.stream).await;
                 }
                 drop(server);
             }
@@ -276,8 +276,8 @@
 }
 
 /// Closes the connection to a server that another has taken over from.
-async fn close_old_server(server: Box<ServerSocket>, farewell: Vec<u8>) {
+async fn close_old_server(server: Box<UpgradedConnection>, farewell: Vec<u8>) {
     if !farewell.is_empty() && server.stream.borrow().try_write(&farewell).is_ok() {
-        close_gently(&server.stream).await;
+        close_gracefully(&server.stream).await;
     }
 }
