--- /dev/null
+++ b/crates/mintshelf/src/config_file.rs
@@ -0,0 +1,61 @@
+//! Reading an operator's file, and why it cannot be used.
+
+use crate::EXIT_UNUSABLE;
+use mintshelf_config::file;
+use mintshelf_config::model::OperatorConfig;
+use mintshelf_config::problem::Problem;
+use std::io;
+use std::path::Path;
+use std::process::ExitCode;
+use thiserror::Error;
+
+/// Why there is no configuration to work with. As text it has a line for each problem.
+#[derive(Debug, Error)]
+pub enum ConfigError {
+    /// The file cannot be read.
+    #[error("{file}: {source}")]
+    Unreadable {
+        /// The name of the file.
+        file: String,
+        /// Why.
+        source: io::Error,
+    },
+    /// The file has problems, one at least.
+    #[error("{}", join_lines(.0))]
+    Invalid(Vec<Problem>),
+}
+
+fn join_lines(problems: &[Problem]) -> String {
+    let lines: Vec<String> = problems.iter().map(Problem::to_string).collect();
+    lines.join("\n")
+}
+
+impl ConfigError {
+    /// The problems, a line each.
+    pub fn lines(&self) -> Vec<String> {
+        match self {
+            ConfigError::Unreadable { .. } => vec![self.to_string()],
+            ConfigError::Invalid(problems) => problems.iter().map(Problem::to_string).collect(),
+        }
+    }
+
+    /// The exit code of a command: 2 for a file that cannot be read, 1 for one with problems.
+    pub fn exit_code(&self) -> ExitCode {
+        match self {
+            ConfigError::Unreadable { .. } => ExitCode::from(EXIT_UNUSABLE),
+            ConfigError::Invalid(_) => ExitCode::FAILURE,
+        }
+    }
+}
+
+/// Reads and checks an operator's file.
+///
+/// # Errors
+/// The file cannot be read or has problems.
+pub fn read(path: &Path) -> Result<OperatorConfig, ConfigError> {
+    let file = path.display().to_string();
+    match std::fs::read(path) {
+        Ok(bytes) => file::parse(&file, &bytes).map_err(ConfigError::Invalid),
+        Err(source) => Err(ConfigError::Unreadable { file, source }),
+    }
+}
--- a/crates/mintshelf/src/daemon.rs
+++ b/crates/mintshelf/src/daemon.rs
@@ -1,442 +1,188 @@
-//! The daemon: what an operator's file describes, in force until the next good one.
-
-use crate::check;
-use mintshelf_admission::slots::SlotConfig;
-use mintshelf_balancer::api::{ListedServer, ServerId};
-use mintshelf_config::admission::{admission_config, slot_config, tenant_resolver};
-use mintshelf_config::balancer::{balancer_config, to_nanos, BalancerConfig};
-use mintshelf_config::model::{self, OperatorConfig, Route, RouteAction, SOCKET_QUEUE_SHARE};
-use mintshelf_config::platform::Names;
+//! The daemon: serves by an operator's file until the next valid version is applied.
+
+mod apply;
+mod clusters;
+mod listeners;
+mod reload_error;
+mod status;
+
+use crate::config_file;
+use clusters::RunningCluster;
+use listeners::OpenListener;
+use mintshelf_config::model::{FleetConfig, OperatorConfig, ProcessLimits, SOCKET_QUEUE_SHARE};
 use mintshelf_proxy::clients::{Clients, Patience};
-use mintshelf_proxy::driver::{Driver, Spec};
 use mintshelf_proxy::gates::Gates;
-use mintshelf_proxy::inbound::{listen, Front, Inbound};
 use mintshelf_proxy::limits::Limits;
-use mintshelf_proxy::link::Most;
-use mintshelf_proxy::plain::{Counts, Limited, Plain, Pool, Serving};
-use mintshelf_proxy::upstream::{Connections, Style};
+use mintshelf_proxy::plain::Counts;
+use mintshelf_proxy::upstream::Connections;
 use mintshelf_proxy::websocket::registry::SocketRegistry;
-use mintshelf_recovery::Phase;
-use mintshelf_routing::RouteTable;
+pub use reload_error::ReloadError;
+pub use status::ClusterUsage;
 use std::cell::{Cell, RefCell};
-use std::collections::{BTreeMap, HashMap, HashSet};
+use std::collections::BTreeMap;
 use std::hash::{BuildHasher, Hasher, RandomState};
 use std::net::SocketAddr;
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 use std::rc::Rc;
-use std::time::{Duration, SystemTime, UNIX_EPOCH};
-use tokio::net::TcpListener;
-use tokio::task::{spawn_local, AbortHandle};
+use std::time::{Duration, SystemTime};
 use tokio::time::{sleep, timeout};
 use tokio_util::sync::CancellationToken;
 
-/// A listener that is given up goes on accepting for so long: what was on its way is
+/// Time for which a listener that is closed goes on accepting: connections on their way are
 /// answered, and told to close.
-const LINGER: Duration = Duration::from_millis(500);
-/// How often the end and the retired look whether the last request is over.
-const LOOK: Duration = Duration::from_millis(50);
-
-struct Listening {
-    front: Rc<Plain>,
-    name: String,
-    accepting: AbortHandle,
-    draining: CancellationToken,
-}
-
-struct Running {
-    pool: Rc<Pool>,
-    module: BalancerConfig,
-    style: Style,
-    run: AbortHandle,
-}
-
-#[derive(Default)]
-struct State {
-    file: Option<Rc<OperatorConfig>>,
-    taken: Option<SystemTime>,
-    listeners: BTreeMap<SocketAddr, Listening>,
-    pools: BTreeMap<String, Running>,
-}
+const LISTENER_LINGER: Duration = Duration::from_millis(500);
+/// Time between two checks whether the last request has ended.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What is in force, and what is shared by all that ever was.
+/// The daemon: the applied configuration, and what outlives a reload.
 pub struct Daemon {
+    /// The operator's file.
     path: PathBuf,
     state: RefCell<State>,
-    limits: Limits,
-    /// Limits of tenants, routes and clusters, with what counts against them.
-    pub gates: Rc<Gates>,
+    budget: Limits,
+    /// Limits of tenants, routes and clusters, and their usage.
+    pub admission: Rc<Gates>,
     connections: Rc<Connections>,
-    patience: Patience,
-    /// What the first file said of what can't change while the program runs.
-    fixed: (model::ProcessLimits, Option<SocketAddr>, Option<model::FleetConfig>),
-    /// The planned end has begun.
-    ending: CancellationToken,
-    /// All open WebSockets.
+    client_timeouts: Patience,
+    startup: StartupSettings,
+    /// Cancelled when the daemon shuts down.
+    shutdown: CancellationToken,
+    /// All open WebSocket connections.
     pub sockets: Rc<SocketRegistry>,
-    /// All clients' connections.
+    /// All connections of clients.
     pub clients: Rc<Clients>,
-    /// What was done.
-    pub counts: Rc<Counts>,
-    reloads: [Cell<u64>; 2],
+    /// Counters of requests and responses.
+    pub stats: Rc<Counts>,
+    reloads: ReloadCounts,
+    /// Keeps the ids of two runs apart.
     seed: u64,
 }
 
-/// Why a file is not taken.
-pub type Refused = Vec<String>;
+/// What a configuration in force consists of.
+#[derive(Default)]
+struct State {
+    config: Option<OperatorConfig>,
+    applied_at: Option<SystemTime>,
+    listeners: BTreeMap<SocketAddr, OpenListener>,
+    clusters: BTreeMap<String, RunningCluster>,
+}
 
-/// Reads a file; the errors are lines.
-pub fn read(path: &Path) -> Result<OperatorConfig, Refused> {
-    check::read(path).map_err(|unusable| unusable.lines())
+/// Settings that cannot change while the program runs, as the first configuration has them.
+#[derive(PartialEq)]
+struct StartupSettings {
+    limits: ProcessLimits,
+    admin: Option<SocketAddr>,
+    fleet: Option<FleetConfig>,
+}
+
+impl StartupSettings {
+    fn of(config: &OperatorConfig) -> Self {
+        StartupSettings {
+            limits: config.limits.clone(),
+            admin: config.admin,
+            fleet: config.fleet.clone(),
+        }
+    }
+}
+
+/// Reloads by their result.
+#[derive(Default)]
+struct ReloadCounts {
+    applied: Cell<u64>,
+    rejected: Cell<u64>,
+}
+
+/// A number from the random numbers of the operating system.
+fn random_number() -> u64 {
+    RandomState::new().build_hasher().finish()
+}
+
+fn increment(count: &Cell<u64>) {
+    count.set(count.get() + 1);
 }
 
 impl Daemon {
-    /// Puts a first file in force.
-    pub fn start(path: PathBuf, file: OperatorConfig) -> Result<Rc<Self>, Refused> {
-        let limits = Limits::new(file.limits.file_descriptors, file.limits.memory_bytes);
-        let longest = file.classes.values().map(|class| class.deadline).max();
-        let queues = (file.limits.memory_bytes as f64 * SOCKET_QUEUE_SHARE) as usize;
+    /// Applies a first configuration, which was read from `path`.
+    ///
+    /// # Errors
+    /// The configuration cannot be applied.
+    pub fn start(path: PathBuf, config: OperatorConfig) -> Result<Rc<Self>, ReloadError> {
+        let budget = Limits::new(config.limits.file_descriptors, config.limits.memory_bytes);
+        let socket_queue_bytes = config.limits.memory_bytes as f64 * SOCKET_QUEUE_SHARE;
         let daemon = Rc::new(Daemon {
             path,
             state: RefCell::default(),
-            connections: Connections::new(&limits),
-            limits,
-            gates: Rc::default(),
-            patience: Patience {
-                receive: file.limits.head_timeout,
-                idle: file.limits.idle_timeout,
-                // Bytes that pass give it anew, so it bounds silence and not size.
-                busy: longest.unwrap_or_default() + file.limits.stream_timeout,
-                by_progress: true,
-                half_close: !file.limits.abort_on_close,
-            },
-            sockets: SocketRegistry::new(queues, RandomState::new().build_hasher().finish()),
-            fixed: (file.limits.clone(), file.admin, file.fleet.clone()),
-            ending: CancellationToken::new(),
+            connections: Connections::new(&budget),
+            budget,
+            admission: Rc::default(),
+            client_timeouts: client_timeouts(&config),
+            sockets: SocketRegistry::new(socket_queue_bytes as usize, random_number()),
+            startup: StartupSettings::of(&config),
+            shutdown: CancellationToken::new(),
             clients: Rc::default(),
-            counts: Rc::default(),
-            reloads: Default::default(),
-            // From the system's random numbers.
-            seed: RandomState::new().build_hasher().finish(),
+            stats: Rc::default(),
+            reloads: ReloadCounts::default(),
+            seed: random_number(),
         });
-        daemon.apply(file)?;
+        daemon.apply(config)?;
         Ok(daemon)
     }
 
-    /// Serves a front beside the file's listeners, to the end.
-    pub fn also(&self, front: Rc<impl Front>, listener: TcpListener) {
-        self.accept(front, listener, self.ending.clone());
-    }
-
-    fn accept<F: Front>(
-        &self,
-        front: Rc<F>,
-        listener: TcpListener,
-        draining: CancellationToken,
-    ) -> AbortHandle {
-        let clients = self.clients.clone();
-        let inbound = Inbound::new(front, clients, &self.limits, self.patience, draining);
-        spawn_local(async move { inbound.accept(listener).await }).abort_handle()
-    }
-
-    /// Puts a file in force, whole or not at all. All of it happens in one turn: no request
-    /// sees a part of it.
-    fn apply(&self, file: OperatorConfig) -> Result<(), Refused> {
-        let file = Rc::new(file);
-        let mut tables = Vec::new();
-        for listener in &file.listeners {
-            let on = |route: &&Route| {
-                route.listeners.is_empty() || route.listeners.contains(&listener.name)
-            };
-            let routes: Vec<Route> = file.routes.iter().filter(on).cloned().collect();
-            let table = RouteTable::new(routes.iter().map(|route| route.rule.clone()));
-            tables.push((listener, routes, table.map_err(|e| vec![e.to_string()])?));
-        }
-        let mut bound = HashMap::new();
-        for listener in &file.listeners {
-            if !self.state.borrow().listeners.contains_key(&listener.address) {
-                let socket = listen(listener.address).map_err(|e| {
-                    vec![format!("listener '{}', {}: {e}", listener.name, listener.address)]
-                })?;
-                bound.insert(listener.address, socket);
-            }
-        }
-        // From here on nothing can fail.
-        let state = &mut *self.state.borrow_mut();
-        self.apply_clusters(state, &file);
-        let clusters: HashMap<String, Rc<Pool>> = state
-            .pools
-            .iter()
-            .map(|(name, running)| (name.clone(), running.pool.clone()))
-            .collect();
-        let stay = |address: &SocketAddr| file.listeners.iter().any(|l| l.address == *address);
-        let gone: Vec<_> = state.listeners.keys().copied().filter(|a| !stay(a)).collect();
-        for address in gone {
-            if let Some(listening) = state.listeners.remove(&address) {
-                listening.draining.cancel();
-                let front = Rc::as_ptr(&listening.front) as usize;
-                self.sockets.drain(Some(front), self.socket_drain());
-                spawn_local(async move {
-                    sleep(LINGER).await;
-                    listening.accepting.abort();
-                });
-            }
-        }
-        let set = admission_config(&file);
-        self.gates.set(&set);
-        self.sockets
-            .configure(SlotConfig { capacity: self.fixed.0.max_websockets, ..slot_config(&file) });
-        let tenants = tenant_resolver(&file).map(Rc::new);
-        for (listener, routes, table) in tables {
-            let limited = (!set.is_empty()).then(|| Limited {
-                gates: self.gates.clone(),
-                tenants: tenants.clone(),
-                tenant_header: file.tenant_header.clone(),
-                routes: routes.iter().map(|route| Rc::from(route.name.as_str())).collect(),
-                clusters: clusters.keys().map(|n| (n.clone(), Rc::from(n.as_str()))).collect(),
-            });
-            let serving = Rc::new(Serving {
-                table,
-                listener: listener.name.clone(),
-                limited,
-                repeat_header: file.repeat_header.clone(),
-                hits: routes.iter().map(|_| Cell::new(0)).collect(),
-                routes,
-                clusters: clusters.clone(),
-                forwarding: file.forwarding.clone(),
-            });
-            match (state.listeners.get_mut(&listener.address), bound.remove(&listener.address)) {
-                (Some(listening), _) => {
-                    listening.front.swap(serving);
-                    listening.name = listener.name.clone();
-                }
-                (None, Some(socket)) => {
-                    let (room, counts) = (self.limits.bodies.clone(), self.counts.clone());
-                    let sockets = self.sockets.clone();
-                    let front = Plain::new(serving, room, counts, sockets, self.seed);
-                    let draining = CancellationToken::new();
-                    let accepting = self.accept(front.clone(), socket, draining.clone());
-                    let name = listener.name.clone();
-                    let listening = Listening { front, name, accepting, draining };
-                    state.listeners.insert(listener.address, listening);
-                }
-                (None, None) => {}
-            }
-        }
-        if self.fixed != (file.limits.clone(), file.admin, file.fleet.clone()) {
-            tracing::warn!("limits, admin and fleet are in force from the next start on");
-        }
-        state.file = Some(file);
-        state.taken = Some(SystemTime::now());
-        Ok(())
-    }
-
-    /// Keeps the clusters that stay as they are, with all that was learned; a change of
-    /// endpoints alone is news to the module like any other list.
-    fn apply_clusters(&self, state: &mut State, file: &OperatorConfig) {
-        let mut old = std::mem::take(&mut state.pools);
-        for (name, cluster) in &file.clusters {
-            let module = balancer_config(file, name, cluster);
-            let style = Style::Plain {
-                failures: cluster.failure_statuses.clone(),
-                never_ran: cluster.never_ran_header.clone(),
-                stall: self.fixed.0.stream_timeout,
-            };
-            let same = |running: &Running| {
-                running.module.differs_in_servers_only(&module) && running.style == style
-            };
-            let running = match old.remove(name) {
-                Some(mut running) if same(&running) => {
-                    if running.module.servers != module.servers {
-                        running.pool.driver.list(module.servers.clone());
-                        let servers = module.servers.iter().map(|(server, _)| server.id).collect();
-                        let number = running.pool.driver.number();
-                        self.sockets.retain_servers(
-                            number,
-                            &servers,
-                            "its server leaves the cluster",
-                        );
-                        running.module = module;
-                    }
-                    running
-                }
-                other => {
-                    other.into_iter().for_each(|running| self.retire(running));
-                    self.start_pool(name, module, style)
-                }
-            };
-            state.pools.insert(name.clone(), running);
-        }
-        old.into_values().for_each(|running| self.retire(running));
-    }
-
-    fn start_pool(&self, name: &str, module: BalancerConfig, style: Style) -> Running {
-        let spec = Spec {
-            settings: module.settings.clone(),
-            names: Names::default(),
-            seed: self.seed,
-            style: style.clone(),
-            peers: None,
-            discovery: None,
-            return_ramp: Some(module.recovery_ramp),
-            tries: module.retry_policies.clone(),
-            most: Most {
-                connections: [module.connections.total, module.connections.per_endpoint],
-                sockets: [module.sockets.total, module.sockets.per_endpoint],
-            },
-            socket_weight: module.socket_weight,
-            name: Some(name.to_string()),
-        };
-        let driver = Driver::start(spec, self.connections.clone());
-        driver.list(module.servers.clone());
-        self.sockets.set_migration_window(driver.number(), module.socket_spread);
-        let (sockets, number) = (self.sockets.clone(), driver.number());
-        driver.on_doubt(move |server| {
-            sockets.probe_server(number, server);
-        });
-        let pool = Rc::new(Pool { driver: driver.clone(), classes: module.classes.clone() });
-        let run = spawn_local(async move { driver.run().await }).abort_handle();
-        Running { pool, module, style, run }
-    }
-
-    /// Lets a cluster that is no longer in force end its requests, then frees it. Its sockets
-    /// go on at what took its place, where they may, or are closed.
-    fn retire(&self, running: Running) {
-        let (sockets, number) = (self.sockets.clone(), running.pool.driver.number());
-        sockets.retain_servers(number, &HashSet::new(), "its cluster has changed");
-        spawn_local(async move {
-            // Those that still hold the snapshot may yet begin one: their count tells.
-            while !running.pool.driver.is_idle() || Rc::strong_count(&running.pool) > 1 {
-                sleep(LOOK).await;
-            }
-            sockets.remove_cluster(number);
-            running.run.abort();
-        });
-    }
-
-    fn socket_drain(&self) -> u64 {
-        to_nanos(self.fixed.0.websocket_drain)
-    }
-
-    /// Reads the file again; one that is refused changes nothing.
+    /// Reads the file again and applies it; one that is rejected changes nothing.
     pub fn reload(&self) {
-        let result = read(&self.path).and_then(|file| self.apply(file));
-        let count = &self.reloads[usize::from(result.is_err())];
-        count.set(count.get() + 1);
-        match result {
-            Ok(()) => tracing::info!(file = %self.path.display(), "configuration applied"),
-            Err(lines) => {
-                lines.iter().for_each(|line| tracing::error!("{line}"));
-                let (file, errors) = (self.path.display(), lines.len());
-                tracing::error!(%file, errors, "configuration rejected");
+        let read = config_file::read(&self.path).map_err(ReloadError::from);
+        let file = self.path.display();
+        match read.and_then(|config| self.apply(config)) {
+            Ok(()) => {
+                increment(&self.reloads.applied);
+                tracing::info!(%file, "configuration applied");
             }
-        }
-    }
-
-    /// How many reads succeeded and failed.
-    pub fn reloads(&self) -> [(&'static str, u64); 2] {
-        [("taken", self.reloads[0].get()), ("refused", self.reloads[1].get())]
-    }
-
-    /// Requests by route, ever.
-    pub fn hits(&self) -> Vec<(String, u64)> {
-        let mut all = self.counts.routes.borrow().clone();
-        for listening in self.state.borrow().listeners.values() {
-            for (name, hits) in listening.front.serving().hits() {
-                *all.entry(name.to_string()).or_default() += hits;
+            Err(error) => {
+                increment(&self.reloads.rejected);
+                let lines = error.lines();
+                lines.iter().for_each(|line| tracing::error!("{line}"));
+                tracing::error!(%file, errors = lines.len(), "configuration rejected");
             }
         }
-        all.into_iter().collect()
     }
 
-    /// Each cluster's open requests, timers and endpoints.
-    pub fn pools(&self) -> Vec<(String, [usize; 5])> {
-        let state = self.state.borrow();
-        let pool = |(name, running): (&String, &Running)| {
-            let (open, timers) = running.pool.driver.open();
-            let (phase, told) = running.pool.driver.recovery().unwrap_or((Phase::Normal, 0));
-            let phase = match phase {
-                Phase::Normal => 0,
-                Phase::Outage => 1,
-                Phase::Recovering => 2,
-            };
-            (name.clone(), [open, timers, running.module.servers.len(), phase, told as usize])
-        };
-        state.pools.iter().map(pool).collect()
-    }
-
-    /// Where a cluster's server listens; empty if it has left.
-    pub fn address(&self, cluster: &str, server: ServerId) -> String {
-        let state = self.state.borrow();
-        let driver = state.pools.get(cluster).map(|running| &running.pool.driver);
-        let address = driver.and_then(|driver| driver.address(server));
-        address.map_or(String::new(), |address| address.to_string())
-    }
-
-    /// Each cluster's attempts that were ended for their own time, and second copies.
-    pub fn tried(&self) -> Vec<(String, [u64; 2])> {
-        let state = self.state.borrow();
-        let tried =
-            |(name, running): (&String, &Running)| (name.clone(), running.pool.driver.tried());
-        state.pools.iter().map(tried).collect()
-    }
-
-    /// What is in force, for `/-/config`.
-    pub fn in_force(&self) -> serde_json::Value {
-        let state = self.state.borrow();
-        let Some(file) = &state.file else { return serde_json::Value::Null };
-        let taken = state.taken.and_then(|at| at.duration_since(UNIX_EPOCH).ok());
-        let listeners: Vec<_> = state
-            .listeners
-            .iter()
-            .map(|(address, l)| serde_json::json!({"name": l.name, "address": address.to_string()}))
-            .collect();
-        let routes: Vec<_> = file.routes.iter().map(route_in_force).collect();
-        let clusters: BTreeMap<_, _> = state
-            .pools
-            .iter()
-            .map(|(name, running)| {
-                let servers = running.module.servers.iter().map(server_in_force);
-                (name, servers.collect::<Vec<_>>())
-            })
-            .collect();
-        serde_json::json!({
-            "file": self.path.display().to_string(),
-            "hash": format!("{:016x}", file.hash),
-            "taken_unix_ms": taken.map(|at| at.as_millis() as u64),
-            "listeners": listeners, "routes": routes, "clusters": clusters,
-        })
-    }
-
-    /// Ends: no further client is taken, and what is open is answered.
-    pub async fn end(&self) {
-        self.ending.cancel();
+    /// Shuts down gracefully: no further client is accepted, and open requests are answered.
+    pub async fn shut_down(&self) {
+        self.shutdown.cancel();
         let listeners = std::mem::take(&mut self.state.borrow_mut().listeners);
-        listeners.values().for_each(|listening| listening.draining.cancel());
-        self.sockets.drain(None, self.socket_drain());
-        sleep(LINGER).await;
+        listeners.values().for_each(|listener| listener.draining.cancel());
+        self.sockets.drain(None, self.socket_drain_ns());
+        sleep(LISTENER_LINGER).await;
         // Those whose handshake was under way.
-        self.sockets.drain(None, self.socket_drain());
-        listeners.values().for_each(|listening| listening.accepting.abort());
-        let busy = || self.state.borrow().pools.values().any(|r| !r.pool.driver.is_idle());
-        let over = async {
-            while busy() || !self.clients.is_empty() {
-                sleep(LOOK).await;
+        self.sockets.drain(None, self.socket_drain_ns());
+        listeners.values().for_each(|listener| listener.accepting.abort());
+        let all_idle = async {
+            while !self.is_idle() {
+                sleep(IDLE_CHECK_INTERVAL).await;
             }
         };
-        // Clients that neither send nor leave are not waited for beyond their patience.
-        let most = self.patience.busy + self.patience.idle + self.fixed.0.websocket_drain;
-        let _ = timeout(most, over).await;
+        // Clients that neither send nor leave are not waited for beyond their timeouts.
+        let timeouts = &self.client_timeouts;
+        let max_wait = timeouts.busy + timeouts.idle + self.startup.limits.websocket_drain;
+        let _ = timeout(max_wait, all_idle).await;
     }
-}
 
-fn route_in_force(route: &Route) -> serde_json::Value {
-    let to: Vec<&str> = match &route.action {
-        RouteAction::Forward(forward) => forward.split.clusters().collect(),
-        _ => Vec::new(),
-    };
-    serde_json::json!({"name": route.name, "line": route.line, "class": route.class, "clusters": to})
+    /// Whether no request and no connection of a client is open.
+    fn is_idle(&self) -> bool {
+        let clusters = &self.state.borrow().clusters;
+        clusters.values().all(RunningCluster::is_idle) && self.clients.is_empty()
+    }
 }
 
-fn server_in_force((server, address): &(ListedServer, SocketAddr)) -> serde_json::Value {
-    serde_json::json!({"address": address.to_string(), "weight": server.size})
+fn client_timeouts(config: &OperatorConfig) -> Patience {
+    let limits = &config.limits;
+    let longest_deadline = config.classes.values().map(|class| class.deadline).max();
+    Patience {
+        receive: limits.head_timeout,
+        idle: limits.idle_timeout,
+        // Each byte that passes starts it again, so that it bounds silence and not size.
+        busy: longest_deadline.unwrap_or_default() + limits.stream_timeout,
+        by_progress: true,
+        half_close: !limits.abort_on_close,
+    }
 }
--- /dev/null
+++ b/crates/mintshelf/src/demo/client.rs
@@ -0,0 +1,61 @@
+//! The clients of the demo.
+
+use super::add;
+use bytes::Bytes;
+use http_body_util::Empty;
+use hyper::client::conn::http1::{handshake, SendRequest};
+use hyper::{Request, StatusCode};
+use hyper_util::rt::TokioIo;
+use std::cell::Cell;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::TcpStream;
+use tokio::task::spawn_local;
+use tokio::time::{sleep, Instant};
+
+/// Time between a response and the next request.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(20);
+
+/// What the clients have seen together.
+#[derive(Clone, Default)]
+pub struct ClientStats {
+    /// Responses with status 200.
+    pub good: Cell<u64>,
+    /// Responses with another status.
+    pub bad: Cell<u64>,
+    /// Time of all requests in milliseconds.
+    pub total_ms: Cell<u64>,
+}
+
+/// Sends requests one after another, and connects again whenever the connection closes.
+pub async fn run(sidecar: SocketAddr, stats: Rc<ClientStats>) {
+    loop {
+        let Ok(stream) = TcpStream::connect(sidecar).await else { return };
+        let Ok((sender, connection)) = handshake(TokioIo::new(stream)).await else { return };
+        spawn_local(connection);
+        send_requests(sender, sidecar, &stats).await;
+    }
+}
+
+/// Sends requests on one connection until it closes.
+async fn send_requests(
+    mut sender: SendRequest<Empty<Bytes>>,
+    sidecar: SocketAddr,
+    stats: &ClientStats,
+) {
+    loop {
+        let started = Instant::now();
+        let request = Request::get("/").header("host", sidecar.to_string());
+        let Ok(request) = request.body(Empty::<Bytes>::new()) else { return };
+        let Ok(response) = sender.send_request(request).await else { return };
+        let is_good = response.status() == StatusCode::OK;
+        add(if is_good { &stats.good } else { &stats.bad }, 1);
+        add(&stats.total_ms, started.elapsed().as_millis() as u64);
+        drop(response);
+        sleep(REQUEST_INTERVAL).await;
+        if sender.ready().await.is_err() {
+            return;
+        }
+    }
+}
--- /dev/null
+++ b/crates/mintshelf/src/demo/server.rs
@@ -0,0 +1,88 @@
+//! The servers of the demo.
+
+use super::add;
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::server::conn::http1;
+use hyper::service::service_fn;
+use hyper::{Response, StatusCode};
+use hyper_util::rt::TokioIo;
+use std::cell::Cell;
+use std::convert::Infallible;
+use std::io;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::TcpListener;
+use tokio::task::spawn_local;
+use tokio::time::sleep;
+
+/// Requests that a server works on at the same time; further ones wait.
+const CONCURRENCY: u64 = 2;
+
+/// A server of the demo.
+pub struct DemoServer {
+    /// Its name.
+    pub name: &'static str,
+    /// Time for one request in milliseconds.
+    pub service_ms: u64,
+    /// One in this many responses is an error; none if absent.
+    pub failure_period: Option<u64>,
+}
+
+const fn server(name: &'static str, service_ms: u64, failure_period: Option<u64>) -> DemoServer {
+    DemoServer { name, service_ms, failure_period }
+}
+
+/// All servers of the demo.
+pub const SERVERS: [DemoServer; 4] = [
+    server("quick", 10, None),
+    server("middling", 25, None),
+    server("slow", 60, None),
+    server("shaky", 15, Some(4)),
+];
+
+/// What a server has done.
+#[derive(Default)]
+pub struct ServerStats {
+    /// Responses.
+    pub served: Cell<u64>,
+    /// Requests in flight.
+    in_flight: Cell<u64>,
+}
+
+/// Starts a server on a port that the system chooses; returns its address.
+///
+/// # Errors
+/// No port can be bound.
+pub async fn start(server: &'static DemoServer, stats: Rc<ServerStats>) -> io::Result<SocketAddr> {
+    let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+    let listener = TcpListener::bind(any_port).await?;
+    let address = listener.local_addr()?;
+    spawn_local(async move {
+        while let Ok((stream, _)) = listener.accept().await {
+            let stats = stats.clone();
+            let service = service_fn(move |_| {
+                let stats = stats.clone();
+                Box::pin(async move { Ok::<_, Infallible>(respond(server, &stats).await) })
+            });
+            spawn_local(http1::Builder::new().serve_connection(TokioIo::new(stream), service));
+        }
+    });
+    Ok(address)
+}
+
+async fn respond(server: &DemoServer, stats: &ServerStats) -> Response<Full<Bytes>> {
+    add(&stats.in_flight, 1);
+    let rounds = 1 + (stats.in_flight.get() - 1) / CONCURRENCY;
+    sleep(Duration::from_millis(server.service_ms * rounds)).await;
+    stats.in_flight.set(stats.in_flight.get() - 1);
+    add(&stats.served, 1);
+    let fails = |period| stats.served.get().is_multiple_of(period);
+    let body = Bytes::from(format!("served by {}\n", server.name));
+    let mut response = Response::new(Full::new(body));
+    if server.failure_period.is_some_and(fails) {
+        *response.status_mut() = StatusCode::INTERNAL_SERVER_ERROR;
+    }
+    response
+}
--- /dev/null
+++ b/crates/mintshelf/src/explain/settings.rs
@@ -0,0 +1,152 @@
+//! The settings that apply to a request by its route, class, clusters and limits.
+
+use super::attempts::explain_attempts;
+use super::report::Report;
+use super::Request;
+use humantime::format_duration;
+use mintshelf_balancer::api::Effect;
+use mintshelf_config::balancer::effective_timeout;
+use mintshelf_config::model::{Class, Cluster, Route, RouteAction, WebSocket};
+use mintshelf_proxy::plain::effect_of;
+use mintshelf_retry::duration::format_nanos;
+use mintshelf_websocket::session::Resume;
+use std::time::Duration;
+
+/// A route that forwards, and the class that its request belongs to.
+pub(super) struct ForwardedRequest<'a> {
+    pub(super) route_index: usize,
+    pub(super) route: &'a Route,
+    pub(super) class: &'a Class,
+    pub(super) effect: Effect,
+}
+
+impl ForwardedRequest<'_> {
+    /// The field of the request's class.
+    pub(super) fn class_field(&self, key: &str) -> String {
+        format!("classes.{}.{key}", self.route.class)
+    }
+
+    /// The fields that state a setting of the class: the route's override, then the class.
+    pub(super) fn override_fields(&self, key: &str) -> Vec<String> {
+        vec![format!("routes[{}].overrides.{key}", self.route_index), self.class_field(key)]
+    }
+
+    /// The same, then the defaults.
+    pub(super) fn all_fields(&self, key: &str) -> Vec<String> {
+        let mut fields = self.override_fields(key);
+        fields.push(format!("defaults.{key}"));
+        fields
+    }
+}
+
+/// Appends what a route does with a request, and the settings that apply.
+pub(super) fn explain_route(report: &mut Report, route_index: usize, request: &Request) {
+    let config = report.config();
+    let route = &config.routes[route_index];
+    let listeners = match route.listeners.is_empty() {
+        true => "all listeners".to_string(),
+        false => route.listeners.join(", "),
+    };
+    report.line(format_args!("on {listeners}"));
+    let forward = match &route.action {
+        RouteAction::Redirect(redirect) => {
+            report.line(format_args!("answered here: {}, a redirect", redirect.status));
+            return;
+        }
+        RouteAction::Respond(respond) => {
+            report.line(format_args!("answered here: {}", respond.status));
+            return;
+        }
+        RouteAction::Forward(forward) => forward,
+    };
+    let Some(class) = config.classes.get(&route.policy) else { return };
+    let has_key = request.headers.contains_key("idempotency-key");
+    let effect = effect_of(class.effect, route.effect, &request.method, has_key);
+    let forwarded = ForwardedRequest { route_index, route, class, effect };
+    explain_class(report, &forwarded);
+    for name in forward.split.clusters() {
+        if let Some(cluster) = config.clusters.get(name) {
+            explain_cluster(report, &forwarded, name, cluster);
+        }
+    }
+    if let Some(websocket) = &forward.websocket {
+        explain_websocket(report, &forwarded, websocket);
+    }
+    explain_limits(report);
+}
+
+fn explain_class(report: &mut Report, request: &ForwardedRequest) {
+    let class = request.class;
+    let effect = match request.effect {
+        Effect::Safe => "safe: it may be sent again while its time lasts",
+        Effect::Idempotent => "keyed: it may be sent again within its window",
+        Effect::Unsafe => "unsafe: it is sent again only if it is known not to have run",
+    };
+    report.line(format_args!("class '{}', effect {effect}", request.route.class));
+    let objective = duration_text(class.latency_objective);
+    report.setting_of(&request.override_fields("aim"), objective);
+    report.setting_of(&request.override_fields("deadline"), duration_text(class.deadline));
+    report.setting(&request.class_field("worth"), class.priority_weight);
+    if request.effect == Effect::Idempotent {
+        report.setting(&request.class_field("window"), duration_text(class.dedup_window));
+    }
+}
+
+fn explain_cluster(report: &mut Report, request: &ForwardedRequest, name: &str, cluster: &Cluster) {
+    let endpoints = cluster.endpoints.iter().filter(|endpoint| endpoint.weight > 0).count();
+    report.line(format_args!("cluster '{name}', {endpoints} endpoints"));
+    let attempts = &request.class.attempts;
+    let field = |key: &str| format!("clusters.{name}.{key}");
+    for (key, of_class, of_cluster) in [
+        ("connect-timeout", attempts.connect_timeout, cluster.connect_timeout),
+        ("idle-timeout", attempts.idle_timeout, cluster.idle_timeout),
+    ] {
+        let fields = match of_class {
+            Some(timeout) if timeout < of_cluster => request.all_fields(key),
+            _ => vec![field(key)],
+        };
+        let timeout = effective_timeout(of_class, of_cluster);
+        report.setting_of(&fields, duration_text(timeout));
+    }
+    explain_attempts(report, request, name, cluster);
+    report.setting(&field("failure-statuses"), format!("{:?}", cluster.failure_statuses));
+    report.setting(&field("warm-up"), duration_text(cluster.warm_up));
+    report.setting(&field("max-retry-after"), duration_text(cluster.max_retry_after));
+    report.setting(&field("return-ramp"), duration_text(cluster.recovery_ramp));
+}
+
+fn explain_websocket(report: &mut Report, request: &ForwardedRequest, websocket: &WebSocket) {
+    let resume = match websocket.session.resume {
+        None => "closed",
+        Some(Resume::Handshake) => "opened elsewhere by their handshake",
+        Some(Resume::FirstMessage) => "opened elsewhere by their handshake and first message",
+    };
+    report.line(format_args!("WebSocket: sockets whose server goes are {resume}"));
+    let timers = &websocket.session.timers;
+    for (key, nanos) in [
+        ("idle-timeout", timers.idle_timeout_ns),
+        ("lifetime", timers.max_lifetime_ns),
+        ("ping-interval", timers.ping_interval_ns),
+        ("ping-timeout", timers.pong_timeout_ns),
+        ("stall-timeout", timers.write_stall_timeout_ns),
+        ("message-timeout", timers.message_timeout_ns),
+        ("close-timeout", timers.close_timeout_ns),
+    ] {
+        let field = request.class_field(&format!("sockets.{key}"));
+        report.setting(&field, format_nanos(nanos));
+    }
+    report.setting("limits.websockets", report.config().limits.max_websockets);
+}
+
+fn explain_limits(report: &mut Report) {
+    let limits = &report.config().limits;
+    report.setting("limits.head-timeout", duration_text(limits.head_timeout));
+    report.setting("limits.idle-timeout", duration_text(limits.idle_timeout));
+    report.setting("limits.stream-timeout", duration_text(limits.stream_timeout));
+    report.setting("limits.memory", limits.memory_bytes);
+    report.setting("limits.sockets", limits.file_descriptors);
+}
+
+fn duration_text(duration: Duration) -> String {
+    format_duration(duration).to_string()
+}
--- a/crates/mintshelf/src/fleet.rs
+++ b/crates/mintshelf/src/fleet.rs
@@ -1,6 +1,6 @@
 //! The process as one of a fleet: a voter beside the traffic, and the commands that ask voters.
 
-use crate::{check, lease_run, runtime, UNUSABLE};
+use crate::{config_file, lease_run, runtime, EXIT_UNUSABLE};
 use mintshelf_config::model::{FleetConfig, FleetVoter};
 use mintshelf_consensus::persistent_state::PersistentState;
 use mintshelf_consensus_node::client::{ask, tell};
@@ -71,7 +71,7 @@
         others: all.into_iter().filter(|(other, _)| *other != id).collect(),
         spans: fleet.timing,
     };
-    let runtime = runtime()?;
+    let runtime = runtime().map_err(|error| format!("runtime: {error}"))?;
     let (stop, stopped) = oneshot::channel::<()>();
     let name = fleet.name.clone();
     let vote = move || {
@@ -105,9 +105,9 @@
 
 /// A file's fleet, or what is wrong, and the exit code.
 fn of(config: &Path) -> Result<FleetConfig, ExitCode> {
-    let file = check::read(config).map_err(|unusable| {
-        unusable.lines().iter().for_each(|line| eprintln!("mintshelf: {line}"));
-        unusable.code()
+    let file = config_file::read(config).map_err(|error| {
+        error.lines().iter().for_each(|line| eprintln!("mintshelf: {line}"));
+        error.exit_code()
     })?;
     file.fleet.ok_or_else(|| failed(format!("{}: has no [fleet]", config.display())))
 }
@@ -149,7 +149,7 @@
 
 /// What each voter says of itself, in the order of the file; none where it does not answer.
 fn reports(fleet: &FleetConfig) -> Result<Vec<Option<Report>>, ExitCode> {
-    let runtime = runtime().map_err(failed)?;
+    let runtime = runtime().map_err(|error| failed(format!("runtime: {error}")))?;
     let owner = owner(fleet);
     let all = fleet.voters.iter().map(|voter| {
         let (name, owner, at) = (fleet.fleet.clone(), owner.clone(), voter.address);
@@ -278,7 +278,7 @@
 /// `mintshelf lease release`: its holder is not renewed, and it ends with its span.
 fn release(config: &Path, lease: &str) -> Done {
     let fleet = of(config)?;
-    let runtime = runtime().map_err(failed)?;
+    let runtime = runtime().map_err(|error| failed(format!("runtime: {error}")))?;
     let voters: Vec<SocketAddr> = fleet.voters.iter().map(|voter| voter.address).collect();
     let command = Command::Revoke { lease: lease.to_owned() };
     match runtime.block_on(ask(&fleet.fleet, owner(&fleet), &voters, command)) {
@@ -306,14 +306,14 @@
     let span = span.map_or(fleet.timing.lease_duration, |span| span.as_nanos() as u64);
     if !(lease_run::SPAN_MIN..=command::DURATION_MAX).contains(&span) {
         eprintln!("mintshelf: --span is 1s to 24h");
-        return Err(ExitCode::from(UNUSABLE));
+        return Err(ExitCode::from(EXIT_UNUSABLE));
     }
     let owner = owner(&fleet);
     // Two runs beside one another are two members.
     let member = format!("{}#{}", owner.member, std::process::id());
     let owner = Owner { member, ..owner };
     let task = lease_run::Task { lease, span, wait, command };
-    let runtime = runtime().map_err(failed)?;
+    let runtime = runtime().map_err(|error| failed(format!("runtime: {error}")))?;
     runtime.block_on(lease_run::run(&fleet, owner, task)).map(ExitCode::from).map_err(failed)
 }
 
--- a/crates/mintshelf/src/log.rs
+++ b/crates/mintshelf/src/log.rs
@@ -1,20 +1,33 @@
-//! The daemon's log: lines with fields on standard error.
+//! The log of the daemon: events with fields, a line each, on standard error.
 
-use tracing_subscriber::filter::{EnvFilter, LevelFilter};
+use std::env;
+use thiserror::Error;
+use tracing_subscriber::filter::{EnvFilter, LevelFilter, ParseError};
 
-/// The variable that sets levels.
-const LEVELS: &str = "MINTSHELF_LOG";
+/// Environment variable with the log levels, as in `info` or `mintshelf=debug`.
+const LEVELS_VARIABLE: &str = "MINTSHELF_LOG";
 
-/// Starts the log; what the variable says is an error if it can't be understood.
-pub fn start(json: bool) -> Result<(), String> {
-    let stated = std::env::var(LEVELS).unwrap_or_default();
+/// The log levels cannot be parsed.
+#[derive(Debug, Error)]
+#[error("{}: '{levels}': {source}; write it as in info or warn", LEVELS_VARIABLE)]
+pub struct LevelsError {
+    levels: String,
+    source: ParseError,
+}
+
+/// Starts the log, with lines as text or as JSON.
+///
+/// # Errors
+/// The environment variable holds no levels.
+pub fn start(as_json: bool) -> Result<(), LevelsError> {
+    let levels = env::var(LEVELS_VARIABLE).unwrap_or_default();
     let filter = EnvFilter::builder()
         .with_default_directive(LevelFilter::INFO.into())
-        .parse(&stated)
-        .map_err(|e| format!("{LEVELS}: '{stated}': {e}; write it as in info or warn"))?;
+        .parse(&levels)
+        .map_err(|source| LevelsError { levels, source })?;
     let lines = tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr);
     // A second start in one process leaves the first in place.
-    let _ = match json {
+    let _ = match as_json {
         true => lines.json().try_init(),
         false => lines.with_ansi(false).with_target(false).try_init(),
     };
--- a/crates/mintshelf/src/main.rs
+++ b/crates/mintshelf/src/main.rs
@@ -3,16 +3,19 @@
 
 mod admin;
 mod check;
+mod config_file;
 mod daemon;
 mod demo;
 mod explain;
 mod fleet;
 mod lease_run;
 mod log;
+mod metrics;
 mod platform;
 mod service;
 
 use clap::{Parser, Subcommand, ValueEnum};
+use std::fmt::Display;
 use std::future::Future;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -20,8 +23,8 @@
 use tokio::runtime::Runtime;
 use tokio::task::LocalSet;
 
-/// Exit code for a file that can't be read or a command that can't be understood.
-const UNUSABLE: u8 = 2;
+/// Exit code for a file that cannot be read or a command that cannot be parsed.
+const EXIT_UNUSABLE: u8 = 2;
 
 #[derive(Parser)]
 #[command(name = "mintshelf", version, about = "A load-balancing HTTP sidecar")]
@@ -34,6 +37,7 @@
 }
 
 #[derive(Subcommand)]
+#[allow(clippy::doc_markdown, reason = "the doc comments are help texts, printed as they are")]
 enum Command {
     /// Serve what an operator's file describes; SIGHUP reads it again
     Run {
@@ -78,8 +82,8 @@
     /// Start stand-in servers and a sidecar in front, and show what goes where
     Demo {
         /// End after this time; otherwise at Ctrl-C
-        #[arg(long = "for", value_parser = humantime::parse_duration)]
-        span: Option<Duration>,
+        #[arg(long = "for", value_name = "SPAN", value_parser = humantime::parse_duration)]
+        duration: Option<Duration>,
         /// Where the sidecar listens
         #[arg(long, default_value = "127.0.0.1:8080")]
         listen: std::net::SocketAddr,
@@ -94,21 +98,26 @@
     Json,
 }
 
-/// What runs futures on one thread.
-fn runtime() -> Result<Runtime, String> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    runtime.map_err(|error| format!("runtime: {error}"))
+/// A runtime that runs futures on one thread.
+fn runtime() -> std::io::Result<Runtime> {
+    tokio::runtime::Builder::new_current_thread().enable_all().build()
 }
 
-/// Runs a future that stays on this thread.
-fn block_on(future: impl Future<Output = Result<(), String>>) -> ExitCode {
-    let result = runtime().and_then(|runtime| LocalSet::new().block_on(&runtime, future));
-    match result {
+/// Prints an error; returns the exit code.
+fn fail(error: impl Display, exit_code: ExitCode) -> ExitCode {
+    eprintln!("mintshelf: {error}");
+    exit_code
+}
+
+/// Runs a command on this thread; an error is printed.
+fn block_on<E: Display>(command: impl Future<Output = Result<(), E>>) -> ExitCode {
+    let runtime = match runtime() {
+        Ok(runtime) => runtime,
+        Err(error) => return fail(format_args!("runtime: {error}"), ExitCode::FAILURE),
+    };
+    match LocalSet::new().block_on(&runtime, command) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(what) => {
-            eprintln!("mintshelf: {what}");
-            ExitCode::FAILURE
-        }
+        Err(error) => fail(error, ExitCode::FAILURE),
     }
 }
 
@@ -118,10 +127,7 @@
         Some(Command::Run { config, watch, log_format }) => {
             match log::start(matches!(log_format, Format::Json)) {
                 Ok(()) => block_on(service::run(config, watch)),
-                Err(what) => {
-                    eprintln!("mintshelf: {what}");
-                    ExitCode::from(UNUSABLE)
-                }
+                Err(error) => fail(error, ExitCode::from(EXIT_UNUSABLE)),
             }
         }
         Some(Command::Fleet(command)) => fleet::fleet_command(command),
@@ -134,6 +140,6 @@
         Some(Command::Explain { file, method, url, headers }) => {
             explain::run(&file, &method, &url, &headers)
         }
-        Some(Command::Demo { span, listen }) => block_on(demo::run(span, listen)),
+        Some(Command::Demo { duration, listen }) => block_on(demo::run(duration, listen)),
     }
 }
--- a/crates/mintshelf/src/platform.rs
+++ b/crates/mintshelf/src/platform.rs
@@ -1,6 +1,6 @@
-//! The platform's sidecar: configured by `RELAY_CONFIG`, fed by discovery.
+//! The platform's sidecar: configured by `RELAY_CONFIG`, with its endpoints from discovery.
 
-use mintshelf_config::platform::PlatformConfig;
+use mintshelf_config::platform::{ConfigError, PlatformConfig};
 use mintshelf_proxy::clients::{Clients, Patience};
 use mintshelf_proxy::driver::{Driver, Spec};
 use mintshelf_proxy::inbound::{listen, Inbound};
@@ -9,99 +9,182 @@
 use mintshelf_proxy::peers::Peers;
 use mintshelf_proxy::platform::Platform;
 use mintshelf_proxy::upstream::{Connections, Style};
-use std::path::PathBuf;
+use std::io;
+use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::signal::unix::{signal, SignalKind};
+use thiserror::Error;
+use tokio::net::TcpListener;
+use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::time::sleep;
 use tokio_util::sync::CancellationToken;
 
-/// A request is whole so long after its first byte.
-const RECEIVE_LIMIT: Duration = Duration::from_millis(2_500);
-/// How much longer than the longest deadline a request may hold its connection:
-/// time for its client to take the answer.
-const SEND_LIMIT: Duration = Duration::from_secs(5);
-/// An idle connection is closed after this.
-const IDLE_LIMIT: Duration = Duration::from_secs(20);
-/// How long past the longest deadline a planned end takes at least: clients go
-/// on connecting for a while, and every request they send is answered.
-const STAY: Duration = Duration::from_secs(1);
-/// How often the end looks whether the last client has gone.
-const END_CHECK: Duration = Duration::from_millis(50);
+/// Environment variable with the path of the configuration.
+const CONFIG_VARIABLE: &str = "RELAY_CONFIG";
+/// Time from the first byte of a request to its last.
+const RECEIVE_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Time beyond the longest deadline for which a request may hold its connection: its client reads
+/// the response in it.
+const RESPONSE_READ_TIME: Duration = Duration::from_secs(5);
+/// Time after which an idle connection is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Time beyond the longest deadline that a shutdown takes at least: clients go on connecting for a
+/// while, and every request that they send is answered.
+const MIN_SHUTDOWN_EXTRA: Duration = Duration::from_secs(1);
+/// Time between two checks whether the last client has left.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Runs the sidecar that `RELAY_CONFIG` describes, until its planned end.
-pub async fn run() -> Result<(), String> {
-    let file = std::env::var_os("RELAY_CONFIG").ok_or("environment: RELAY_CONFIG: is not set")?;
+/// Why the sidecar did not start.
+#[derive(Debug, Error)]
+pub enum PlatformError {
+    /// The environment variable is not set.
+    #[error("environment: {}: is not set", CONFIG_VARIABLE)]
+    NoConfig,
+    /// The configuration cannot be read.
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+    /// An address of the configuration cannot be bound.
+    #[error("{}: {field}: {source}", file.display())]
+    Address {
+        /// The configuration's file.
+        file: PathBuf,
+        /// The field with the address.
+        field: &'static str,
+        /// Why.
+        source: io::Error,
+    },
+    /// A signal cannot be received.
+    #[error("{name}: {source}")]
+    Signal {
+        /// Its name.
+        name: &'static str,
+        /// Why.
+        source: io::Error,
+    },
+}
+
+/// The signals that the sidecar handles.
+struct Signals {
+    terminate: Signal,
+    hangup: Signal,
+}
+
+impl Signals {
+    fn register() -> Result<Self, PlatformError> {
+        let register =
+            |kind, name| signal(kind).map_err(|source| PlatformError::Signal { name, source });
+        Ok(Signals {
+            terminate: register(SignalKind::terminate(), "SIGTERM")?,
+            hangup: register(SignalKind::hangup(), "SIGHUP")?,
+        })
+    }
+}
+
+/// The sockets that the configuration names.
+struct Sockets {
+    peers: Option<Peers>,
+    listener: TcpListener,
+}
+
+impl Sockets {
+    async fn bind(file: &Path, config: &PlatformConfig) -> Result<Self, PlatformError> {
+        let failed = |field| {
+            let file = file.to_path_buf();
+            move |source| PlatformError::Address { file, field, source }
+        };
+        let peers = match config.peer_listen.filter(|_| config.settings.has_peers) {
+            None => None,
+            Some(address) => {
+                let peers = config.peers.clone();
+                let bound = Peers::bind(address, peers, config.broadcast_address).await;
+                Some(bound.map_err(failed("peer_listen"))?)
+            }
+        };
+        let listener = listen(config.listen).map_err(failed("listen"))?;
+        Ok(Sockets { peers, listener })
+    }
+}
+
+/// Runs the sidecar that `RELAY_CONFIG` describes, until it has shut down.
+///
+/// # Errors
+/// The sidecar cannot start.
+pub async fn run() -> Result<(), PlatformError> {
+    let file = std::env::var_os(CONFIG_VARIABLE).ok_or(PlatformError::NoConfig)?;
     let file = PathBuf::from(file);
-    let config = PlatformConfig::read(&file).map_err(|e| e.to_string())?;
-    let unusable = |field: &str, e: std::io::Error| format!("{}: {field}: {e}", file.display());
-    // Danger: taken before anything else, so that an early SIGTERM is not deadly.
-    let mut terminated = signal(SignalKind::terminate()).map_err(|e| format!("SIGTERM: {e}"))?;
-    let mut reload = signal(SignalKind::hangup()).map_err(|e| format!("SIGHUP: {e}"))?;
-    let peers = match config.peer_listen.filter(|_| config.settings.has_peers) {
-        None => None,
-        Some(address) => {
-            let peers = Peers::bind(address, config.peers.clone(), config.broadcast_address).await;
-            Some(peers.map_err(|e| unusable("peer_listen", e))?)
+    let config = PlatformConfig::read(&file)?;
+    // Registered before anything is opened, so that an early SIGTERM does not kill the process.
+    let mut signals = Signals::register()?;
+    let Sockets { peers, listener } = Sockets::bind(&file, &config).await?;
+    let budget = Limits::new(config.file_descriptors, config.memory_bytes);
+    let draining = CancellationToken::new();
+    let longest_deadline = longest_deadline(&config);
+    let runtime = Driver::start(cluster_spec(&config, peers), Connections::new(&budget));
+    let PlatformConfig { name, listen, settings, names, .. } = config;
+    let handler = Platform::new(runtime.clone(), settings, names, &budget);
+    let clients = Rc::new(Clients::default());
+    let timeouts = client_timeouts(longest_deadline);
+    let inbound =
+        Inbound::new(handler.clone(), clients.clone(), &budget, timeouts, draining.clone());
+    eprintln!("mintshelf: {name} listening on {listen}");
+    let shutdown = async {
+        signals.terminate.recv().await;
+        draining.cancel();
+        let min_duration = longest_deadline + MIN_SHUTDOWN_EXTRA;
+        tokio::join!(handler.end(longest_deadline), sleep(min_duration));
+        while !clients.is_empty() {
+            sleep(IDLE_CHECK_INTERVAL).await;
         }
     };
-    let listener = listen(config.listen).map_err(|e| unusable("listen", e))?;
-    let limits = Limits::new(config.file_descriptors, config.memory_bytes);
-    let draining = CancellationToken::new();
+    tokio::select! {
+        () = inbound.accept(listener) => {}
+        () = runtime.run() => {}
+        () = reload_on_signal(&mut signals.hangup, &file, &name, &runtime) => {}
+        () = shutdown => {}
+    }
+    Ok(())
+}
+
+fn longest_deadline(config: &PlatformConfig) -> Duration {
     let deadlines = config.settings.classes.iter().map(|class| class.deadline);
-    let longest = Duration::from_nanos(deadlines.max().unwrap_or(0));
-    let stay = longest + STAY;
-    let PlatformConfig { name, listen, settings, names, seed, discovery, cached_list, .. } = config;
-    let spec = Spec {
+    Duration::from_nanos(deadlines.max().unwrap_or(0))
+}
+
+fn client_timeouts(longest_deadline: Duration) -> Patience {
+    Patience {
+        receive: RECEIVE_TIMEOUT,
+        idle: IDLE_TIMEOUT,
+        busy: longest_deadline + RESPONSE_READ_TIME,
+        by_progress: false,
+        half_close: false,
+    }
+}
+
+fn cluster_spec(config: &PlatformConfig, peers: Option<Peers>) -> Spec {
+    Spec {
         return_ramp: None,
         tries: Vec::new(),
         most: Most::default(),
         socket_weight: 0.0,
         name: None,
-        settings: settings.clone(),
-        names: names.clone(),
-        seed,
+        settings: config.settings.clone(),
+        names: config.names.clone(),
+        seed: config.seed,
         style: Style::Platform,
         peers,
-        discovery: Some((discovery, cached_list)),
-    };
-    let driver = Driver::start(spec, Connections::new(&limits));
-    let patience = Patience {
-        receive: RECEIVE_LIMIT,
-        idle: IDLE_LIMIT,
-        busy: longest + SEND_LIMIT,
-        by_progress: false,
-        half_close: false,
-    };
-    let front = Platform::new(driver.clone(), settings, names, &limits);
-    let clients = Rc::new(Clients::default());
-    let inbound = Inbound::new(front.clone(), clients.clone(), &limits, patience, draining.clone());
-    eprintln!("mintshelf: {name} listens on {listen}");
-    let reloads = async {
-        while reload.recv().await.is_some() {
-            match PlatformConfig::read(&file) {
-                Ok(new) => {
-                    eprintln!("mintshelf: {name} reloads; discovery is {}", new.discovery);
-                    driver.move_discovery(new.discovery);
-                }
-                // What was in force stays in force.
-                Err(what) => eprintln!("mintshelf: not reloaded: {what}"),
+        discovery: Some((config.discovery, config.cached_list.clone())),
+    }
+}
+
+/// Reads the configuration again at each SIGHUP; of a valid one the address of discovery is applied.
+async fn reload_on_signal(hangup: &mut Signal, file: &Path, name: &str, runtime: &Rc<Driver>) {
+    while hangup.recv().await.is_some() {
+        match PlatformConfig::read(file) {
+            Ok(config) => {
+                eprintln!("mintshelf: {name} reloads; discovery is {}", config.discovery);
+                runtime.move_discovery(config.discovery);
             }
+            Err(error) => eprintln!("mintshelf: not reloaded: {error}"),
         }
-    };
-    let end = async {
-        terminated.recv().await;
-        draining.cancel();
-        tokio::join!(front.end(longest), sleep(stay));
-        while !clients.is_empty() {
-            sleep(END_CHECK).await;
-        }
-    };
-    tokio::select! {
-        () = inbound.accept(listener) => {}
-        () = driver.run() => {}
-        () = reloads => {}
-        () = end => {}
     }
-    Ok(())
 }
--- a/crates/mintshelf/src/service.rs
+++ b/crates/mintshelf/src/service.rs
@@ -1,65 +1,134 @@
-//! The daemon as a program: its admin listener, its signals, its watched file.
+//! `mintshelf run`: the daemon with its admin listener, its signals and its watched file.
 
 use crate::admin::Admin;
-use crate::daemon::{read, Daemon, Refused};
+use crate::config_file;
+use crate::daemon::{Daemon, ReloadError};
 use crate::fleet;
 use mintshelf_proxy::inbound::listen;
+use std::io;
+use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::time::{Duration, SystemTime};
-use tokio::signal::unix::{signal, SignalKind};
+use thiserror::Error;
+use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::time::sleep;
 
-/// How often a watched file is looked at.
-const WATCH: Duration = Duration::from_secs(1);
+/// Time between two looks at a watched file.
+const WATCH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Looks whether a file has changed, by its text's length and time.
-fn stamp(path: &Path) -> Option<(u64, SystemTime)> {
-    let about = std::fs::metadata(path).ok()?;
-    Some((about.len(), about.modified().ok()?))
+/// Why the daemon did not start.
+#[derive(Debug, Error)]
+pub enum ServiceError {
+    /// Signals cannot be received.
+    #[error("signals: {0}")]
+    Signals(#[source] io::Error),
+    /// The configuration cannot be applied.
+    #[error("{} is refused:\n{source}", path.display())]
+    Configuration {
+        /// The operator's file.
+        path: PathBuf,
+        /// Why.
+        source: ReloadError,
+    },
+    /// The admin listener cannot be opened.
+    #[error("admin {address}: {source}")]
+    AdminListener {
+        /// Its address.
+        address: SocketAddr,
+        /// Why.
+        source: io::Error,
+    },
+    /// The replica of this process cannot be started.
+    #[error("{0}")]
+    Replica(String),
 }
 
-/// Serves a file until SIGTERM or SIGINT.
-pub async fn run(path: PathBuf, watch: bool) -> Result<(), String> {
-    let signals = |kind| signal(kind).map_err(|e| format!("signals: {e}"));
-    let mut terminated = signals(SignalKind::terminate())?;
-    let mut interrupted = signals(SignalKind::interrupt())?;
-    let mut hung_up = signals(SignalKind::hangup())?;
-    let refused = |lines: Refused| format!("{} is refused:\n{}", path.display(), lines.join("\n"));
-    let mut seen = stamp(&path);
-    let file = read(&path).map_err(refused)?;
-    let addresses: Vec<String> = file.listeners.iter().map(|l| l.address.to_string()).collect();
-    let admin = file.admin;
-    let fleet = file.fleet.clone();
-    let daemon = Daemon::start(path.clone(), file).map_err(refused)?;
+/// The signals that the daemon handles.
+struct Signals {
+    terminate: Signal,
+    interrupt: Signal,
+    hangup: Signal,
+}
+
+impl Signals {
+    fn register() -> Result<Self, ServiceError> {
+        let register = |kind| signal(kind).map_err(ServiceError::Signals);
+        Ok(Signals {
+            terminate: register(SignalKind::terminate())?,
+            interrupt: register(SignalKind::interrupt())?,
+            hangup: register(SignalKind::hangup())?,
+        })
+    }
+}
+
+/// Serves by an operator's file until SIGTERM or SIGINT, then shuts down gracefully.
+///
+/// # Errors
+/// The daemon cannot start.
+pub async fn run(path: PathBuf, watch: bool) -> Result<(), ServiceError> {
+    let mut signals = Signals::register()?;
+    // Read before the file itself, so that a change in between is seen as one.
+    let version = FileVersion::of(&path);
+    let rejected = |source| ServiceError::Configuration { path: path.clone(), source };
+    let config = config_file::read(&path).map_err(|error| rejected(error.into()))?;
+    let listeners = config.listeners.iter().map(|listener| listener.address.to_string());
+    let addresses: Vec<String> = listeners.collect();
+    let admin = config.admin;
+    let fleet = config.fleet.clone();
+    let daemon = Daemon::start(path.clone(), config).map_err(rejected)?;
     if let Some(address) = admin {
-        let listener = listen(address).map_err(|e| format!("admin {address}: {e}"))?;
-        daemon.also(Rc::new(Admin { daemon: daemon.clone() }), listener);
+        serve_admin(&daemon, address)?;
     }
-    let _voting = fleet.as_ref().map(fleet::start).transpose()?;
+    let replica = fleet.as_ref().map(fleet::start).transpose();
+    let _replica = replica.map_err(|error| ServiceError::Replica(error.to_string()))?;
     tracing::info!(addresses = addresses.join(", "), "listening");
-    let reloads = async {
-        while hung_up.recv().await.is_some() {
-            daemon.reload();
-        }
-    };
-    let watches = async {
-        loop {
-            sleep(WATCH).await;
-            let now = stamp(&path).filter(|_| watch);
-            if now.is_some() && now != seen {
-                seen = now;
-                daemon.reload();
-            }
-        }
-    };
     tokio::select! {
-        () = reloads => {}
-        () = watches => {}
-        _ = terminated.recv() => {}
-        _ = interrupted.recv() => {}
+        () = reload_on_signal(&daemon, &mut signals.hangup) => {}
+        () = reload_on_change(&daemon, &path, version), if watch => {}
+        _ = signals.terminate.recv() => {}
+        _ = signals.interrupt.recv() => {}
     }
     tracing::info!("shutting down");
-    daemon.end().await;
+    daemon.shut_down().await;
+    Ok(())
+}
+
+fn serve_admin(daemon: &Rc<Daemon>, address: SocketAddr) -> Result<(), ServiceError> {
+    let opened = listen(address);
+    let listener = opened.map_err(|source| ServiceError::AdminListener { address, source })?;
+    daemon.serve(Rc::new(Admin { daemon: daemon.clone() }), listener);
     Ok(())
 }
+
+async fn reload_on_signal(daemon: &Daemon, hangup: &mut Signal) {
+    while hangup.recv().await.is_some() {
+        daemon.reload();
+    }
+}
+
+async fn reload_on_change(daemon: &Daemon, path: &Path, mut applied: Option<FileVersion>) {
+    loop {
+        sleep(WATCH_INTERVAL).await;
+        let current = FileVersion::of(path);
+        if current.is_some() && current != applied {
+            applied = current;
+            daemon.reload();
+        }
+    }
+}
+
+/// What tells two versions of a file apart without reading it.
+#[derive(PartialEq, Eq)]
+struct FileVersion {
+    bytes: u64,
+    modified: SystemTime,
+}
+
+impl FileVersion {
+    /// The current version; none if the file's metadata cannot be read.
+    fn of(path: &Path) -> Option<Self> {
+        let metadata = std::fs::metadata(path).ok()?;
+        Some(FileVersion { bytes: metadata.len(), modified: metadata.modified().ok()? })
+    }
+}
