--- a/crates/mintshelf/src/metrics.rs
+++ b/crates/mintshelf/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The daemon's metrics, in the OpenMetrics text format.
+//! The daemon's metrics, in the `OpenMetrics` text format.
 
 use crate::daemon::{ClusterUsage, Daemon};
 use mintshelf_recovery::Phase;
--- /dev/null
+++ b/crates/mintshelf/tests/gateway/failures.rs
@@ -0,0 +1,115 @@
+//! Servers that fail, and which requests are retried.
+
+use crate::fixture::{daemon, file, PROGRAM};
+use mintshelf_test_support::{
+    connect, free_address, get, ok_response, read_to_close, Daemon, Message, Peer, Server,
+};
+use std::io::{Read, Write};
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::sync::Arc;
+
+#[test]
+fn a_safe_request_is_retried_at_another_server_and_an_unsafe_one_is_not() {
+    let ran = Arc::new(AtomicUsize::new(0));
+    let counted = ran.clone();
+    // It takes the request, runs it, and dies.
+    let dies = Server::start(move |_, _| {
+        counted.fetch_add(1, Ordering::Relaxed);
+        Some(b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\nhalf".to_vec())
+    });
+    let broken = Peer::start(|mut stream| {
+        let _ = Message::read(&mut stream);
+    });
+    let good = Server::start(|_, _| Some(ok_response("good")));
+    let daemon = daemon(&[broken.at, good.at], "");
+    for _ in 0..20 {
+        assert_eq!(daemon.send_request(&get("/")).unwrap().body, b"good");
+    }
+    let before = good.requests().len();
+    let mut failed = 0;
+    for _ in 0..20 {
+        let post = b"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\n\r\nx";
+        let got = daemon.send_request(post).unwrap();
+        match got.status() {
+            200 => {}
+            502 => {
+                assert_eq!(got.header("content-type"), Some("application/problem+json"));
+                let problem: String = String::from_utf8_lossy(&got.body).into();
+                assert!(problem.contains("\"code\":\"upstream-failed\""), "{problem}");
+                failed += 1;
+            }
+            status => panic!("{status}"),
+        }
+    }
+    // Each went to one server only: either it failed, or the good one ran it.
+    assert_eq!(good.requests().len() - before, 20 - failed);
+    drop(dies);
+    assert_eq!(ran.load(Ordering::Relaxed), 0);
+}
+
+#[test]
+fn an_unreachable_cluster_is_answered_at_once_with_retry_after() {
+    let daemon = daemon(&[free_address()], "");
+    let got = daemon.send_request(&get("/")).unwrap();
+    assert_eq!(got.status(), 503, "{}", got.head);
+    assert!(String::from_utf8_lossy(&got.body).contains("\"code\":\"overloaded\""));
+    assert_eq!(got.header("retry-after"), Some("1"));
+}
+
+#[test]
+fn a_truncated_response_differs_from_a_complete_one() {
+    for framing in ["Content-Length: 500000", "Transfer-Encoding: chunked"] {
+        let server = Peer::start(move |mut stream| {
+            if Message::read(&mut stream).is_none() {
+                return;
+            }
+            let head = format!("HTTP/1.1 200 OK\r\n{framing}\r\n\r\n");
+            let _ = stream.write_all(head.as_bytes());
+            let _ = stream.write_all(b"186a0\r\n");
+            let _ = stream.write_all(&vec![b'x'; 100_000]);
+        });
+        let daemon = daemon(&[server.at], "");
+        let mut stream = connect(daemon.at).unwrap();
+        stream.write_all(&get("/")).unwrap();
+        let bytes = read_to_close(&mut stream);
+        let text = String::from_utf8_lossy(&bytes);
+        assert!(text.starts_with("HTTP/1.1 200 ") && bytes.len() < 400_000, "{framing}");
+        assert!(!text.ends_with("0\r\n\r\n"), "{framing}: it looks whole");
+    }
+}
+
+#[test]
+fn a_server_that_dies_during_an_upload_is_an_error_at_once_without_retry() {
+    let attempts = Arc::new(AtomicUsize::new(0));
+    let counted = attempts.clone();
+    let server = Peer::start(move |mut stream| {
+        let mut buffer = vec![0; 64 << 10];
+        let mut seen = 0;
+        while seen < 400_000 {
+            match stream.read(&mut buffer) {
+                Ok(count @ 1..) => seen += count,
+                _ => return,
+            }
+        }
+        counted.fetch_add(1, Ordering::Relaxed);
+    });
+    let text = |at| {
+        file(at, &[server.at], "").replace(
+            "[limits]",
+            "[classes.default]\ndeadline = \"10m\"\n[limits]\nstream-timeout = \"10m\"",
+        )
+    };
+    let at = free_address();
+    let daemon = Daemon::start(PROGRAM, at, &text(at), &[]);
+    // Even a safe one: what has gone of its body can't be had again.
+    for (number, method) in ["POST", "GET"].into_iter().enumerate() {
+        let mut stream = connect(daemon.at).unwrap();
+        let head = format!("{method} / HTTP/1.1\r\nHost: h\r\nContent-Length: 600000\r\n\r\n");
+        stream.write_all(head.as_bytes()).unwrap();
+        stream.write_all(&vec![b'x'; 500_000]).unwrap();
+        // The deadline is far over the test's patience: only an answer at once passes.
+        let got = Message::read(&mut stream).unwrap();
+        assert_eq!(got.status(), 502, "{}", got.head);
+        assert_eq!(attempts.load(Ordering::Relaxed), number + 1);
+    }
+}
--- /dev/null
+++ b/crates/mintshelf/tests/gateway/fixture.rs
@@ -0,0 +1,30 @@
+//! A daemon with one cluster and one route.
+
+use mintshelf_test_support::{connect, free_address, read_to_close, Daemon};
+use std::io::Write;
+use std::net::SocketAddr;
+
+pub const PROGRAM: &str = env!("CARGO_BIN_EXE_mintshelf");
+
+/// A file with one cluster and one route that takes everything.
+pub fn file(at: SocketAddr, servers: &[SocketAddr], more: &str) -> String {
+    let servers: Vec<String> = servers.iter().map(|s| format!("\"{s}\"")).collect();
+    format!(
+        "listen = \"{at}\"\n[limits]\nmemory = \"32MiB\"\nsockets = 128\n\
+         [clusters.c]\nendpoints = [{}]\nconnect-timeout = \"5s\"\n\
+         [[routes]]\ncluster = \"c\"\n{more}\n",
+        servers.join(", ")
+    )
+}
+
+pub fn daemon(servers: &[SocketAddr], more: &str) -> Daemon {
+    let at = free_address();
+    Daemon::start(PROGRAM, at, &file(at, servers, more), &[])
+}
+
+/// Writes a request that asks for the connection's end, and reads all that comes.
+pub fn send_and_read_to_close(at: SocketAddr, request: &str) -> String {
+    let mut stream = connect(at).unwrap();
+    let _ = stream.write_all(request.as_bytes());
+    String::from_utf8_lossy(&read_to_close(&mut stream)).into_owned()
+}
--- /dev/null
+++ b/crates/mintshelf/tests/websocket/fixture.rs
@@ -0,0 +1,203 @@
+//! Servers, clients and a daemon for WebSocket, with an independent implementation at both ends.
+
+use mintshelf_test_support::{connect, free_address, Daemon, Peer};
+use std::io::Read;
+use std::net::{SocketAddr, TcpStream};
+use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
+use std::sync::Arc;
+use std::thread;
+use std::time::Duration;
+use tungstenite::handshake::client::{generate_key, Request};
+use tungstenite::handshake::server;
+use tungstenite::Message as WsMessage;
+use tungstenite::WebSocket;
+
+pub const PROGRAM: &str = env!("CARGO_BIN_EXE_mintshelf");
+
+/// Longest wait of anything; each test waits for what happens, not for this.
+pub const READ_TIMEOUT: Duration = Duration::from_secs(30);
+
+/// A server that says back what it hears, with its name; it can be frozen or made to break off.
+pub struct Node {
+    pub peer: Peer,
+    pub opened: Arc<AtomicUsize>,
+    pub open: Arc<AtomicUsize>,
+    pub frozen: Arc<AtomicBool>,
+    pub dead: Arc<AtomicBool>,
+}
+
+impl Node {
+    pub fn start(name: &'static str) -> Self {
+        let counts = [(); 2].map(|()| Arc::new(AtomicUsize::new(0)));
+        let flags = [(); 2].map(|()| Arc::new(AtomicBool::new(false)));
+        let [opened, open] = counts.clone();
+        let [frozen, dead] = flags.clone();
+        let peer = Peer::start(move |stream| {
+            if dead.load(Ordering::SeqCst) {
+                return;
+            }
+            stream.set_read_timeout(Some(Duration::from_millis(20))).unwrap();
+            let choose = |request: &server::Request, mut response: server::Response| {
+                if let Some(asked) = request.headers().get("sec-websocket-protocol") {
+                    let first = asked.to_str().unwrap().split(',').next().unwrap().trim();
+                    let chosen = first.parse().unwrap();
+                    response.headers_mut().insert("sec-websocket-protocol", chosen);
+                }
+                Ok(response)
+            };
+            let mut read = tungstenite::accept_hdr(stream, choose);
+            let mut socket = loop {
+                match read {
+                    Ok(socket) => break socket,
+                    Err(tungstenite::HandshakeError::Interrupted(more)) => read = more.handshake(),
+                    Err(_) => return,
+                }
+            };
+            opened.fetch_add(1, Ordering::SeqCst);
+            open.fetch_add(1, Ordering::SeqCst);
+            loop {
+                if dead.load(Ordering::SeqCst) {
+                    break;
+                }
+                if frozen.load(Ordering::SeqCst) {
+                    thread::sleep(Duration::from_millis(5));
+                    continue;
+                }
+                match socket.read() {
+                    Ok(WsMessage::Text(text)) if text.as_str() == "flood" => {
+                        while socket.send(WsMessage::binary(vec![7; 16 << 10])).is_ok() {}
+                        break;
+                    }
+                    Ok(WsMessage::Text(text)) => {
+                        let answer = format!("{name}: {text}");
+                        if socket.send(WsMessage::text(answer)).is_err() {
+                            break;
+                        }
+                    }
+                    Ok(message @ WsMessage::Binary(_)) => {
+                        if socket.send(message).is_err() {
+                            break;
+                        }
+                    }
+                    Ok(_) => {}
+                    Err(tungstenite::Error::Io(e)) if is_wait(&e) => {}
+                    Err(_) => break,
+                }
+            }
+            open.fetch_sub(1, Ordering::SeqCst);
+        });
+        let [opened, open] = counts;
+        let [frozen, dead] = flags;
+        Node { peer, opened, open, frozen, dead }
+    }
+}
+
+pub fn is_wait(error: &std::io::Error) -> bool {
+    matches!(error.kind(), std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut)
+}
+
+/// A file with one cluster of these nodes and a route for sockets.
+pub struct Setup {
+    pub at: SocketAddr,
+    pub admin: SocketAddr,
+    pub limits: &'static str,
+    pub class: &'static str,
+    pub cluster: &'static str,
+    pub websocket: &'static str,
+    pub more: String,
+}
+
+pub fn setup() -> Setup {
+    Setup {
+        at: free_address(),
+        admin: free_address(),
+        limits: "",
+        class: "",
+        cluster: "",
+        websocket: "true",
+        more: String::new(),
+    }
+}
+
+impl Setup {
+    pub fn text(&self, nodes: &[SocketAddr]) -> String {
+        let Setup { at, admin, limits, class, cluster, websocket, more } = self;
+        let nodes: Vec<String> = nodes.iter().map(|at| format!("\"{at}\"")).collect();
+        let nodes = nodes.join(", ");
+        format!(
+            "listen = \"{at}\"\ntenant-header = \"x-member\"\n[limits]\n{limits}\n\
+             [admin]\naddress = \"{admin}\"\n[classes.live]\naim = \"1s\"\ndeadline = \"5s\"\n\
+             [classes.live.sockets]\n{class}\n[clusters.c]\nendpoints = [{nodes}]\n\
+             connect-timeout = \"2s\"\n{cluster}\n\
+             [[routes]]\nname = \"live\"\nclass = \"live\"\ncluster = \"c\"\nwebsocket = {websocket}\n{more}"
+        )
+    }
+
+    pub fn start(&self, nodes: &[&Node]) -> Daemon {
+        let nodes: Vec<_> = nodes.iter().map(|node| node.peer.at).collect();
+        Daemon::start(PROGRAM, self.at, &self.text(&nodes), &[])
+    }
+}
+
+pub type Socket = WebSocket<TcpStream>;
+
+pub fn request(at: SocketAddr, headers: &[(&str, &str)]) -> Request {
+    let mut request = Request::builder()
+        .uri(format!("ws://{at}/live?device=7"))
+        .header("host", at.to_string())
+        .header("connection", "Upgrade")
+        .header("upgrade", "websocket")
+        .header("sec-websocket-version", "13")
+        .header("sec-websocket-key", generate_key());
+    for (name, value) in headers {
+        request = request.header(*name, *value);
+    }
+    request.body(()).unwrap()
+}
+
+/// Opens a socket, or tells the status that it got instead.
+pub fn open_with(at: SocketAddr, headers: &[(&str, &str)]) -> Result<Socket, u16> {
+    let stream = connect(at).expect("a connection");
+    stream.set_read_timeout(Some(READ_TIMEOUT)).unwrap();
+    match tungstenite::client(request(at, headers), stream) {
+        Ok((socket, _)) => Ok(socket),
+        Err(tungstenite::HandshakeError::Failure(tungstenite::Error::Http(response))) => {
+            Err(response.status().as_u16())
+        }
+        Err(error) => panic!("{error}"),
+    }
+}
+
+pub fn open(at: SocketAddr) -> Socket {
+    open_with(at, &[]).expect("a socket")
+}
+
+pub fn send_and_receive(socket: &mut Socket, text: &str) -> String {
+    socket.send(WsMessage::text(text)).unwrap();
+    loop {
+        match socket.read().unwrap() {
+            WsMessage::Text(text) => return text.to_string(),
+            WsMessage::Ping(_) => socket.flush().unwrap(),
+            other => panic!("{other:?}"),
+        }
+    }
+}
+
+/// Reads to the close frame; its code and reason.
+pub fn closed(socket: &mut Socket) -> (u16, String) {
+    loop {
+        match socket.read() {
+            Ok(WsMessage::Close(Some(close))) => {
+                return (close.code.into(), close.reason.to_string())
+            }
+            Ok(WsMessage::Close(None)) => return (1005, String::new()),
+            Ok(_) => {}
+            Err(error) => return (1006, error.to_string()),
+        }
+    }
+}
+
+/// Reads on in a thread of its own, to the end.
+pub fn reading(mut socket: Socket) -> thread::JoinHandle<(u16, String)> {
+    thread::spawn(move || closed(&mut socket))
+}
--- /dev/null
+++ b/crates/mintshelf/tests/websocket/main.rs
@@ -0,0 +1,13 @@
+//! WebSocket through the real program, with an independent implementation at both ends.
+#![allow(
+    clippy::result_large_err,
+    reason = "the errors of the implementation at both ends are large"
+)]
+
+mod fixture;
+mod handshakes;
+mod limits;
+mod protocol_errors;
+mod raw_client;
+mod sessions;
+mod steady_client;
--- /dev/null
+++ b/crates/mintshelf/tests/websocket/steady_client.rs
@@ -0,0 +1,45 @@
+//! A client that sends and receives messages until it is dropped.
+
+use crate::fixture::{open, send_and_receive};
+use mintshelf_test_support::wait_until;
+use std::net::SocketAddr;
+use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
+use std::sync::Arc;
+use std::thread;
+use std::time::Duration;
+
+/// A client that asks and is answered over and over, to the end.
+pub struct SteadyClient {
+    over: Arc<AtomicBool>,
+    answers: Arc<AtomicUsize>,
+    thread: Option<thread::JoinHandle<()>>,
+}
+
+impl SteadyClient {
+    pub fn start(at: SocketAddr) -> Self {
+        let (over, answers) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
+        let (until, count) = (over.clone(), answers.clone());
+        let mut socket = open(at);
+        let thread = thread::spawn(move || {
+            while !until.load(Ordering::SeqCst) {
+                assert!(send_and_receive(&mut socket, "on").ends_with(": on"));
+                count.fetch_add(1, Ordering::SeqCst);
+                thread::sleep(Duration::from_millis(10));
+            }
+        });
+        SteadyClient { over, answers, thread: Some(thread) }
+    }
+
+    pub fn wait_for_responses(&self) {
+        let before = self.answers.load(Ordering::SeqCst);
+        wait_until("answers", || self.answers.load(Ordering::SeqCst) > before + 2);
+    }
+}
+
+impl Drop for SteadyClient {
+    fn drop(&mut self) {
+        self.over.store(true, Ordering::SeqCst);
+        let ended = self.thread.take().map(|thread| thread.join().is_ok());
+        assert!(thread::panicking() || ended == Some(true));
+    }
+}
