--- a/crates/mintshelf/src/main.rs
+++ b/crates/mintshelf/src/main.rs
@@ -8,7 +8,6 @@
 mod demo;
 mod explain;
 mod fleet;
-mod lease_run;
 mod log;
 mod metrics;
 mod platform;
--- a/crates/mintshelf/src/service.rs
+++ b/crates/mintshelf/src/service.rs
@@ -3,7 +3,7 @@
 use crate::admin::Admin;
 use crate::config_file;
 use crate::daemon::{Daemon, ReloadError};
-use crate::fleet;
+use crate::fleet::{self, StartError};
 use mintshelf_proxy::inbound::listen;
 use std::io;
 use std::net::SocketAddr;
@@ -40,8 +40,8 @@
         source: io::Error,
     },
     /// The replica of this process cannot be started.
-    #[error("{0}")]
-    Replica(String),
+    #[error(transparent)]
+    Replica(#[from] StartError),
 }
 
 /// The signals that the daemon handles.
@@ -80,8 +80,7 @@
     if let Some(address) = admin {
         serve_admin(&daemon, address)?;
     }
-    let replica = fleet.as_ref().map(fleet::start).transpose();
-    let _replica = replica.map_err(|error| ServiceError::Replica(error.to_string()))?;
+    let _replica = fleet.as_ref().map(fleet::start).transpose()?;
     tracing::info!(addresses = addresses.join(", "), "listening");
     tokio::select! {
         () = reload_on_signal(&daemon, &mut signals.hangup) => {}
--- a/crates/mintshelf/tests/websocket/fixture.rs
+++ b/crates/mintshelf/tests/websocket/fixture.rs
@@ -1,7 +1,6 @@
 //! Servers, clients and a daemon for WebSocket, with an independent implementation at both ends.
 
 use mintshelf_test_support::{connect, free_address, Daemon, Peer};
-use std::io::Read;
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::Arc;
--- a/crates/mintshelf/tests/websocket/handshakes.rs
+++ b/crates/mintshelf/tests/websocket/handshakes.rs
@@ -3,7 +3,7 @@
 use crate::fixture::{open, open_with, send_and_receive, setup, Node, Setup, Socket, PROGRAM};
 use crate::raw_client::{accept_of, handshake, ACCEPTED};
 use mintshelf_test_support::{get, Daemon, Message, Peer};
-use std::io::{Read, Write};
+use std::io::Write;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 use tungstenite::Message as WsMessage;
--- a/crates/mintshelf/tests/websocket/protocol_errors.rs
+++ b/crates/mintshelf/tests/websocket/protocol_errors.rs
@@ -3,7 +3,7 @@
 use crate::fixture::{closed, open, setup, Node, Setup, PROGRAM};
 use crate::raw_client::{accept_of, close_of, handshake, masked, ACCEPTED};
 use mintshelf_test_support::{read_to_close, wait_until, Daemon, Message, Peer};
-use std::io::{Read, Write};
+use std::io::Write;
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 use tungstenite::Message as WsMessage;
--- a/crates/mintshelf/tests/websocket/sessions.rs
+++ b/crates/mintshelf/tests/websocket/sessions.rs
@@ -2,7 +2,6 @@
 
 use crate::fixture::{closed, open, reading, send_and_receive, setup, Node, Setup, Socket};
 use mintshelf_test_support::{metric, wait_until, Process as _};
-use std::io::Read;
 use std::sync::atomic::Ordering;
 use tungstenite::Message as WsMessage;
 
