--- a/crates/mintshelf/tests/limits.rs
+++ b/crates/mintshelf/tests/admission_limits.rs
@@ -1,4 +1,4 @@
-//! Limits of tenants, routes, clusters and endpoints over real sockets.
+//! Limits of tenants, routes, clusters and endpoints.
 
 use mintshelf_test_support::{
     connect, free_address, get, metric, ok_response, reset_connection, send_request, wait_until,
@@ -50,7 +50,7 @@
     code.unwrap_or("").to_string()
 }
 
-fn of(tenant: &str, path: &str) -> Vec<u8> {
+fn request_of(tenant: &str, path: &str) -> Vec<u8> {
     format!("GET {path} HTTP/1.1\r\nHost: h\r\nX-Member: {tenant}\r\n\r\n").into_bytes()
 }
 
@@ -60,45 +60,45 @@
     [tenants.b]\nheader-values = [\"b\"]\n[tenants.n]\nnetworks = [\"192.0.2.0/24\"]";
 
 #[test]
-fn a_tenant_over_its_rate_is_told_so_and_the_others_are_served() {
+fn a_tenant_over_its_rate_is_rejected_and_the_others_are_served() {
     let server = server(&Latch::default());
     let (daemon, admin) = daemon(&[server.at], TENANTS, "");
     let greedy: Vec<Message> =
-        (0..200).map(|_| daemon.send_request(&of("a", "/")).unwrap()).collect();
+        (0..200).map(|_| daemon.send_request(&request_of("a", "/")).unwrap()).collect();
     let calm: Vec<Message> =
-        (0..200).map(|_| daemon.send_request(&of("b", "/")).unwrap()).collect();
+        (0..200).map(|_| daemon.send_request(&request_of("b", "/")).unwrap()).collect();
     assert!(calm.iter().all(|got| got.status() == 200));
-    let over: Vec<_> = greedy.iter().filter(|got| got.status() == 429).collect();
+    let limited: Vec<_> = greedy.iter().filter(|got| got.status() == 429).collect();
     let served = greedy.iter().filter(|got| got.status() == 200).count();
     // Its burst, and one more for every minute that this takes.
-    assert!((20..25).contains(&served) && served + over.len() == 200, "{served}");
-    for got in over {
+    assert!((20..25).contains(&served) && served + limited.len() == 200, "{served}");
+    for got in limited {
         assert_eq!(code(got), "tenant-rate");
-        let told: u64 = got.header("retry-after").unwrap().parse().unwrap();
-        assert!((1..=60).contains(&told), "{}", got.head);
+        let retry_after: u64 = got.header("retry-after").unwrap().parse().unwrap();
+        assert!((1..=60).contains(&retry_after), "{}", got.head);
     }
     assert_eq!(server.requests().len(), 200 + served, "what is refused is not sent on");
     assert_eq!(metric(admin, "mintshelf_tenant_requests"), 0.0);
 }
 
 #[test]
-fn a_header_does_not_take_a_client_out_of_its_network() {
+fn a_header_does_not_move_a_client_out_of_its_network() {
     let server = server(&Latch::default());
     let more = TENANTS.replace("192.0.2.0/24", "127.0.0.0/8") + "\nrate = \"1/m\"\nburst = 5";
     let (daemon, _) = daemon(&[server.at], &more, "");
     let statuses: Vec<u16> = (0..20)
-        .map(|n| daemon.send_request(&of(["b", "c"][n % 2], "/")).unwrap().status())
+        .map(|n| daemon.send_request(&request_of(["b", "c"][n % 2], "/")).unwrap().status())
         .collect();
     let served = statuses.iter().filter(|status| **status == 200).count();
     assert!((5..8).contains(&served), "{statuses:?}");
 }
 
 #[test]
-fn slow_uploads_of_one_tenant_leave_the_others_their_room() {
+fn slow_uploads_of_one_tenant_leave_the_others_their_capacity() {
     let server = server(&Latch::default());
     let (daemon, admin) = daemon(&[server.at], TENANTS, "");
     let mut uploads = Vec::new();
-    let mut refused = 0;
+    let mut rejected = 0;
     for _ in 0..60 {
         let mut stream = connect(daemon.at).unwrap();
         let head = "POST /up HTTP/1.1\r\nHost: h\r\nX-Member: b\r\nContent-Length: 60000\r\n\r\nxx";
@@ -111,9 +111,12 @@
                 >= uploads.len() as f64
         });
     }
-    refused += metric(admin, "mintshelf_refusals_total") as usize;
-    let held = metric(admin, "mintshelf_tenant_requests{tenant=\"b\"}") as usize;
-    assert!(refused >= 20 && held >= 10 && held + refused == 60, "{held} {refused}");
+    rejected += metric(admin, "mintshelf_refusals_total") as usize;
+    let in_flight = metric(admin, "mintshelf_tenant_requests{tenant=\"b\"}") as usize;
+    assert!(
+        rejected >= 20 && in_flight >= 10 && in_flight + rejected == 60,
+        "{in_flight} {rejected}"
+    );
     let got = Message::read(uploads.last_mut().unwrap()).unwrap();
     assert_eq!(got.status(), 429, "{}", got.head);
     assert!(got.header("retry-after").is_some());
@@ -123,27 +126,27 @@
     }
     drop(uploads);
     wait_until("all is given back", || metric(admin, "mintshelf_tenant_requests") == 0.0);
-    assert_eq!(daemon.send_request(&of("b", "/")).unwrap().status(), 200);
+    assert_eq!(daemon.send_request(&request_of("b", "/")).unwrap().status(), 200);
 }
 
 #[test]
-fn a_full_queue_refuses_the_least_worth_at_once_and_serves_the_rest() {
+fn a_full_queue_rejects_the_lowest_priority_at_once_and_serves_the_others() {
     let latch = Latch::default();
     let server = server(&latch);
     let (daemon, admin) = daemon(&[server.at], "", "concurrency = 2\nqueue = 2");
     let at = daemon.at;
     let send = |path: &'static str| thread::spawn(move || send_request(at, &get(path)).unwrap());
-    let levels = |inside: f64, waiting: f64| {
+    let wait_for_levels = |admitted: f64, waiting: f64| {
         wait_until("the gate stands so", || {
-            metric(admin, "mintshelf_gate_requests") == inside
+            metric(admin, "mintshelf_gate_requests") == admitted
                 && metric(admin, "mintshelf_gate_waiting") == waiting
         });
     };
     latch.close();
-    let inside = [send("/1"), send("/2")];
-    levels(2.0, 0.0);
+    let admitted = [send("/1"), send("/2")];
+    wait_for_levels(2.0, 0.0);
     let cheap = [send("/3"), send("/4")];
-    levels(2.0, 2.0);
+    wait_for_levels(2.0, 2.0);
     // They came first, and are worth less.
     let dear = [send("/dear/1"), send("/dear/2")];
     for got in cheap.map(|one| one.join().unwrap()) {
@@ -153,20 +156,20 @@
     // One more of them is the least itself.
     assert_eq!(code(&send_request(at, &get("/5")).unwrap()), "queue-full");
     // Who leaves the queue leaves no trace.
-    let mut gone = connect(at).unwrap();
-    gone.write_all(&get("/dear/3")).unwrap();
-    drop(gone);
-    levels(2.0, 2.0);
+    let mut left = connect(at).unwrap();
+    left.write_all(&get("/dear/3")).unwrap();
+    drop(left);
+    wait_for_levels(2.0, 2.0);
     latch.open();
-    for got in inside.into_iter().chain(dear).map(|one| one.join().unwrap()) {
+    for got in admitted.into_iter().chain(dear).map(|one| one.join().unwrap()) {
         assert_eq!(got.status(), 200);
     }
-    levels(0.0, 0.0);
+    wait_for_levels(0.0, 0.0);
     assert_eq!(send_request(at, &get("/6")).unwrap().status(), 200);
 }
 
 #[test]
-fn who_leaves_the_queue_frees_its_place() {
+fn a_client_that_leaves_the_queue_frees_its_place() {
     let latch = Latch::default();
     let server = server(&latch);
     let (daemon, admin) = daemon(&[server.at], "", "concurrency = 1\nqueue = 1");
@@ -174,11 +177,11 @@
     let at = daemon.at;
     let first = thread::spawn(move || send_request(at, &get("/1")).unwrap());
     wait_until("one is in", || metric(admin, "mintshelf_gate_requests") == 1.0);
-    let mut gone = connect(at).unwrap();
-    gone.write_all(&get("/2")).unwrap();
+    let mut left = connect(at).unwrap();
+    left.write_all(&get("/2")).unwrap();
     wait_until("one waits", || metric(admin, "mintshelf_gate_waiting") == 1.0);
     // A reset, as of a client that has died.
-    reset_connection(gone);
+    reset_connection(left);
     wait_until("none waits", || metric(admin, "mintshelf_gate_waiting") == 0.0);
     latch.open();
     assert_eq!(first.join().unwrap().status(), 200);
@@ -186,36 +189,36 @@
 }
 
 #[test]
-fn limits_that_change_under_load_lose_nothing_and_count_once() {
+fn limits_that_change_under_load_lose_no_request_and_count_each_once() {
     let server = server(&Latch::default());
     let (daemon, admin) = daemon(&[server.at], TENANTS, "concurrency = 4\nqueue = 1000");
-    let (over, done) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
+    let (limited, completed) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
     let at = daemon.at;
     let clients: Vec<_> = (0..16)
         .map(|n| {
-            let (over, done) = (over.clone(), done.clone());
+            let (limited, completed) = (limited.clone(), completed.clone());
             thread::spawn(move || {
                 let mut statuses = Vec::new();
                 let mut stream = connect(at).unwrap();
-                while !over.load(Ordering::SeqCst) {
-                    stream.write_all(&of(["b", "c"][n % 2], "/")).unwrap();
+                while !limited.load(Ordering::SeqCst) {
+                    stream.write_all(&request_of(["b", "c"][n % 2], "/")).unwrap();
                     statuses.push(Message::read(&mut stream).expect("an answer").status());
-                    done.fetch_add(1, Ordering::SeqCst);
+                    completed.fetch_add(1, Ordering::SeqCst);
                 }
                 statuses
             })
         })
         .collect();
     for n in 0..20 {
-        let before = done.load(Ordering::SeqCst);
-        wait_until("some are served", || done.load(Ordering::SeqCst) >= before + 50);
+        let before = completed.load(Ordering::SeqCst);
+        wait_until("some are served", || completed.load(Ordering::SeqCst) >= before + 50);
         let cluster = ["concurrency = 2\nqueue = 1000", "", "concurrency = 9\nqueue = 1000"][n % 3];
         let tenants = [TENANTS, "[limits]\nsockets = 256"][n % 2];
         daemon.reload(&file(at, admin, &[server.at], tenants, cluster));
         assert!(metric(admin, "mintshelf_gate_requests") <= 16.0);
     }
     daemon.reload(&file(at, admin, &[server.at], TENANTS, "concurrency = 4\nqueue = 1000"));
-    over.store(true, Ordering::SeqCst);
+    limited.store(true, Ordering::SeqCst);
     let statuses: Vec<u16> = clients.into_iter().flat_map(|c| c.join().unwrap()).collect();
     assert!(statuses.iter().all(|status| *status == 200), "{statuses:?}");
     assert_eq!(server.requests().len(), statuses.len(), "each went once");
@@ -225,7 +228,7 @@
 }
 
 #[test]
-fn an_endpoint_gets_no_more_connections_than_it_may() {
+fn an_endpoint_gets_no_more_connections_than_its_limit() {
     let latch = Latch::default();
     let servers = [server(&latch), server(&latch)];
     let at = servers.each_ref().map(|server| server.at);
@@ -251,11 +254,11 @@
     let text = file(at, admin, &[server.at], TENANTS, "");
     let daemon = Daemon::start(PROGRAM, at, &text, &["--log-format", "json"]);
     for _ in 0..300 {
-        daemon.send_request(&of("a", "/")).unwrap();
+        daemon.send_request(&request_of("a", "/")).unwrap();
     }
     daemon.reload(&text.replace("worth = 5", "worth = -5"));
-    let said = daemon.log_output();
-    let lines: Vec<serde_json::Value> = said
+    let log = daemon.log_output();
+    let lines: Vec<serde_json::Value> = log
         .lines()
         .map(|line| serde_json::from_str(line).unwrap_or_else(|e| panic!("{line}: {e}")))
         .collect();
@@ -267,7 +270,7 @@
     assert!(limits.iter().all(|f| f["tenant"] == "a" && f["limit"] == "tenant-rate"), "{limits:?}");
     // Ten at once and ten for each second that the requests took.
     assert!((10..200).contains(&limits.len()), "{}", limits.len());
-    let refused = fields(CONFIGURATION_REJECTED);
-    assert!(refused[0]["file"].is_string() && refused[0]["errors"] == 1, "{refused:?}");
+    let rejected = fields(CONFIGURATION_REJECTED);
+    assert!(rejected[0]["file"].is_string() && rejected[0]["errors"] == 1, "{rejected:?}");
     assert!(!fields("-5 is not between").is_empty());
 }
--- a/crates/mintshelf/tests/tries.rs
+++ b/crates/mintshelf/tests/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts under their own time-outs, second copies, and effects counted at the servers.
+//! Attempts under their own timeouts, hedges, the retry budget, and effects counted at the servers.
 
 use mintshelf_test_support::{
     connect, free_address, full_listener, get, metric, ok_response, read_to_close, send_request,
@@ -70,38 +70,38 @@
 fn load(
     at: SocketAddr,
     clients: usize,
-    over: &Arc<AtomicBool>,
-    done: &Arc<AtomicUsize>,
+    stopped: &Arc<AtomicBool>,
+    completed: &Arc<AtomicUsize>,
 ) -> Vec<thread::JoinHandle<(Vec<u16>, Duration)>> {
-    let client = move |over: Arc<AtomicBool>, done: Arc<AtomicUsize>| {
+    let client = move |stopped: Arc<AtomicBool>, completed: Arc<AtomicUsize>| {
         let (mut seen, mut longest) = (Vec::new(), Duration::ZERO);
         let mut stream = connect(at).unwrap();
-        while !over.load(Ordering::SeqCst) {
+        while !stopped.load(Ordering::SeqCst) {
             let begun = Instant::now();
             stream.write_all(&get("/devices/7")).unwrap();
             seen.push(Message::read(&mut stream).expect("an answer").status());
             longest = longest.max(begun.elapsed());
-            done.fetch_add(1, Ordering::SeqCst);
+            completed.fetch_add(1, Ordering::SeqCst);
         }
         (seen, longest)
     };
     let start = |_| {
-        let (over, done) = (over.clone(), done.clone());
-        thread::spawn(move || client(over, done))
+        let (stopped, completed) = (stopped.clone(), completed.clone());
+        thread::spawn(move || client(stopped, completed))
     };
     (0..clients).map(start).collect()
 }
 
 #[test]
-fn an_endpoint_that_dies_and_one_that_freezes_cost_no_request_its_answer() {
+fn a_dead_and_a_frozen_endpoint_cost_no_request_its_response() {
     let nodes = [Node::start(), Node::start(), Node::start()];
     let at = nodes.each_ref().map(|node| node.peer.at);
     let (daemon, admin) = daemon(&at, "aim = \"1s\"\ndeadline = \"20s\"", "");
-    let (over, done) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
-    let clients = load(daemon.at, 64, &over, &done);
+    let (stopped, completed) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
+    let clients = load(daemon.at, 64, &stopped, &completed);
     let more = |what: &str, count: usize| {
-        let from = done.load(Ordering::SeqCst);
-        wait_until(what, || done.load(Ordering::SeqCst) >= from + count);
+        let from = completed.load(Ordering::SeqCst);
+        wait_until(what, || completed.load(Ordering::SeqCst) >= from + count);
     };
     more("it is served", 3_000);
     nodes[0].dead.store(true, Ordering::SeqCst);
@@ -109,7 +109,7 @@
     // It stays frozen until all is over: whoever waited for it would wait out the deadline.
     nodes[1].frozen.store(true, Ordering::SeqCst);
     more("it is served by the last", 6_000);
-    over.store(true, Ordering::SeqCst);
+    stopped.store(true, Ordering::SeqCst);
     let seen: Vec<_> = clients.into_iter().map(|c| c.join().unwrap()).collect();
     nodes[1].frozen.store(false, Ordering::SeqCst);
     let other: Vec<u16> =
@@ -123,7 +123,7 @@
 type Effects = Arc<Mutex<HashMap<String, Vec<Duration>>>>;
 
 /// A server that fails in every way in turn, and notes each effect.
-fn unruly(effects: &Effects, begun: Instant, number: usize) -> Peer {
+fn failing_server(effects: &Effects, begun: Instant, number: usize) -> Peer {
     let (effects, count) = (effects.clone(), AtomicUsize::new(number * 7));
     Peer::start(move |mut stream| loop {
         let way = count.fetch_add(1, Ordering::SeqCst);
@@ -179,10 +179,10 @@
 }
 
 #[test]
-fn ten_thousand_unsafe_requests_run_once_at_most_and_all_are_answered() {
+fn ten_thousand_unsafe_requests_run_at_most_once_and_all_are_answered() {
     const COUNT: usize = 10_000;
     let effects = Effects::default();
-    let peers: Vec<_> = (0..3).map(|n| unruly(&effects, Instant::now(), n)).collect();
+    let peers: Vec<_> = (0..3).map(|n| failing_server(&effects, Instant::now(), n)).collect();
     let at: Vec<_> = peers.iter().map(|peer| peer.at).collect();
     let class = "effect = \"unsafe\"\naim = \"1s\"\ndeadline = \"2s\"";
     let (daemon, _) = daemon(&at, class, "max-attempts = 6\nreturn-ramp = \"0s\"");
@@ -201,10 +201,10 @@
 }
 
 #[test]
-fn no_keyed_request_reaches_a_server_after_its_window() {
+fn no_idempotent_request_reaches_a_server_after_its_deduplication_window() {
     const COUNT: usize = 3_000;
     let (effects, begun) = (Effects::default(), Instant::now());
-    let peers: Vec<_> = (0..3).map(|n| unruly(&effects, begun, n)).collect();
+    let peers: Vec<_> = (0..3).map(|n| failing_server(&effects, begun, n)).collect();
     let at: Vec<_> = peers.iter().map(|peer| peer.at).collect();
     let class = "effect = \"keyed\"\nwindow = \"6s\"\naim = \"500ms\"\ndeadline = \"3s\"\n\
                  per-try-timeout = \"700ms\"\nbackoff = { first = \"20ms\", most = \"80ms\" }";
@@ -261,7 +261,7 @@
 }
 
 #[test]
-fn second_copies_overtake_a_slow_endpoint_and_keep_within_their_share() {
+fn hedges_overtake_a_slow_endpoint_and_keep_within_their_share() {
     let slow = Arc::new(AtomicBool::new(false));
     let count = Arc::new(AtomicUsize::new(0));
     let servers: Vec<_> = (0..4)
@@ -286,19 +286,19 @@
     for _ in 0..REQUESTS {
         assert_eq!(daemon.send_request(&get("/")).unwrap().status(), 200);
     }
-    let copies = metric(admin, "mintshelf_second_copies_total");
-    assert!(copies >= 5.0, "{copies}");
+    let hedges = metric(admin, "mintshelf_second_copies_total");
+    assert!(hedges >= 5.0, "{hedges}");
     let bound = REQUESTS as f64 * 0.05 + 5.0;
-    assert!(copies <= bound, "{copies}");
+    assert!(hedges <= bound, "{hedges}");
     // Every attempt that servers saw is a request or a copy: nothing is sent thrice.
     wait_until("all attempts are seen", || {
-        count.load(Ordering::SeqCst) <= REQUESTS + copies as usize
+        count.load(Ordering::SeqCst) <= REQUESTS + hedges as usize
     });
     assert_eq!(metric(admin, "mintshelf_open_requests"), 0.0);
 }
 
 #[test]
-fn a_class_takes_only_connections_that_were_in_use_lately_where_it_says_so() {
+fn a_class_with_an_idle_timeout_reuses_only_recent_connections() {
     let opened = Arc::new(AtomicUsize::new(0));
     let count = opened.clone();
     let node = Peer::start(move |mut stream| {
@@ -329,7 +329,7 @@
 }
 
 #[test]
-fn a_class_waits_no_longer_for_a_connection_than_it_says() {
+fn a_class_waits_for_a_connection_no_longer_than_its_connect_timeout() {
     let (deaf, _crowd) = full_listener();
     let deaf = deaf.local_addr().unwrap();
     let at = free_address();
@@ -342,13 +342,13 @@
     );
     let daemon = Daemon::start(PROGRAM, at, &text, &[]);
     // The patient one is sent first, and answered last: that shows the order, not the time.
-    let mut patient = connect(at).unwrap();
-    patient.write_all(&get("/a")).unwrap();
-    let hasty = daemon.send_request(&get("/hasty")).unwrap();
-    assert_eq!(hasty.status(), 503);
-    patient.set_nonblocking(true).unwrap();
-    let early = std::io::Read::read(&mut patient, &mut [0; 1]);
+    let mut long_timeout = connect(at).unwrap();
+    long_timeout.write_all(&get("/a")).unwrap();
+    let short_timeout = daemon.send_request(&get("/hasty")).unwrap();
+    assert_eq!(short_timeout.status(), 503);
+    long_timeout.set_nonblocking(true).unwrap();
+    let early = std::io::Read::read(&mut long_timeout, &mut [0; 1]);
     assert_eq!(early.unwrap_err().kind(), std::io::ErrorKind::WouldBlock);
-    patient.set_nonblocking(false).unwrap();
-    assert_eq!(Message::read(&mut patient).unwrap().status(), 503);
+    long_timeout.set_nonblocking(false).unwrap();
+    assert_eq!(Message::read(&mut long_timeout).unwrap().status(), 503);
 }
--- a/crates/mintshelf/tests/ending.rs
+++ b/crates/mintshelf/tests/graceful_shutdown.rs
@@ -1,5 +1,5 @@
-//! The planned end of the platform's sidecar: clients go on sending on whatever stays open, some
-//! servers say nothing, and a supervisor kills the process as soon as it may.
+//! Graceful shutdown of the platform's sidecar: clients go on sending on connections that stay open,
+//! some servers never respond, and a supervisor sends SIGKILL as soon as it may.
 
 use mintshelf_test_support::{
     config, connect, ok_response, request_with_timeout, set_deadlines, wait_until, Discovery,
@@ -19,10 +19,13 @@
 const DEADLINE: Duration = Duration::from_millis(1_500);
 /// So long after SIGTERM comes SIGKILL: no sooner than the longest deadline and 0.7 s, and on a
 /// busy machine somewhat later.
-const KILLED: Duration = Duration::from_millis(1_500 + 700 + 300);
+const SIGKILL_DELAY: Duration = Duration::from_millis(1_500 + 700 + 300);
 
 /// A configuration whose classes have [`DEADLINE`], and advice is passed on.
-fn short(discovery: SocketAddr, known: Vec<serde_json::Value>) -> serde_json::Value {
+fn short_deadline_config(
+    discovery: SocketAddr,
+    known: Vec<serde_json::Value>,
+) -> serde_json::Value {
     let mut config = config(discovery, known);
     set_deadlines(&mut config, DEADLINE);
     config["settings"]["limits"]["max-retry-after"] = json!(2_000_000_000u64);
@@ -30,11 +33,11 @@
 }
 
 /// Milliseconds that a client would wait: longer than any process lives.
-const PATIENCE: u64 = 60_000;
+const CLIENT_TIMEOUT_MS: u64 = 60_000;
 
 /// What became of a request.
 #[derive(Debug)]
-struct End {
+struct Exchange {
     sent: Instant,
     /// Its answer and when that was whole; none if the connection ended without one.
     answer: Option<(Message, Instant)>,
@@ -42,15 +45,20 @@
 
 /// A client that sends one request after another on one connection for as long as that stays
 /// open. What it sends on a connection that was closed just then counts as not taken.
-fn persist(at: SocketAddr, name: String, over: &AtomicBool, ends: &Mutex<HashMap<String, End>>) {
+fn send_until_closed(
+    at: SocketAddr,
+    name: String,
+    stopped: &AtomicBool,
+    exchanges: &Mutex<HashMap<String, Exchange>>,
+) {
     let Some(mut stream) = connect(at) else { return };
     for number in 0.. {
         // Refused at once it would only spin.
         thread::sleep(Duration::from_millis(2));
         let id = format!("{name}-{number}");
         let sent = Instant::now();
-        if over.load(Ordering::Relaxed)
-            || stream.write_all(&request_with_timeout("safe", &id, PATIENCE)).is_err()
+        if stopped.load(Ordering::Relaxed)
+            || stream.write_all(&request_with_timeout("safe", &id, CLIENT_TIMEOUT_MS)).is_err()
         {
             return;
         }
@@ -59,7 +67,7 @@
             Some((answer, _)) => answer.header("connection") == Some("close"),
             None => true,
         };
-        ends.lock().unwrap().insert(id, End { sent, answer });
+        exchanges.lock().unwrap().insert(id, Exchange { sent, answer });
         if last {
             return;
         }
@@ -67,7 +75,7 @@
 }
 
 #[test]
-fn whatever_is_taken_after_the_signal_is_answered_before_the_kill() {
+fn requests_accepted_after_sigterm_are_answered_before_sigkill() {
     // Every fourth request is met with silence, the rest after a while.
     let server = Server::start(|request, _| {
         let id = request.header("x-txn").unwrap();
@@ -79,37 +87,40 @@
         Some(ok_response("served"))
     });
     let discovery = Discovery::start(1, vec![server.entry("a")]);
-    let mut sidecar = Sidecar::start(PROGRAM, short(discovery.at, vec![server.entry("a")]));
-    let (over, ends) = (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(HashMap::new())));
+    let mut sidecar =
+        Sidecar::start(PROGRAM, short_deadline_config(discovery.at, vec![server.entry("a")]));
+    let (stopped, exchanges) =
+        (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(HashMap::new())));
     let clients: Vec<_> = (0..24)
         .map(|client| {
             // Spread over the time that one request may hang.
             thread::sleep(Duration::from_millis(60));
-            let (over, ends, at) = (over.clone(), ends.clone(), sidecar.at);
-            thread::spawn(move || persist(at, format!("c{client}"), &over, &ends))
+            let (stopped, exchanges, at) = (stopped.clone(), exchanges.clone(), sidecar.at);
+            thread::spawn(move || send_until_closed(at, format!("c{client}"), &stopped, &exchanges))
         })
         .collect();
-    let told = Instant::now();
+    let signalled = Instant::now();
     sidecar.signal("TERM");
-    thread::sleep(KILLED.saturating_sub(told.elapsed()));
+    thread::sleep(SIGKILL_DELAY.saturating_sub(signalled.elapsed()));
     let _ = sidecar.child.kill();
-    over.store(true, Ordering::Relaxed);
+    stopped.store(true, Ordering::Relaxed);
     clients.into_iter().for_each(|client| client.join().unwrap());
-    let ends = ends.lock().unwrap();
-    let after: Vec<_> = ends.iter().filter(|(_, end)| end.sent > told).collect();
-    for (id, end) in ends.iter() {
-        let (answer, whole) = end.answer.as_ref().unwrap_or_else(|| {
-            let late = end.sent.saturating_duration_since(told);
-            panic!("{id}, sent {late:?} after the signal, has no answer: {end:?}")
+    let exchanges = exchanges.lock().unwrap();
+    let after: Vec<_> =
+        exchanges.iter().filter(|(_, exchange)| exchange.sent > signalled).collect();
+    for (id, exchange) in exchanges.iter() {
+        let (answer, completed_at) = exchange.answer.as_ref().unwrap_or_else(|| {
+            let late = exchange.sent.saturating_duration_since(signalled);
+            panic!("{id}, sent {late:?} after the signal, has no answer: {exchange:?}")
         });
-        assert!(*whole < told + KILLED, "{id}");
+        assert!(*completed_at < signalled + SIGKILL_DELAY, "{id}");
         assert!([200, 502, 503].contains(&answer.status()), "{id}: {}", answer.head);
-        if *whole > told + Duration::from_millis(50) {
+        if *completed_at > signalled + Duration::from_millis(50) {
             assert_eq!(answer.header("connection"), Some("close"), "{id}: {}", answer.head);
         }
     }
     assert!(!after.is_empty(), "nobody sent anything after the signal");
-    assert!(ends.len() > 48, "{} requests", ends.len());
+    assert!(exchanges.len() > 48, "{} requests", exchanges.len());
 }
 
 /// Writes a request and gives the connection back.
@@ -120,23 +131,23 @@
 }
 
 #[test]
-fn at_the_last_moment_only_what_cannot_have_run_is_refused() {
+fn at_the_end_only_requests_that_cannot_have_run_are_rejected() {
     let server = Server::start(|_, _| None);
     let discovery = Discovery::start(1, vec![server.entry("a")]);
-    let mut config = short(discovery.at, vec![server.entry("a")]);
+    let mut config = short_deadline_config(discovery.at, vec![server.entry("a")]);
     // Longer than what is left: their deadlines would come after the kill.
     set_deadlines(&mut config, Duration::from_secs(30));
     let mut sidecar = Sidecar::start(PROGRAM, config);
     let classes = ["safe", "keyed", "unsafe"];
-    let mut streams =
-        classes.map(|class| send(sidecar.at, &request_with_timeout(class, class, PATIENCE)));
+    let mut streams = classes
+        .map(|class| send(sidecar.at, &request_with_timeout(class, class, CLIENT_TIMEOUT_MS)));
     wait_until("all are at the server", || server.requests().len() == 3);
     // This one's end never comes: it is not taken.
     let half = send(sidecar.at, b"GET /api HTTP/1.1\r\nHost: a\r\n");
-    let told = Instant::now();
+    let signalled = Instant::now();
     sidecar.signal("TERM");
     let got = streams.each_mut().map(|stream| Message::read(stream).unwrap());
-    let took = told.elapsed();
+    let took = signalled.elapsed();
     assert!(took < Duration::from_millis(4_500), "{took:?}");
     assert!(took > Duration::from_millis(3_000), "{took:?}: servers were given too little time");
     assert_eq!(got.each_ref().map(Message::status), [503, 502, 502]);
@@ -145,7 +156,8 @@
     assert_eq!(server.requests().len(), 3);
     // No time is left for more: refused at once, and sent to nobody.
     let asked = Instant::now();
-    let late = sidecar.send_request(&request_with_timeout("unsafe", "late", PATIENCE)).unwrap();
+    let late =
+        sidecar.send_request(&request_with_timeout("unsafe", "late", CLIENT_TIMEOUT_MS)).unwrap();
     assert_eq!(late.status(), 503, "{}", late.head);
     assert!(asked.elapsed() < Duration::from_secs(1));
     assert_eq!(server.requests().len(), 3);
--- a/crates/mintshelf/tests/clients.rs
+++ b/crates/mintshelf/tests/misbehaving_clients.rs
@@ -1,4 +1,4 @@
-//! Clients that misbehave, and what the rest see of them.
+//! Clients that misbehave, and what other clients see of them.
 
 use mintshelf_test_support::{
     config, connect, ok_response, read_to_close, request, wait_until, Discovery, Message,
@@ -9,7 +9,7 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_mintshelf");
 
 /// A server, discovery that lists it, and the sidecar in front.
-fn stand(
+fn start(
     respond: impl Fn(&Message, usize) -> Option<Vec<u8>> + Send + Sync + 'static,
 ) -> (Server, Discovery, Sidecar) {
     let server = Server::start(respond);
@@ -27,8 +27,8 @@
 }
 
 #[test]
-fn a_request_framed_twice_goes_no_further() {
-    let (server, _discovery, sidecar) = stand(|_, _| Some(ok_response("served")));
+fn a_request_with_two_framings_is_not_forwarded() {
+    let (server, _discovery, sidecar) = start(|_, _| Some(ok_response("served")));
     let hidden = String::from_utf8(request("safe", "hidden")).unwrap();
     let body = format!("0\r\n\r\n{hidden}");
     let length = format!("Content-Length: {}", body.len());
@@ -43,18 +43,18 @@
         assert_eq!(text.matches("HTTP/1.1").count(), 1, "{text}");
     }
     // One framing alone is served.
-    let whole = post("chunks", "Transfer-Encoding: chunked", "3\r\nabc\r\n0\r\n\r\n");
-    assert_eq!(sidecar.send_request(&whole).unwrap().status(), 200);
-    let seen = server.requests();
-    assert_eq!(seen.len(), 1, "{seen:?}");
-    assert_eq!(seen[0].body, b"abc");
+    let chunked = post("chunks", "Transfer-Encoding: chunked", "3\r\nabc\r\n0\r\n\r\n");
+    assert_eq!(sidecar.send_request(&chunked).unwrap().status(), 200);
+    let requests = server.requests();
+    assert_eq!(requests.len(), 1, "{requests:?}");
+    assert_eq!(requests[0].body, b"abc");
 }
 
 #[test]
-fn an_id_still_open_is_not_sent_twice() {
+fn an_id_in_flight_is_not_sent_twice() {
     // The first request waits at the server for good.
     let (server, _discovery, sidecar) =
-        stand(|_, number| (number > 1).then(|| ok_response("served")));
+        start(|_, number| (number > 1).then(|| ok_response("served")));
     let mut first = connect(sidecar.at).unwrap();
     first.write_all(&request("safe", "same")).unwrap();
     wait_until("the first is at the server", || server.requests().len() == 1);
@@ -64,8 +64,8 @@
 }
 
 #[test]
-fn long_bodies_are_turned_away_and_not_held() {
-    let (server, _discovery, sidecar) = stand(|_, _| Some(ok_response("served")));
+fn oversized_bodies_are_rejected_and_not_buffered() {
+    let (server, _discovery, sidecar) = start(|_, _| Some(ok_response("served")));
     let before = sidecar.peak_memory();
     let chunk = vec![b'x'; 1 << 20];
     for (id, framing) in [("a", "Content-Length: 60000000"), ("b", "Transfer-Encoding: chunked")] {
@@ -88,15 +88,15 @@
 }
 
 #[test]
-fn half_a_request_and_silence_are_closed() {
-    let (_server, _discovery, sidecar) = stand(|_, _| Some(ok_response("served")));
-    for begun in [
+fn incomplete_requests_are_closed_in_time() {
+    let (_server, _discovery, sidecar) = start(|_, _| Some(ok_response("served")));
+    for partial in [
         Vec::new(),
         b"GET /api HTTP/1.1\r\nX-Pad: ".to_vec(),
         post("half", "Content-Length: 300", "not all of it"),
     ] {
         let mut stream = connect(sidecar.at).unwrap();
-        stream.write_all(&begun).unwrap();
+        stream.write_all(&partial).unwrap();
         // The read limit is far over the 3 s that are owed; it shows a hang.
         let text = read_to_close(&mut stream);
         assert!(text.is_empty() || text.starts_with(b"HTTP/1.1 4"));
@@ -111,8 +111,8 @@
 }
 
 #[test]
-fn a_crowd_that_says_nothing_does_not_shut_out_the_rest() {
-    let (_server, _discovery, sidecar) = stand(|_, _| Some(ok_response("served")));
+fn silent_connections_do_not_block_other_clients() {
+    let (_server, _discovery, sidecar) = start(|_, _| Some(ok_response("served")));
     let crowd: Vec<_> = (0..400).filter_map(|_| connect(sidecar.at)).collect();
     for number in 0..20 {
         let answer = sidecar.send_request(&request("safe", &format!("r{number}"))).unwrap();
@@ -123,8 +123,8 @@
 }
 
 #[test]
-fn unfit_requests_are_named_and_closed() {
-    let (server, _discovery, sidecar) = stand(|_, _| Some(ok_response("served")));
+fn invalid_requests_are_rejected_and_closed() {
+    let (server, _discovery, sidecar) = start(|_, _| Some(ok_response("served")));
     let good = String::from_utf8(request("safe", "id")).unwrap();
     for (from, to) in [
         ("X-Txn: id\r\n", ""),
--- a/crates/mintshelf/tests/servers.rs
+++ b/crates/mintshelf/tests/misbehaving_servers.rs
@@ -1,4 +1,4 @@
-//! Servers that misbehave: what is tried again, and what is never passed on.
+//! Servers that misbehave: what is retried, and what is never forwarded.
 
 use mintshelf_test_support::{
     config, ok_response, request, wait_until, Discovery, Process as _, Server, Sidecar,
@@ -6,7 +6,7 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_mintshelf");
 
-fn spoilt() -> Vec<(&'static str, Vec<u8>)> {
+fn malformed_responses() -> Vec<(&'static str, Vec<u8>)> {
     let long = "x".repeat(70_000);
     vec![
         ("noise", b"\x01\x02noise\r\n\r\n".to_vec()),
@@ -37,8 +37,8 @@
 }
 
 #[test]
-fn a_spoilt_answer_is_a_failed_attempt_and_its_connection_is_not_used_again() {
-    for (what, bytes) in spoilt() {
+fn a_malformed_response_is_a_failed_attempt_and_its_connection_is_not_reused() {
+    for (what, bytes) in malformed_responses() {
         let server = Server::start(move |_, number| {
             Some(if number == 1 { bytes.clone() } else { ok_response("good") })
         });
@@ -52,8 +52,8 @@
 }
 
 #[test]
-fn an_unsafe_request_that_may_have_run_fails_and_is_not_sent_again() {
-    for (what, bytes) in spoilt() {
+fn an_unsafe_request_that_may_have_run_fails_and_is_not_retried() {
+    for (what, bytes) in malformed_responses() {
         let server = Server::start(move |_, _| Some(bytes.clone()));
         let discovery = Discovery::start(1, vec![server.entry("a")]);
         let sidecar = Sidecar::start(PROGRAM, config(discovery.at, vec![server.entry("a")]));
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn what_comes_behind_an_answer_is_no_other_answer() {
+fn bytes_after_a_response_are_not_another_response() {
     let twice = [ok_response("one"), ok_response("surplus")].concat();
     let server = Server::start(move |_, number| {
         Some(if number == 1 { twice.clone() } else { ok_response("two") })
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn answers_ahead_of_the_answer_are_passed_over() {
+fn informational_responses_are_skipped() {
     let ahead = b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n";
     let server = Server::start(move |_, _| Some([&ahead[..], &ok_response("good")].concat()));
     let discovery = Discovery::start(1, vec![server.entry("a")]);
@@ -85,9 +85,9 @@
 }
 
 #[test]
-fn a_request_that_a_server_calls_unfit_goes_to_no_other() {
-    let unfit = b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n";
-    let server = Server::start(move |_, _| Some(unfit.to_vec()));
+fn a_request_rejected_as_invalid_is_not_retried_elsewhere() {
+    let bad_request = b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n";
+    let server = Server::start(move |_, _| Some(bad_request.to_vec()));
     let discovery = Discovery::start(1, vec![server.entry("a")]);
     let sidecar = Sidecar::start(PROGRAM, config(discovery.at, vec![server.entry("a")]));
     assert_ne!(sidecar.send_request(&request("safe", "s")).unwrap().status(), 200);
@@ -95,17 +95,17 @@
 }
 
 #[test]
-fn ever_new_servers_leave_nothing_behind() {
+fn replaced_servers_leak_no_descriptors() {
     let server = Server::start(|_, _| Some(ok_response("good")));
     let discovery = Discovery::start(1, vec![server.entry("s0")]);
     let sidecar = Sidecar::start(PROGRAM, config(discovery.at, vec![server.entry("s0")]));
-    let mut asked = 0;
+    let mut sent = 0;
     let mut turn = |number: usize| {
         discovery.set(vec![server.entry(&format!("s{number}"))]);
         let calls = *discovery.calls.lock().unwrap();
         wait_until("the list is told", || *discovery.calls.lock().unwrap() > calls);
-        asked += 1;
-        let got = sidecar.send_request(&request("safe", &format!("r{asked}"))).unwrap();
+        sent += 1;
+        let got = sidecar.send_request(&request("safe", &format!("r{sent}"))).unwrap();
         assert_eq!(got.status(), 200);
     };
     (1..20).for_each(&mut turn);
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn an_address_taken_over_is_a_new_server() {
+fn a_reused_address_is_a_new_server() {
     let server = Server::start(|_, _| Some(ok_response("good")));
     let discovery = Discovery::start(1, vec![server.entry("old")]);
     let sidecar = Sidecar::start(PROGRAM, config(discovery.at, vec![server.entry("old")]));
--- a/crates/mintshelf/tests/swap.rs
+++ b/crates/mintshelf/tests/operator_file_reload.rs
@@ -1,4 +1,4 @@
-//! Files taken and refused while the daemon serves.
+//! Operator's files that are applied and rejected while the daemon serves.
 
 use mintshelf_test_support::{
     connect, free_address, get, ok_response, send_request, wait_until, Daemon, Message, Peer,
@@ -37,28 +37,28 @@
 }
 
 #[test]
-fn a_hundred_reloads_under_load_lose_nothing_and_mix_nothing() {
+fn a_hundred_reloads_under_load_lose_no_request_and_mix_no_settings() {
     let (a, b, stays) = (server("a"), server("b"), server("stays"));
     let at = free_address();
     let good = [file(at, "a", a.at, stays.at), file(at, "b", b.at, stays.at)];
     let broken = [good[0].replace("cluster = \"a\"", "cluster = \"c\""), "listen = ".to_string()];
     let daemon = Daemon::start(PROGRAM, at, &good[0], &[]);
-    let over = Arc::new(AtomicBool::new(false));
-    let asked = Arc::new(AtomicUsize::new(0));
+    let stopped = Arc::new(AtomicBool::new(false));
+    let sent = Arc::new(AtomicUsize::new(0));
     let clients: Vec<_> = (0..4)
         .map(|_| {
-            let (over, asked) = (over.clone(), asked.clone());
+            let (stopped, sent) = (stopped.clone(), sent.clone());
             thread::spawn(move || {
                 let mut seen = HashSet::new();
                 let mut stream = connect(at).unwrap();
-                while !over.load(Ordering::Relaxed) {
+                while !stopped.load(Ordering::Relaxed) {
                     stream.write_all(&get("/x/1")).unwrap();
                     let got = Message::read(&mut stream).expect("an answer");
                     assert_eq!(got.status(), 200, "{}", got.head);
                     seen.insert(body(&got));
                     stream.write_all(&get("/stays")).unwrap();
                     assert_eq!(Message::read(&mut stream).expect("an answer").status(), 200);
-                    asked.fetch_add(2, Ordering::Relaxed);
+                    sent.fetch_add(2, Ordering::Relaxed);
                 }
                 seen
             })
@@ -73,13 +73,13 @@
             _ => &broken[1],
         };
         daemon.reload(text);
-        let before = asked.load(Ordering::Relaxed);
-        wait_until("requests go on", || asked.load(Ordering::Relaxed) > before + 8);
+        let before = sent.load(Ordering::Relaxed);
+        wait_until("requests go on", || sent.load(Ordering::Relaxed) > before + 8);
         if turn >= 20 {
             measured.push((daemon.descriptors(), daemon.memory("VmRSS:")));
         }
     }
-    over.store(true, Ordering::Relaxed);
+    stopped.store(true, Ordering::Relaxed);
     for client in clients {
         for text in client.join().unwrap() {
             assert!(["a /a/1 a", "b /b/1 b"].contains(&text.as_str()), "a mix: {text}");
@@ -87,11 +87,16 @@
     }
     assert_eq!(daemon.log_output().matches(CONFIGURATION_APPLIED).count(), 50);
     assert_eq!(daemon.log_output().matches(CONFIGURATION_REJECTED).count(), 50);
-    let most = |of: &[(usize, usize)]| *of.iter().map(|(d, _)| d).max().unwrap();
+    let max_descriptors = |of: &[(usize, usize)]| *of.iter().map(|(d, _)| d).max().unwrap();
     let (first, last) = measured.split_at(measured.len() / 2);
     // Four clients may have a connection each to the old pool and to the new one at the moment of
     // the look; a descriptor lost at each reload would be forty.
-    assert!(most(last) <= most(first) + 8, "descriptors {} to {}", most(first), most(last));
+    assert!(
+        max_descriptors(last) <= max_descriptors(first) + 8,
+        "descriptors {} to {}",
+        max_descriptors(first),
+        max_descriptors(last)
+    );
     let (first, last) = (first[first.len() - 1].1, last[last.len() - 1].1);
     assert!(last < first + (2 << 20), "memory from {first} to {last}");
     // The cluster that stayed kept its connections through it all.
@@ -99,30 +104,30 @@
 }
 
 #[test]
-fn a_refused_file_says_why_and_changes_nothing() {
+fn a_rejected_file_is_explained_and_changes_nothing() {
     let (a, b) = (server("a"), server("b"));
     let at = free_address();
     let good = file(at, "a", a.at, b.at);
     let daemon = Daemon::start(PROGRAM, at, &good, &[]);
     daemon.reload(&good.replace("cluster = \"stays\"", "cluster = \"stay\""));
-    let said = daemon.log_output();
-    assert!(said.contains(":17:11: routes[1].cluster: 'stay' names nothing"), "{said}");
-    assert!(said.contains("did you mean 'stays'?"), "{said}");
+    let log = daemon.log_output();
+    assert!(log.contains(":17:11: routes[1].cluster: 'stay' names nothing"), "{log}");
+    assert!(log.contains("did you mean 'stays'?"), "{log}");
     assert_eq!(body(&daemon.send_request(&get("/stays")).unwrap()), "b /stays -");
     // An address that can't be had is no reason to drop the others.
-    let taken = Peer::start(|_| {});
-    let clash = good.replace(&format!("\"{at}\""), &format!("[\"{at}\", \"{}\"]", taken.at));
+    let occupied = Peer::start(|_| {});
+    let clash = good.replace(&format!("\"{at}\""), &format!("[\"{at}\", \"{}\"]", occupied.at));
     daemon.reload(&clash);
     assert!(daemon.log_output().contains("in use"), "{}", daemon.log_output());
     assert_eq!(daemon.send_request(&get("/stays")).unwrap().status(), 200);
 }
 
 #[test]
-fn a_request_under_way_keeps_its_file_and_removed_listeners_drain() {
-    let hold = Arc::new(AtomicBool::new(true));
-    let held = hold.clone();
+fn a_request_in_flight_keeps_its_configuration_and_removed_listeners_drain() {
+    let blocked = Arc::new(AtomicBool::new(true));
+    let is_blocked = blocked.clone();
     let slow = Server::start(move |_, number| {
-        while number == 1 && held.load(Ordering::Relaxed) {
+        while number == 1 && is_blocked.load(Ordering::Relaxed) {
             thread::sleep(std::time::Duration::from_millis(5));
         }
         Some(ok_response("slow"))
@@ -141,7 +146,7 @@
     assert_eq!(body(&daemon.send_request(&get("/x")).unwrap()), "quick /quick quick");
     wait_until("the second listener is gone", || connect(second).is_none());
     // What was under way on it is answered by the server that took it.
-    hold.store(false, Ordering::Relaxed);
+    blocked.store(false, Ordering::Relaxed);
     let got = Message::read(&mut open).unwrap();
     assert_eq!((got.status(), body(&got).as_str()), (200, "slow"));
     // And its connection is closed behind it.
@@ -149,7 +154,7 @@
 }
 
 #[test]
-fn a_watched_file_is_read_when_it_changes() {
+fn a_watched_file_is_reloaded_when_it_changes() {
     let (a, b, stays) = (server("a"), server("b"), server("stays"));
     let at = free_address();
     let daemon = Daemon::start(PROGRAM, at, &file(at, "a", a.at, stays.at), &["--watch"]);
@@ -161,11 +166,11 @@
 }
 
 #[test]
-fn the_end_answers_what_was_taken() {
-    let hold = Arc::new(AtomicBool::new(true));
-    let held = hold.clone();
+fn shutdown_answers_accepted_requests() {
+    let blocked = Arc::new(AtomicBool::new(true));
+    let is_blocked = blocked.clone();
     let slow = Server::start(move |_, _| {
-        while held.load(Ordering::Relaxed) {
+        while is_blocked.load(Ordering::Relaxed) {
             thread::sleep(std::time::Duration::from_millis(5));
         }
         Some(ok_response("slow"))
@@ -182,14 +187,14 @@
     wait_until("the end is told", || {
         send_request(admin, &get("/-/ready")).is_some_and(|answer| answer.status() == 503)
     });
-    hold.store(false, Ordering::Relaxed);
+    blocked.store(false, Ordering::Relaxed);
     assert_eq!(Message::read(&mut open).unwrap().body, b"slow");
     wait_until("it ends", || daemon.child.try_wait().unwrap().is_some());
     assert!(daemon.child.wait().unwrap().success());
 }
 
 #[test]
-fn memory_goes_by_what_is_open_and_not_by_what_has_been() {
+fn memory_depends_on_open_requests_and_not_on_ended_ones() {
     let (a, admin, at) = (server("a"), free_address(), free_address());
     let text = file(at, "a", a.at, a.at) + &format!("[admin]\naddress = \"{admin}\"\n");
     // Requests end at once; with this aim their timers would stand for minutes.
--- a/crates/mintshelf/tests/outage.rs
+++ b/crates/mintshelf/tests/outage_recovery.rs
@@ -1,4 +1,4 @@
-//! A whole cluster that goes and comes back: who is sent what, and what clients are told.
+//! A cluster with an outage and its recovery: what is forwarded, and what clients are answered.
 
 use mintshelf_test_support::{
     free_address, get, ok_response, send_request, wait_until, Daemon, Message, Peer,
@@ -12,24 +12,24 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_mintshelf");
 
 /// A server that breaks off every exchange while it is down, and what reached it.
-struct Site {
+struct FailingServer {
     peer: Peer,
     down: Arc<AtomicBool>,
-    seen: Arc<AtomicUsize>,
+    received: Arc<AtomicUsize>,
     /// How often each POST came, by its path.
     posts: Arc<Mutex<HashMap<String, usize>>>,
 }
 
-impl Site {
+impl FailingServer {
     fn start() -> Self {
-        let (down, seen) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
+        let (down, received) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
         let posts: Arc<Mutex<HashMap<String, usize>>> = Arc::default();
-        let (is_down, count, noted) = (down.clone(), seen.clone(), posts.clone());
+        let (is_down, count, recorded) = (down.clone(), received.clone(), posts.clone());
         let peer = Peer::start(move |mut stream| {
             while let Some(request) = Message::read(&mut stream) {
                 count.fetch_add(1, Ordering::SeqCst);
                 if request.head.starts_with("POST") {
-                    *noted.lock().unwrap().entry(request.path().to_string()).or_default() += 1;
+                    *recorded.lock().unwrap().entry(request.path().to_string()).or_default() += 1;
                 }
                 if is_down.load(Ordering::SeqCst) || stream.write_all(&ok_response("good")).is_err()
                 {
@@ -37,7 +37,7 @@
                 }
             }
         });
-        Site { peer, down, seen, posts }
+        FailingServer { peer, down, received, posts }
     }
 }
 
@@ -64,15 +64,15 @@
     let paced = String::from_utf8_lossy(&got.body).contains("\"code\":\"outage\"");
     if paced {
         assert_eq!(got.status(), 503, "{}", got.head);
-        let told: u64 = got.header("retry-after").unwrap().parse().unwrap();
-        assert!((1..=10).contains(&told), "{}", got.head);
+        let retry_after: u64 = got.header("retry-after").unwrap().parse().unwrap();
+        assert!((1..=10).contains(&retry_after), "{}", got.head);
     }
     paced
 }
 
 #[test]
-fn a_cluster_that_comes_back_gets_its_traffic_by_the_ramp() {
-    let site = Site::start();
+fn a_recovering_cluster_gets_its_traffic_by_the_ramp() {
+    let site = FailingServer::start();
     let (daemon, admin) = daemon(site.peer.at, "");
     for n in 0..300 {
         assert_eq!(daemon.send_request(&get(&format!("/{n}"))).unwrap().status(), 200);
@@ -90,9 +90,9 @@
     wait_until("the outage is noticed", || is_paced(&one()));
     assert_eq!(phase(admin), "1");
     // While it is out nearly nothing is sent on, and all are answered at once.
-    let before = site.seen.load(Ordering::SeqCst);
+    let before = site.received.load(Ordering::SeqCst);
     let paced = (0..300).filter(|_| is_paced(&one())).count();
-    let sent = site.seen.load(Ordering::SeqCst) - before;
+    let sent = site.received.load(Ordering::SeqCst) - before;
     assert!(paced > 150 && sent < 150, "{paced} of 300 were held back, {sent} sent on");
     site.down.store(false, Ordering::SeqCst);
     let mut statuses = HashSet::new();
@@ -109,8 +109,8 @@
 }
 
 #[test]
-fn without_a_ramp_nothing_is_paced() {
-    let site = Site::start();
+fn without_a_recovery_ramp_nothing_is_paced() {
+    let site = FailingServer::start();
     let (daemon, admin) = daemon(site.peer.at, "return-ramp = \"0s\"");
     site.down.store(true, Ordering::SeqCst);
     for _ in 0..200 {
@@ -129,18 +129,18 @@
 }
 
 #[test]
-fn those_refused_together_are_not_told_the_same() {
+fn clients_rejected_together_get_different_retry_after() {
     // Nobody listens there.
     let (daemon, admin) = daemon(free_address(), "max-retry-after = \"60s\"");
-    let mut told = HashSet::new();
+    let mut retry_after = HashSet::new();
     for n in 0..60 {
         let got = daemon.send_request(&get("/")).unwrap();
         assert_eq!(got.status(), 503, "{n}: {}", got.head);
         let seconds: u64 = got.header("retry-after").unwrap().parse().unwrap();
         assert!((1..=60).contains(&seconds), "{}", got.head);
-        told.insert(seconds);
+        retry_after.insert(seconds);
     }
-    assert!(told.len() > 10, "{told:?}");
+    assert!(retry_after.len() > 10, "{retry_after:?}");
     let got = send_request(admin, &get("/-/metrics")).unwrap();
     let text = String::from_utf8_lossy(&got.body).into_owned();
     assert!(!text.contains("mintshelf_expected_back{cluster=\"c\"} 0"), "{text}");
--- a/crates/mintshelf/tests/reload.rs
+++ b/crates/mintshelf/tests/platform_reload.rs
@@ -1,4 +1,4 @@
-//! New configurations while the program runs.
+//! Configurations of the platform's sidecar that are applied and rejected while it runs.
 
 use mintshelf_test_support::{
     config, ok_response, request, wait_until, Discovery, Server, Sidecar,
@@ -8,7 +8,7 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_mintshelf");
 
 #[test]
-fn discovery_moves_with_the_file() {
+fn discovery_follows_the_file() {
     let (old, new) = (
         Server::start(|_, _| Some(ok_response("old"))),
         Server::start(|_, _| Some(ok_response("new"))),
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_malformed_file_is_not_taken_over() {
+fn a_malformed_file_is_not_applied() {
     let server = Server::start(|_, _| Some(ok_response("served")));
     let discovery = Discovery::start(1, vec![server.entry("a")]);
     let mut sidecar = Sidecar::start(PROGRAM, config(discovery.at, vec![server.entry("a")]));
@@ -48,12 +48,12 @@
 }
 
 #[test]
-fn a_malformed_file_at_the_start_is_one_line_and_no_success() {
+fn a_malformed_file_at_the_start_is_a_failure_with_one_line() {
     let file = std::env::temp_dir().join(format!("mintshelf-bad-{}.json", std::process::id()));
     std::fs::write(&file, r#"{"name":"n0","listen":"nowhere"}"#).unwrap();
     let output = std::process::Command::new(PROGRAM).env("RELAY_CONFIG", &file).output().unwrap();
     std::fs::remove_file(&file).unwrap();
-    let said = String::from_utf8(output.stderr).unwrap();
-    assert!(!output.status.success() && said.lines().count() == 1, "{said}");
-    assert!(said.contains("listen"), "{said}");
+    let errors = String::from_utf8(output.stderr).unwrap();
+    assert!(!output.status.success() && errors.lines().count() == 1, "{errors}");
+    assert!(errors.contains("listen"), "{errors}");
 }
--- a/crates/mintshelf/tests/crossings/attempts.rs
+++ b/crates/mintshelf/tests/races/attempts.rs
@@ -1,6 +1,6 @@
 //! Attempts: a keyed window that ends while a connection comes up, connections that die at rest.
 
-use crate::stage::{ids, slow_connects, while_stopped, Unreached, PROGRAM};
+use crate::fixture::{ids, slow_connects, while_stopped, Unreached, PROGRAM};
 use mintshelf_test_support::{
     config, connect, entry, ok_response, request, request_with_timeout, send_request, wait_until,
     Discovery, Latch, Message, Peer, Process as _, Server, Sidecar,
--- a/crates/mintshelf/tests/crossings/clients.rs
+++ b/crates/mintshelf/tests/races/client_disconnects.rs
@@ -1,6 +1,6 @@
 //! Clients that leave: no attempt begins for one that has gone.
 
-use crate::stage::{ids, settle, slow_connects, while_stopped, Unreached, PROGRAM};
+use crate::fixture::{ids, settle, slow_connects, while_stopped, Unreached, PROGRAM};
 use mintshelf_test_support::{
     config, connect, ok_response, request, wait_until, Discovery, Latch, Server, Sidecar,
 };
--- a/crates/mintshelf/tests/crossings/closes.rs
+++ b/crates/mintshelf/tests/races/closes.rs
@@ -1,6 +1,6 @@
 //! Closes of clients' connections, and the planned end.
 
-use crate::stage::{ids, while_stopped, PROGRAM};
+use crate::fixture::{ids, while_stopped, PROGRAM};
 use mintshelf_test_support::{
     config, connect, free_address, ok_response, request, wait_until, Discovery, Message,
     Process as _, Server, Sidecar,
--- a/crates/mintshelf/tests/crossings/discovery.rs
+++ b/crates/mintshelf/tests/races/discovery.rs
@@ -1,6 +1,6 @@
 //! Lists that go quiet, come late, or are older than the one held.
 
-use crate::stage::PROGRAM;
+use crate::fixture::PROGRAM;
 use mintshelf_test_support::{
     config, ok_response, request, wait_until, Message, Peer, Server, Sidecar, TEST_TIMEOUT,
 };
--- /dev/null
+++ b/crates/mintshelf/tests/races/main.rs
@@ -0,0 +1,9 @@
+//! Two events at one moment, each forced: by a process that is stopped, a connection that is not
+//! accepted, a response that is held back. `docs/crossings.md` has the table.
+
+mod attempts;
+mod client_disconnects;
+mod closes;
+mod discovery;
+mod fixture;
+mod unusual_settings;
--- a/crates/mintshelf/tests/crossings/customers.rs
+++ b/crates/mintshelf/tests/races/unusual_settings.rs
@@ -1,6 +1,6 @@
 //! Other customers: names in any script, extreme settings, settings that contradict themselves.
 
-use crate::stage::PROGRAM;
+use crate::fixture::PROGRAM;
 use mintshelf_test_support::{
     config, free_address, get, ok_response, request, Discovery, Server, Sidecar,
 };
--- a/crates/mintshelf/tests/confined.rs
+++ b/crates/mintshelf/tests/system_call_filter.rs
@@ -1,6 +1,6 @@
-//! What the platform's sidecar may not use, it does not use: it runs under a system-call filter
-//! that kills it for io_uring, splice, sendfile and their like, and for any socket but TCP and
-//! UDP over IPv4; what only /proc shows is read there.
+//! The platform's sidecar under a system-call filter that kills it for `io_uring`, `splice`,
+//! `sendfile` and their like, and for any socket but TCP and UDP over IPv4. What a filter cannot see
+//! is read from `/proc`.
 
 use mintshelf_test_support::{
     config, ok_response, request, send_request, wait_until, Discovery, Process as _, Server,
