--- a/crates/mintshelf/benches/common/mod.rs
+++ b/crates/mintshelf/benches/common/mod.rs
@@ -25,7 +25,7 @@
     pub fn memory(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.0.id()));
         let status = status.unwrap_or_default();
-        let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:")).unwrap_or("0");
+        let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).unwrap_or("0");
         line.split_whitespace().next().and_then(|n| n.parse().ok()).unwrap_or(0)
     }
 }
--- a/crates/mintshelf/benches/limits.rs
+++ b/crates/mintshelf/benches/limits.rs
@@ -29,7 +29,9 @@
             let length = text.split("content-length: ").nth(1);
             let length = length.and_then(|rest| rest.lines().next()?.trim().parse().ok());
             if buffer.len() >= end + 4 + length.unwrap_or(0) {
-                return Some(text.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0));
+                return Some(
+                    text.split(' ').nth(1).and_then(|word| word.parse().ok()).unwrap_or(0),
+                );
             }
         }
         match stream.read(&mut part) {
@@ -111,7 +113,9 @@
         let mut times = self.times.clone();
         times.sort_unstable();
         let at = (times.len() as f64 * part) as usize;
-        times.get(at.min(times.len().saturating_sub(1))).map_or(0.0, |t| t.as_secs_f64() * 1e3)
+        times
+            .get(at.min(times.len().saturating_sub(1)))
+            .map_or(0.0, |time| time.as_secs_f64() * 1e3)
     }
 }
 
--- a/crates/mintshelf/benches/relay.rs
+++ b/crates/mintshelf/benches/relay.rs
@@ -81,7 +81,7 @@
         }
     };
     send.ready().await?;
-    let path = request.uri().path_and_query().map_or("/", |p| p.as_str());
+    let path = request.uri().path_and_query().map_or("/", |target| target.as_str());
     *request.uri_mut() = path.parse::<Uri>()?;
     let response = send.send_request(request).await?;
     pool.idle[turn].borrow_mut().push(send);
@@ -161,7 +161,7 @@
     let stat = std::fs::read_to_string(format!("/proc/{}/stat", process.0.id()));
     let stat = stat.unwrap_or_default();
     let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or("").split_whitespace().collect();
-    let of = |at: usize| fields.get(at).and_then(|f| f.parse::<f64>().ok()).unwrap_or(0.0);
+    let of = |at: usize| fields.get(at).and_then(|field| field.parse::<f64>().ok()).unwrap_or(0.0);
     (of(11) + of(12)) / TICKS
 }
 
@@ -202,17 +202,17 @@
         for (way, results) in ways.into_iter().zip(&mut all) {
             results.push(measure(way.0, way.1)?);
         }
-        done += all[2].last().map_or(0.0, |r| r[0] * (SPAN + WARM).as_secs_f64());
+        done += all[2].last().map_or(0.0, |result| result[0] * (SPAN + WARM).as_secs_f64());
         growth.push(format!("{} KiB after {done:.0} requests", daemon.memory()));
     }
     let median = |results: &[[f64; 4]]| {
         [0, 1, 2, 3].map(|at| {
-            let mut values: Vec<f64> = results.iter().map(|r| r[at]).collect();
+            let mut values: Vec<f64> = results.iter().map(|result| result[at]).collect();
             values.sort_by(f64::total_cmp);
             values[values.len() / 2]
         })
     };
-    let [direct, least, ours] = [&all[0], &all[1], &all[2]].map(|r| median(r));
+    let [direct, least, ours] = [&all[0], &all[1], &all[2]].map(|results| median(results));
     let memory = [relay.memory(), daemon.memory()];
     println!(
         "{:>12} {:>10} {:>12} {:>12} {:>14} {:>10}",
--- a/crates/mintshelf/benches/sockets.rs
+++ b/crates/mintshelf/benches/sockets.rs
@@ -1,4 +1,4 @@
-//! WebSockets through the daemon: memory of idle ones, messages against the least TCP relay, and
+//! WebSocket connections through the daemon: memory of idle ones, messages against the least TCP relay, and
 //! the death of a server with a thousand open: `cargo bench -p mintshelf --bench sockets`. Every
 //! ratio has its baseline in the same run. Prints its tables.
 
@@ -32,7 +32,7 @@
     loop {
         stream.readable().await?;
         match stream.try_read(buffer) {
-            Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => {}
+            Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => {}
             other => return other,
         }
     }
@@ -43,8 +43,8 @@
         stream.writable().await?;
         match stream.try_write(bytes) {
             Ok(count) => bytes = &bytes[count..],
-            Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => {}
-            Err(e) => return Err(e),
+            Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => {}
+            Err(error) => return Err(error),
         }
     }
     Ok(())
@@ -259,8 +259,10 @@
         streams.push(open(to).await?);
     }
     let until = Instant::now() + SPAN;
-    let all: Vec<_> =
-        streams.into_iter().map(|s| spawn_local(talk(s, until, times.clone(), 100))).collect();
+    let all: Vec<_> = streams
+        .into_iter()
+        .map(|stream| spawn_local(talk(stream, until, times.clone(), 100)))
+        .collect();
     for one in all {
         one.await?;
     }
@@ -290,7 +292,7 @@
     }
     drop((relay, set));
     println!("{:>16} {:>12} {:>10} {:>10}", "", "messages/s", "p50 us", "p99 us");
-    let all = rows.map(|rows| [0, 1, 2].map(|at| median(rows.iter().map(|r| r[at]).collect())));
+    let all = rows.map(|rows| [0, 1, 2].map(|at| median(rows.iter().map(|row| row[at]).collect())));
     for (name, [rate, p50, p99]) in ["bare TCP relay", "mintshelf"].into_iter().zip(all) {
         println!("{name:>16} {rate:>12.0} {p50:>10.0} {p99:>10.0}");
     }
@@ -356,6 +358,87 @@
     lines.filter_map(|line| line.rsplit(' ').next()?.parse::<f64>().ok()).sum()
 }
 
+/// Plain requests of ten clients for so many seconds; their sorted times in milliseconds.
+async fn request_times(seconds: f64) -> Vec<f64> {
+    let times = Rc::new(RefCell::new(Vec::new()));
+    let stop = Rc::new(Cell::new(false));
+    for _ in 0..10 {
+        let (times, stop) = (times.clone(), stop.clone());
+        spawn_local(async move {
+            let _ = requests(times, stop).await;
+        });
+    }
+    sleep(Duration::from_secs_f64(seconds)).await;
+    stop.set(true);
+    let mut times = times.take();
+    times.sort_by(f64::total_cmp);
+    times
+}
+
+fn p99(times: &[f64]) -> f64 {
+    times.get(times.len() * 99 / 100).copied().unwrap_or(0.0)
+}
+
+/// Kills a node, stops it, or stops it for longer and longer and then for good.
+async fn end_node(node: &Process, how: &str) {
+    if how == "killed" {
+        signal(node, "KILL");
+        return;
+    }
+    if how == "slow to death" {
+        for stopped_ms in [20u64, 60, 150] {
+            signal(node, "STOP");
+            sleep(Duration::from_millis(stopped_ms)).await;
+            signal(node, "CONT");
+            sleep(Duration::from_millis(100)).await;
+        }
+    }
+    signal(node, "STOP");
+}
+
+/// Sockets that had migrated at a time after a node's death.
+struct Sample {
+    seconds: f64,
+    migrated: f64,
+}
+
+/// Samples the number of migrated sockets until it is over.
+async fn sample_migrations(begun: Instant, over: Rc<Cell<bool>>) -> Vec<Sample> {
+    let mut samples = Vec::new();
+    while !over.get() {
+        // On a thread of its own, so that this event loop goes on.
+        let figure = tokio::task::spawn_blocking(|| figure("mintshelf_sockets_moved_total"));
+        let migrated = figure.await.unwrap_or(0.0);
+        samples.push(Sample { seconds: begun.elapsed().as_secs_f64(), migrated });
+        sleep(Duration::from_millis(250)).await;
+    }
+    samples
+}
+
+/// What the migrations of a death come to.
+struct Migrations {
+    count: f64,
+    /// When the last one was seen, in seconds after the death.
+    last_seconds: f64,
+    /// Most migrations a second.
+    max_rate: f64,
+}
+
+impl Migrations {
+    fn of(samples: &[Sample]) -> Self {
+        let count = samples.last().map_or(0.0, |sample| sample.migrated).max(0.0);
+        let last = samples.iter().find(|sample| sample.migrated == count);
+        let rates = samples.windows(2).map(|pair| {
+            (pair[1].migrated - pair[0].migrated) / (pair[1].seconds - pair[0].seconds)
+        });
+        Migrations {
+            count,
+            last_seconds: last.map_or(0.0, |sample| sample.seconds),
+            max_rate: rates.fold(0.0, f64::max),
+        }
+    }
+}
+
 /// One death of one of three nodes, with so many sockets open.
 async fn death(set: &Set, how: &str, sockets: usize, resume: bool) -> Result<(), Fault> {
     let ends = Rc::new(RefCell::new(Vec::new()));
@@ -363,72 +446,31 @@
         let stream = open(DAEMON).await?;
         spawn_local(listen_on(stream, ends.clone()));
     }
-    let over = Rc::new(Cell::new(false));
-    let run = async |span: f64| -> Vec<f64> {
-        let times = Rc::new(RefCell::new(Vec::new()));
-        let stop = Rc::new(Cell::new(false));
-        for _ in 0..10 {
-            let (times, stop) = (times.clone(), stop.clone());
-            spawn_local(async move {
-                let _ = requests(times, stop).await;
-            });
-        }
-        sleep(Duration::from_secs_f64(span)).await;
-        stop.set(true);
-        let mut times = times.take();
-        times.sort_by(f64::total_cmp);
-        times
-    };
-    let p99 = |times: &[f64]| times.get(times.len() * 99 / 100).copied().unwrap_or(0.0);
-    let calm = run(8.0).await;
+    let calm = request_times(8.0).await;
     let at_node = figure("mintshelf_endpoint_sockets{cluster=\"c\",endpoint=\"127.0.93.1:19301\"}");
     let begun = Instant::now();
-    match how {
-        "killed" => signal(&set.nodes[0], "KILL"),
-        "slow to death" => {
-            let node = set.nodes[0].0.id().to_string();
-            // Stopped for longer and longer, then for good.
-            for pause in [20u64, 60, 150] {
-                let _ = Command::new("kill").args(["-s", "STOP", &node]).status();
-                sleep(Duration::from_millis(pause)).await;
-                let _ = Command::new("kill").args(["-s", "CONT", &node]).status();
-                sleep(Duration::from_millis(100)).await;
-            }
-            signal(&set.nodes[0], "STOP");
-        }
-        _ => signal(&set.nodes[0], "STOP"),
-    }
-    let opened = Rc::new(RefCell::new(Vec::new()));
-    let (samples, until) = (opened.clone(), over.clone());
-    let watch = spawn_local(async move {
-        while !until.get() {
-            // In a thread: this loop must not stand still.
-            let moved = tokio::task::spawn_blocking(|| figure("mintshelf_sockets_moved_total"));
-            let moved = moved.await.unwrap_or(0.0);
-            samples.borrow_mut().push((begun.elapsed().as_secs_f64(), moved));
-            sleep(Duration::from_millis(250)).await;
-        }
-    });
-    let during = run(8.0).await;
+    end_node(&set.nodes[0], how).await;
+    let over = Rc::new(Cell::new(false));
+    let watch = spawn_local(sample_migrations(begun, over.clone()));
+    let during = request_times(8.0).await;
     over.set(true);
-    let _ = watch.await;
-    let (told, samples) = (ends.take(), opened.take());
-    let last = told.iter().map(|(at, _)| at.duration_since(begun).as_secs_f64());
-    let last = last.fold(0.0, f64::max);
-    let right = told.iter().filter(|(_, code)| *code == 1012).count();
-    let moved = samples.last().map_or(0.0, |s| s.1).max(0.0);
-    let moved_by = samples.iter().find(|s| s.1 == moved).map_or(0.0, |s| s.0);
-    let rates = samples.windows(2).map(|w| (w[1].1 - w[0].1) / (w[1].0 - w[0].0));
-    let fastest = rates.fold(0.0, f64::max);
+    let migrations = Migrations::of(&watch.await.unwrap_or_default());
+    let closes = ends.take();
+    let last_close = closes.iter().map(|(at, _)| at.duration_since(begun).as_secs_f64());
+    let last_close = last_close.fold(0.0, f64::max);
+    let right = closes.iter().filter(|(_, code)| *code == 1012).count();
+    let last_migration = if migrations.count > 0.0 { migrations.last_seconds } else { 0.0 };
     println!(
-        "{how:>14} {:>8} {at_node:>8.0} {moved:>6.0} {:>7} {right:>6} {:>12.2} {fastest:>12.0} {:>9.2} {:>9.2} {:>7.2}",
+        "{how:>14} {:>8} {at_node:>8.0} {:>6.0} {:>7} {right:>6} {:>12.2} {:>12.0} {:>9.2} {:>9.2} {:>7.2}",
         match (sockets, resume) {
             (0, _) => "none",
             (_, true) => "moved",
             _ => "closed",
         },
-        told.len(),
-        last.max(if moved > 0.0 { moved_by } else { 0.0 }),
+        migrations.count,
+        closes.len(),
+        last_close.max(last_migration),
+        migrations.max_rate,
         p99(&calm),
         p99(&during),
         p99(&during) / p99(&calm),
--- a/crates/mintshelf/tests/admission_limits.rs
+++ b/crates/mintshelf/tests/admission_limits.rs
@@ -219,7 +219,8 @@
     }
     daemon.reload(&file(at, admin, &[server.at], TENANTS, "concurrency = 4\nqueue = 1000"));
     limited.store(true, Ordering::SeqCst);
-    let statuses: Vec<u16> = clients.into_iter().flat_map(|c| c.join().unwrap()).collect();
+    let statuses: Vec<u16> =
+        clients.into_iter().flat_map(|client| client.join().unwrap()).collect();
     assert!(statuses.iter().all(|status| *status == 200), "{statuses:?}");
     assert_eq!(server.requests().len(), statuses.len(), "each went once");
     for name in ["mintshelf_gate_requests", "mintshelf_gate_waiting", "mintshelf_tenant_requests"] {
@@ -237,14 +238,19 @@
     let at = daemon.at;
     let clients: Vec<_> =
         (0..20).map(|_| thread::spawn(move || send_request(at, &get("/")).unwrap())).collect();
-    wait_until("all places are taken", || servers.iter().all(|s| s.requests().len() == 3));
+    wait_until("all places are taken", || {
+        servers.iter().all(|server| server.requests().len() == 3)
+    });
     // The rest is refused while they wait.
-    wait_until("the rest is refused", || clients.iter().filter(|c| c.is_finished()).count() == 14);
+    wait_until("the rest is refused", || {
+        clients.iter().filter(|client| client.is_finished()).count() == 14
+    });
     latch.open();
-    let statuses: Vec<u16> = clients.into_iter().map(|c| c.join().unwrap().status()).collect();
-    assert_eq!(statuses.iter().filter(|s| **s == 200).count(), 6, "{statuses:?}");
-    assert!(statuses.iter().all(|s| [200, 503].contains(s)));
-    assert!(servers.iter().all(|s| *s.connections.lock().unwrap() == 3));
+    let statuses: Vec<u16> =
+        clients.into_iter().map(|client| client.join().unwrap().status()).collect();
+    assert_eq!(statuses.iter().filter(|status| **status == 200).count(), 6, "{statuses:?}");
+    assert!(statuses.iter().all(|status| [200, 503].contains(status)));
+    assert!(servers.iter().all(|server| *server.connections.lock().unwrap() == 3));
 }
 
 #[test]
@@ -260,14 +266,17 @@
     let log = daemon.log_output();
     let lines: Vec<serde_json::Value> = log
         .lines()
-        .map(|line| serde_json::from_str(line).unwrap_or_else(|e| panic!("{line}: {e}")))
+        .map(|line| serde_json::from_str(line).unwrap_or_else(|error| panic!("{line}: {error}")))
         .collect();
     let fields = |what: &str| -> Vec<&serde_json::Value> {
         let fields = lines.iter().map(|line| &line["fields"]);
         fields.filter(|fields| fields["message"].as_str().unwrap_or("").contains(what)).collect()
     };
     let limits = fields("a limit refused a request");
-    assert!(limits.iter().all(|f| f["tenant"] == "a" && f["limit"] == "tenant-rate"), "{limits:?}");
+    assert!(
+        limits.iter().all(|fields| fields["tenant"] == "a" && fields["limit"] == "tenant-rate"),
+        "{limits:?}"
+    );
     // Ten at once and ten for each second that the requests took.
     assert!((10..200).contains(&limits.len()), "{}", limits.len());
     let rejected = fields(CONFIGURATION_REJECTED);
--- a/crates/mintshelf/tests/attempts.rs
+++ b/crates/mintshelf/tests/attempts.rs
@@ -110,10 +110,14 @@
     nodes[1].frozen.store(true, Ordering::SeqCst);
     more("it is served by the last", 6_000);
     stopped.store(true, Ordering::SeqCst);
-    let seen: Vec<_> = clients.into_iter().map(|c| c.join().unwrap()).collect();
+    let seen: Vec<_> = clients.into_iter().map(|client| client.join().unwrap()).collect();
     nodes[1].frozen.store(false, Ordering::SeqCst);
-    let other: Vec<u16> =
-        seen.iter().flat_map(|(s, _)| s).filter(|s| **s != 200).copied().collect();
+    let other: Vec<u16> = seen
+        .iter()
+        .flat_map(|(statuses, _)| statuses)
+        .filter(|status| **status != 200)
+        .copied()
+        .collect();
     let longest = seen.iter().map(|(_, longest)| *longest).max().unwrap();
     assert!(other.is_empty() && longest < Duration::from_secs(19), "{other:?} {longest:?}");
     assert!(metric(admin, "mintshelf_tries_cut_total") >= 1.0);
@@ -175,7 +179,7 @@
         (first..count).step_by(CLIENTS).map(one).collect::<Vec<_>>()
     };
     let clients: Vec<_> = (0..CLIENTS).map(|first| thread::spawn(move || client(first))).collect();
-    clients.into_iter().flat_map(|c| c.join().unwrap()).collect()
+    clients.into_iter().flat_map(|client| client.join().unwrap()).collect()
 }
 
 #[test]
@@ -196,7 +200,7 @@
         assert!(*status != 503 || !effects.contains_key(id), "{id} ran, and is refused");
         assert!(*status != 200 || effects.contains_key(id), "{id} did not run, and is served");
     }
-    let of = |status: u16| statuses.values().filter(|s| **s == status).count();
+    let of = |expected: u16| statuses.values().filter(|status| **status == expected).count();
     assert!(of(200) > COUNT / 2 && of(502) > 100 && of(500) > 50, "{} {}", of(200), of(502));
 }
 
@@ -218,7 +222,7 @@
         let late = ran.iter().any(|at| *at - ran[0] >= Duration::from_secs(6));
         assert!(ran.len() <= 3 && !late, "{id}: {ran:?}");
     }
-    let served = statuses.values().filter(|s| **s == 200).count();
+    let served = statuses.values().filter(|status| **status == 200).count();
     assert!(served * 100 > COUNT * 80, "{served} of {COUNT}");
 }
 
--- a/crates/mintshelf/tests/commands.rs
+++ b/crates/mintshelf/tests/commands.rs
@@ -39,8 +39,10 @@
     let problems: serde_json::Value = serde_json::from_str(&json).unwrap();
     let problems = problems.as_array().unwrap();
     assert_eq!((code, problems.len()), (1, text.lines().count()));
-    assert!(problems.iter().any(|p| p["line"] == 3 && p["column"] == 1 && p["rule"].is_null()));
-    assert!(problems.iter().any(|p| p["rule"] == 1), "{json}");
+    assert!(problems.iter().any(|problem| problem["line"] == 3
+        && problem["column"] == 1
+        && problem["rule"].is_null()));
+    assert!(problems.iter().any(|problem| problem["rule"] == 1), "{json}");
     std::fs::remove_file(file).unwrap();
     let (code, _, said) = run(&["check", "/nowhere/at/all.toml"]);
     assert_eq!(code, 2, "{said}");
--- a/crates/mintshelf/tests/conformance/main.rs
+++ b/crates/mintshelf/tests/conformance/main.rs
@@ -269,7 +269,9 @@
     let endings: Endings = toml::from_str(include_str!("ending.toml")).unwrap();
     let unplayed: Unplayed = toml::from_str(include_str!("unplayed.toml")).unwrap();
     for sentence in &unplayed.sentence {
-        assert!(![&sentence.source, &sentence.says, &sentence.why].iter().any(|s| s.is_empty()));
+        assert!(![&sentence.source, &sentence.says, &sentence.why]
+            .iter()
+            .any(|text| text.is_empty()));
     }
     let mut trials = Vec::new();
     for row in outcomes.row {
--- a/crates/mintshelf/tests/conformance/module.rs
+++ b/crates/mintshelf/tests/conformance/module.rs
@@ -2,7 +2,9 @@
 
 use super::stage::{settings, Ended, Stage, START};
 use super::{End, LineRow, Met, State};
-use mintshelf_balancer::api::*;
+use mintshelf_balancer::api::{
+    Action, EndpointState, Event, ListKind, ListedServer, Nanos, Outcome,
+};
 use mintshelf_balancer::decide::{Balancer, Candidates, ServerOrder};
 use mintshelf_balancer::settings::parse_settings;
 use rand_core::{RngCore, SeedableRng};
@@ -54,7 +56,7 @@
     }
 
     fn wait(&mut self) -> bool {
-        let Some(next) = (0..self.timers.len()).min_by_key(|t| self.timers[*t].0) else {
+        let Some(next) = (0..self.timers.len()).min_by_key(|timer| self.timers[*timer].0) else {
             return false;
         };
         let (at, token) = self.timers.swap_remove(next);
@@ -93,7 +95,7 @@
     }
 
     fn sent(&self) -> Vec<u64> {
-        let to = |a: &Action| match a {
+        let to = |action: &Action| match action {
             Action::Send { server, .. } => Some(u64::from(*server)),
             _ => None,
         };
--- a/crates/mintshelf/tests/conformance/wire.rs
+++ b/crates/mintshelf/tests/conformance/wire.rs
@@ -19,7 +19,7 @@
         let batch = format!("clock {}\ntarget_instance sidecar_0\n{events}\nyour_turn", self.now);
         let mut ready = false;
         for line in batch.lines() {
-            ready = self.host.read_line(line).unwrap_or_else(|e| panic!("{e}: {line}"));
+            ready = self.host.read_line(line).unwrap_or_else(|error| panic!("{error}: {line}"));
         }
         assert!(ready, "no reply");
         for line in self.host.take_reply().lines() {
@@ -65,7 +65,7 @@
     }
 
     fn wait(&mut self) -> bool {
-        let Some(next) = (0..self.timers.len()).min_by_key(|t| self.timers[*t].0) else {
+        let Some(next) = (0..self.timers.len()).min_by_key(|timer| self.timers[*timer].0) else {
             return false;
         };
         let (at, label) = self.timers.swap_remove(next);
--- a/crates/mintshelf/tests/gateway/fixture.rs
+++ b/crates/mintshelf/tests/gateway/fixture.rs
@@ -8,7 +8,7 @@
 
 /// A file with one cluster and one route that takes everything.
 pub fn file(at: SocketAddr, servers: &[SocketAddr], more: &str) -> String {
-    let servers: Vec<String> = servers.iter().map(|s| format!("\"{s}\"")).collect();
+    let servers: Vec<String> = servers.iter().map(|server| format!("\"{server}\"")).collect();
     format!(
         "listen = \"{at}\"\n[limits]\nmemory = \"32MiB\"\nsockets = 128\n\
          [clusters.c]\nendpoints = [{}]\nconnect-timeout = \"5s\"\n\
--- a/crates/mintshelf/tests/gateway/request_smuggling.rs
+++ b/crates/mintshelf/tests/gateway/request_smuggling.rs
@@ -54,7 +54,8 @@
         "GET http://h/abs?q HTTP/1.1\r\nHost: h\r\n\r\nGET /2 HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n",
     );
     assert!(text.contains("/abs?q") && text.ends_with("/2"), "{text}");
-    let paths: Vec<String> = server.requests().iter().map(|m| m.path().to_string()).collect();
+    let paths: Vec<String> =
+        server.requests().iter().map(|message| message.path().to_string()).collect();
     assert_eq!(paths, ["/one", "/abs?q", "/2"]);
 }
 
--- a/crates/mintshelf/tests/gateway/routes.rs
+++ b/crates/mintshelf/tests/gateway/routes.rs
@@ -1,14 +1,14 @@
 //! Routes: edits, rewrites, redirects, splits, and the example file.
 
 use crate::fixture::{send_and_read_to_close, PROGRAM};
-use mintshelf_test_support::{free_address, ok_response, Daemon, Message, Server};
+use mintshelf_test_support::{free_address, ok_response, Daemon, Server};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
 #[test]
 fn routes_edit_rewrite_redirect_and_respond() {
-    let one = Server::start(|r, _| Some(ok_response(&format!("one {}", r.head))));
-    let two = Server::start(|r, _| Some(ok_response(&format!("two {}", r.head))));
+    let one = Server::start(|request, _| Some(ok_response(&format!("one {}", request.head))));
+    let two = Server::start(|request, _| Some(ok_response(&format!("two {}", request.head))));
     let at = free_address();
     let text = format!(
         "listen = \"{at}\"\n\
@@ -50,24 +50,22 @@
     drop(daemon);
 }
 
-#[test]
-fn the_example_file_serves_its_four_classes() {
-    let attempts = Arc::new(AtomicUsize::new(0));
-    let counted = attempts.clone();
-    // It fails each first try of a run or a flash, after running it.
-    let serve = move |request: &Message, _| {
-        let post = request.head.starts_with("POST");
-        if post && counted.fetch_add(1, Ordering::Relaxed).is_multiple_of(2) {
+/// A server that fails every second POST, after running it; `attempts` counts those of all servers.
+fn server_that_fails_first_posts(attempts: &Arc<AtomicUsize>) -> Server {
+    let attempts = attempts.clone();
+    Server::start(move |request, _| {
+        let is_post = request.head.starts_with("POST");
+        if is_post && attempts.fetch_add(1, Ordering::Relaxed).is_multiple_of(2) {
             return Some(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n".to_vec());
         }
         Some(ok_response("done"))
-    };
-    let serve = Arc::new(serve);
-    let start = || {
-        let serve = serve.clone();
-        Server::start(move |request, number| serve(request, number))
-    };
-    let servers = [start(), start(), start()];
+    })
+}
+
+#[test]
+fn the_example_file_serves_its_four_classes() {
+    let attempts = Arc::new(AtomicUsize::new(0));
+    let servers = [(); 3].map(|()| server_that_fails_first_posts(&attempts));
     let (at, admin) = (free_address(), free_address());
     let mut text =
         include_str!("../../../../deploy/lab.toml").replace("127.0.0.1:8080", &at.to_string());
--- a/crates/mintshelf/tests/operator_file_reload.rs
+++ b/crates/mintshelf/tests/operator_file_reload.rs
@@ -15,8 +15,12 @@
 
 /// A server that names itself, its path and the request's mark.
 fn server(name: &'static str) -> Server {
-    Server::start(move |r, _| {
-        Some(ok_response(&format!("{name} {} {}", r.path(), r.header("x-mark").unwrap_or("-"))))
+    Server::start(move |request, _| {
+        Some(ok_response(&format!(
+            "{name} {} {}",
+            request.path(),
+            request.header("x-mark").unwrap_or("-")
+        )))
     })
 }
 
@@ -36,32 +40,36 @@
     )
 }
 
+/// Sends requests on one connection until it is stopped; the different bodies that it received.
+fn send_until_stopped(at: SocketAddr, stopped: &AtomicBool, sent: &AtomicUsize) -> HashSet<String> {
+    let mut bodies = HashSet::new();
+    let mut stream = connect(at).unwrap();
+    while !stopped.load(Ordering::Relaxed) {
+        stream.write_all(&get("/x/1")).unwrap();
+        let got = Message::read(&mut stream).expect("an answer");
+        assert_eq!(got.status(), 200, "{}", got.head);
+        bodies.insert(body(&got));
+        stream.write_all(&get("/stays")).unwrap();
+        assert_eq!(Message::read(&mut stream).expect("an answer").status(), 200);
+        sent.fetch_add(2, Ordering::Relaxed);
+    }
+    bodies
+}
+
 #[test]
 fn a_hundred_reloads_under_load_lose_no_request_and_mix_no_settings() {
-    let (a, b, stays) = (server("a"), server("b"), server("stays"));
+    let (first, second, stays) = (server("a"), server("b"), server("stays"));
     let at = free_address();
-    let good = [file(at, "a", a.at, stays.at), file(at, "b", b.at, stays.at)];
+    let good = [file(at, "a", first.at, stays.at), file(at, "b", second.at, stays.at)];
     let broken = [good[0].replace("cluster = \"a\"", "cluster = \"c\""), "listen = ".to_string()];
     let daemon = Daemon::start(PROGRAM, at, &good[0], &[]);
     let stopped = Arc::new(AtomicBool::new(false));
     let sent = Arc::new(AtomicUsize::new(0));
     let clients: Vec<_> = (0..4)
         .map(|_| {
-            let (stopped, sent) = (stopped.clone(), sent.clone());
-            thread::spawn(move || {
-                let mut seen = HashSet::new();
-                let mut stream = connect(at).unwrap();
-                while !stopped.load(Ordering::Relaxed) {
-                    stream.write_all(&get("/x/1")).unwrap();
-                    let got = Message::read(&mut stream).expect("an answer");
-                    assert_eq!(got.status(), 200, "{}", got.head);
-                    seen.insert(body(&got));
-                    stream.write_all(&get("/stays")).unwrap();
-                    assert_eq!(Message::read(&mut stream).expect("an answer").status(), 200);
-                    sent.fetch_add(2, Ordering::Relaxed);
-                }
-                seen
-            })
+            let stopped = stopped.clone();
+            let sent = sent.clone();
+            thread::spawn(move || send_until_stopped(at, &stopped, &sent))
         })
         .collect();
     let mut measured = Vec::new();
@@ -87,7 +95,8 @@
     }
     assert_eq!(daemon.log_output().matches(CONFIGURATION_APPLIED).count(), 50);
     assert_eq!(daemon.log_output().matches(CONFIGURATION_REJECTED).count(), 50);
-    let max_descriptors = |of: &[(usize, usize)]| *of.iter().map(|(d, _)| d).max().unwrap();
+    let max_descriptors =
+        |of: &[(usize, usize)]| *of.iter().map(|(descriptors, _)| descriptors).max().unwrap();
     let (first, last) = measured.split_at(measured.len() / 2);
     // Four clients may have a connection each to the old pool and to the new one at the moment of
     // the look; a descriptor lost at each reload would be forty.
@@ -105,9 +114,9 @@
 
 #[test]
 fn a_rejected_file_is_explained_and_changes_nothing() {
-    let (a, b) = (server("a"), server("b"));
+    let (first, second) = (server("a"), server("b"));
     let at = free_address();
-    let good = file(at, "a", a.at, b.at);
+    let good = file(at, "a", first.at, second.at);
     let daemon = Daemon::start(PROGRAM, at, &good, &[]);
     daemon.reload(&good.replace("cluster = \"stays\"", "cluster = \"stay\""));
     let log = daemon.log_output();
@@ -155,11 +164,11 @@
 
 #[test]
 fn a_watched_file_is_reloaded_when_it_changes() {
-    let (a, b, stays) = (server("a"), server("b"), server("stays"));
+    let (first, second, stays) = (server("a"), server("b"), server("stays"));
     let at = free_address();
-    let daemon = Daemon::start(PROGRAM, at, &file(at, "a", a.at, stays.at), &["--watch"]);
+    let daemon = Daemon::start(PROGRAM, at, &file(at, "a", first.at, stays.at), &["--watch"]);
     assert_eq!(body(&daemon.send_request(&get("/x")).unwrap()), "a /a a");
-    std::fs::write(&daemon.file, file(at, "other", b.at, stays.at)).unwrap();
+    std::fs::write(&daemon.file, file(at, "other", second.at, stays.at)).unwrap();
     wait_until("the new file is in force", || {
         body(&daemon.send_request(&get("/x")).unwrap()) == "b /other other"
     });
@@ -195,8 +204,8 @@
 
 #[test]
 fn memory_depends_on_open_requests_and_not_on_ended_ones() {
-    let (a, admin, at) = (server("a"), free_address(), free_address());
-    let text = file(at, "a", a.at, a.at) + &format!("[admin]\naddress = \"{admin}\"\n");
+    let (first, admin, at) = (server("a"), free_address(), free_address());
+    let text = file(at, "a", first.at, first.at) + &format!("[admin]\naddress = \"{admin}\"\n");
     // Requests end at once; with this aim their timers would stand for minutes.
     let text =
         text.replace("[limits]", "[classes.default]\naim = \"10m\"\ndeadline = \"20m\"\n[limits]");
--- a/crates/mintshelf/tests/outage_recovery.rs
+++ b/crates/mintshelf/tests/outage_recovery.rs
@@ -56,7 +56,8 @@
 fn phase(admin: SocketAddr) -> String {
     let got = send_request(admin, &get("/-/metrics")).unwrap();
     let text = String::from_utf8_lossy(&got.body).into_owned();
-    let line = text.lines().find(|l| l.starts_with("mintshelf_recovery_phase{cluster=\"c\"}"));
+    let line =
+        text.lines().find(|line| line.starts_with("mintshelf_recovery_phase{cluster=\"c\"}"));
     line.unwrap().rsplit(' ').next().unwrap().to_string()
 }
 
--- a/crates/mintshelf/tests/races/attempts.rs
+++ b/crates/mintshelf/tests/races/attempts.rs
@@ -171,7 +171,8 @@
     for number in 0..3 {
         let id = format!("held-{number}");
         let seen = server.requests();
-        let told: Vec<_> = seen.iter().filter(|m| m.header("x-txn") == Some(&id)).collect();
+        let told: Vec<_> =
+            seen.iter().filter(|message| message.header("x-txn") == Some(&id)).collect();
         assert!(told.len() > 1, "{id} had a further attempt");
         for attempt in told {
             let told = attempt.header("x-remaining-ms").unwrap().parse().unwrap();
--- a/crates/mintshelf/tests/races/unusual_settings.rs
+++ b/crates/mintshelf/tests/races/unusual_settings.rs
@@ -107,14 +107,14 @@
     let file = std::env::temp_dir().join(format!("mintshelf-odd-{}.json", std::process::id()));
     type Change = dyn Fn(&mut Value);
     let changes: [(&str, &Change); 6] = [
-        ("settings.classes[1].name", &|s| s["classes"][1]["name"] = json!("safe")),
-        ("settings.tenants[1].name", &|s| {
-            s["tenants"] = json!([{"name": "a", "share": 0.5}, {"name": "a", "share": 0.5}]);
+        ("settings.classes[1].name", &|settings| settings["classes"][1]["name"] = json!("safe")),
+        ("settings.tenants[1].name", &|settings| {
+            settings["tenants"] = json!([{"name": "a", "share": 0.5}, {"name": "a", "share": 0.5}]);
         }),
-        ("settings.limits.max-attempts", &|s| s["limits"]["max-attempts"] = json!(0)),
-        ("classes.semantics", &|s| s["classes"][0]["semantics"] = json!("often")),
-        ("classes.group", &|s| s["classes"][1]["group"] = json!("moon")),
-        ("registry-mode", &|s| s["registry-mode"] = json!("guess")),
+        ("settings.limits.max-attempts", &|settings| settings["limits"]["max-attempts"] = json!(0)),
+        ("classes.semantics", &|settings| settings["classes"][0]["semantics"] = json!("often")),
+        ("classes.group", &|settings| settings["classes"][1]["group"] = json!("moon")),
+        ("registry-mode", &|settings| settings["registry-mode"] = json!("guess")),
     ];
     for (place, change) in changes {
         let mut config = config(free_address(), vec![]);
--- a/crates/mintshelf/tests/system_call_filter.rs
+++ b/crates/mintshelf/tests/system_call_filter.rs
@@ -122,7 +122,9 @@
     let fds = fds.filter_map(|fd| std::fs::read_link(fd.path()).ok());
     for target in fds.map(|target| target.to_string_lossy().into_owned()) {
         assert!(!target.contains("io_uring"), "{target}");
-        if let Some(inode) = target.strip_prefix("socket:[").and_then(|s| s.strip_suffix(']')) {
+        if let Some(inode) =
+            target.strip_prefix("socket:[").and_then(|inode| inode.strip_suffix(']'))
+        {
             let unix = std::fs::read_to_string("/proc/net/unix").unwrap();
             let named = unix.lines().map(|line| line.split_whitespace().collect::<Vec<_>>());
             // A pair of its own, which wakes it for signals, has no name; no other is open.
--- a/crates/mintshelf/tests/websocket/fixture.rs
+++ b/crates/mintshelf/tests/websocket/fixture.rs
@@ -1,13 +1,11 @@
-//! Servers, clients and a daemon for WebSocket, with an independent implementation at both ends.
+//! Clients and a daemon for WebSocket.
 
-use mintshelf_test_support::{connect, free_address, Daemon, Peer};
+use crate::node::Node;
+use mintshelf_test_support::{connect, free_address, Daemon};
 use std::net::{SocketAddr, TcpStream};
-use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
-use std::sync::Arc;
 use std::thread;
 use std::time::Duration;
 use tungstenite::handshake::client::{generate_key, Request};
-use tungstenite::handshake::server;
 use tungstenite::Message as WsMessage;
 use tungstenite::WebSocket;
 
@@ -16,85 +14,6 @@
 /// Longest wait of anything; each test waits for what happens, not for this.
 pub const READ_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A server that says back what it hears, with its name; it can be frozen or made to break off.
-pub struct Node {
-    pub peer: Peer,
-    pub opened: Arc<AtomicUsize>,
-    pub open: Arc<AtomicUsize>,
-    pub frozen: Arc<AtomicBool>,
-    pub dead: Arc<AtomicBool>,
-}
-
-impl Node {
-    pub fn start(name: &'static str) -> Self {
-        let counts = [(); 2].map(|()| Arc::new(AtomicUsize::new(0)));
-        let flags = [(); 2].map(|()| Arc::new(AtomicBool::new(false)));
-        let [opened, open] = counts.clone();
-        let [frozen, dead] = flags.clone();
-        let peer = Peer::start(move |stream| {
-            if dead.load(Ordering::SeqCst) {
-                return;
-            }
-            stream.set_read_timeout(Some(Duration::from_millis(20))).unwrap();
-            let choose = |request: &server::Request, mut response: server::Response| {
-                if let Some(asked) = request.headers().get("sec-websocket-protocol") {
-                    let first = asked.to_str().unwrap().split(',').next().unwrap().trim();
-                    let chosen = first.parse().unwrap();
-                    response.headers_mut().insert("sec-websocket-protocol", chosen);
-                }
-                Ok(response)
-            };
-            let mut read = tungstenite::accept_hdr(stream, choose);
-            let mut socket = loop {
-                match read {
-                    Ok(socket) => break socket,
-                    Err(tungstenite::HandshakeError::Interrupted(more)) => read = more.handshake(),
-                    Err(_) => return,
-                }
-            };
-            opened.fetch_add(1, Ordering::SeqCst);
-            open.fetch_add(1, Ordering::SeqCst);
-            loop {
-                if dead.load(Ordering::SeqCst) {
-                    break;
-                }
-                if frozen.load(Ordering::SeqCst) {
-                    thread::sleep(Duration::from_millis(5));
-                    continue;
-                }
-                match socket.read() {
-                    Ok(WsMessage::Text(text)) if text.as_str() == "flood" => {
-                        while socket.send(WsMessage::binary(vec![7; 16 << 10])).is_ok() {}
-                        break;
-                    }
-                    Ok(WsMessage::Text(text)) => {
-                        let answer = format!("{name}: {text}");
-                        if socket.send(WsMessage::text(answer)).is_err() {
-                            break;
-                        }
-                    }
-                    Ok(message @ WsMessage::Binary(_)) => {
-                        if socket.send(message).is_err() {
-                            break;
-                        }
-                    }
-                    Ok(_) => {}
-                    Err(tungstenite::Error::Io(e)) if is_wait(&e) => {}
-                    Err(_) => break,
-                }
-            }
-            open.fetch_sub(1, Ordering::SeqCst);
-        });
-        let [opened, open] = counts;
-        let [frozen, dead] = flags;
-        Node { peer, opened, open, frozen, dead }
-    }
-}
-
-pub fn is_wait(error: &std::io::Error) -> bool {
-    matches!(error.kind(), std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut)
-}
-
 /// A file with one cluster of these nodes and a route for sockets.
 pub struct Setup {
     pub at: SocketAddr,
--- a/crates/mintshelf/tests/websocket/handshakes.rs
+++ b/crates/mintshelf/tests/websocket/handshakes.rs
@@ -1,6 +1,7 @@
 //! Handshakes: which are accepted, rejected and retried.
 
-use crate::fixture::{open, open_with, send_and_receive, setup, Node, Setup, Socket, PROGRAM};
+use crate::fixture::{open, open_with, send_and_receive, setup, Setup, Socket, PROGRAM};
+use crate::node::Node;
 use crate::raw_client::{accept_of, handshake, ACCEPTED};
 use mintshelf_test_support::{get, Daemon, Message, Peer};
 use std::io::Write;
--- a/crates/mintshelf/tests/websocket/limits.rs
+++ b/crates/mintshelf/tests/websocket/limits.rs
@@ -1,8 +1,7 @@
 //! Limits of sockets, slow clients, and resources that are given back.
 
-use crate::fixture::{
-    open, open_with, reading, send_and_receive, setup, Node, Setup, Socket, PROGRAM,
-};
+use crate::fixture::{open, open_with, reading, send_and_receive, setup, Setup, Socket, PROGRAM};
+use crate::node::Node;
 use crate::raw_client::{accept_of, close_of, handshake, masked, ACCEPTED};
 use crate::steady_client::SteadyClient;
 use mintshelf_test_support::{
@@ -136,7 +135,7 @@
                 }
             })
         });
-        threads.collect::<Vec<_>>().into_iter().for_each(|t| t.join().unwrap());
+        threads.collect::<Vec<_>>().into_iter().for_each(|thread| thread.join().unwrap());
         wait_until("all to be over", || metric(setup.admin, "mintshelf_sockets{") == 0.0);
     };
     run(2_000);
--- a/crates/mintshelf/tests/websocket/main.rs
+++ b/crates/mintshelf/tests/websocket/main.rs
@@ -7,6 +7,7 @@
 mod fixture;
 mod handshakes;
 mod limits;
+mod node;
 mod protocol_errors;
 mod raw_client;
 mod sessions;
--- a/crates/mintshelf/tests/websocket/protocol_errors.rs
+++ b/crates/mintshelf/tests/websocket/protocol_errors.rs
@@ -1,6 +1,7 @@
 //! Violations of the protocol by clients and servers.
 
-use crate::fixture::{closed, open, setup, Node, Setup, PROGRAM};
+use crate::fixture::{closed, open, setup, Setup, PROGRAM};
+use crate::node::Node;
 use crate::raw_client::{accept_of, close_of, handshake, masked, ACCEPTED};
 use mintshelf_test_support::{read_to_close, wait_until, Daemon, Message, Peer};
 use std::io::Write;
--- a/crates/mintshelf/tests/websocket/sessions.rs
+++ b/crates/mintshelf/tests/websocket/sessions.rs
@@ -1,6 +1,7 @@
 //! Open sockets: relayed messages, migration to other servers and closes.
 
-use crate::fixture::{closed, open, reading, send_and_receive, setup, Node, Setup, Socket};
+use crate::fixture::{closed, open, reading, send_and_receive, setup, Setup, Socket};
+use crate::node::Node;
 use mintshelf_test_support::{metric, wait_until, Process as _};
 use std::sync::atomic::Ordering;
 use tungstenite::Message as WsMessage;
@@ -25,15 +26,16 @@
 
 #[test]
 fn sockets_of_a_dead_server_migrate_unnoticed_by_their_clients() {
-    let (a, b) = (Node::start("a"), Node::start("b"));
+    let (node_a, node_b) = (Node::start("a"), Node::start("b"));
     let setup = Setup { websocket: "{ resume = \"first-message\" }", ..setup() };
-    let _daemon = setup.start(&[&a, &b]);
+    let _daemon = setup.start(&[&node_a, &node_b]);
     let mut sockets: Vec<Socket> = (0..12).map(|_| open(setup.at)).collect();
-    let at: Vec<String> = sockets.iter_mut().map(|s| send_and_receive(s, "first")).collect();
+    let at: Vec<String> =
+        sockets.iter_mut().map(|socket| send_and_receive(socket, "first")).collect();
     let at_a = at.iter().filter(|text| *text == "a: first").count();
     assert!(at_a > 0 && at_a < 12, "{at:?}");
-    a.dead.store(true, Ordering::SeqCst);
-    wait_until("its sockets to be opened again", || b.opened.load(Ordering::SeqCst) == 12);
+    node_a.dead.store(true, Ordering::SeqCst);
+    wait_until("its sockets to be opened again", || node_b.opened.load(Ordering::SeqCst) == 12);
     for (socket, first) in sockets.iter_mut().zip(&at) {
         if first.starts_with('a') {
             // What was said first is said again to the one that took over.
@@ -49,13 +51,13 @@
 
 #[test]
 fn sockets_of_a_silent_server_are_closed_with_advice_and_the_others_stay_open() {
-    let (a, b) = (Node::start("a"), Node::start("b"));
+    let (node_a, node_b) = (Node::start("a"), Node::start("b"));
     let class = "ping-interval = \"100ms\"\nping-timeout = \"300ms\"";
     let setup = Setup { class, cluster: "socket-spread = \"500ms\"", ..setup() };
-    let _daemon = setup.start(&[&a, &b]);
+    let _daemon = setup.start(&[&node_a, &node_b]);
     let mut sockets: Vec<Socket> = (0..12).map(|_| open(setup.at)).collect();
-    let at: Vec<String> = sockets.iter_mut().map(|s| send_and_receive(s, "x")).collect();
-    a.frozen.store(true, Ordering::SeqCst);
+    let at: Vec<String> = sockets.iter_mut().map(|socket| send_and_receive(socket, "x")).collect();
+    node_a.frozen.store(true, Ordering::SeqCst);
     // Each client goes on reading, so that it answers pings.
     let ends: Vec<_> = sockets.into_iter().map(reading).collect();
     let b_has = at.iter().filter(|first| first.starts_with('b')).count();
@@ -67,20 +69,20 @@
     wait_until("the figures", || {
         metric(setup.admin, "mintshelf_sockets{cluster=\"c\"}") == b_has as f64
     });
-    assert_eq!(b.open.load(Ordering::SeqCst), b_has);
-    a.frozen.store(false, Ordering::SeqCst);
+    assert_eq!(node_b.open.load(Ordering::SeqCst), b_has);
+    node_a.frozen.store(false, Ordering::SeqCst);
 }
 
 #[test]
 fn sockets_of_a_removed_endpoint_migrate_and_the_others_stay() {
-    let (a, b) = (Node::start("a"), Node::start("b"));
+    let (node_a, node_b) = (Node::start("a"), Node::start("b"));
     let cluster = "socket-spread = \"200ms\"";
     let setup = Setup { websocket: "{ resume = \"handshake\" }", cluster, ..setup() };
-    let daemon = setup.start(&[&a, &b]);
+    let daemon = setup.start(&[&node_a, &node_b]);
     let mut sockets: Vec<Socket> = (0..10).map(|_| open(setup.at)).collect();
     sockets.iter_mut().for_each(|socket| drop(send_and_receive(socket, "x")));
-    daemon.reload(&setup.text(&[b.peer.at]));
-    wait_until("a to be left", || a.open.load(Ordering::SeqCst) == 0);
+    daemon.reload(&setup.text(&[node_b.peer.at]));
+    wait_until("a to be left", || node_a.open.load(Ordering::SeqCst) == 0);
     assert!(sockets.iter_mut().all(|socket| send_and_receive(socket, "y") == "b: y"));
     // A cluster that is set up anew is another to the module; its sockets go on there.
     let again = Setup {
@@ -88,11 +90,11 @@
         more: String::new(),
         ..setup
     };
-    let before = b.opened.load(Ordering::SeqCst);
-    daemon.reload(&again.text(&[b.peer.at]));
-    wait_until("all to be opened again", || b.opened.load(Ordering::SeqCst) == before + 10);
+    let before = node_b.opened.load(Ordering::SeqCst);
+    daemon.reload(&again.text(&[node_b.peer.at]));
+    wait_until("all to be opened again", || node_b.opened.load(Ordering::SeqCst) == before + 10);
     assert!(sockets.iter_mut().all(|socket| send_and_receive(socket, "z") == "b: z"));
-    wait_until("the old ones to be left", || b.open.load(Ordering::SeqCst) == 10);
+    wait_until("the old ones to be left", || node_b.open.load(Ordering::SeqCst) == 10);
 }
 
 #[test]
