--- a/crates/mintshelf/src/admin.rs
+++ b/crates/mintshelf/src/admin.rs
@@ -3,12 +3,10 @@
 use crate::daemon::Daemon;
 use crate::metrics;
 use bytes::Bytes;
-use hyper::body::Incoming;
 use hyper::header::{self, HeaderValue};
-use hyper::{Method, Request, Response, StatusCode};
-use mintshelf_proxy::clients::Client;
-use mintshelf_proxy::inbound::{Front, FrontBody};
-use mintshelf_proxy::refusal::Refusal;
+use hyper::{Method, Response, StatusCode};
+use mintshelf_proxy::client::handler::{ClientRequest, RequestHandler, ResponseBody};
+use mintshelf_proxy::gateway::rejection::Rejection;
 use std::rc::Rc;
 
 /// Content type of the metrics.
@@ -27,7 +25,7 @@
 }
 
 impl Admin {
-    fn page(&self, path: &str, is_draining: bool) -> Result<Page, Refusal> {
+    fn page(&self, path: &str, is_draining: bool) -> Result<Page, Rejection> {
         match path {
             "/-/metrics" => {
                 Ok(Page { content_type: OPEN_METRICS, text: metrics::encode(&self.daemon) })
@@ -38,36 +36,32 @@
             }
             "/-/ready" if is_draining => {
                 let reason = "the planned end has begun";
-                Err(Refusal::new(StatusCode::SERVICE_UNAVAILABLE, "draining", reason))
+                Err(Rejection::new(StatusCode::SERVICE_UNAVAILABLE, "draining", reason))
             }
             "/-/ready" => Ok(Page { content_type: "text/plain", text: "ready\n".to_string() }),
             _ => {
                 let reason = "there are /-/metrics, /-/config and /-/ready";
-                Err(Refusal::new(StatusCode::NOT_FOUND, "no-page", reason))
+                Err(Rejection::new(StatusCode::NOT_FOUND, "no-page", reason))
             }
         }
     }
 }
 
-impl Front for Admin {
-    async fn respond(
-        self: Rc<Self>,
-        _client: Rc<Client>,
-        request: Request<Incoming>,
-        draining: bool,
-    ) -> Response<FrontBody> {
+impl RequestHandler for Admin {
+    async fn respond(self: Rc<Self>, request: ClientRequest) -> Response<ResponseBody> {
+        let ClientRequest { request, is_draining, .. } = request;
         let is_head = request.method() == Method::HEAD;
         if request.method() != Method::GET && !is_head {
             let reason = "the admin listener only tells";
-            let refusal = Refusal::new(StatusCode::METHOD_NOT_ALLOWED, "method", reason);
-            return refusal.response(is_head);
+            let rejection = Rejection::new(StatusCode::METHOD_NOT_ALLOWED, "method", reason);
+            return rejection.response(is_head);
         }
-        let page = match self.page(request.uri().path(), draining) {
+        let page = match self.page(request.uri().path(), is_draining) {
             Ok(page) => page,
-            Err(refusal) => return refusal.response(is_head),
+            Err(rejection) => return rejection.response(is_head),
         };
         let body = if is_head { Bytes::new() } else { Bytes::from(page.text) };
-        let mut response = Response::new(FrontBody::whole(body));
+        let mut response = Response::new(ResponseBody::buffered(body));
         let content_type = HeaderValue::from_static(page.content_type);
         response.headers_mut().insert(header::CONTENT_TYPE, content_type);
         response
--- a/crates/mintshelf/src/daemon.rs
+++ b/crates/mintshelf/src/daemon.rs
@@ -10,11 +10,12 @@
 use clusters::RunningCluster;
 use listeners::OpenListener;
 use mintshelf_config::model::{FleetConfig, OperatorConfig, ProcessLimits, SOCKET_QUEUE_SHARE};
-use mintshelf_proxy::clients::{Clients, Patience};
-use mintshelf_proxy::gates::Gates;
-use mintshelf_proxy::limits::Limits;
-use mintshelf_proxy::plain::Counts;
-use mintshelf_proxy::upstream::Connections;
+use mintshelf_proxy::budget::ResourceBudget;
+use mintshelf_proxy::client::connection::ClientTimeouts;
+use mintshelf_proxy::client::registry::Clients;
+use mintshelf_proxy::gateway::admission::AdmissionController;
+use mintshelf_proxy::gateway::stats::ProxyStats;
+use mintshelf_proxy::upstream::pool::ConnectionPool;
 use mintshelf_proxy::websocket::registry::SocketRegistry;
 pub use reload_error::ReloadError;
 pub use status::ClusterUsage;
@@ -39,11 +40,11 @@
     /// The operator's file.
     path: PathBuf,
     state: RefCell<State>,
-    budget: Limits,
-    /// Limits of tenants, routes and clusters, and their usage.
-    pub admission: Rc<Gates>,
-    connections: Rc<Connections>,
-    client_timeouts: Patience,
+    budget: ResourceBudget,
+    /// ResourceBudget of tenants, routes and clusters, and their usage.
+    pub admission: Rc<AdmissionController>,
+    connections: Rc<ConnectionPool>,
+    client_timeouts: ClientTimeouts,
     startup: StartupSettings,
     /// Cancelled when the daemon shuts down.
     shutdown: CancellationToken,
@@ -52,7 +53,7 @@
     /// All connections of clients.
     pub clients: Rc<Clients>,
     /// Counters of requests and responses.
-    pub stats: Rc<Counts>,
+    pub stats: Rc<ProxyStats>,
     reloads: ReloadCounts,
     /// Keeps the ids of two runs apart.
     seed: u64,
@@ -107,12 +108,13 @@
     /// # Errors
     /// The configuration cannot be applied.
     pub fn start(path: PathBuf, config: OperatorConfig) -> Result<Rc<Self>, ReloadError> {
-        let budget = Limits::new(config.limits.file_descriptors, config.limits.memory_bytes);
+        let budget =
+            ResourceBudget::new(config.limits.file_descriptors, config.limits.memory_bytes);
         let socket_queue_bytes = config.limits.memory_bytes as f64 * SOCKET_QUEUE_SHARE;
         let daemon = Rc::new(Daemon {
             path,
             state: RefCell::default(),
-            connections: Connections::new(&budget),
+            connections: ConnectionPool::new(&budget),
             budget,
             admission: Rc::default(),
             client_timeouts: client_timeouts(&config),
@@ -174,15 +176,15 @@
     }
 }
 
-fn client_timeouts(config: &OperatorConfig) -> Patience {
+fn client_timeouts(config: &OperatorConfig) -> ClientTimeouts {
     let limits = &config.limits;
     let longest_deadline = config.classes.values().map(|class| class.deadline).max();
-    Patience {
+    ClientTimeouts {
         receive: limits.head_timeout,
         idle: limits.idle_timeout,
         // Each byte that passes starts it again, so that it bounds silence and not size.
         busy: longest_deadline.unwrap_or_default() + limits.stream_timeout,
-        by_progress: true,
-        half_close: !limits.abort_on_close,
+        is_extended_by_progress: true,
+        allows_half_close: !limits.abort_on_close,
     }
 }
--- a/crates/mintshelf/src/daemon/apply.rs
+++ b/crates/mintshelf/src/daemon/apply.rs
@@ -6,7 +6,7 @@
 use mintshelf_admission::tenants::TenantResolver;
 use mintshelf_config::admission::{admission_config, slot_config, tenant_resolver};
 use mintshelf_config::model::{Listener, OperatorConfig, Route};
-use mintshelf_proxy::plain::{Limited, Pool, Serving};
+use mintshelf_proxy::gateway::config::{ClusterHandle, ListenerAdmission, ServingConfig};
 use mintshelf_routing::RouteTable;
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -23,7 +23,7 @@
 /// What all listeners of a configuration share.
 struct SharedSettings<'a> {
     config: &'a OperatorConfig,
-    clusters: HashMap<String, Rc<Pool>>,
+    clusters: HashMap<String, Rc<ClusterHandle>>,
     has_admission_limits: bool,
     tenants: Option<Rc<TenantResolver>>,
 }
@@ -56,19 +56,21 @@
 
     fn apply_limits(&self, config: &OperatorConfig) -> AdmissionConfig {
         let admission = admission_config(config);
-        self.admission.set(&admission);
+        self.admission.configure(&admission);
         let capacity = self.startup.limits.max_websockets;
         self.sockets.configure(SlotConfig { capacity, ..slot_config(config) });
         admission
     }
 
     /// What a listener serves by.
-    fn serving(&self, shared: &SharedSettings, listener: ListenerRoutes) -> Serving {
+    fn serving(&self, shared: &SharedSettings, listener: ListenerRoutes) -> ServingConfig {
         let ListenerRoutes { listener, routes, table } = listener;
-        Serving {
+        ServingConfig {
             table,
             listener: listener.name.clone(),
-            limited: shared.has_admission_limits.then(|| self.limited(shared, &routes)),
+            admission: shared
+                .has_admission_limits
+                .then(|| self.listener_admission(shared, &routes)),
             repeat_header: shared.config.repeat_header.clone(),
             hits: routes.iter().map(|_| Cell::new(0)).collect(),
             routes,
@@ -77,14 +79,14 @@
         }
     }
 
-    fn limited(&self, shared: &SharedSettings, routes: &[Route]) -> Limited {
+    fn listener_admission(&self, shared: &SharedSettings, routes: &[Route]) -> ListenerAdmission {
         let clusters = shared.clusters.keys();
-        Limited {
-            gates: self.admission.clone(),
+        ListenerAdmission {
+            controller: self.admission.clone(),
             tenants: shared.tenants.clone(),
             tenant_header: shared.config.tenant_header.clone(),
-            routes: routes.iter().map(|route| Rc::from(route.name.as_str())).collect(),
-            clusters: clusters.map(|name| (name.clone(), Rc::from(name.as_str()))).collect(),
+            route_names: routes.iter().map(|route| Rc::from(route.name.as_str())).collect(),
+            cluster_names: clusters.map(|name| (name.clone(), Rc::from(name.as_str()))).collect(),
         }
     }
 }
--- a/crates/mintshelf/src/daemon/clusters.rs
+++ b/crates/mintshelf/src/daemon/clusters.rs
@@ -4,10 +4,11 @@
 use mintshelf_config::balancer::{balancer_config, BalancerConfig};
 use mintshelf_config::model::{Cluster, OperatorConfig};
 use mintshelf_config::platform::Names;
-use mintshelf_proxy::driver::{Driver, Spec};
-use mintshelf_proxy::link::Most;
-use mintshelf_proxy::plain::Pool;
-use mintshelf_proxy::upstream::Style;
+use mintshelf_proxy::cluster::runtime::ClusterRuntime;
+use mintshelf_proxy::cluster::spec::ClusterSpec;
+use mintshelf_proxy::gateway::config::ClusterHandle;
+use mintshelf_proxy::upstream::connection_limits::ClusterLimits;
+use mintshelf_proxy::upstream::response::{PlainProtocol, UpstreamProtocol};
 use std::collections::HashSet;
 use std::rc::Rc;
 use tokio::task::{spawn_local, AbortHandle};
@@ -15,22 +16,22 @@
 
 /// A cluster of the applied configuration.
 pub(super) struct RunningCluster {
-    handle: Rc<Pool>,
+    handle: Rc<ClusterHandle>,
     config: BalancerConfig,
-    protocol: Style,
+    protocol: UpstreamProtocol,
     /// The task that runs what goes by the clock.
     task: AbortHandle,
 }
 
 impl RunningCluster {
     /// What requests hold of the cluster.
-    pub(super) fn handle(&self) -> Rc<Pool> {
+    pub(super) fn handle(&self) -> Rc<ClusterHandle> {
         self.handle.clone()
     }
 
     /// The cluster's runtime.
-    pub(super) fn runtime(&self) -> &Rc<Driver> {
-        &self.handle.driver
+    pub(super) fn runtime(&self) -> &Rc<ClusterRuntime> {
+        &self.handle.runtime
     }
 
     /// The settings that the cluster runs with.
@@ -44,7 +45,7 @@
     }
 
     /// Whether the cluster can go on with this configuration, with its endpoints at most changed.
-    fn can_continue(&self, config: &BalancerConfig, protocol: &Style) -> bool {
+    fn can_continue(&self, config: &BalancerConfig, protocol: &UpstreamProtocol) -> bool {
         self.config.differs_in_servers_only(config) && self.protocol == *protocol
     }
 }
@@ -71,12 +72,12 @@
         previous.into_values().for_each(|running| self.retire(running));
     }
 
-    fn protocol(&self, cluster: &Cluster) -> Style {
-        Style::Plain {
-            failures: cluster.failure_statuses.clone(),
-            never_ran: cluster.never_ran_header.clone(),
-            stall: self.startup.limits.stream_timeout,
-        }
+    fn protocol(&self, cluster: &Cluster) -> UpstreamProtocol {
+        UpstreamProtocol::Plain(PlainProtocol {
+            failure_statuses: cluster.failure_statuses.clone(),
+            never_ran_header: cluster.never_ran_header.clone(),
+            stall_timeout: self.startup.limits.stream_timeout,
+        })
     }
 
     fn update_endpoints(
@@ -86,7 +87,7 @@
     ) -> RunningCluster {
         if running.config.servers != config.servers {
             let runtime = running.runtime();
-            runtime.list(config.servers.clone());
+            runtime.set_endpoints(config.servers.clone());
             let servers = config.servers.iter().map(|(server, _)| server.id).collect();
             let reason = "its server leaves the cluster";
             self.sockets.retain_servers(runtime.number(), &servers, reason);
@@ -95,35 +96,45 @@
         running
     }
 
-    fn start_cluster(&self, name: &str, config: BalancerConfig, protocol: Style) -> RunningCluster {
+    fn start_cluster(
+        &self,
+        name: &str,
+        config: BalancerConfig,
+        protocol: UpstreamProtocol,
+    ) -> RunningCluster {
         let spec = self.cluster_spec(name, &config, &protocol);
-        let runtime = Driver::start(spec, self.connections.clone());
+        let runtime = ClusterRuntime::start(spec, self.connections.clone());
         let number = runtime.number();
-        runtime.list(config.servers.clone());
+        runtime.set_endpoints(config.servers.clone());
         self.sockets.set_migration_window(number, config.socket_spread);
         let sockets = self.sockets.clone();
-        runtime.on_doubt(move |server| {
+        runtime.on_suspicion(move |server| {
             sockets.probe_server(number, server);
         });
         let classes = config.classes.clone();
-        let handle = Rc::new(Pool { driver: runtime.clone(), classes });
+        let handle = Rc::new(ClusterHandle { runtime: runtime.clone(), classes });
         let task = spawn_local(async move { runtime.run().await }).abort_handle();
         RunningCluster { handle, config, protocol, task }
     }
 
-    fn cluster_spec(&self, name: &str, config: &BalancerConfig, protocol: &Style) -> Spec {
-        Spec {
+    fn cluster_spec(
+        &self,
+        name: &str,
+        config: &BalancerConfig,
+        protocol: &UpstreamProtocol,
+    ) -> ClusterSpec {
+        ClusterSpec {
             settings: config.settings.clone(),
             names: Names::default(),
             seed: self.seed,
-            style: protocol.clone(),
+            protocol: protocol.clone(),
             peers: None,
             discovery: None,
-            return_ramp: Some(config.recovery_ramp),
-            tries: config.retry_policies.clone(),
-            most: Most {
-                connections: [config.connections.total, config.connections.per_endpoint],
-                sockets: [config.sockets.total, config.sockets.per_endpoint],
+            recovery_ramp: Some(config.recovery_ramp),
+            retry_policies: config.retry_policies.clone(),
+            connection_limits: ClusterLimits {
+                connections: config.connections,
+                sockets: config.sockets,
             },
             socket_weight: config.socket_weight,
             name: Some(name.to_string()),
--- a/crates/mintshelf/src/daemon/listeners.rs
+++ b/crates/mintshelf/src/daemon/listeners.rs
@@ -3,8 +3,10 @@
 use super::{Daemon, ReloadError, State, LISTENER_LINGER};
 use mintshelf_config::balancer::to_nanos;
 use mintshelf_config::model::{Listener, OperatorConfig};
-use mintshelf_proxy::inbound::{listen, Front, Inbound};
-use mintshelf_proxy::plain::{Plain, Serving};
+use mintshelf_proxy::client::handler::RequestHandler;
+use mintshelf_proxy::client::listener::{listen, ClientListener};
+use mintshelf_proxy::gateway::config::ServingConfig;
+use mintshelf_proxy::gateway::handler::GatewayHandler;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -16,7 +18,7 @@
 /// A listener of the applied configuration.
 pub(super) struct OpenListener {
     /// Serves its requests.
-    pub(super) handler: Rc<Plain>,
+    pub(super) handler: Rc<GatewayHandler>,
     /// Its name in the configuration.
     pub(super) name: String,
     /// The task that accepts connections.
@@ -27,11 +29,11 @@
 
 impl Daemon {
     /// Serves a handler at a listener that is not of the configuration, until the shutdown.
-    pub fn serve(&self, handler: Rc<impl Front>, listener: TcpListener) {
+    pub fn serve(&self, handler: Rc<impl RequestHandler>, listener: TcpListener) {
         self.accept(handler, listener, self.shutdown.clone());
     }
 
-    fn accept<H: Front>(
+    fn accept<H: RequestHandler>(
         &self,
         handler: Rc<H>,
         listener: TcpListener,
@@ -39,7 +41,7 @@
     ) -> AbortHandle {
         let clients = self.clients.clone();
         let timeouts = self.client_timeouts;
-        let inbound = Inbound::new(handler, clients, &self.budget, timeouts, draining);
+        let inbound = ClientListener::new(handler, clients, &self.budget, timeouts, draining);
         spawn_local(async move { inbound.accept(listener).await }).abort_handle()
     }
 
@@ -77,8 +79,8 @@
 
     fn close_listener(&self, listener: OpenListener) {
         listener.draining.cancel();
-        let handler = Rc::as_ptr(&listener.handler) as usize;
-        self.sockets.drain(Some(handler), self.socket_drain_ns());
+        let listener_id = listener.handler.listener_id();
+        self.sockets.drain(Some(listener_id), self.socket_drain_ns());
         spawn_local(async move {
             sleep(LISTENER_LINGER).await;
             listener.accepting.abort();
@@ -91,11 +93,11 @@
         &self,
         state: &mut State,
         listener: &Listener,
-        serving: Rc<Serving>,
+        serving: Rc<ServingConfig>,
         socket: Option<TcpListener>,
     ) {
         if let Some(open) = state.listeners.get_mut(&listener.address) {
-            open.handler.swap(serving);
+            open.handler.replace_config(serving);
             open.name = listener.name.clone();
         } else if let Some(socket) = socket {
             let open = self.start_listener(listener, serving, socket);
@@ -106,12 +108,12 @@
     fn start_listener(
         &self,
         listener: &Listener,
-        serving: Rc<Serving>,
+        serving: Rc<ServingConfig>,
         socket: TcpListener,
     ) -> OpenListener {
         let bodies = self.budget.bodies.clone();
         let stats = self.stats.clone();
-        let handler = Plain::new(serving, bodies, stats, self.sockets.clone(), self.seed);
+        let handler = GatewayHandler::new(serving, bodies, stats, self.sockets.clone(), self.seed);
         let draining = CancellationToken::new();
         let accepting = self.accept(handler.clone(), socket, draining.clone());
         OpenListener { handler, name: listener.name.clone(), accepting, draining }
--- a/crates/mintshelf/src/daemon/status.rs
+++ b/crates/mintshelf/src/daemon/status.rs
@@ -45,7 +45,7 @@
     pub fn requests_by_route(&self) -> Vec<(String, u64)> {
         let mut requests = self.stats.routes.borrow().clone();
         for listener in self.state.borrow().listeners.values() {
-            for (route, count) in listener.handler.serving().hits() {
+            for (route, count) in listener.handler.config().hits() {
                 *requests.entry(route.to_string()).or_default() += count;
             }
         }
@@ -57,15 +57,15 @@
         let state = self.state.borrow();
         let usage = state.clusters.iter().map(|(name, running)| {
             let runtime = running.runtime();
-            let (open_requests, timers) = runtime.open();
-            let (phase, expected_clients) = runtime.recovery().unwrap_or((Phase::Normal, 0));
+            let usage = runtime.usage();
+            let recovery = runtime.recovery_status();
             ClusterUsage {
                 cluster: name.clone(),
-                open_requests,
-                timers,
+                open_requests: usage.requests,
+                timers: usage.timers,
                 endpoints: running.config().servers.len(),
-                phase,
-                expected_clients,
+                phase: recovery.map_or(Phase::Normal, |recovery| recovery.phase),
+                expected_clients: recovery.map_or(0, |recovery| recovery.expected_clients),
             }
         });
         usage.collect()
@@ -75,8 +75,12 @@
     pub fn cluster_attempts(&self) -> Vec<ClusterAttempts> {
         let state = self.state.borrow();
         let attempts = state.clusters.iter().map(|(name, running)| {
-            let [timed_out, hedged] = running.runtime().tried();
-            ClusterAttempts { cluster: name.clone(), timed_out, hedged }
+            let counts = running.runtime().attempt_counts();
+            ClusterAttempts {
+                cluster: name.clone(),
+                timed_out: counts.timed_out,
+                hedged: counts.hedged,
+            }
         });
         attempts.collect()
     }
--- a/crates/mintshelf/src/explain/settings.rs
+++ b/crates/mintshelf/src/explain/settings.rs
@@ -7,7 +7,7 @@
 use mintshelf_balancer::api::Effect;
 use mintshelf_config::balancer::effective_timeout;
 use mintshelf_config::model::{Class, Cluster, Route, RouteAction, WebSocket};
-use mintshelf_proxy::plain::effect_of;
+use mintshelf_proxy::gateway::classify::effect_of;
 use mintshelf_retry::duration::format_nanos;
 use mintshelf_websocket::session::Resume;
 use std::time::Duration;
--- a/crates/mintshelf/src/metrics.rs
+++ b/crates/mintshelf/src/metrics.rs
@@ -78,13 +78,13 @@
 }
 
 fn register_requests(registry: &mut Registry, daemon: &Daemon) {
-    let statuses = daemon.stats.statuses.borrow();
+    let statuses = daemon.stats.responses.borrow();
     let statuses = statuses.iter().map(|(status, count)| (status.to_string(), *count));
     let answers = metric("answers", "Answers to clients, by status");
     register_counters(registry, answers, "status", statuses);
     let requests = metric("requests", "Requests by route");
     register_counters(registry, requests, "route", daemon.requests_by_route());
-    let rejections = daemon.stats.refusals.borrow();
+    let rejections = daemon.stats.rejections.borrow();
     let rejections = rejections.iter().map(|(code, count)| (code.to_string(), *count));
     let refusals = metric("refusals", "Errors of this side's own, by code");
     register_counters(registry, refusals, "code", rejections);
@@ -130,7 +130,7 @@
 }
 
 fn register_limits(registry: &mut Registry, daemon: &Daemon) {
-    let usage = daemon.admission.levels();
+    let usage = daemon.admission.usage();
     let tenants = usage.tenants.into_iter();
     let tenants = tenants.map(|usage| (usage.tenant, i64::from(usage.in_flight)));
     let tenant_requests = metric("tenant_requests", "Requests under way, by tenant");
--- a/crates/mintshelf/src/platform.rs
+++ b/crates/mintshelf/src/platform.rs
@@ -1,14 +1,17 @@
 //! The platform's sidecar: configured by `RELAY_CONFIG`, with its endpoints from discovery.
 
 use mintshelf_config::platform::{ConfigError, PlatformConfig};
-use mintshelf_proxy::clients::{Clients, Patience};
-use mintshelf_proxy::driver::{Driver, Spec};
-use mintshelf_proxy::inbound::{listen, Inbound};
-use mintshelf_proxy::limits::Limits;
-use mintshelf_proxy::link::Most;
-use mintshelf_proxy::peers::Peers;
-use mintshelf_proxy::platform::Platform;
-use mintshelf_proxy::upstream::{Connections, Style};
+use mintshelf_proxy::budget::ResourceBudget;
+use mintshelf_proxy::client::connection::ClientTimeouts;
+use mintshelf_proxy::client::listener::{listen, ClientListener};
+use mintshelf_proxy::client::registry::Clients;
+use mintshelf_proxy::cluster::peers::PeerGossip;
+use mintshelf_proxy::cluster::runtime::ClusterRuntime;
+use mintshelf_proxy::cluster::spec::{ClusterSpec, DiscoverySpec};
+use mintshelf_proxy::platform::handler::PlatformHandler;
+use mintshelf_proxy::upstream::connection_limits::ClusterLimits;
+use mintshelf_proxy::upstream::pool::ConnectionPool;
+use mintshelf_proxy::upstream::response::UpstreamProtocol;
 use std::io;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
@@ -82,7 +85,7 @@
 
 /// The sockets that the configuration names.
 struct Sockets {
-    peers: Option<Peers>,
+    peers: Option<PeerGossip>,
     listener: TcpListener,
 }
 
@@ -96,7 +99,7 @@
             None => None,
             Some(address) => {
                 let peers = config.peers.clone();
-                let bound = Peers::bind(address, peers, config.broadcast_address).await;
+                let bound = PeerGossip::bind(address, peers, config.broadcast_address).await;
                 Some(bound.map_err(failed("peer_listen"))?)
             }
         };
@@ -116,22 +119,22 @@
     // Registered before anything is opened, so that an early SIGTERM does not kill the process.
     let mut signals = Signals::register()?;
     let Sockets { peers, listener } = Sockets::bind(&file, &config).await?;
-    let budget = Limits::new(config.file_descriptors, config.memory_bytes);
+    let budget = ResourceBudget::new(config.file_descriptors, config.memory_bytes);
     let draining = CancellationToken::new();
     let longest_deadline = longest_deadline(&config);
-    let runtime = Driver::start(cluster_spec(&config, peers), Connections::new(&budget));
+    let runtime = ClusterRuntime::start(cluster_spec(&config, peers), ConnectionPool::new(&budget));
     let PlatformConfig { name, listen, settings, names, .. } = config;
-    let handler = Platform::new(runtime.clone(), settings, names, &budget);
+    let handler = PlatformHandler::new(runtime.clone(), settings, names, &budget);
     let clients = Rc::new(Clients::default());
     let timeouts = client_timeouts(longest_deadline);
     let inbound =
-        Inbound::new(handler.clone(), clients.clone(), &budget, timeouts, draining.clone());
+        ClientListener::new(handler.clone(), clients.clone(), &budget, timeouts, draining.clone());
     eprintln!("mintshelf: {name} listening on {listen}");
     let shutdown = async {
         signals.terminate.recv().await;
         draining.cancel();
         let min_duration = longest_deadline + MIN_SHUTDOWN_EXTRA;
-        tokio::join!(handler.end(longest_deadline), sleep(min_duration));
+        tokio::join!(handler.shut_down(longest_deadline), sleep(min_duration));
         while !clients.is_empty() {
             sleep(IDLE_CHECK_INTERVAL).await;
         }
@@ -150,39 +153,47 @@
     Duration::from_nanos(deadlines.max().unwrap_or(0))
 }
 
-fn client_timeouts(longest_deadline: Duration) -> Patience {
-    Patience {
+fn client_timeouts(longest_deadline: Duration) -> ClientTimeouts {
+    ClientTimeouts {
         receive: RECEIVE_TIMEOUT,
         idle: IDLE_TIMEOUT,
         busy: longest_deadline + RESPONSE_READ_TIME,
-        by_progress: false,
-        half_close: false,
+        is_extended_by_progress: false,
+        allows_half_close: false,
     }
 }
 
-fn cluster_spec(config: &PlatformConfig, peers: Option<Peers>) -> Spec {
-    Spec {
-        return_ramp: None,
-        tries: Vec::new(),
-        most: Most::default(),
+fn cluster_spec(config: &PlatformConfig, peers: Option<PeerGossip>) -> ClusterSpec {
+    ClusterSpec {
+        recovery_ramp: None,
+        retry_policies: Vec::new(),
+        connection_limits: ClusterLimits::default(),
         socket_weight: 0.0,
         name: None,
         settings: config.settings.clone(),
         names: config.names.clone(),
         seed: config.seed,
-        style: Style::Platform,
+        protocol: UpstreamProtocol::Platform,
         peers,
-        discovery: Some((config.discovery, config.cached_list.clone())),
+        discovery: Some(DiscoverySpec {
+            address: config.discovery,
+            cached_list: config.cached_list.clone(),
+        }),
     }
 }
 
 /// Reads the configuration again at each SIGHUP; of a valid one the address of discovery is applied.
-async fn reload_on_signal(hangup: &mut Signal, file: &Path, name: &str, runtime: &Rc<Driver>) {
+async fn reload_on_signal(
+    hangup: &mut Signal,
+    file: &Path,
+    name: &str,
+    runtime: &Rc<ClusterRuntime>,
+) {
     while hangup.recv().await.is_some() {
         match PlatformConfig::read(file) {
             Ok(config) => {
                 eprintln!("mintshelf: {name} reloads; discovery is {}", config.discovery);
-                runtime.move_discovery(config.discovery);
+                runtime.set_discovery_address(config.discovery);
             }
             Err(error) => eprintln!("mintshelf: not reloaded: {error}"),
         }
--- a/crates/mintshelf/src/service.rs
+++ b/crates/mintshelf/src/service.rs
@@ -4,7 +4,7 @@
 use crate::config_file;
 use crate::daemon::{Daemon, ReloadError};
 use crate::fleet::{self, StartError};
-use mintshelf_proxy::inbound::listen;
+use mintshelf_proxy::client::listener::listen;
 use std::io;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
--- /dev/null
+++ b/crates/proxy/src/client/closing.rs
@@ -0,0 +1,105 @@
+//! When a client's connection is closed from this side, and how.
+
+use super::connection::{Client, Phase};
+use crate::tcp::{is_reset, SharedStream};
+use std::future::poll_fn;
+use std::task::Poll;
+use std::time::Duration;
+use tokio::time::{sleep, sleep_until, Instant};
+use tokio_util::sync::CancellationToken;
+
+/// What a client has from its response on to read it, before its connection makes room.
+const READ_TIME: Duration = Duration::from_millis(20);
+/// How often a connection that is to be closed is looked at for bytes that wait to be read.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Idle connections are closed this long after SIGTERM. By then no new ones come,
+/// and what a client sends just then it can send again elsewhere.
+const WIND_DOWN: Duration = Duration::from_millis(450);
+
+/// How a connection is closed.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum CloseMode {
+    /// After its client has read all.
+    Graceful,
+    /// At once: its client can't be told anything, or would not read it.
+    Immediate,
+}
+
+/// Waits until a connection is dead, evicted, or idle during the shutdown; how it is to be
+/// closed. What a client sends in that very moment would be met by a reset, and take
+/// a response with it that the client has not read yet: so bytes that wait are read first.
+pub(super) async fn close_due(client: &Client, draining: &CancellationToken) -> CloseMode {
+    tokio::select! {
+        () = timed_out(client) => {}
+        () = evicted(client) => {}
+        () = shut_down(client, draining) => {}
+    }
+    match client.phase() {
+        // Its request has no response, or its response is not read, and never will be.
+        Phase::Busy => CloseMode::Immediate,
+        _ => CloseMode::Graceful,
+    }
+}
+
+async fn timed_out(client: &Client) {
+    loop {
+        if client.dead_at() > Instant::now() {
+            sleep_until(client.dead_at()).await;
+        } else if client.phase() == Phase::Idle && client.has_pending() {
+            sleep(POLL_INTERVAL).await;
+        } else {
+            return;
+        }
+    }
+}
+
+async fn evicted(client: &Client) {
+    client.eviction.cancelled().await;
+    // A request that came meanwhile is served first.
+    quiet(client, |phase| phase <= Phase::Idle).await;
+}
+
+async fn shut_down(client: &Client, draining: &CancellationToken) {
+    draining.cancelled().await;
+    sleep(WIND_DOWN).await;
+    quiet(client, |phase| phase == Phase::Idle).await;
+}
+
+/// Waits until a connection's phase fits and no bytes wait on it to be read: those are served
+/// first.
+async fn quiet(client: &Client, is_fit: impl Fn(Phase) -> bool) {
+    while !is_fit(client.phase()) || client.has_pending() {
+        sleep(POLL_INTERVAL).await;
+    }
+}
+
+/// Waits until the client has reset a connection that is served to its end, which the HTTP library
+/// does not look for while a request is open. Never ends where clients may not half-close:
+/// there the end of their sending is enough.
+pub(super) async fn reset_by_client(
+    stream: &SharedStream,
+    client: &Client,
+    allows_half_close: bool,
+) {
+    poll_fn(|cx| {
+        if !allows_half_close || client.phase() != Phase::Busy {
+            return Poll::Pending;
+        }
+        let is_ready = stream.borrow().poll_read_ready(cx).is_ready();
+        if is_ready && is_reset(stream) {
+            Poll::Ready(())
+        } else {
+            Poll::Pending
+        }
+    })
+    .await
+}
+
+/// When a client has had the time to read its last response: at once if there was none.
+pub(super) fn read_deadline(client: &Client) -> Instant {
+    match client.phase() {
+        Phase::New if client.eviction.is_cancelled() => Instant::now(),
+        Phase::Idle => client.phase_since() + READ_TIME,
+        _ => Instant::now() + READ_TIME,
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/cluster/state.rs
@@ -0,0 +1,66 @@
+//! The decision module with everything that is open, changed in one turn at a time.
+
+use super::pending_requests::PendingRequests;
+use super::request::RequestOutcome;
+use super::timers::TimerQueue;
+use mintshelf_balancer::api::{Class, Effect, Event, Nanos, RequestId};
+use mintshelf_balancer::decide::Balancer;
+use mintshelf_retry::shutdown::{FinalResponse, ShutdownDeadlines};
+use std::collections::VecDeque;
+
+/// What the turns of a cluster's runtime change.
+pub(crate) struct RuntimeState {
+    pub(crate) balancer: Balancer,
+    pub(crate) requests: PendingRequests,
+    /// Events that the module has not handled yet.
+    pub(crate) events: VecDeque<Event>,
+    pub(crate) timers: TimerQueue,
+}
+
+impl RuntimeState {
+    /// A cluster without open requests.
+    pub(crate) fn new(balancer: Balancer) -> Self {
+        RuntimeState {
+            balancer,
+            requests: PendingRequests::default(),
+            events: VecDeque::new(),
+            timers: TimerQueue::default(),
+        }
+    }
+
+    /// Rejects a request, with what is known of its attempts.
+    pub(crate) fn reject(&mut self, id: &RequestId, retry_after: Nanos) {
+        let ran_at = self.requests.get(id).and_then(|request| request.ran_at());
+        drop(self.requests.conclude(id, RequestOutcome::Rejected { retry_after, ran_at }));
+    }
+
+    /// Gives every request that still waits its final outcome: whether that class may be told to
+    /// retry depends on whether it may have run. Rejected clients may retry `after` nanoseconds.
+    pub(crate) fn conclude_all(&mut self, classes: &[Class], retry_after: Nanos) {
+        for request in self.requests.waiting() {
+            let class = classes.get(request.class);
+            let effect = class.map_or(Effect::Unsafe, |class| class.effect);
+            let ran_at = request.ran_at;
+            let outcome = match ShutdownDeadlines::final_response(effect, ran_at.is_some()) {
+                FinalResponse::Reject => RequestOutcome::Rejected { retry_after, ran_at },
+                FinalResponse::Fail => RequestOutcome::Failed { timed_out: false },
+            };
+            self.abort(&request.id, outcome);
+        }
+    }
+
+    /// Ends a request that the module has not ended.
+    pub(crate) fn abort(&mut self, id: &RequestId, outcome: RequestOutcome) {
+        drop(self.requests.conclude(id, outcome));
+        self.events.push_back(Event::ClientDisconnected { id: id.clone() });
+    }
+
+    /// Records that a client disconnected before its response; whether it still waited.
+    pub(crate) fn client_disconnected(&mut self, id: &RequestId) -> bool {
+        let was_waiting = self.requests.client_disconnected(id);
+        if was_waiting {
+            self.events.push_back(Event::ClientDisconnected { id: id.clone() });
+        }
+        was_waiting
+    }
+}
--- a/crates/proxy/src/discovery/client.rs
+++ b/crates/proxy/src/discovery/client.rs
@@ -1,6 +1,6 @@
 //! HTTP client for the discovery service: one request at a time on one connection.
 
-use crate::socket::{Socket, Watcher};
+use crate::tcp::{ObservedStream, TrafficObserver};
 use bytes::Bytes;
 use http_body_util::Empty;
 use hyper::body::{Body, Incoming};
@@ -51,9 +51,9 @@
 }
 
 struct NoWatcher;
-impl Watcher for NoWatcher {}
+impl TrafficObserver for NoWatcher {}
 
-type HttpConnection = Connection<TokioIo<Socket<NoWatcher>>, Empty<Bytes>>;
+type HttpConnection = Connection<TokioIo<ObservedStream<NoWatcher>>, Empty<Bytes>>;
 
 /// A connection to the service, reused for several requests.
 struct DiscoveryConnection {
@@ -66,7 +66,7 @@
     async fn open(address: SocketAddr) -> Option<Self> {
         let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await.ok()?.ok()?;
         stream.set_nodelay(true).ok()?;
-        let socket = Socket::new(Rc::new(stream.into()), Rc::new(NoWatcher), Bytes::new());
+        let socket = ObservedStream::new(Rc::new(stream.into()), Rc::new(NoWatcher), Bytes::new());
         let (sender, connection) = handshake(TokioIo::new(socket)).await.ok()?;
         Some(DiscoveryConnection { sender, connection: Box::pin(connection), is_open: true })
     }
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -4,7 +4,7 @@
 pub mod list;
 pub mod reader;
 
-use crate::endpoints::ListSink;
+use crate::endpoints::EndpointListObserver;
 use client::{DiscoveryClient, ReceivedBody};
 use list::EndpointList;
 use mintshelf_balancer::api::ListKind;
@@ -52,7 +52,7 @@
     }
 
     /// Passes on the list that the configuration has cached.
-    pub fn load_cached_list(&self, text: Option<&str>, observer: &impl ListSink) {
+    pub fn load_cached_list(&self, text: Option<&str>, observer: &impl EndpointListObserver) {
         let servers = text.and_then(|text| self.reader.borrow_mut().apply_cached(text));
         observer.listed(ListKind::Cached, self.revision(), servers.unwrap_or_default());
     }
@@ -66,7 +66,7 @@
     }
 
     /// Watches until a call fails.
-    pub async fn watch(self: Rc<Self>, observer: impl ListSink) {
+    pub async fn watch(self: Rc<Self>, observer: impl EndpointListObserver) {
         let mut client = self.connect();
         let mut watch = WatchState::default();
         loop {
@@ -86,7 +86,7 @@
     }
 
     /// Fetches the complete list once.
-    pub async fn fetch(self: Rc<Self>, observer: impl ListSink) {
+    pub async fn fetch(self: Rc<Self>, observer: impl EndpointListObserver) {
         let mut client = self.connect();
         let response = client.fetch_list().await;
         let outcome = self.handle_response(&mut client, &observer, response).await;
@@ -96,7 +96,7 @@
     }
 
     /// Follows an agent that lists are pushed to. A poll without a response is no failure there.
-    pub async fn follow_agent(self: Rc<Self>, observer: impl ListSink) {
+    pub async fn follow_agent(self: Rc<Self>, observer: impl EndpointListObserver) {
         let mut client = self.connect();
         loop {
             if client.address() != self.address.get() {
@@ -111,7 +111,7 @@
         }
     }
 
-    fn report_failure(&self, observer: &impl ListSink) {
+    fn report_failure(&self, observer: &impl EndpointListObserver) {
         observer.listed(ListKind::Failed, self.revision(), Vec::new());
     }
 
@@ -122,7 +122,7 @@
     async fn handle_response(
         &self,
         client: &mut DiscoveryClient,
-        observer: &impl ListSink,
+        observer: &impl EndpointListObserver,
         mut response: ReceivedBody,
     ) -> CallOutcome {
         loop {
@@ -142,7 +142,12 @@
         }
     }
 
-    fn apply(&self, list: EndpointList, response: &ReceivedBody, observer: &impl ListSink) {
+    fn apply(
+        &self,
+        list: EndpointList,
+        response: &ReceivedBody,
+        observer: &impl EndpointListObserver,
+    ) {
         let is_valid = list.is_well_formed && response.is_complete;
         let update = self.reader.borrow_mut().apply(list, response.is_complete);
         if is_valid || !update.servers.is_empty() {
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,34 +1,31 @@
-//! Sockets: events into the decision module, actions out of it. No decisions here.
+//! Sockets of the sidecar: clients, servers, discovery and peers.
+//!
+//! Events go into the decision module (`mintshelf-balancer`) and its actions come out: nothing is
+//! decided here. Everything runs on one thread in a `tokio::task::LocalSet`.
+//!
+//! - [`client`]: accepts clients' connections and hands their requests to a handler.
+//! - [`gateway`]: the handler of ordinary HTTP/1.1. The stages of a request are listed in
+//!   `gateway/forward.rs`: classify, admit, rewrite, read, balance, respond.
+//! - [`platform`]: the handler of the platform's protocol.
+//! - [`cluster`]: the runtime of one cluster, around its instance of the decision module.
+//! - [`upstream`]: connections to servers and the exchanges on them.
+//! - [`websocket`]: WebSocket connections, from their handshake on.
+//! - [`discovery`]: where the endpoints come from.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 pub mod body;
-pub mod clients;
+pub mod budget;
+pub mod client;
 pub mod clock;
+pub mod cluster;
 pub mod discovery;
-pub mod driver;
-pub mod edits;
 pub mod endpoints;
-pub mod front;
-pub mod gates;
-pub mod inbound;
-pub mod limits;
-pub mod link;
-pub mod message;
-pub mod notes;
-pub mod open;
-pub mod peers;
-pub mod plain;
+pub mod gateway;
+pub mod headers;
 pub mod platform;
-pub mod probe;
-pub mod refusal;
-pub mod scan;
-pub mod seat;
-pub mod socket;
-mod socket_connector;
-pub mod stream;
-pub mod trying;
+pub mod request_log;
+pub mod tcp;
 pub mod upstream;
 pub mod websocket;
-pub mod weights;
--- /dev/null
+++ b/crates/proxy/src/platform/handler.rs
@@ -0,0 +1,192 @@
+//! The platform's requests in front of its one cluster, each from its head to the response.
+
+use super::metadata::{missing_transaction_id, read_metadata, TRANSACTION_ID};
+use super::rejection::RejectedRequest;
+use super::request_body::read_body;
+use crate::budget::ResourceBudget;
+use crate::client::connection::{Client, Phase};
+use crate::client::handler::{ClientRequest, RequestHandler, ResponseBody};
+use crate::clock::nanos;
+use crate::cluster::request::{RequestMetadata, RequestOutcome, UpstreamRequest};
+use crate::cluster::runtime::ClusterRuntime;
+use crate::headers::{strip_hop_by_hop, HEADERS_MAX};
+use bytes::Bytes;
+use hyper::body::Incoming;
+use hyper::header::{self, HeaderValue};
+use hyper::http::request::Parts;
+use hyper::{Request, Response, StatusCode, Version};
+use mintshelf_balancer::api::{Nanos, Settings};
+use mintshelf_config::platform::Names;
+use mintshelf_retry::shutdown::ShutdownDeadlines;
+use std::cell::Cell;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::sync::Semaphore;
+use tokio::time::sleep_until;
+
+/// Path that answers whether this sidecar takes requests.
+const READY_PATH: &str = "/-/ready";
+/// A client that is rejected during the shutdown may retry after this, in nanoseconds: the next
+/// process has started by then.
+const RESTART_RETRY_AFTER: Nanos = 1_000_000_000;
+const NANOS_PER_SECOND: f64 = 1e9;
+
+/// Responds to requests as the platform's application sends them.
+pub struct PlatformHandler {
+    runtime: Rc<ClusterRuntime>,
+    settings: Settings,
+    names: Names,
+    body_budget: Arc<Semaphore>,
+    /// Absent until the shutdown is announced.
+    shutdown: Cell<Option<ShutdownDeadlines>>,
+}
+
+impl PlatformHandler {
+    /// In front of a cluster.
+    pub fn new(
+        runtime: Rc<ClusterRuntime>,
+        settings: Settings,
+        names: Names,
+        budget: &ResourceBudget,
+    ) -> Rc<Self> {
+        let body_budget = budget.bodies.clone();
+        let shutdown = Cell::new(None);
+        Rc::new(PlatformHandler { runtime, settings, names, body_budget, shutdown })
+    }
+
+    /// Announces the shutdown, of classes whose longest deadline is this; all open requests
+    /// get their final responses in the time that is left. Returns when they have.
+    pub async fn shut_down(&self, longest_deadline: Duration) {
+        let clock = self.runtime.clock();
+        let deadlines = ShutdownDeadlines::new(clock.now(), nanos(longest_deadline));
+        self.shutdown.set(Some(deadlines));
+        sleep_until(clock.instant(deadlines.final_response_at())).await;
+        self.runtime.conclude_all(self.restart_retry_after());
+    }
+
+    fn restart_retry_after(&self) -> Nanos {
+        RESTART_RETRY_AFTER.min(self.settings.max_retry_after)
+    }
+
+    /// Reads a request completely and gets it its final outcome. The stages of its way: its head,
+    /// its body, the shutdown's deadlines, the decision module. The client has waited for up to
+    /// `queued` since it sent the request.
+    async fn handle(
+        &self,
+        client: &Rc<Client>,
+        request: Request<Incoming>,
+        queued: Duration,
+    ) -> Result<RequestOutcome, RejectedRequest> {
+        let (mut head, mut body) = request.into_parts();
+        if client.scanner.borrow_mut().next_head().is_framed_twice() {
+            return Err(RejectedRequest::bad_request("Content-Length and Transfer-Encoding\n"));
+        }
+        let mut metadata = read_metadata(&head.headers, &self.settings, &self.names)?;
+        metadata.client_timeout = metadata.client_timeout.saturating_sub(nanos(queued));
+        let transaction_id = head.headers.get(TRANSACTION_ID).cloned();
+        let transaction_id = transaction_id.ok_or_else(missing_transaction_id)?;
+        let body = read_body(&self.body_budget, &mut body, metadata.client_timeout).await?;
+        client.enter(Phase::Busy);
+        rewrite_head(&mut head)?;
+        if let Some(rejected) = self.apply_shutdown(&mut metadata) {
+            return Ok(rejected);
+        }
+        let request = UpstreamRequest {
+            request: Request::from_parts(head, body.body),
+            transaction_id: Some(transaction_id),
+            body_permit: body.permit,
+            client: Some(client.clone()),
+        };
+        let outcome = self.runtime.serve(metadata, request).await;
+        outcome
+            .ok_or(RejectedRequest::new(StatusCode::CONFLICT, "X-Txn is that of an open request\n"))
+    }
+
+    /// Shortens a client's wait to what the shutdown leaves; the rejection where that is nothing.
+    fn apply_shutdown(&self, metadata: &mut RequestMetadata) -> Option<RequestOutcome> {
+        let deadlines = self.shutdown.get()?;
+        let now = self.runtime.clock().now();
+        match deadlines.limit_timeout(now, metadata.client_timeout) {
+            Some(client_timeout) => {
+                metadata.client_timeout = client_timeout;
+                None
+            }
+            None => {
+                let retry_after = self.restart_retry_after();
+                Some(RequestOutcome::Rejected { retry_after, ran_at: None })
+            }
+        }
+    }
+}
+
+/// Makes a request's head what servers get.
+fn rewrite_head(head: &mut Parts) -> Result<(), RejectedRequest> {
+    strip_hop_by_hop(&mut head.headers);
+    head.version = Version::HTTP_11;
+    let path = head.uri.path_and_query().map_or("/", |path| path.as_str());
+    head.uri = path.parse().map_err(|_| RejectedRequest::bad_request("path\n"))?;
+    Ok(())
+}
+
+impl RequestHandler for PlatformHandler {
+    const HEADERS_MAX: Option<usize> = Some(HEADERS_MAX);
+
+    async fn respond(self: Rc<Self>, request: ClientRequest) -> Response<ResponseBody> {
+        let ClientRequest { client, request, is_draining } = request;
+        let queued = client.take_queued();
+        if request.uri().path() == READY_PATH {
+            return ready_response(is_draining);
+        }
+        match self.handle(&client, request, queued).await {
+            Ok(outcome) => outcome_response(outcome),
+            Err(rejected) => rejected_response(&rejected),
+        }
+    }
+}
+
+fn ready_response(is_draining: bool) -> Response<ResponseBody> {
+    if is_draining {
+        text_response(StatusCode::SERVICE_UNAVAILABLE, Bytes::from_static(b"draining\n"))
+    } else {
+        text_response(StatusCode::OK, Bytes::from_static(b"ready\n"))
+    }
+}
+
+fn outcome_response(outcome: RequestOutcome) -> Response<ResponseBody> {
+    match outcome {
+        RequestOutcome::Served(served) => {
+            let mut response = text_response(StatusCode::OK, served.body.into_bytes());
+            *response.headers_mut() = served.headers;
+            strip_hop_by_hop(response.headers_mut());
+            response
+        }
+        RequestOutcome::Rejected { retry_after, .. } | RequestOutcome::Paced(retry_after) => {
+            let body = Bytes::from_static(b"refused\n");
+            let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, body);
+            let seconds = format!("{:.3}", retry_after as f64 / NANOS_PER_SECOND);
+            let seconds = HeaderValue::from_str(&seconds).ok();
+            if let Some(seconds) = seconds.filter(|_| retry_after > 0) {
+                response.headers_mut().insert(header::RETRY_AFTER, seconds);
+            }
+            response
+        }
+        RequestOutcome::Failed { .. } => {
+            text_response(StatusCode::BAD_GATEWAY, Bytes::from_static(b"failed\n"))
+        }
+    }
+}
+
+/// The response to a request that breaks the protocol: what comes behind it on its connection
+/// can't be trusted either.
+fn rejected_response(rejected: &RejectedRequest) -> Response<ResponseBody> {
+    let mut response = text_response(rejected.status, rejected.body());
+    response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
+    response
+}
+
+fn text_response(status: StatusCode, body: Bytes) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::buffered(body));
+    *response.status_mut() = status;
+    response
+}
--- a/crates/proxy/src/socket.rs
+++ b/crates/proxy/src/tcp.rs
@@ -1,5 +1,5 @@
-//! A TCP socket whose traffic can be watched, and which can be looked at and
-//! closed with care, while an HTTP library owns its other end.
+//! TCP streams whose traffic can be observed, and which can be inspected and closed
+//! gracefully, while an HTTP library reads and writes them.
 
 use bytes::{Buf, Bytes};
 use socket2::SockRef;
@@ -16,8 +16,8 @@
 use tokio::net::TcpStream;
 use tokio::time::{timeout_at, Instant};
 
-/// Learns what passes through a socket.
-pub trait Watcher {
+/// Learns what passes through a stream.
+pub trait TrafficObserver {
     /// These bytes were read; none at the end.
     fn read(&self, _bytes: &[u8]) {}
     /// The kernel took these bytes.
@@ -27,25 +27,25 @@
 }
 
 /// A stream that the library uses while others look at it; never borrowed over a wait.
-pub type Stream = Rc<RefCell<TcpStream>>;
+pub type SharedStream = Rc<RefCell<TcpStream>>;
 
-/// The socket as the HTTP library sees it.
+/// A stream as the HTTP library sees it, which reports its traffic.
 #[derive(Debug)]
-pub struct Socket<W> {
-    stream: Stream,
-    watcher: Rc<W>,
-    /// Bytes that are to be read before the socket's own.
+pub struct ObservedStream<O> {
+    stream: SharedStream,
+    observer: Rc<O>,
+    /// Bytes that are read before the stream's own.
     prefix: Bytes,
 }
 
-impl<W> Socket<W> {
+impl<O> ObservedStream<O> {
     /// Wraps a stream; `prefix` is read first.
-    pub fn new(stream: Stream, watcher: Rc<W>, prefix: Bytes) -> Self {
-        Socket { stream, watcher, prefix }
+    pub fn new(stream: SharedStream, observer: Rc<O>, prefix: Bytes) -> Self {
+        ObservedStream { stream, observer, prefix }
     }
 }
 
-impl<W: Watcher> AsyncRead for Socket<W> {
+impl<O: TrafficObserver> AsyncRead for ObservedStream<O> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -55,31 +55,31 @@
             let count = self.prefix.remaining().min(buf.remaining());
             let bytes = self.prefix.split_to(count);
             buf.put_slice(&bytes);
-            self.watcher.read(&bytes);
+            self.observer.read(&bytes);
             return Poll::Ready(Ok(()));
         }
-        // The stream's own way: it knows from a short read that no more is there, and
-        // saves asking the kernel again.
+        // By the stream's own method: it knows from a short read that no more is there, and
+        // saves a further call of the kernel.
         let before = buf.filled().len();
         ready!(Pin::new(&mut *self.stream.borrow_mut()).poll_read(cx, buf))?;
-        self.watcher.read(&buf.filled()[before..]);
+        self.observer.read(&buf.filled()[before..]);
         Poll::Ready(Ok(()))
     }
 }
 
-impl<W: Watcher> AsyncWrite for Socket<W> {
+impl<O: TrafficObserver> AsyncWrite for ObservedStream<O> {
     fn poll_write(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let count = ready!(Pin::new(&mut *self.stream.borrow_mut()).poll_write(cx, bytes))?;
-        self.watcher.wrote(&bytes[..count]);
+        self.observer.wrote(&bytes[..count]);
         Poll::Ready(Ok(count))
     }
 
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        self.watcher.flushed();
+        self.observer.flushed();
         Poll::Ready(Ok(()))
     }
 
@@ -99,20 +99,20 @@
     End,
 }
 
-/// Asks the kernel itself, since the reactor may not have heard yet.
-pub fn pending(stream: &Stream) -> Pending {
+/// What waits to be read, as the kernel has it: the reactor may not have reported it yet.
+pub fn pending(stream: &SharedStream) -> Pending {
     let mut byte = [MaybeUninit::uninit()];
     match SockRef::from(&*stream.borrow()).peek(&mut byte) {
         Ok(0) => Pending::End,
         Ok(_) => Pending::Bytes,
-        Err(e) if e.kind() == io::ErrorKind::WouldBlock => Pending::Nothing,
+        Err(error) if error.kind() == io::ErrorKind::WouldBlock => Pending::Nothing,
         Err(_) => Pending::End,
     }
 }
 
 /// Whether the other side has ended its sending or reset the connection, also where bytes that
 /// it sent before still wait to be read: a look at those alone would not show it.
-pub fn has_ended(stream: &Stream) -> bool {
+pub fn has_ended(stream: &SharedStream) -> bool {
     match pending(stream) {
         Pending::End => true,
         Pending::Nothing => false,
@@ -126,7 +126,7 @@
 }
 
 /// Whether the other side has reset the connection: it can't take an answer any more.
-pub fn is_reset(stream: &Stream) -> bool {
+pub fn is_reset(stream: &SharedStream) -> bool {
     let mut byte = [MaybeUninit::uninit()];
     let peeked = SockRef::from(&*stream.borrow()).peek(&mut byte);
     peeked.is_err_and(|error| error.kind() != io::ErrorKind::WouldBlock)
@@ -136,28 +136,30 @@
 const LINGER: Duration = Duration::from_secs(1);
 /// Most bytes that are read and dropped meanwhile.
 const LINGER_BYTES: usize = 1 << 20;
+/// Bytes that are read and dropped at one time.
+const LINGER_BUFFER: usize = 4096;
 
-/// Ends sending, then reads what still comes, for a while. Danger: a socket
-/// closed with bytes unread is reset, and the reset may destroy an answer that
-/// the peer has not read yet.
-pub async fn close_gently(stream: &Stream) {
+/// Ends sending, then reads and drops what still arrives, for a bounded time: a socket
+/// closed with bytes unread is reset, and the reset may destroy a response that
+/// the peer has not read yet (RFC 9112 9.6).
+pub async fn close_gracefully(stream: &SharedStream) {
     if SockRef::from(&*stream.borrow()).shutdown(Shutdown::Write).is_err() {
         return;
     }
-    let until = Instant::now() + LINGER;
+    let deadline = Instant::now() + LINGER;
     // Not in the future itself: that lives as long as the connection does.
-    let mut scratch = vec![0; 4096];
-    let mut left = LINGER_BYTES;
-    while left > 0 {
+    let mut scratch = vec![0; LINGER_BUFFER];
+    let mut remaining_bytes = LINGER_BYTES;
+    while remaining_bytes > 0 {
         let readable = poll_fn(|cx| stream.borrow().poll_read_ready(cx));
-        match timeout_at(until, readable).await {
+        match timeout_at(deadline, readable).await {
             Ok(Ok(())) => {}
             _ => return,
         }
         match stream.borrow().try_read(&mut scratch) {
             Ok(0) => return,
-            Ok(count) => left = left.saturating_sub(count),
-            Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
+            Ok(count) => remaining_bytes = remaining_bytes.saturating_sub(count),
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
             Err(_) => return,
         }
     }
--- /dev/null
+++ b/crates/proxy/src/upstream/connection.rs
@@ -0,0 +1,230 @@
+//! One connection to a server, and one exchange at a time on it.
+
+use super::connection_limits::ConnectionPermit;
+use super::request_body::RequestBody;
+use super::write_progress::WriteProgress;
+use crate::tcp::{pending, ObservedStream, Pending, SharedStream};
+use bytes::{Bytes, BytesMut};
+use hyper::body::{Body, Incoming};
+use hyper::client::conn::http1::{Connection, SendRequest};
+use hyper::{Request, Response, StatusCode};
+use hyper_util::rt::TokioIo;
+use mintshelf_balancer::api::{Outcome, ServerId};
+use std::future::{poll_fn, Future};
+use std::net::SocketAddr;
+use std::pin::{pin, Pin};
+use std::rc::Rc;
+use std::task::{Context, Poll};
+use std::time::Duration;
+use tokio::sync::OwnedSemaphorePermit;
+use tokio::time::{sleep_until, timeout, Instant};
+
+/// A response that pauses half-way for this long will not be completed. Servers write one
+/// in one go, so this catches lengths that are too long, heads that don't end and
+/// servers cut off while they write; it would harm one that writes bit by bit.
+const RESPONSE_STALL: Duration = Duration::from_millis(400);
+
+/// The HTTP library's half of a connection, which has to be polled for anything to pass.
+pub(crate) type ConnectionDriver = Connection<TokioIo<ObservedStream<WriteProgress>>, RequestBody>;
+
+/// A server and where it listens.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct Target {
+    /// Its number.
+    pub server: ServerId,
+    /// Its address.
+    pub address: SocketAddr,
+}
+
+/// Which server of which cluster an idle connection leads to.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
+pub(crate) struct PoolKey {
+    pub(crate) cluster: u32,
+    pub(crate) server: ServerId,
+}
+
+/// What a connection counts in until this is dropped: the process's descriptors and the
+/// cluster's limits.
+#[derive(Debug)]
+#[must_use = "the connection counts for as long as this lives"]
+pub(crate) struct ConnectionGuards {
+    pub(crate) _descriptor: OwnedSemaphorePermit,
+    pub(crate) _connection: ConnectionPermit,
+}
+
+/// One connection. It is driven by whoever uses it, so that dropping it closes
+/// the socket then and there: no copy of a request outlives its attempt.
+pub(crate) struct UpstreamConnection {
+    pub(crate) sender: SendRequest<RequestBody>,
+    /// Absent once the library has ended the connection.
+    pub(crate) driver: Option<Pin<Box<ConnectionDriver>>>,
+    pub(crate) stream: SharedStream,
+    pub(crate) progress: Rc<WriteProgress>,
+    pub(crate) target: Target,
+    pub(crate) key: PoolKey,
+    pub(crate) idle_since: Instant,
+    pub(crate) idle_timeout: Duration,
+    pub(crate) guards: ConnectionGuards,
+}
+
+/// A connection that has left HTTP after a 101.
+pub(crate) struct UpgradedStream {
+    pub(crate) stream: SharedStream,
+    /// Bytes that were read behind the 101.
+    pub(crate) read_ahead: Bytes,
+    pub(crate) guards: ConnectionGuards,
+}
+
+impl UpstreamConnection {
+    /// Sends a request and waits for the head of its response; `may_run_early` where the server
+    /// may begin to work on it before its last byte.
+    ///
+    /// # Errors
+    /// How the attempt ended, if no head arrived.
+    pub(crate) async fn send(
+        &mut self,
+        request: Request<RequestBody>,
+        may_run_early: bool,
+    ) -> Result<Response<Incoming>, Outcome> {
+        let body_bytes = if may_run_early { 0 } else { request.body().size_hint().lower() };
+        self.send_with(request, body_bytes, drive).await
+    }
+
+    /// Sends a request that is complete with `body_bytes` of its body; `poll_driver` polls the
+    /// HTTP library.
+    async fn send_with(
+        &mut self,
+        request: Request<RequestBody>,
+        body_bytes: u64,
+        mut poll_driver: impl FnMut(&mut Option<Pin<Box<ConnectionDriver>>>, &mut Context<'_>),
+    ) -> Result<Response<Incoming>, Outcome> {
+        self.progress.expect(body_bytes);
+        let mut response = pin!(self.sender.send_request(request));
+        let driver = &mut self.driver;
+        let progress = &self.progress;
+        let response_head = poll_fn(|cx| {
+            poll_driver(driver, cx);
+            response.as_mut().poll(cx)
+        });
+        tokio::select! {
+            biased;
+            result = response_head => result.map_err(|error| outcome_of_error(progress, &error)),
+            () = response_stalled(progress) => Err(Outcome::Error),
+        }
+    }
+
+    /// Reads the body of a response to its end.
+    ///
+    /// # Errors
+    /// How the attempt ended, if the body is longer than `max_bytes`, stalls or breaks off.
+    pub(crate) async fn read_body(
+        &mut self,
+        mut body: Incoming,
+        max_bytes: usize,
+    ) -> Result<Bytes, Outcome> {
+        if body.size_hint().lower() > max_bytes as u64 {
+            return Err(Outcome::Error);
+        }
+        let mut received = BytesMut::new();
+        let read_to_end = async {
+            loop {
+                let frame = poll_fn(|cx| {
+                    drive(&mut self.driver, cx);
+                    Pin::new(&mut body).poll_frame(cx)
+                });
+                let Some(frame) = frame.await else { return Ok(()) };
+                let frame = frame.map_err(|error| outcome_of_error(&self.progress, &error))?;
+                received.extend_from_slice(&frame.into_data().unwrap_or_default());
+                if received.len() > max_bytes {
+                    return Err(Outcome::Error);
+                }
+            }
+        };
+        timeout(RESPONSE_STALL, read_to_end).await.unwrap_or(Err(Outcome::Error))?;
+        Ok(received.freeze())
+    }
+
+    /// Sends a handshake and waits for the head of its response. After a 101 the connection is
+    /// taken over by [`UpstreamConnection::into_upgraded`]; else it goes on as after
+    /// [`UpstreamConnection::send`].
+    ///
+    /// # Errors
+    /// How the attempt ended, if no head arrived.
+    pub(crate) async fn send_handshake(
+        &mut self,
+        request: Request<RequestBody>,
+    ) -> Result<Response<Incoming>, Outcome> {
+        // The library ends with the 101, and what it read behind that is still in it.
+        let mut has_ended = false;
+        let poll_driver = |driver: &mut Option<Pin<Box<ConnectionDriver>>>,
+                           cx: &mut Context<'_>| {
+            if let Some(driver) = driver.as_mut().filter(|_| !has_ended) {
+                has_ended = driver.poll_without_shutdown(cx).is_ready();
+            }
+        };
+        let response = self.send_with(request, 0, poll_driver).await?;
+        if has_ended && response.status() != StatusCode::SWITCHING_PROTOCOLS {
+            self.driver = None;
+        }
+        Ok(response)
+    }
+
+    /// The connection without the HTTP library, once that has ended with a 101.
+    pub(crate) async fn into_upgraded(self) -> Option<UpgradedStream> {
+        let mut driver = Pin::into_inner(self.driver?);
+        let ended = poll_fn(|cx| driver.poll_without_shutdown(cx));
+        timeout(RESPONSE_STALL, ended).await.ok()?.ok()?;
+        let read_ahead = driver.into_parts().read_buf;
+        Some(UpgradedStream { stream: self.stream, read_ahead, guards: self.guards })
+    }
+
+    /// Whether the connection can carry another request at once.
+    pub(crate) fn is_reusable(&mut self, cx: &mut Context<'_>) -> bool {
+        drive(&mut self.driver, cx);
+        self.driver.is_some()
+            && (self.progress.is_complete() || !self.progress.is_begun())
+            && matches!(self.sender.poll_ready(cx), Poll::Ready(Ok(())))
+    }
+
+    /// Lets the HTTP library work on the connection.
+    pub(crate) fn drive(&mut self, cx: &mut Context<'_>) {
+        drive(&mut self.driver, cx);
+    }
+
+    /// Whether an idle connection is still up, which the kernel is asked for: the reactor may not
+    /// have reported yet that its server closed or reset it.
+    pub(crate) fn is_alive(&self) -> bool {
+        let may_idle = self.idle_since.elapsed() < self.idle_timeout;
+        self.driver.is_some() && may_idle && pending(&self.stream) == Pending::Nothing
+    }
+}
+
+fn drive(driver: &mut Option<Pin<Box<ConnectionDriver>>>, cx: &mut Context<'_>) {
+    if let Some(connection) = driver {
+        if connection.as_mut().poll(cx).is_ready() {
+            *driver = None;
+        }
+    }
+}
+
+/// Waits until a response that has begun stalls.
+async fn response_stalled(progress: &WriteProgress) {
+    loop {
+        let deadline = progress.response_part_at().map(|at| at + RESPONSE_STALL);
+        match deadline {
+            Some(deadline) if deadline <= Instant::now() => return,
+            _ => sleep_until(deadline.unwrap_or(Instant::now() + RESPONSE_STALL)).await,
+        }
+    }
+}
+
+/// How an attempt ended whose exchange broke off.
+pub(crate) fn outcome_of_error(progress: &WriteProgress, error: &hyper::Error) -> Outcome {
+    if !progress.is_complete() {
+        Outcome::ConnectFailed
+    } else if error.is_parse() {
+        Outcome::Error
+    } else {
+        Outcome::Reset
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/upstream/exchange.rs
@@ -0,0 +1,217 @@
+//! One attempt at one server: a connection, a request on it and the response to that.
+
+use super::attempt_control::AttemptControl;
+use super::connection::{Target, UpstreamConnection};
+use super::connection_limits::ConnectionUse;
+use super::pool::{ConnectionBounds, Upstream};
+use super::receive::SMALL_BODY_MAX;
+use super::request_body::{RequestBody, StreamedBody};
+use super::response::{AttemptResult, UpstreamProtocol};
+use super::write_progress::WriteProgress;
+use bytes::Bytes;
+use hyper::header::{HeaderName, HeaderValue};
+use hyper::{Request, StatusCode};
+use mintshelf_balancer::api::Outcome;
+use mintshelf_websocket::handshake::HandshakeRequest;
+use std::cell::RefCell;
+use std::future::pending;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::time::{sleep_until, Instant};
+
+/// Tells a server of the platform how long this sidecar will wait, in milliseconds.
+const REMAINING_MS: HeaderName = HeaderName::from_static("x-remaining-ms");
+
+/// How long an attempt may take.
+#[derive(Debug, Clone, Copy)]
+pub struct AttemptDeadlines {
+    /// It ends then.
+    pub end: Instant,
+    /// Nothing of it is sent from then on.
+    pub send_by: Option<Instant>,
+    /// Longest wait for its connection, where that is less than the cluster's.
+    pub connect_timeout: Option<Duration>,
+    /// A connection that has been idle for longer does not carry it.
+    pub max_idle: Option<Duration>,
+}
+
+/// The progress of the connection that an attempt uses, once it has one.
+#[derive(Default)]
+struct ExchangeProgress(RefCell<Option<Rc<WriteProgress>>>);
+
+impl ExchangeProgress {
+    fn follow(&self, progress: Rc<WriteProgress>) {
+        *self.0.borrow_mut() = Some(progress);
+    }
+
+    /// Whether the server may have the complete request.
+    fn is_sent(&self) -> bool {
+        self.0.borrow().as_ref().is_some_and(|progress| progress.is_complete())
+    }
+}
+
+/// The body of a request that is streamed, and how long its client may pause.
+struct Upload {
+    body: StreamedBody,
+    stall_timeout: Duration,
+}
+
+impl Upstream {
+    /// Sends a request once, on one connection, and never again.
+    pub async fn attempt(
+        self: &Rc<Self>,
+        target: Target,
+        request: Request<RequestBody>,
+        deadlines: AttemptDeadlines,
+        control: &AttemptControl,
+    ) -> AttemptResult {
+        let progress = ExchangeProgress::default();
+        let upload = self.upload_of(&request);
+        let response_timeout = deadlines.end.saturating_duration_since(Instant::now());
+        let stopped = tokio::select! {
+            biased;
+            result = self.exchange(target, request, &progress, deadlines, control) => return result,
+            () = control.cancelled() => Outcome::Cancelled,
+            () = overdue(upload, response_timeout, deadlines.end) => Outcome::TimedOut,
+            () = unsent(&progress, deadlines.send_by) => Outcome::Unused,
+        };
+        // The exchange is dropped and its connection closed. What was not written
+        // completely by then cannot have run.
+        AttemptResult::from(match stopped {
+            stopped if progress.is_sent() || stopped == Outcome::Unused => stopped,
+            _ => Outcome::ConnectFailed,
+        })
+    }
+
+    fn upload_of(&self, request: &Request<RequestBody>) -> Option<Upload> {
+        match (request.body(), &self.protocol) {
+            (RequestBody::Streamed(body), UpstreamProtocol::Plain(protocol)) => {
+                Some(Upload { body: body.clone(), stall_timeout: protocol.stall_timeout })
+            }
+            _ => None,
+        }
+    }
+
+    async fn exchange(
+        self: &Rc<Self>,
+        target: Target,
+        mut request: Request<RequestBody>,
+        progress: &ExchangeProgress,
+        deadlines: AttemptDeadlines,
+        control: &AttemptControl,
+    ) -> AttemptResult {
+        let handshake = request.extensions().get::<Arc<HandshakeRequest>>().cloned();
+        let connection = tokio::select! {
+            biased;
+            () = control.client_left() => return Outcome::Unused.into(),
+            connection = self.connection_for(target, handshake.is_some(), deadlines) => connection,
+        };
+        let connection = match connection {
+            Ok(connection) => connection,
+            Err(outcome) => return outcome.into(),
+        };
+        control.connected();
+        // The connection may have taken so long that servers have forgotten the request's key,
+        // or that its client has disconnected.
+        let is_late = deadlines.send_by.is_some_and(|by| by <= Instant::now());
+        if is_late || control.has_client_left() {
+            self.release(connection);
+            return Outcome::Unused.into();
+        }
+        progress.follow(connection.progress.clone());
+        if self.protocol == UpstreamProtocol::Platform {
+            set_remaining(&mut request, deadlines.end);
+        }
+        match handshake {
+            Some(handshake) => self.exchange_handshake(connection, request, &handshake).await,
+            None => self.exchange_request(connection, request).await,
+        }
+    }
+
+    async fn connection_for(
+        &self,
+        target: Target,
+        is_handshake: bool,
+        deadlines: AttemptDeadlines,
+    ) -> Result<UpstreamConnection, Outcome> {
+        let AttemptDeadlines { connect_timeout, max_idle, .. } = deadlines;
+        if is_handshake {
+            // A socket takes its connection for good, and no idle one that may be closing.
+            return self.connect(target, connect_timeout, ConnectionUse::Socket).await;
+        }
+        self.acquire(target, ConnectionBounds { connect_timeout, max_idle }).await
+    }
+
+    async fn exchange_handshake(
+        self: &Rc<Self>,
+        mut connection: UpstreamConnection,
+        request: Request<RequestBody>,
+        handshake: &HandshakeRequest,
+    ) -> AttemptResult {
+        match connection.send_handshake(request).await {
+            Ok(response) if response.status() == StatusCode::SWITCHING_PROTOCOLS => {
+                self.receive_upgrade(connection, response, handshake).await
+            }
+            Ok(response) => self.receive_plain(connection, response).await,
+            Err(outcome) => outcome.into(),
+        }
+    }
+
+    async fn exchange_request(
+        self: &Rc<Self>,
+        mut connection: UpstreamConnection,
+        request: Request<RequestBody>,
+    ) -> AttemptResult {
+        // Any server but the platform's may begin a request before its last byte.
+        let is_plain = self.protocol != UpstreamProtocol::Platform;
+        match connection.send(request, is_plain).await {
+            Ok(response) if is_plain => self.receive_plain(connection, response).await,
+            Ok(response) => self.receive_platform(connection, response).await,
+            Err(outcome) => outcome.into(),
+        }
+    }
+
+    /// Sends a request without a deadline of its own; its status and short body.
+    ///
+    /// # Errors
+    /// How it ended, if no complete response arrived.
+    pub async fn get(
+        &self,
+        target: Target,
+        request: Request<RequestBody>,
+    ) -> Result<(StatusCode, Bytes), Outcome> {
+        let mut connection = self.acquire(target, ConnectionBounds::default()).await?;
+        let (head, body) = connection.send(request, false).await?.into_parts();
+        let body = connection.read_body(body, SMALL_BODY_MAX).await?;
+        self.release(connection);
+        Ok((head.status, body))
+    }
+}
+
+/// Waits until an attempt's time is up. The time for the response to a streamed body begins
+/// when that has been sent.
+async fn overdue(upload: Option<Upload>, response_timeout: Duration, end: Instant) {
+    match upload {
+        Some(upload) => upload.body.overdue(upload.stall_timeout, response_timeout).await,
+        None => sleep_until(end).await,
+    }
+}
+
+/// Waits until a request that has to be sent by a time has not been: a server that gets it
+/// later may have forgotten its key.
+async fn unsent(progress: &ExchangeProgress, send_by: Option<Instant>) {
+    let Some(send_by) = send_by else { return pending().await };
+    sleep_until(send_by).await;
+    if progress.is_sent() {
+        pending().await
+    }
+}
+
+/// Tells the server how long this sidecar will wait; not before the connection is there, as
+/// waiting for that has used up part of the time.
+fn set_remaining(request: &mut Request<RequestBody>, end: Instant) {
+    let remaining = end.saturating_duration_since(Instant::now()).as_millis();
+    let remaining_ms = u64::try_from(remaining).unwrap_or(u64::MAX);
+    request.headers_mut().insert(REMAINING_MS, HeaderValue::from(remaining_ms));
+}
--- /dev/null
+++ b/crates/proxy/src/upstream/request_body.rs
@@ -0,0 +1,128 @@
+//! The body of a request on its way to servers: buffered, or streamed from its client.
+
+use crate::body::{FramePoll, MessageBody};
+use bytes::Bytes;
+use hyper::body::{Body, Frame, Incoming, SizeHint};
+use std::cell::{Cell, RefCell};
+use std::io;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{Context, Poll};
+use std::time::Duration;
+use tokio::time::{sleep_until, Instant};
+
+/// A request's body; each attempt sends a clone of it.
+pub type RequestBody = MessageBody<StreamedBody>;
+
+/// A body that is passed on as its client sends it. Its clones, one for each attempt, share the
+/// client's stream: whichever attempt takes the first frame from it is the only one that can
+/// send the body from then on.
+#[derive(Clone)]
+pub struct StreamedBody {
+    /// What had arrived before the first attempt; every attempt can send it.
+    prefix: Option<Bytes>,
+    /// Whether this attempt has taken frames from the client's stream.
+    owns_stream: bool,
+    source: Rc<BodySource>,
+}
+
+/// The client's stream, shared by the attempts.
+struct BodySource {
+    prefix_bytes: usize,
+    stream: RefCell<Incoming>,
+    /// Whether frames were taken, which can't be sent again.
+    is_consumed: Cell<bool>,
+    is_finished: Cell<bool>,
+    last_progress: Cell<Instant>,
+    on_first_frame: RefCell<Option<Box<dyn FnOnce()>>>,
+}
+
+impl StreamedBody {
+    /// A body of which `prefix` has arrived and `stream` is still to come.
+    pub fn new(prefix: Bytes, stream: Incoming) -> Self {
+        let source = BodySource {
+            prefix_bytes: prefix.len(),
+            stream: RefCell::new(stream),
+            is_consumed: Cell::new(false),
+            is_finished: Cell::new(false),
+            last_progress: Cell::new(Instant::now()),
+            on_first_frame: RefCell::default(),
+        };
+        StreamedBody { prefix: Some(prefix), owns_stream: false, source: Rc::new(source) }
+    }
+
+    /// Whether an attempt has taken frames from the client's stream: no other attempt can send
+    /// the body then.
+    pub fn is_consumed(&self) -> bool {
+        self.source.is_consumed.get()
+    }
+
+    /// Calls `callback` when the first frame is taken from the client's stream, unless one was.
+    pub fn on_first_frame(&self, callback: impl FnOnce() + 'static) {
+        if !self.is_consumed() {
+            *self.source.on_first_frame.borrow_mut() = Some(Box::new(callback));
+        }
+    }
+
+    /// Waits until the client has sent nothing for `stall`, or has sent all of its body and
+    /// waited for `response_timeout` since.
+    pub async fn overdue(&self, stall: Duration, response_timeout: Duration) {
+        loop {
+            let wait = if self.source.is_finished.get() { response_timeout } else { stall };
+            let deadline = self.source.last_progress.get() + wait;
+            if deadline <= Instant::now() {
+                return;
+            }
+            sleep_until(deadline).await;
+        }
+    }
+
+    fn poll_stream(&mut self, cx: &mut Context<'_>) -> FramePoll {
+        if self.source.is_consumed.get() && !self.owns_stream {
+            let error = io::Error::other("the body was sent to another server");
+            return Poll::Ready(Some(Err(error)));
+        }
+        let polled = Pin::new(&mut *self.source.stream.borrow_mut()).poll_frame(cx);
+        match &polled {
+            Poll::Pending => {}
+            Poll::Ready(Some(Ok(_))) => self.on_frame(),
+            Poll::Ready(Some(Err(_)) | None) => {
+                self.source.last_progress.set(Instant::now());
+                self.source.is_finished.set(true);
+            }
+        }
+        polled.map_err(io::Error::other)
+    }
+
+    fn on_frame(&mut self) {
+        self.owns_stream = true;
+        self.source.last_progress.set(Instant::now());
+        if self.source.is_consumed.replace(true) {
+            return;
+        }
+        let callback = self.source.on_first_frame.borrow_mut().take();
+        if let Some(callback) = callback {
+            callback();
+        }
+    }
+}
+
+impl Body for StreamedBody {
+    type Data = Bytes;
+    type Error = io::Error;
+
+    fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> FramePoll {
+        if let Some(prefix) = self.prefix.take().filter(|prefix| !prefix.is_empty()) {
+            return Poll::Ready(Some(Ok(Frame::data(prefix))));
+        }
+        self.poll_stream(cx)
+    }
+
+    fn size_hint(&self) -> SizeHint {
+        let prefix_bytes = self.prefix.as_ref().map_or(0, |_| self.source.prefix_bytes as u64);
+        match self.source.stream.borrow().size_hint().exact() {
+            Some(stream_bytes) => SizeHint::with_exact(prefix_bytes + stream_bytes),
+            None => SizeHint::default(),
+        }
+    }
+}
--- a/crates/proxy/src/websocket/reconnect.rs
+++ b/crates/proxy/src/websocket/reconnect.rs
@@ -1,7 +1,7 @@
 //! Connects an open socket to another server of its cluster.
 
 use super::registry::SocketRegistry;
-use crate::upstream::ServerSocket;
+use crate::upstream::response::UpgradedConnection;
 use hyper::http::request::Parts;
 use mintshelf_balancer::api::Effect;
 use mintshelf_websocket::handshake::{ClientHandshake, NegotiatedTerms};
@@ -25,7 +25,7 @@
     /// Number of the server's cluster.
     pub cluster: u32,
     /// The connection.
-    pub socket: ServerSocket,
+    pub socket: UpgradedConnection,
 }
 
 /// Sends handshakes to servers by the limits and decisions of the current configuration.
--- a/crates/proxy/src/websocket/upgrade.rs
+++ b/crates/proxy/src/websocket/upgrade.rs
@@ -5,10 +5,10 @@
 use super::registry::{SlotReservation, SocketRegistry};
 use super::rejections::{draining, handshake_rejected, slot_unavailable};
 use super::relay::{Reconnect, Relay, RetryAfter};
-use crate::clients::Upgrade;
-use crate::driver::Driver;
-use crate::refusal::Refusal;
-use crate::upstream::ServerSocket;
+use crate::client::connection::Upgrade;
+use crate::cluster::runtime::ClusterRuntime;
+use crate::gateway::rejection::Rejection;
+use crate::upstream::response::UpgradedConnection;
 use hyper::body::Incoming;
 use hyper::header::HeaderMap;
 use hyper::http::request::Parts;
@@ -44,7 +44,7 @@
         request: &Request<Incoming>,
         owner: SlotOwner,
         is_draining: bool,
-    ) -> Result<Self, Refusal> {
+    ) -> Result<Self, Rejection> {
         let handshake = ClientHandshake::parse(
             request.method(),
             request.version(),
@@ -80,29 +80,31 @@
     pub(crate) fn into_upgrade<C: SocketConnector + 'static>(
         self,
         handler: &Rc<C>,
-        driver: &Rc<Driver>,
+        runtime: &Rc<ClusterRuntime>,
         class: u32,
         target: ReconnectTarget,
-        server: Box<ServerSocket>,
+        server: Box<UpgradedConnection>,
     ) -> Upgrade {
         let PendingUpgrade { handshake, slot, owner, registry, config } = self;
         let handler = handler.clone();
-        let cluster = driver.number();
-        let driver = Rc::downgrade(driver);
+        let cluster = runtime.number();
+        let runtime = Rc::downgrade(runtime);
         Upgrade(Box::new(move |client, prefix| {
             let now = registry.clock().now();
             let is_compressed = server.agreed.uses_compression();
             let seed = registry.next_seed();
             let session = Session::new(config.session.clone(), is_compressed, seed, now);
             let handler_id = Rc::as_ptr(&handler) as usize;
-            let location = ServerLocation { cluster, server: server.to.server };
+            let location = ServerLocation { cluster, server: server.target.server };
             let tenant = owner.tenant.clone();
             let socket = registry.register(owner, handler_id, location);
             let request =
                 ReconnectRequest { target, tenant, handshake, registry: registry.clone() };
             let retry_after: Box<RetryAfter> = Box::new(move || {
-                let driver = driver.upgrade();
-                driver.map_or(1, |driver| driver.advice(class) / NANOS_PER_SECOND).max(1)
+                let runtime = runtime.upgrade();
+                let retry_after =
+                    runtime.map_or(NANOS_PER_SECOND, |runtime| runtime.retry_after(class));
+                (retry_after / NANOS_PER_SECOND).max(1)
             });
             let relay = Relay { session, client, server, registry, socket, slot, eviction: None };
             Box::pin(relay.run(prefix, reconnect(handler, request), retry_after))
