--- a/crates/mintshelf/tests/conformance/main.rs
+++ b/crates/mintshelf/tests/conformance/main.rs
@@ -294,7 +294,7 @@
     }
     for row in clocks.row {
         trials.push(trial("clocks", &row.id.clone(), On::Sidecar, move || {
-            let late = sidecar::told(&row);
+            let late = sidecar::count_late_requests(&row);
             held(late == 0, || format!("{}: {late} requests went on to it", row.source))
         }));
     }
--- a/crates/mintshelf/tests/conformance/sidecar.rs
+++ b/crates/mintshelf/tests/conformance/sidecar.rs
@@ -21,7 +21,7 @@
 const DRAIN_GRACE: Duration = Duration::from_millis(300);
 
 /// A server that meets its first requests so, and serves the rest; it counts them.
-fn meeting(met: Vec<Met>) -> (Peer, Arc<AtomicUsize>) {
+fn server_with_reactions(met: Vec<Met>) -> (Peer, Arc<AtomicUsize>) {
     let seen = Arc::new(AtomicUsize::new(0));
     let count = seen.clone();
     let peer = Peer::start(move |mut stream| {
@@ -58,7 +58,7 @@
 }
 
 pub fn outcome(given: &Given) -> Seen {
-    let (server, seen) = meeting(given.met.clone());
+    let (server, seen) = server_with_reactions(given.met.clone());
     let servers = vec![entry(server.at, "a", State::Ready)];
     let discovery = Discovery::start(1, servers.clone());
     let sidecar = Sidecar::start(PROGRAM, config(discovery.at, servers));
@@ -93,31 +93,32 @@
 }
 
 /// Discovery that falls into trouble: what it does with its calls from then on.
-struct Troubled {
+struct FaultyDiscovery {
     peer: Peer,
     open: Arc<Mutex<Vec<TcpStream>>>,
     broken: Arc<AtomicBool>,
     list: Arc<Mutex<(u64, Vec<Value>)>>,
 }
 
-impl Troubled {
+impl FaultyDiscovery {
     fn start(trouble: Trouble, entries: Vec<Value>) -> Self {
         let open = Arc::new(Mutex::new(Vec::new()));
         let broken = Arc::new(AtomicBool::new(false));
         let list = Arc::new(Mutex::new((1, entries)));
-        let (streams, out, news) = (open.clone(), broken.clone(), list.clone());
+        let (streams, is_broken, list_state) = (open.clone(), broken.clone(), list.clone());
         let peer = Peer::start(move |mut stream| {
-            let begun_broken = out.load(Ordering::SeqCst);
+            let begun_broken = is_broken.load(Ordering::SeqCst);
             streams.lock().unwrap().push(stream.try_clone().unwrap());
             while let Some(call) = Message::read(&mut stream) {
                 let after = call.after();
                 // A watch waits; an agent answers at once.
                 let until = Instant::now() + Duration::from_secs(10);
-                let waits = || after == Some(news.lock().unwrap().0) && Instant::now() < until;
+                let waits =
+                    || after == Some(list_state.lock().unwrap().0) && Instant::now() < until;
                 while trouble != Trouble::AgentOutage && waits() {
                     thread::sleep(Duration::from_millis(5));
                 }
-                let now_broken = out.load(Ordering::SeqCst);
+                let now_broken = is_broken.load(Ordering::SeqCst);
                 match trouble {
                     // A watch that has fallen silent stays so; a new connection is sound.
                     Trouble::Silent if now_broken && !begun_broken => {
@@ -129,20 +130,20 @@
                         continue;
                     }
                     Trouble::AgentOutage if now_broken => {
-                        while out.load(Ordering::SeqCst) {
+                        while is_broken.load(Ordering::SeqCst) {
                             thread::sleep(Duration::from_millis(5));
                         }
                     }
                     _ => {}
                 }
-                let (rev, entries) = news.lock().unwrap().clone();
+                let (rev, entries) = list_state.lock().unwrap().clone();
                 let text = json!({"rev": rev, "all": true, "targets": entries}).to_string();
                 if stream.write_all(&ok_response(&text)).is_err() {
                     return;
                 }
             }
         });
-        Troubled { peer, open, broken, list }
+        FaultyDiscovery { peer, open, broken, list }
     }
 
     fn set(&self, entries: Vec<Value>) {
@@ -152,12 +153,12 @@
 }
 
 /// How many requests went to a draining server after it had to be known.
-pub fn told(row: &ClockRow) -> usize {
+pub fn count_late_requests(row: &ClockRow) -> usize {
     let servers = [0, 1].map(|_| Server::start(|_, _| Some(ok_response(""))));
     let entries =
         |second| vec![entry(servers[0].at, "a", State::Ready), entry(servers[1].at, "b", second)];
-    let discovery = Troubled::start(row.trouble, entries(State::Ready));
-    let moved = Troubled::start(Trouble::None, entries(State::Draining));
+    let discovery = FaultyDiscovery::start(row.trouble, entries(State::Ready));
+    let moved = FaultyDiscovery::start(Trouble::None, entries(State::Draining));
     let mut config = config(discovery.peer.at, entries(State::Ready));
     if row.trouble == Trouble::AgentOutage {
         config["settings"]["registry-mode"] = json!("automatic");
@@ -228,19 +229,19 @@
         stream.write_all(&request_with_timeout(&row.class, "a", 60_000)).unwrap();
         stream
     };
-    let (mut stream, told) = if row.sent_ms < 0 {
+    let (mut stream, signalled_at) = if row.sent_ms < 0 {
         let stream = send_after(0);
         wait_until("it is at the server", || seen.load(Ordering::SeqCst) == 1);
-        let told = Instant::now();
+        let signalled_at = Instant::now();
         sidecar.signal("TERM");
-        (stream, told)
+        (stream, signalled_at)
     } else {
-        let told = Instant::now();
+        let signalled_at = Instant::now();
         sidecar.signal("TERM");
-        (send_after(row.sent_ms), told)
+        (send_after(row.sent_ms), signalled_at)
     };
     let got = Message::read(&mut stream).ok_or("no answer")?;
-    let took = told.elapsed();
+    let took = signalled_at.elapsed();
     let tried = seen.load(Ordering::SeqCst) > 0;
     let last = got.header("connection") == Some("close");
     let rest = read_to_close(&mut stream);
--- a/crates/mintshelf/tests/races/client_disconnects.rs
+++ b/crates/mintshelf/tests/races/client_disconnects.rs
@@ -9,15 +9,15 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// A server that holds its answer to `held` until the gate is open, and gives this one then; a
+/// A server that holds its answer to `held_response` until the gate is open, and gives this one then; a
 /// sidecar in front.
-fn stand_with(held: Vec<u8>) -> (Latch, Server, Discovery, Sidecar) {
+fn start_with_held_response(held_response: Vec<u8>) -> (Latch, Server, Discovery, Sidecar) {
     let latch = Latch::closed();
-    let wait = latch.clone();
+    let waiting = latch.clone();
     let server = Server::start(move |request, _| {
         if request.header("x-txn") == Some("held") {
-            wait.wait();
-            return Some(held.clone());
+            waiting.wait();
+            return Some(held_response.clone());
         }
         Some(ok_response("served"))
     });
@@ -26,8 +26,8 @@
     (latch, server, discovery, sidecar)
 }
 
-fn stand() -> (Latch, Server, Discovery, Sidecar) {
-    stand_with(ok_response("served"))
+fn start() -> (Latch, Server, Discovery, Sidecar) {
+    start_with_held_response(ok_response("served"))
 }
 
 fn send(sidecar: &Sidecar, requests: &[Vec<u8>]) -> TcpStream {
@@ -38,7 +38,7 @@
 
 #[test]
 fn a_request_behind_another_is_not_sent_once_its_client_has_gone() {
-    let (latch, server, _discovery, sidecar) = stand();
+    let (latch, server, _discovery, sidecar) = start();
     let client = send(&sidecar, &[request("safe", "held"), request("safe", "behind")]);
     wait_until("the first is at the server", || ids(&server) == ["held"]);
     drop(client);
@@ -50,7 +50,7 @@
 
 #[test]
 fn a_request_and_its_clients_close_at_one_moment_send_nothing() {
-    let (_gate, server, _discovery, sidecar) = stand();
+    let (_gate, server, _discovery, sidecar) = start();
     for round in 0..3 {
         while_stopped(&sidecar, || drop(send(&sidecar, &[request("unsafe", "gone")])));
         settle(&sidecar, &format!("round {round}"));
@@ -62,7 +62,7 @@
 
 #[test]
 fn a_flood_of_those_who_have_gone_costs_no_server() {
-    let (_gate, server, _discovery, sidecar) = stand();
+    let (_gate, server, _discovery, sidecar) = start();
     while_stopped(&sidecar, || {
         for number in 0..100 {
             let id = format!("gone-{number}");
@@ -105,7 +105,7 @@
 #[test]
 fn a_further_attempt_is_not_begun_for_a_client_that_has_gone() {
     let broken = b"HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n";
-    let (latch, server, _discovery, sidecar) = stand_with(broken.to_vec());
+    let (latch, server, _discovery, sidecar) = start_with_held_response(broken.to_vec());
     // The library does not look for an end behind bytes that it has read.
     let client = send(&sidecar, &[request("safe", "held"), request("safe", "behind")]);
     wait_until("the first attempt is there", || ids(&server) == ["held"]);
--- a/crates/mintshelf/tests/races/closes.rs
+++ b/crates/mintshelf/tests/races/closes.rs
@@ -10,14 +10,14 @@
 use std::thread;
 use std::time::Duration;
 
-fn stand() -> (Server, Discovery, Sidecar) {
+fn start() -> (Server, Discovery, Sidecar) {
     let server = Server::start(|_, _| Some(ok_response("served")));
     let discovery = Discovery::start(1, vec![server.entry("a")]);
     let sidecar = Sidecar::start(PROGRAM, config(discovery.at, vec![server.entry("a")]));
     (server, discovery, sidecar)
 }
 
-fn answered(at: std::net::SocketAddr, id: &str) -> TcpStream {
+fn connect_and_send(at: std::net::SocketAddr, id: &str) -> TcpStream {
     let mut stream = connect(at).unwrap();
     stream.write_all(&request("safe", id)).unwrap();
     assert_eq!(Message::read(&mut stream).unwrap().status(), 200);
@@ -36,8 +36,8 @@
 
 #[test]
 fn a_request_that_crosses_the_close_at_the_planned_end_is_not_reset_nor_sent_on() {
-    let (server, _discovery, sidecar) = stand();
-    let mut resting = answered(sidecar.at, "first");
+    let (server, _discovery, sidecar) = start();
+    let mut resting = connect_and_send(sidecar.at, "first");
     sidecar.signal("TERM");
     assert_eq!(resting.read(&mut [0; 16]).unwrap(), 0, "closed in good order");
     assert!(!is_reset_by_writes(&mut resting));
@@ -47,8 +47,8 @@
 
 #[test]
 fn a_request_that_comes_with_the_signal_on_a_resting_connection_is_served() {
-    let (server, _discovery, sidecar) = stand();
-    let mut resting = answered(sidecar.at, "first");
+    let (server, _discovery, sidecar) = start();
+    let mut resting = connect_and_send(sidecar.at, "first");
     for (round, signal_first) in [(0, true), (1, false)] {
         let id = format!("with-{round}");
         let mut fresh = connect(sidecar.at).unwrap();
@@ -75,8 +75,8 @@
 
 #[test]
 fn a_request_that_waits_unread_when_idle_connections_are_closed_is_served() {
-    let (server, _discovery, sidecar) = stand();
-    let mut resting = answered(sidecar.at, "first");
+    let (server, _discovery, sidecar) = start();
+    let mut resting = connect_and_send(sidecar.at, "first");
     sidecar.signal("TERM");
     // Stopped over the moment in which resting connections are closed.
     thread::sleep(Duration::from_millis(300));
@@ -90,12 +90,12 @@
 
 #[test]
 fn a_connection_that_makes_room_ends_in_good_order() {
-    let (server, _discovery, sidecar) = stand();
-    let mut resting = answered(sidecar.at, "first");
+    let (server, _discovery, sidecar) = start();
+    let mut resting = connect_and_send(sidecar.at, "first");
     // More than it has places for: idle ones have to go.
-    let crowd: Vec<_> = (0..200).filter_map(|_| connect(sidecar.at)).collect();
+    let connections: Vec<_> = (0..200).filter_map(|_| connect(sidecar.at)).collect();
     assert_eq!(resting.read(&mut [0; 16]).unwrap(), 0, "closed in good order");
-    drop(crowd);
+    drop(connections);
     assert_eq!(sidecar.send_request(&request("safe", "after")).unwrap().status(), 200);
     assert_eq!(ids(&server), ["first", "after"]);
 }
@@ -106,8 +106,8 @@
     // Discovery is down while clients take every place that there is.
     let at = free_address();
     let sidecar = Sidecar::start(PROGRAM, config(at, vec![]));
-    let mut crowd: Vec<_> = (0..300).filter_map(|_| connect(sidecar.at)).collect();
-    for stream in &mut crowd {
+    let mut connections: Vec<_> = (0..300).filter_map(|_| connect(sidecar.at)).collect();
+    for stream in &mut connections {
         // Some have said the half of something.
         let _ = stream.write_all(b"GET /api HTTP/1.1\r\n");
     }
@@ -117,5 +117,5 @@
     wait_until("discovery is asked", || *discovery.calls.lock().unwrap() > 0);
     let got = sidecar.send_request(&request("safe", "served")).unwrap();
     assert_eq!(got.status(), 200, "{}", got.head);
-    drop(crowd);
+    drop(connections);
 }
--- a/crates/mintshelf/tests/races/discovery.rs
+++ b/crates/mintshelf/tests/races/discovery.rs
@@ -16,7 +16,7 @@
 
 /// What a call is met with.
 #[derive(Clone, Copy, PartialEq)]
-enum Met {
+enum Reaction {
     /// An answer with this list; a call that asks for what is newer waits.
     List(u64),
     /// A wait for news that never ends.
@@ -30,29 +30,32 @@
 struct Scripted {
     peer: Peer,
     calls: Arc<Mutex<Vec<Instant>>>,
-    script: Arc<Mutex<Vec<Met>>>,
+    script: Arc<Mutex<Vec<Reaction>>>,
 }
 
 /// How long a call for news waits here where there is none.
 const NO_NEWS: Duration = Duration::from_millis(300);
 
 impl Scripted {
-    fn start(script: &[Met], list: impl Fn(u64) -> Vec<Value> + Send + Sync + 'static) -> Self {
+    fn start(
+        script: &[Reaction],
+        list: impl Fn(u64) -> Vec<Value> + Send + Sync + 'static,
+    ) -> Self {
         let calls = Arc::new(Mutex::new(Vec::new()));
         let script = Arc::new(Mutex::new(script.to_vec()));
-        let (noted, left) = (calls.clone(), script.clone());
+        let (recorded, remaining) = (calls.clone(), script.clone());
         let peer = Peer::start(move |mut stream| {
             while let Some(call) = Message::read(&mut stream) {
-                noted.lock().unwrap().push(Instant::now());
-                let met = {
-                    let mut left = left.lock().unwrap();
-                    if left.len() > 1 {
-                        left.remove(0)
+                recorded.lock().unwrap().push(Instant::now());
+                let reaction = {
+                    let mut remaining = remaining.lock().unwrap();
+                    if remaining.len() > 1 {
+                        remaining.remove(0)
                     } else {
-                        left[0]
+                        remaining[0]
                     }
                 };
-                if !meet(met, &call, &list, &mut stream) {
+                if !respond(reaction, &call, &list, &mut stream) {
                     return;
                 }
             }
@@ -65,26 +68,31 @@
     }
 }
 
-fn meet(met: Met, call: &Message, list: &dyn Fn(u64) -> Vec<Value>, to: &mut TcpStream) -> bool {
-    match met {
-        Met::List(rev) => {
+fn respond(
+    reaction: Reaction,
+    call: &Message,
+    list: &dyn Fn(u64) -> Vec<Value>,
+    to: &mut TcpStream,
+) -> bool {
+    match reaction {
+        Reaction::List(rev) => {
             if call.after() == Some(rev) {
                 thread::sleep(NO_NEWS);
             }
             let text = json!({"rev": rev, "all": true, "targets": list(rev)}).to_string();
             to.write_all(&ok_response(&text)).is_ok()
         }
-        Met::Silence => {
+        Reaction::Silence => {
             // Until the other side gives up.
             let _ = std::io::Read::read(to, &mut [0]);
             false
         }
-        Met::Error => to.write_all(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n").is_ok(),
-        Met::Reset => {
+        Reaction::Error => to.write_all(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n").is_ok(),
+        Reaction::Reset => {
             let _ = socket2::SockRef::from(&*to).set_linger(Some(Duration::ZERO));
             false
         }
-        Met::Half => {
+        Reaction::Half => {
             let _ = to.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{\"rev\":");
             false
         }
@@ -92,7 +100,7 @@
 }
 
 /// Asked lists, with the longest time that the settings may give for asking.
-fn patient_config(discovery: std::net::SocketAddr, known: Vec<Value>) -> Value {
+fn slow_poll_config(discovery: std::net::SocketAddr, known: Vec<Value>) -> Value {
     let mut config = config(discovery, known);
     config["settings"]["invariants"]["ask-within"] = json!(60_000_000_000u64);
     config
@@ -100,17 +108,18 @@
 
 /// A sidecar whose discovery answers, meets `faults`, and has a new list by then; how long it
 /// takes from the first fault's call to the list's.
-fn heard_after(faults: &[Met]) -> Duration {
+fn time_to_new_list(faults: &[Reaction]) -> Duration {
     let server = Server::start(|_, _| Some(ok_response("served")));
     let entry = server.entry("a");
-    let script = [&[Met::List(1), Met::List(1)][..], faults, &[Met::List(2)]].concat();
+    let script =
+        [&[Reaction::List(1), Reaction::List(1)][..], faults, &[Reaction::List(2)]].concat();
     let listed = entry.clone();
     let discovery = Scripted::start(&script, move |rev| {
         let mut entry = listed.clone();
         entry["state"] = json!(if rev == 2 { "DRAINING" } else { "SERVING" });
         vec![entry]
     });
-    let sidecar = Sidecar::start(PROGRAM, patient_config(discovery.peer.at, vec![entry]));
+    let sidecar = Sidecar::start(PROGRAM, slow_poll_config(discovery.peer.at, vec![entry]));
     // The list's first call is the one behind the faults.
     let first = 2;
     wait_until("the new list is asked for", || discovery.calls().len() > first + faults.len());
@@ -121,19 +130,19 @@
 
 #[test]
 fn a_watch_that_falls_silent_is_begun_anew_in_time() {
-    let took = heard_after(&[Met::Silence]);
+    let took = time_to_new_list(&[Reaction::Silence]);
     assert!(took < TOLD - Duration::from_secs(1), "{took:?}");
 }
 
 #[test]
 fn calls_that_fail_do_not_keep_news_away() {
     for faults in [
-        &[Met::Silence, Met::Error][..],
-        &[Met::Reset, Met::Half],
-        &[Met::Half, Met::Error],
-        &[Met::Error, Met::Reset],
+        &[Reaction::Silence, Reaction::Error][..],
+        &[Reaction::Reset, Reaction::Half],
+        &[Reaction::Half, Reaction::Error],
+        &[Reaction::Error, Reaction::Reset],
     ] {
-        let took = heard_after(faults);
+        let took = time_to_new_list(faults);
         assert!(took < TOLD, "{took:?}");
     }
 }
@@ -142,8 +151,8 @@
 fn after_many_failures_calls_are_no_further_apart_than_news_may_be_late() {
     let server = Server::start(|_, _| Some(ok_response("served")));
     let entry = server.entry("a");
-    let discovery = Scripted::start(&[Met::Error], |_| vec![]);
-    let _sidecar = Sidecar::start(PROGRAM, patient_config(discovery.peer.at, vec![entry]));
+    let discovery = Scripted::start(&[Reaction::Error], |_| vec![]);
+    let _sidecar = Sidecar::start(PROGRAM, slow_poll_config(discovery.peer.at, vec![entry]));
     wait_until("it has failed for long", || discovery.calls().len() >= 8);
     let gaps: Vec<_> = discovery.calls().windows(2).map(|two| two[1] - two[0]).collect();
     assert!(gaps.iter().all(|gap| *gap < Duration::from_secs(3)), "{gaps:?}");
@@ -152,11 +161,11 @@
 #[test]
 fn a_new_process_asks_in_time_however_long_the_settings_allow() {
     let server = Server::start(|_, _| Some(ok_response("served")));
-    let discovery = Scripted::start(&[Met::List(1)], |_| vec![]);
+    let discovery = Scripted::start(&[Reaction::List(1)], |_| vec![]);
     let begun = Instant::now();
     let sidecars: Vec<_> = (1..9u64)
         .map(|seed| {
-            let mut config = patient_config(discovery.peer.at, vec![server.entry("a")]);
+            let mut config = slow_poll_config(discovery.peer.at, vec![server.entry("a")]);
             config["seed"] = json!(format!("{seed:016x}"));
             Sidecar::start(PROGRAM, config)
         })
@@ -168,14 +177,14 @@
 
 /// Whether a server is sent anything while the newest list held says that it drains, and the
 /// service says for `lag` that an older one is in force.
-fn drain_is_undone(older: &[Met], last: Met) -> (bool, usize) {
+fn drain_is_undone(older: &[Reaction], last: Reaction) -> (bool, usize) {
     let (drained, other) = (
         Server::start(|_, _| Some(ok_response("a"))),
         Server::start(|_, _| Some(ok_response("b"))),
     );
     let entries = [drained.entry("a"), other.entry("b")];
     let listed = entries.clone();
-    let script = [&[Met::List(5)][..], older, &[last]].concat();
+    let script = [&[Reaction::List(5)][..], older, &[last]].concat();
     let discovery = Scripted::start(&script, move |rev| {
         let mut entries = listed.clone();
         if rev >= 5 {
@@ -183,7 +192,7 @@
         }
         entries.to_vec()
     });
-    let mut config = patient_config(discovery.peer.at, entries.to_vec());
+    let mut config = slow_poll_config(discovery.peer.at, entries.to_vec());
     config["known"]["rev"] = json!(4);
     let sidecar = Sidecar::start(PROGRAM, config);
     wait_until("the drain is told", || discovery.calls().len() >= 2);
@@ -212,16 +221,16 @@
 
 #[test]
 fn an_older_list_does_not_undo_a_drain() {
-    let older = [Met::List(4), Met::List(4), Met::List(4)];
-    let (undone, asked) = drain_is_undone(&older, Met::List(5));
-    assert!(!undone, "a drained server was sent some of {asked} requests");
+    let older = [Reaction::List(4), Reaction::List(4), Reaction::List(4)];
+    let (is_undone, asked) = drain_is_undone(&older, Reaction::List(5));
+    assert!(!is_undone, "a drained server was sent some of {asked} requests");
 }
 
 #[test]
 fn a_service_that_counts_anew_is_believed() {
     // Its numbers stay low: its list is the one in force.
-    let (undone, _) = drain_is_undone(&[Met::List(1); 6], Met::List(1));
-    assert!(undone, "a service that began anew was never believed");
+    let (is_undone, _) = drain_is_undone(&[Reaction::List(1); 6], Reaction::List(1));
+    assert!(is_undone, "a service that began anew was never believed");
 }
 
 #[test]
@@ -232,14 +241,14 @@
     );
     let entries = [old.entry("a"), new.entry("b")];
     let listed = entries.clone();
-    let script = [Met::List(1), Met::Silence];
+    let script = [Reaction::List(1), Reaction::Silence];
     let agent = Scripted::start(&script, move |rev| vec![listed[rev as usize - 1].clone()]);
     let mut config = config(agent.peer.at, vec![entries[0].clone()]);
     config["settings"]["registry-mode"] = json!("automatic");
     let sidecar = Sidecar::start(PROGRAM, config);
     wait_until("it is silent", || agent.calls().len() >= 2);
     thread::sleep(Duration::from_millis(300));
-    *agent.script.lock().unwrap() = vec![Met::List(2)];
+    *agent.script.lock().unwrap() = vec![Reaction::List(2)];
     let back = Instant::now();
     let mut number = 0;
     wait_until("its list is in force", || {
@@ -258,8 +267,9 @@
     );
     let entries = [old.entry("a"), new.entry("b")];
     let (first, second) = (entries[0].clone(), entries[1].clone());
-    let silent = Scripted::start(&[Met::List(1), Met::Silence], move |_| vec![first.clone()]);
-    let moved = Scripted::start(&[Met::List(2)], move |_| vec![second.clone()]);
+    let silent =
+        Scripted::start(&[Reaction::List(1), Reaction::Silence], move |_| vec![first.clone()]);
+    let moved = Scripted::start(&[Reaction::List(2)], move |_| vec![second.clone()]);
     let mut config = config(silent.peer.at, vec![entries[0].clone()]);
     config["settings"]["registry-mode"] = json!("automatic");
     let mut sidecar = Sidecar::start(PROGRAM, config);
@@ -267,7 +277,7 @@
     let mut file = sidecar.config.clone();
     file["discovery"] = json!(moved.peer.at.to_string());
     sidecar.reload(&file.to_string());
-    let told = Instant::now();
+    let reloaded_at = Instant::now();
     wait_until("the new address is asked", || !moved.calls().is_empty());
-    assert!(told.elapsed() < Duration::from_secs(4), "{:?}", told.elapsed());
+    assert!(reloaded_at.elapsed() < Duration::from_secs(4), "{:?}", reloaded_at.elapsed());
 }
--- a/crates/mintshelf/tests/races/fixture.rs
+++ b/crates/mintshelf/tests/races/fixture.rs
@@ -24,16 +24,16 @@
     }
 
     /// Serves from now on: what connects comes up late. Back come the requests, as they come.
-    pub fn accept(self, serve: impl Fn(Message) -> Vec<u8> + Send + Sync + 'static) -> Seen {
-        let seen = Seen::default();
-        let (noted, serve) = (seen.clone(), Arc::new(serve));
+    pub fn accept(self, serve: impl Fn(Message) -> Vec<u8> + Send + Sync + 'static) -> RequestLog {
+        let log = RequestLog::default();
+        let (recorded, serve) = (log.clone(), Arc::new(serve));
         thread::spawn(move || {
             for stream in self.listener.incoming().flatten() {
-                let (noted, serve) = (noted.clone(), serve.clone());
-                thread::spawn(move || noted.serve(stream, &*serve));
+                let (recorded, serve) = (recorded.clone(), serve.clone());
+                thread::spawn(move || recorded.serve(stream, &*serve));
             }
         });
-        seen
+        log
     }
 
     pub fn entry(&self, uid: &str) -> Value {
@@ -43,9 +43,9 @@
 
 /// The requests that have come to a stand-in.
 #[derive(Clone, Default)]
-pub struct Seen(Arc<Mutex<Vec<Message>>>);
+pub struct RequestLog(Arc<Mutex<Vec<Message>>>);
 
-impl Seen {
+impl RequestLog {
     fn serve(&self, mut stream: TcpStream, serve: &dyn Fn(Message) -> Vec<u8>) {
         use std::io::Write;
         while let Some(request) = Message::read(&mut stream) {
--- a/crates/mintshelf/tests/races/unusual_settings.rs
+++ b/crates/mintshelf/tests/races/unusual_settings.rs
@@ -8,22 +8,22 @@
 use std::process::Command;
 
 /// A server and discovery for one sidecar after another.
-struct Stand {
+struct SettingsFixture {
     config: Value,
     _server: Server,
     _discovery: Discovery,
 }
 
-impl Stand {
+impl SettingsFixture {
     fn start() -> Self {
         let server = Server::start(|_, _| Some(ok_response("served")));
         let discovery = Discovery::start(1, vec![server.entry("a")]);
         let config = config(discovery.at, vec![server.entry("a")]);
-        Stand { config, _server: server, _discovery: discovery }
+        SettingsFixture { config, _server: server, _discovery: discovery }
     }
 
     /// A sidecar with settings changed; what a request of a class is answered.
-    fn serves(&self, class: &str, change: impl Fn(&mut Value)) -> u16 {
+    fn status_with(&self, class: &str, change: impl Fn(&mut Value)) -> u16 {
         let mut config = self.config.clone();
         change(&mut config["settings"]);
         let sidecar = Sidecar::start(PROGRAM, config);
@@ -36,9 +36,9 @@
 
 #[test]
 fn names_may_be_in_any_script() {
-    let stand = Stand::start();
+    let fixture = SettingsFixture::start();
     for name in ["где", "otwórz", "東口", "a b", "x'\u{e9}"] {
-        let status = stand.serves(name, |settings| {
+        let status = fixture.status_with(name, |settings| {
             settings["classes"][0]["name"] = json!(name);
             settings["zones"] = json!(["północ", "город"]);
             settings["flavors"] = json!(["шкаф"]);
@@ -87,10 +87,10 @@
         ("", "balancers", 0),
         ("", "balancers", 4_000_000_000),
     ];
-    let stand = Stand::start();
+    let fixture = SettingsFixture::start();
     for class in ["safe", "keyed", "unsafe"] {
         for (place, key, value) in changes {
-            let status = stand.serves(class, |settings| {
+            let status = fixture.status_with(class, |settings| {
                 let path = if place.is_empty() { String::new() } else { format!("/{place}") };
                 settings.pointer_mut(&path).unwrap()[*key] = json!(value);
             });
@@ -121,9 +121,9 @@
         change(&mut config["settings"]);
         std::fs::write(&file, config.to_string()).unwrap();
         let output = Command::new(PROGRAM).env("RELAY_CONFIG", &file).output().unwrap();
-        let said = String::from_utf8(output.stderr).unwrap();
-        assert!(!output.status.success() && said.lines().count() == 1, "{said}");
-        assert!(said.contains(place) && said.contains(file.to_str().unwrap()), "{said}");
+        let errors = String::from_utf8(output.stderr).unwrap();
+        assert!(!output.status.success() && errors.lines().count() == 1, "{errors}");
+        assert!(errors.contains(place) && errors.contains(file.to_str().unwrap()), "{errors}");
     }
     std::fs::remove_file(&file).unwrap();
 }
