--- a/crates/mintshelf/benches/limits.rs
+++ b/crates/mintshelf/benches/limits.rs
@@ -125,16 +125,16 @@
     count: usize,
     pause: Duration,
     member: &str,
-    over: &Arc<AtomicBool>,
+    stopped: &Arc<AtomicBool>,
 ) -> Vec<thread::JoinHandle<Seen>> {
     let request = format!("GET /devices/7 HTTP/1.1\r\nHost: h\r\nX-Member: {member}\r\n\r\n");
-    let client = move |request: String, over: Arc<AtomicBool>, number: usize| {
+    let client = move |request: String, stopped: Arc<AtomicBool>, number: usize| {
         let mut seen = Seen::default();
         let Ok(mut stream) = TcpStream::connect(at) else { return seen };
         let _ = stream.set_nodelay(true);
         let mut buffer = Vec::new();
         thread::sleep(pause.mul_f64(number as f64 / count as f64));
-        while !over.load(Ordering::Relaxed) {
+        while !stopped.load(Ordering::Relaxed) {
             let begun = Instant::now();
             if stream.write_all(request.as_bytes()).is_err() {
                 break;
@@ -153,8 +153,8 @@
     };
     (0..count)
         .map(|n| {
-            let (request, over) = (request.clone(), over.clone());
-            thread::spawn(move || client(request, over, n))
+            let (request, stopped) = (request.clone(), stopped.clone());
+            thread::spawn(move || client(request, stopped, n))
         })
         .collect()
 }
@@ -204,10 +204,10 @@
         let mut rows: Vec<[f64; 4]> = Vec::new();
         for _ in 0..ROUNDS {
             let before: u64 = counts.iter().map(|count| count.load(Ordering::Relaxed)).sum();
-            let over = Arc::new(AtomicBool::new(false));
-            let all = clients(at, 24, Duration::from_millis(20), "a", &over);
+            let stopped = Arc::new(AtomicBool::new(false));
+            let all = clients(at, 24, Duration::from_millis(20), "a", &stopped);
             thread::sleep(SPAN);
-            over.store(true, Ordering::Relaxed);
+            stopped.store(true, Ordering::Relaxed);
             let seen = joined(all);
             let after: u64 = counts.iter().map(|count| count.load(Ordering::Relaxed)).sum();
             let attempts = (after - before) as f64 / (seen.served + seen.refused) as f64;
@@ -247,7 +247,7 @@
     for _ in 0..MEMBER_ROUNDS {
         let mut round = Vec::new();
         for (_, greedy, uploads) in cases {
-            let over = Arc::new(AtomicBool::new(false));
+            let stopped = Arc::new(AtomicBool::new(false));
             let mut slow = Vec::new();
             for _ in 0..uploads {
                 let mut stream = TcpStream::connect(at)?;
@@ -255,10 +255,10 @@
                 stream.write_all(head.as_bytes())?;
                 slow.push(stream);
             }
-            let calm = clients(at, 20, Duration::from_millis(50), "calm", &over);
-            let other = clients(at, greedy, Duration::from_millis(20), "greedy", &over);
+            let calm = clients(at, 20, Duration::from_millis(50), "calm", &stopped);
+            let other = clients(at, greedy, Duration::from_millis(20), "greedy", &stopped);
             thread::sleep(SPAN);
-            over.store(true, Ordering::Relaxed);
+            stopped.store(true, Ordering::Relaxed);
             let seen = joined(calm);
             drop((joined(other), slow));
             let served = seen.served as f64 / SPAN.as_secs_f64();
--- a/crates/mintshelf/benches/sockets.rs
+++ b/crates/mintshelf/benches/sockets.rs
@@ -334,10 +334,10 @@
 }
 
 /// Plain requests at a steady rate, to the end; their times.
-async fn requests(times: Rc<RefCell<Vec<f64>>>, over: Rc<Cell<bool>>) -> Result<(), Fault> {
+async fn requests(times: Rc<RefCell<Vec<f64>>>, stopped: Rc<Cell<bool>>) -> Result<(), Fault> {
     let stream = TcpStream::connect(DAEMON).await?;
     stream.set_nodelay(true)?;
-    while !over.get() {
+    while !stopped.get() {
         let begun = Instant::now();
         write(&stream, b"GET /plain HTTP/1.1\r\nHost: a\r\n\r\n").await?;
         let answer = head(&stream).await?;
@@ -348,7 +348,7 @@
     Ok(())
 }
 
-fn figure(name: &str) -> f64 {
+fn metric(name: &str) -> f64 {
     use std::io::{Read, Write};
     let Ok(mut stream) = std::net::TcpStream::connect(ADMIN) else { return 0.0 };
     let _ = stream.write_all(b"GET /-/metrics HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
@@ -403,12 +403,12 @@
 }
 
 /// Samples the number of migrated sockets until it is over.
-async fn sample_migrations(begun: Instant, over: Rc<Cell<bool>>) -> Vec<Sample> {
+async fn sample_migrations(begun: Instant, stopped: Rc<Cell<bool>>) -> Vec<Sample> {
     let mut samples = Vec::new();
-    while !over.get() {
+    while !stopped.get() {
         // On a thread of its own, so that this event loop goes on.
-        let figure = tokio::task::spawn_blocking(|| figure("mintshelf_sockets_moved_total"));
-        let migrated = figure.await.unwrap_or(0.0);
+        let metric = tokio::task::spawn_blocking(|| metric("mintshelf_sockets_moved_total"));
+        let migrated = metric.await.unwrap_or(0.0);
         samples.push(Sample { seconds: begun.elapsed().as_secs_f64(), migrated });
         sleep(Duration::from_millis(250)).await;
     }
@@ -447,13 +447,13 @@
         spawn_local(listen_on(stream, ends.clone()));
     }
     let calm = request_times(8.0).await;
-    let at_node = figure("mintshelf_endpoint_sockets{cluster=\"c\",endpoint=\"127.0.93.1:19301\"}");
+    let at_node = metric("mintshelf_endpoint_sockets{cluster=\"c\",endpoint=\"127.0.93.1:19301\"}");
     let begun = Instant::now();
     end_node(&set.nodes[0], how).await;
-    let over = Rc::new(Cell::new(false));
-    let watch = spawn_local(sample_migrations(begun, over.clone()));
+    let stopped = Rc::new(Cell::new(false));
+    let watch = spawn_local(sample_migrations(begun, stopped.clone()));
     let during = request_times(8.0).await;
-    over.set(true);
+    stopped.set(true);
     let migrations = Migrations::of(&watch.await.unwrap_or_default());
     let closes = ends.take();
     let last_close = closes.iter().map(|(at, _)| at.duration_since(begun).as_secs_f64());
