--- a/crates/mintshelf/benches/limits.rs
+++ b/crates/mintshelf/benches/limits.rs
@@ -29,7 +29,9 @@
             let length = text.split("content-length: ").nth(1);
             let length = length.and_then(|rest| rest.lines().next()?.trim().parse().ok());
             if buffer.len() >= end + 4 + length.unwrap_or(0) {
-                return Some(text.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0));
+                return Some(
+                    text.split(' ').nth(1).and_then(|word| word.parse().ok()).unwrap_or(0),
+                );
             }
         }
         match stream.read(&mut part) {
@@ -111,7 +113,9 @@
         let mut times = self.times.clone();
         times.sort_unstable();
         let at = (times.len() as f64 * part) as usize;
-        times.get(at.min(times.len().saturating_sub(1))).map_or(0.0, |t| t.as_secs_f64() * 1e3)
+        times
+            .get(at.min(times.len().saturating_sub(1)))
+            .map_or(0.0, |time| time.as_secs_f64() * 1e3)
     }
 }
 
@@ -121,16 +125,16 @@
     count: usize,
     pause: Duration,
     member: &str,
-    over: &Arc<AtomicBool>,
+    stopped: &Arc<AtomicBool>,
 ) -> Vec<thread::JoinHandle<Seen>> {
     let request = format!("GET /devices/7 HTTP/1.1\r\nHost: h\r\nX-Member: {member}\r\n\r\n");
-    let client = move |request: String, over: Arc<AtomicBool>, number: usize| {
+    let client = move |request: String, stopped: Arc<AtomicBool>, number: usize| {
         let mut seen = Seen::default();
         let Ok(mut stream) = TcpStream::connect(at) else { return seen };
         let _ = stream.set_nodelay(true);
         let mut buffer = Vec::new();
         thread::sleep(pause.mul_f64(number as f64 / count as f64));
-        while !over.load(Ordering::Relaxed) {
+        while !stopped.load(Ordering::Relaxed) {
             let begun = Instant::now();
             if stream.write_all(request.as_bytes()).is_err() {
                 break;
@@ -149,8 +153,8 @@
     };
     (0..count)
         .map(|n| {
-            let (request, over) = (request.clone(), over.clone());
-            thread::spawn(move || client(request, over, n))
+            let (request, stopped) = (request.clone(), stopped.clone());
+            thread::spawn(move || client(request, stopped, n))
         })
         .collect()
 }
@@ -200,10 +204,10 @@
         let mut rows: Vec<[f64; 4]> = Vec::new();
         for _ in 0..ROUNDS {
             let before: u64 = counts.iter().map(|count| count.load(Ordering::Relaxed)).sum();
-            let over = Arc::new(AtomicBool::new(false));
-            let all = clients(at, 24, Duration::from_millis(20), "a", &over);
+            let stopped = Arc::new(AtomicBool::new(false));
+            let all = clients(at, 24, Duration::from_millis(20), "a", &stopped);
             thread::sleep(SPAN);
-            over.store(true, Ordering::Relaxed);
+            stopped.store(true, Ordering::Relaxed);
             let seen = joined(all);
             let after: u64 = counts.iter().map(|count| count.load(Ordering::Relaxed)).sum();
             let attempts = (after - before) as f64 / (seen.served + seen.refused) as f64;
@@ -243,7 +247,7 @@
     for _ in 0..MEMBER_ROUNDS {
         let mut round = Vec::new();
         for (_, greedy, uploads) in cases {
-            let over = Arc::new(AtomicBool::new(false));
+            let stopped = Arc::new(AtomicBool::new(false));
             let mut slow = Vec::new();
             for _ in 0..uploads {
                 let mut stream = TcpStream::connect(at)?;
@@ -251,10 +255,10 @@
                 stream.write_all(head.as_bytes())?;
                 slow.push(stream);
             }
-            let calm = clients(at, 20, Duration::from_millis(50), "calm", &over);
-            let other = clients(at, greedy, Duration::from_millis(20), "greedy", &over);
+            let calm = clients(at, 20, Duration::from_millis(50), "calm", &stopped);
+            let other = clients(at, greedy, Duration::from_millis(20), "greedy", &stopped);
             thread::sleep(SPAN);
-            over.store(true, Ordering::Relaxed);
+            stopped.store(true, Ordering::Relaxed);
             let seen = joined(calm);
             drop((joined(other), slow));
             let served = seen.served as f64 / SPAN.as_secs_f64();
--- a/crates/mintshelf/src/fleet.rs
+++ b/crates/mintshelf/src/fleet.rs
@@ -12,4 +12,4 @@
 mod status;
 
 pub use commands::{fleet_command, lease_command, FleetCommand, LeaseCommand};
-pub use replica_thread::start;
+pub use replica_thread::{start, StartError};
--- a/crates/mintshelf/src/fleet/error.rs
+++ b/crates/mintshelf/src/fleet/error.rs
@@ -1,6 +1,6 @@
 //! Why a command about fleet or leases failed, and its exit code.
 
-use crate::UNUSABLE;
+use crate::EXIT_UNUSABLE;
 use mintshelf_consensus_node::store_error::StoreError;
 use mintshelf_lease::command::Rejection;
 use std::io;
@@ -100,7 +100,7 @@
         eprintln!("mintshelf: {self}");
         match self {
             CommandError::Config { exit_code, .. } => *exit_code,
-            CommandError::InvalidDuration => ExitCode::from(UNUSABLE),
+            CommandError::InvalidDuration => ExitCode::from(EXIT_UNUSABLE),
             CommandError::NoLeader { .. } | CommandError::NoResponse => {
                 ExitCode::from(EXIT_UNAVAILABLE)
             }
--- a/crates/mintshelf/src/fleet/query.rs
+++ b/crates/mintshelf/src/fleet/query.rs
@@ -1,7 +1,7 @@
 //! What the commands share: the fleet of an operator's file, and the status of its replicas.
 
 use super::error::CommandError;
-use crate::{check, runtime};
+use crate::{config_file, runtime};
 use mintshelf_config::model::FleetConfig;
 use mintshelf_consensus_node::client::fetch_status;
 use mintshelf_consensus_node::frame::StatusReport;
@@ -13,9 +13,9 @@
 
 /// The fleet of an operator's file.
 pub fn load_fleet(config: &Path) -> Result<FleetConfig, CommandError> {
-    let file = check::read(config).map_err(|unusable| CommandError::Config {
-        problems: unusable.lines(),
-        exit_code: unusable.code(),
+    let file = config_file::read(config).map_err(|error| CommandError::Config {
+        problems: error.lines(),
+        exit_code: error.exit_code(),
     })?;
     file.fleet.ok_or_else(|| CommandError::NoFleet { config: config.to_owned() })
 }
--- /dev/null
+++ b/crates/mintshelf/tests/gateway/streaming.rs
@@ -0,0 +1,91 @@
+//! Large bodies pass with bounded memory.
+
+use crate::fixture::daemon;
+use mintshelf_test_support::{connect, get, ok_response, Message, Peer, Process as _};
+use std::io::{Read, Write};
+use std::net::TcpStream;
+
+/// Bytes that differ by place, so that a swap or a loss shows.
+fn pattern(at: usize) -> u8 {
+    (at % 251) as u8
+}
+
+const BODY_BYTES: usize = 200 << 20;
+
+/// Reads a head byte by byte, so that nothing of the body is consumed; none at the connection's end.
+fn read_head(stream: &mut TcpStream) -> Option<String> {
+    let mut head = Vec::new();
+    let mut byte = [0];
+    while !head.ends_with(b"\r\n\r\n") {
+        if stream.read(&mut byte).unwrap_or(0) == 0 {
+            return None;
+        }
+        head.push(byte[0]);
+    }
+    Some(String::from_utf8_lossy(&head).into_owned())
+}
+
+/// Writes a body of the pattern.
+fn write_body(stream: &mut TcpStream) -> std::io::Result<()> {
+    let block: Vec<u8> = (0..251 * 256).map(pattern).collect();
+    let mut left = BODY_BYTES;
+    while left > 0 {
+        let part = &block[..left.min(block.len())];
+        stream.write_all(part)?;
+        left -= part.len();
+    }
+    Ok(())
+}
+
+/// Whether bytes are those of the pattern at this place.
+fn is_pattern(bytes: &[u8], at: usize) -> bool {
+    bytes.iter().enumerate().all(|(offset, byte)| *byte == pattern(at + offset))
+}
+
+/// Receives a body and tells its length and whether it is the pattern, or sends one.
+fn serve(mut stream: TcpStream) {
+    let Some(head) = read_head(&mut stream) else { return };
+    if !head.starts_with("POST") {
+        let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {BODY_BYTES}\r\n\r\n");
+        stream.write_all(head.as_bytes()).unwrap();
+        let _ = write_body(&mut stream);
+        return;
+    }
+    let mut received = 0;
+    let mut buffer = vec![0; 64 << 10];
+    let mut is_intact = true;
+    while received < BODY_BYTES {
+        let count = stream.read(&mut buffer).unwrap_or(0);
+        if count == 0 {
+            return;
+        }
+        is_intact &= is_pattern(&buffer[..count], received);
+        received += count;
+    }
+    stream.write_all(&ok_response(&format!("{received} {is_intact}"))).unwrap();
+}
+
+#[test]
+fn bodies_of_200_mb_stream_both_ways_in_32_mb_of_memory() {
+    let server = Peer::start(serve);
+    let daemon = daemon(&[server.at], "");
+    let mut stream = connect(daemon.at).unwrap();
+    let head = format!("POST /up HTTP/1.1\r\nHost: h\r\nContent-Length: {BODY_BYTES}\r\n\r\n");
+    stream.write_all(head.as_bytes()).unwrap();
+    write_body(&mut stream).unwrap();
+    let got = Message::read(&mut stream).unwrap();
+    assert_eq!(String::from_utf8_lossy(&got.body), format!("{BODY_BYTES} true"));
+    let mut stream = connect(daemon.at).unwrap();
+    stream.write_all(&get("/down")).unwrap();
+    read_head(&mut stream).unwrap();
+    let mut received = 0;
+    let mut buffer = vec![0; 64 << 10];
+    while received < BODY_BYTES {
+        let count = stream.read(&mut buffer).unwrap();
+        assert!(count > 0, "ended at {received}");
+        assert!(is_pattern(&buffer[..count], received));
+        received += count;
+    }
+    let peak = daemon.peak_memory();
+    assert!(peak < 32 << 20, "{peak} bytes for two bodies of {BODY_BYTES}");
+}
--- a/crates/mintshelf/tests/crossings/attempts.rs
+++ b/crates/mintshelf/tests/races/attempts.rs
@@ -1,6 +1,6 @@
 //! Attempts: a keyed window that ends while a connection comes up, connections that die at rest.
 
-use crate::stage::{ids, slow_connects, while_stopped, Unreached, PROGRAM};
+use crate::fixture::{ids, slow_connects, while_stopped, Unreached, PROGRAM};
 use mintshelf_test_support::{
     config, connect, entry, ok_response, request, request_with_timeout, send_request, wait_until,
     Discovery, Latch, Message, Peer, Process as _, Server, Sidecar,
@@ -171,7 +171,8 @@
     for number in 0..3 {
         let id = format!("held-{number}");
         let seen = server.requests();
-        let told: Vec<_> = seen.iter().filter(|m| m.header("x-txn") == Some(&id)).collect();
+        let told: Vec<_> =
+            seen.iter().filter(|message| message.header("x-txn") == Some(&id)).collect();
         assert!(told.len() > 1, "{id} had a further attempt");
         for attempt in told {
             let told = attempt.header("x-remaining-ms").unwrap().parse().unwrap();
