--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -157,7 +157,8 @@
         state.in_flight += 1;
         state.reported_queue += 1.0;
         state.warm_up_credit -= 1.0;
-        let (server, sent_at) = (state.listed.id, self.now);
+        let server = state.listed.id;
+        let sent_at = self.now;
         request.attempts.push(Attempt { server, sent_at, ..Attempt::default() });
         let timeout_at = request.deadline;
         self.actions.push(Action::Send { id: id.clone(), server, timeout_at });
--- a/crates/balancer/src/decide/admission.rs
+++ b/crates/balancer/src/decide/admission.rs
@@ -89,7 +89,8 @@
         let density = |class: usize| weight[class] / work[class].max(1e-9);
         let mut by_density: Vec<usize> = (0..work.len()).collect();
         by_density.sort_by(|one, other| density(*one).total_cmp(&density(*other)));
-        let (low, high) = (by_density[0], by_density[work.len() - 1]);
+        let low = by_density[0];
+        let high = by_density[work.len() - 1];
         let Objective { overall, worst_window, worst_class, .. } = self.settings.objective;
         let gain = (overall + worst_window) * work[low] * (density(high) - density(low));
         let above_deadband = (self.overload.reject_level - REJECT_DEADBAND).max(0.0);
--- a/crates/balancer/src/decide/attempts.rs
+++ b/crates/balancer/src/decide/attempts.rs
@@ -18,7 +18,8 @@
 
 impl Balancer {
     pub(crate) fn on_request(&mut self, id: RequestId, request: Request) {
-        let (class, tenant) = (request.class, request.tenant);
+        let class = request.class;
+        let tenant = request.tenant;
         if class >= self.settings.classes.len() || self.requests.contains_key(&id) {
             return;
         }
--- a/crates/balancer/src/settings/mod.rs
+++ b/crates/balancer/src/settings/mod.rs
@@ -54,7 +54,8 @@
     let max_attempts = document.limits.max_attempts;
     let classes = document.classes.iter().map(|entry| class(entry, max_attempts));
     let classes = classes.collect::<Result<Vec<_>, _>>()?;
-    let (invariants, limits) = (&document.invariants, &document.limits);
+    let invariants = &document.invariants;
+    let limits = &document.limits;
     Ok(Settings {
         self_index: document.self_index,
         instances: document.instances.max(1),
--- a/crates/balancer/src/state/server.rs
+++ b/crates/balancer/src/state/server.rs
@@ -127,7 +127,8 @@
         let Some(index) = self.index_of(fresh.listed.id) else { return };
         let server = &mut self.servers[index];
         if fresh.listed.started_at > server.listed.started_at {
-            let (in_flight, overdue) = (server.in_flight, server.overdue);
+            let in_flight = server.in_flight;
+            let overdue = server.overdue;
             *server = ServerState { in_flight, overdue, ..fresh };
         } else {
             server.listed = fresh.listed;
--- a/crates/balancer/tests/admission.rs
+++ b/crates/balancer/tests/admission.rs
@@ -22,7 +22,8 @@
 
 /// Requests at `gap` from one time to another, all served in 20 ms; which part was rejected.
 fn rejected_share(instance: &mut TestBalancer, from: Nanos, until: Nanos, gap: Nanos) -> f64 {
-    let (mut all, mut not_sent) = (0, 0);
+    let mut all = 0;
+    let mut not_sent = 0;
     for now in (from..until).step_by(gap as usize) {
         all += 1;
         let id = format!("r{now}");
@@ -106,7 +107,8 @@
     let mut drive = |from: Nanos, n: u64, took: Nanos| {
         let mut rejections = 0;
         for i in 0..n {
-            let (now, name) = (from + i * 100 * MS, format!("r{from}-{i}"));
+            let now = from + i * 100 * MS;
+            let name = format!("r{from}-{i}");
             let actions = instance.handle(now, request(&name, 0, 2 * SECOND));
             rejections += u64::from(rejected(&actions));
             let timer = actions.iter().find_map(|action| match action {
@@ -117,8 +119,11 @@
                 instance.handle(now, Event::Timer { token });
             }
             for server in sends(&actions) {
-                let (id, attempt, outcome) = (name.as_str().into(), 0, Outcome::Ok);
-                let (finished, report) = (true, None);
+                let id = name.as_str().into();
+                let attempt = 0;
+                let outcome = Outcome::Ok;
+                let finished = true;
+                let report = None;
                 let end =
                     Event::AttemptEnded { id, attempt, outcome, finished, took, server, report };
                 instance.handle(now, end);
@@ -137,7 +142,8 @@
 /// sees few, and would go on for long.
 #[test]
 fn an_instance_that_rejected_most_forgets_an_overload_in_seconds() {
-    let (mut during, mut later) = (0.0, 0.0);
+    let mut during = 0.0;
+    let mut later = 0.0;
     for seed in 0..20 {
         let mut instance = TestBalancer::with(settings(), 0..6);
         // Draws of its own for each instance.
@@ -180,7 +186,8 @@
     let mut instance = TestBalancer::with(settings(), 0..6);
     let mut sent = 0;
     for n in 0..100 {
-        let (now, took) = (SECOND + n * 3 * SECOND, 1_800 * MS);
+        let now = SECOND + n * 3 * SECOND;
+        let took = 1_800 * MS;
         sent += u32::from(send_one(
             &mut instance,
             now,
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -102,13 +102,18 @@
 
 /// The end of an attempt after 20 ms.
 pub fn ended(id: &str, attempt: u32, server: ServerId, outcome: Outcome, finished: bool) -> Event {
-    let (id, took, report) = (Arc::from(id), 20 * MS, None);
+    let id = Arc::from(id);
+    let took = 20 * MS;
+    let report = None;
     Event::AttemptEnded { id, attempt, outcome, finished, took, server, report }
 }
 
 /// The end of a request's first and last attempt.
 pub fn ended_after(took: Nanos, id: &str, server: ServerId, outcome: Outcome) -> Event {
-    let (id, attempt, finished, report) = (Arc::from(id), 0, true, None);
+    let id = Arc::from(id);
+    let attempt = 0;
+    let finished = true;
+    let report = None;
     Event::AttemptEnded { id, attempt, outcome, finished, took, server, report }
 }
 
--- a/crates/balancer/tests/ejection.rs
+++ b/crates/balancer/tests/ejection.rs
@@ -69,9 +69,11 @@
     let mut instance = TestBalancer::with(Settings { max_attempts: 1, ..settings() }, 0..6);
     let dead = |server: ServerId| server < 3;
     // Three of six fail until they are ejected; then one request at each other stays open.
-    let (mut held, mut late) = ([false; 6], Vec::new());
+    let mut held = [false; 6];
+    let mut late = Vec::new();
     for n in 0..120 {
-        let (now, id) = (SECOND + n * 5 * MS, n.to_string());
+        let now = SECOND + n * 5 * MS;
+        let id = n.to_string();
         let actions = instance.handle(now, request(&id, 0, 2 * SECOND));
         let Some(&server) = sends(&actions).first() else { continue };
         if n >= 100 && !dead(server) && !std::mem::replace(&mut held[server as usize], true) {
--- a/crates/balancer/tests/generated_events.rs
+++ b/crates/balancer/tests/generated_events.rs
@@ -133,7 +133,8 @@
     }
 
     fn check_send(&mut self, id: &RequestId, server: ServerId) {
-        let (now, allows_parallel) = (self.now, self.allows_parallel_attempts);
+        let now = self.now;
+        let allows_parallel = self.allows_parallel_attempts;
         let is_out = self.out_of_service.get(&server).copied().unwrap_or(false);
         let classes = self.classes.clone();
         let request = self.find(id);
--- a/crates/balancer/tests/gossip.rs
+++ b/crates/balancer/tests/gossip.rs
@@ -53,7 +53,8 @@
     let mut instance = TestBalancer::with(Settings { has_peers: true, ..settings() }, 1..=4);
     let message =
         GossipMessage { weight: 1.0, tenants: vec![], servers: vec![observation(2, 60.0, 30.0)] };
-    let (from, payload) = (9, message.encode());
+    let from = 9;
+    let payload = message.encode();
     instance.handle(SECOND, Event::Gossip { from, payload });
     let mut to_slow = 0;
     for i in 0..400 {
--- a/crates/balancer/tests/load_reports.rs
+++ b/crates/balancer/tests/load_reports.rs
@@ -25,8 +25,9 @@
             let out = instance.handle(now, request(&format!("a{i}"), 0, SECOND));
             for action in out {
                 let Action::Probe { server } = action else { continue };
-                let (outcome, took, report) =
-                    (Outcome::Ok, MS, Some(vec![queue, queue + (i % 2) as f64 * 0.1]));
+                let outcome = Outcome::Ok;
+                let took = MS;
+                let report = Some(vec![queue, queue + (i % 2) as f64 * 0.1]);
                 let out =
                     instance.handle(now + 5 * MS, Event::Probed { server, outcome, took, report });
                 counts.0 += i32::from(rejected(&out));
@@ -65,7 +66,8 @@
             // The figures move from one request to the next, not within a millisecond.
             for again in 0..2 {
                 let report = Some(vec![0.0, 1.0 + number as f64]);
-                let (outcome, took) = (Outcome::Ok, MS / 2);
+                let outcome = Outcome::Ok;
+                let took = MS / 2;
                 let at = now + (1 + again) * MS / 2;
                 instance.handle(at, Event::Probed { server, outcome, took, report });
             }
--- a/crates/balancer/tests/quotas.rs
+++ b/crates/balancer/tests/quotas.rs
@@ -12,9 +12,11 @@
     let tenants = vec![tenant(1_000.0), tenant(100.0)];
     let mut instance =
         TestBalancer::with(Settings { tenants, has_peers: true, ..settings() }, 1..=4);
-    let (mut rejections, mut ends) = ([0, 0], 0);
+    let mut rejections = [0, 0];
+    let mut ends = 0;
     for i in 0..400u64 {
-        let (now, id) = (SECOND + i * 20 * MS, format!("a{i}"));
+        let now = SECOND + i * 20 * MS;
+        let id = format!("a{i}");
         let Event::Request { id, class, key, repeat, client_timeout, cost_hint, .. } =
             request(&id, 0, 2 * SECOND)
         else {
@@ -53,7 +55,8 @@
         TestBalancer::with(Settings { tenants, has_peers: true, ..settings() }, 1..=4);
     let mut rejections = 0;
     for i in 0..400u64 {
-        let (now, id) = (SECOND + i * 100 * MS, format!("a{i}"));
+        let now = SECOND + i * 100 * MS;
+        let id = format!("a{i}");
         let out = instance.handle(now, request(&id, 0, 2 * SECOND));
         rejections += i32::from(rejected(&out));
         if let Some(to) = sends(&out).first() {
--- a/crates/balancer/tests/retries.rs
+++ b/crates/balancer/tests/retries.rs
@@ -19,7 +19,8 @@
 
 #[test]
 fn no_idempotent_request_is_sent_after_its_window_whatever_the_backoff() {
-    let (mut late, mut again) = (0, 0);
+    let mut late = 0;
+    let mut again = 0;
     let mut instance = TestBalancer::with(permissive_settings(), 1..=4);
     for n in 0..200 {
         let id = format!("r{n}");
@@ -124,7 +125,8 @@
         instance.handle(now, ended(id, 0, server, Outcome::Ok, true));
     };
     // Of what server 1 has at the time, it answers one more; then it says nothing.
-    let (mut at_one, mut at_others) = (Vec::new(), Vec::new());
+    let mut at_one = Vec::new();
+    let mut at_others = Vec::new();
     for n in 0..100 {
         let id = format!("r{n}");
         match sends(&instance.handle(2 * SECOND, request(&id, 0, 2 * SECOND)))[..] {
@@ -140,7 +142,8 @@
     answer(&mut instance, 2 * SECOND + 5 * MS, &at_one.remove(0), 1);
     // The others go on answering.
     for n in 0..20u64 {
-        let (now, id) = (2 * SECOND + 10 * MS + n * 4 * MS, format!("s{n}"));
+        let now = 2 * SECOND + 10 * MS + n * 4 * MS;
+        let id = format!("s{n}");
         match sends(&instance.handle(now, request(&id, 0, 2 * SECOND)))[..] {
             [1] => at_one.push(id),
             [server] => answer(&mut instance, now + MS, &id, server),
--- a/crates/balancer/tests/safety_rules.rs
+++ b/crates/balancer/tests/safety_rules.rs
@@ -60,13 +60,15 @@
     for ended_at in [SECOND / 2, 2 * SECOND] {
         let mut instance = TestBalancer::with(settings.clone(), 1..=4);
         for number in 0..400u64 {
-            let (id, now) = (format!("f{number}"), SECOND + number * 5 * MS);
+            let id = format!("f{number}");
+            let now = SECOND + number * 5 * MS;
             for server in sends(&instance.handle(now, request(&id, 0, 2 * SECOND))) {
                 instance.handle(now, ended(&id, 0, server, Outcome::TimedOut, true));
             }
         }
         for number in 0..200u64 {
-            let (id, now) = (format!("k{number}"), 3 * SECOND + number * MS);
+            let id = format!("k{number}");
+            let now = 3 * SECOND + number * MS;
             let Some(server) = sends(&instance.handle(now, request(&id, 1, 9 * SECOND))).pop()
             else {
                 continue;
--- a/crates/balancer/tests/server_order.rs
+++ b/crates/balancer/tests/server_order.rs
@@ -56,7 +56,8 @@
 
 #[test]
 fn a_server_that_joins_or_leaves_moves_epsilon() {
-    let (three, four) = (order(&[2.0, 2.0, 2.0]), order(&[2.0, 2.0, 2.0, 0.3]));
+    let three = order(&[2.0, 2.0, 2.0]);
+    let four = order(&[2.0, 2.0, 2.0, 0.3]);
     assert!(four.epsilon() < three.epsilon());
     assert_eq!(order(&[2.0, 2.0, 2.0]).epsilon(), three.epsilon());
 }
@@ -80,7 +81,8 @@
     let speeds = prop::collection::vec(0.001f64..1000.0, 3..40);
     TestRunner::new_with_rng(config, rng)
         .run(&speeds, |speeds| {
-            let (n, order) = (speeds.len(), order(&speeds));
+            let n = speeds.len();
+            let order = order(&speeds);
             let bar = (2..n).map(|j| speeds[j - 1] / (j - 1) as f64).fold(f64::INFINITY, f64::min);
             let last = (speeds[n - 1] + speeds[n - 2]) / (n - 2) as f64;
             prop_assert!(order.epsilon() > 0.0 && order.epsilon() < bar.min(last));
--- a/crates/balancer/tests/server_speed.rs
+++ b/crates/balancer/tests/server_speed.rs
@@ -22,11 +22,16 @@
     let entry = |id| ListedServer { kind: id % 2, ..server(id) };
     instance.handle(SECOND, list(ListKind::Full, (0..6).map(entry).collect()));
     for i in 0..400u64 {
-        let (now, id) = (SECOND + i * 10 * MS, format!("t{i}"));
+        let now = SECOND + i * 10 * MS;
+        let id = format!("t{i}");
         let to = sends(&instance.handle(now, request_with_work(&id, 50 * MS)))[0];
         let took = if to % 2 == 1 { 100 * MS } else { 50 * MS };
-        let (id, attempt, outcome) = (id.as_str().into(), 0, Outcome::Ok);
-        let (finished, server, report) = (true, to, None);
+        let id = id.as_str().into();
+        let attempt = 0;
+        let outcome = Outcome::Ok;
+        let finished = true;
+        let server = to;
+        let report = None;
         let end = Event::AttemptEnded { id, attempt, outcome, finished, took, server, report };
         instance.handle(now + took, end);
     }
@@ -59,7 +64,8 @@
     instance.handle(SECOND, list(ListKind::Full, (0..6).map(entry).collect()));
     let mut last = [0, 0];
     for i in 0..600u64 {
-        let (now, name) = (SECOND + i * 20 * MS, format!("s{i}"));
+        let now = SECOND + i * 20 * MS;
+        let name = format!("s{i}");
         let actions = instance.handle(now, request(&name, 0, 2 * SECOND));
         let server = sends(&actions)[0];
         let timer = actions.iter().find_map(|action| match action {
@@ -69,8 +75,11 @@
         last[(server % 2) as usize] = timer.expect("a timer for the attempt");
         // The objective is 400 ms, of which 0.6 are 240.
         let took = if server % 2 == 1 { 170 * MS } else { 60 * MS };
-        let (id, attempt, outcome) = (name.as_str().into(), 0, Outcome::Ok);
-        let (finished, report) = (true, None);
+        let id = name.as_str().into();
+        let attempt = 0;
+        let outcome = Outcome::Ok;
+        let finished = true;
+        let report = None;
         let end = Event::AttemptEnded { id, attempt, outcome, finished, took, server, report };
         instance.handle(now + took, end);
     }
@@ -86,15 +95,19 @@
     instance.handle(SECOND, list(ListKind::Full, (0..6).map(entry).collect()));
     let mut served_on_fast_kind = [0, 0];
     for i in 0..2000u64 {
-        let (now, name) = (SECOND + i * 10 * MS, format!("f{i}"));
+        let now = SECOND + i * 10 * MS;
+        let name = format!("f{i}");
         // Class 0 is quick on kind 0, class 4 on kind 1.
         let (class, quick) = if i % 2 == 0 { (0, 0) } else { (4, 1) };
         let server = sends(&instance.handle(now, request(&name, class, 2 * SECOND)))[0];
         let fits = server % 2 == quick;
         served_on_fast_kind[(i % 2) as usize] += u32::from(fits && i >= 1000);
         let took = if fits { 50 * MS } else { 150 * MS };
-        let (id, attempt, outcome) = (name.as_str().into(), 0, Outcome::Ok);
-        let (finished, report) = (true, None);
+        let id = name.as_str().into();
+        let attempt = 0;
+        let outcome = Outcome::Ok;
+        let finished = true;
+        let report = None;
         let end = Event::AttemptEnded { id, attempt, outcome, finished, took, server, report };
         instance.handle(now + took, end);
     }
@@ -138,17 +151,22 @@
         let mut instance = TestBalancer::new(Settings { size_kind, classes, ..settings() }).0;
         let entry = |id| ListedServer { kind: id % 2, ..server(id) };
         instance.handle(SECOND, list(ListKind::Full, (0..6).map(entry).collect()));
-        let (mut slow, mut all) = (0.0, 0.0);
+        let mut slow = 0.0;
+        let mut all = 0.0;
         for i in 0..3_000u64 {
-            let (now, name) = (SECOND + i * 200 * MS, format!("a{i}"));
+            let now = SECOND + i * 200 * MS;
+            let name = format!("a{i}");
             let server = sends(&instance.handle(now, request(&name, 0, 2 * SECOND)))[0];
             let took = [50, 100][server as usize % 2] * MS;
             if i >= 1_000 {
                 all += 1.0;
                 slow += f64::from(server % 2);
             }
-            let (id, attempt, outcome) = (name.as_str().into(), 0, Outcome::Ok);
-            let (finished, report) = (true, None);
+            let id = name.as_str().into();
+            let attempt = 0;
+            let outcome = Outcome::Ok;
+            let finished = true;
+            let report = None;
             let end = Event::AttemptEnded { id, attempt, outcome, finished, took, server, report };
             instance.handle(now + took, end);
         }
--- a/crates/balancer/tests/server_subset.rs
+++ b/crates/balancer/tests/server_subset.rs
@@ -13,7 +13,8 @@
         let mut instance = TestBalancer::with(Settings { prices, instances, ..settings() }, 1..=12);
         let mut reached = std::collections::BTreeSet::new();
         for i in 0..300u64 {
-            let (now, id) = (SECOND + i * 500 * MS, format!("a{i}"));
+            let now = SECOND + i * 500 * MS;
+            let id = format!("a{i}");
             let to = sends(&instance.handle(now, request(&id, 0, 2 * SECOND)))[0];
             reached.insert(to);
             instance.handle(now, ended(&id, 0, to, Outcome::Ok, true));
@@ -44,6 +45,7 @@
         }
         own
     };
-    let (free, priced) = (own_share(0.0), own_share(0.12));
+    let free = own_share(0.0);
+    let priced = own_share(0.12);
     assert!(2 * priced > 3 * free, "{priced} of the own zone against {free}");
 }
--- a/crates/fleet-simulator/src/scenario.rs
+++ b/crates/fleet-simulator/src/scenario.rs
@@ -168,7 +168,8 @@
     #[must_use]
     pub fn with_outage(self, kind: FaultKind, from_second: u64, until_second: u64) -> Self {
         let servers = 0..self.servers;
-        let (from, until) = (from_second * SECOND, until_second * SECOND);
+        let from = from_second * SECOND;
+        let until = until_second * SECOND;
         self.with_fault(Fault { from, until, servers, kind })
     }
 
--- a/crates/fleet-simulator/src/sidecar/mod.rs
+++ b/crates/fleet-simulator/src/sidecar/mod.rs
@@ -238,7 +238,8 @@
         let attempt = request.attempts.get_mut(number as usize);
         let Some(attempt) = attempt.filter(|attempt| !attempt.has_ended) else { return };
         attempt.has_ended = true;
-        let (server, took) = (attempt.server, now - attempt.sent_at);
+        let server = attempt.server;
+        let took = now - attempt.sent_at;
         let is_served = request.is_open && outcome == Outcome::Ok;
         let RequestOwner { client, class } = request.owner;
         if is_served {
@@ -256,7 +257,9 @@
             }
         }
         self.forget_if_done(id);
-        let (id, attempt, report) = (id.clone(), number, None);
+        let id = id.clone();
+        let attempt = number;
+        let report = None;
         let end = Event::AttemptEnded { id, attempt, outcome, finished, took, server, report };
         self.post(now, end);
     }
--- a/crates/fleet-simulator/src/simulation/clients.rs
+++ b/crates/fleet-simulator/src/simulation/clients.rs
@@ -119,7 +119,9 @@
         state.sent_at = now;
         state.is_waiting = true;
         state.requests += 1;
-        let (class, sidecar, requests) = (state.class, state.sidecar, state.requests);
+        let class = state.class;
+        let sidecar = state.sidecar;
+        let requests = state.requests;
         let timeout = state.timeout();
         self.slice().requests += 1;
         let gives_up_at = now + timeout + TIMEOUT_SLACK;
--- a/crates/fleet-simulator/src/simulation/servers.rs
+++ b/crates/fleet-simulator/src/simulation/servers.rs
@@ -97,7 +97,8 @@
         let StartedJob { number, ends_at } = started;
         self.events.schedule(ends_at, Event::JobEnds { server, number });
         let Some(job) = self.servers[server].running(number) else { return };
-        let (client, effect) = (job.client, CLASSES[job.class].effect);
+        let client = job.client;
+        let effect = CLASSES[job.class].effect;
         if effect == Effect::Idempotent && self.is_discarded(client) {
             return;
         }
--- a/crates/fleet-simulator/tests/outages.rs
+++ b/crates/fleet-simulator/tests/outages.rs
@@ -31,7 +31,8 @@
 #[test]
 fn a_scenario_takes_the_same_course_every_time() {
     let scenario = Scenario::without_faults(3, 200.0, 6).with_outage(FaultKind::Crash, 2, 4);
-    let (one, other) = (simulate(&scenario), simulate(&scenario));
+    let one = simulate(&scenario);
+    let other = simulate(&scenario);
     assert_eq!(one, other);
     let another = simulate(&Scenario { seed: 4, ..scenario });
     assert_ne!(one.digest, another.digest);
@@ -47,7 +48,8 @@
         FaultKind::Hang(3),
         FaultKind::Hang(2),
     ];
-    let (mut served, mut outages) = (0.0, 0);
+    let mut served = 0.0;
+    let mut outages = 0;
     for seed in 0..1_000 {
         let kind = kinds[seed as usize % kinds.len()];
         let servers = 0..1 + (seed as usize / 5) % 3;
@@ -108,7 +110,8 @@
     let (with, without) = with_and_without_ramp(&scenario);
     assert_rules_hold(&scenario, &with);
     let work = |report: &Report| report.peak(8..15, 25, |slice| slice.work);
-    let (ramped, plain) = (work(&with), work(&without));
+    let ramped = work(&with);
+    let plain = work(&without);
     assert!(ramped < 1.8 && ramped < 0.6 * plain, "{ramped} with, {plain} without");
     let seconds = with.recovery_seconds(8..15, 25);
     assert!(seconds < 20.0, "{seconds} s until it has recovered");
--- a/crates/fleet-simulator/tests/standard_scenarios.rs
+++ b/crates/fleet-simulator/tests/standard_scenarios.rs
@@ -71,7 +71,8 @@
     assert!(report.interrupted > 0, "no request was interrupted: no restart");
     // A sidecar's requests of a second at most, over all that restart.
     let connects = |second: u64| report.sum(second..second + 1, |slice| slice.connects as f64);
-    let (max, first) = ((10..20).map(connects).fold(0.0, f64::max), connects(0));
+    let max = (10..20).map(connects).fold(0.0, f64::max);
+    let first = connects(0);
     assert!(max < first, "{max} in a second, {first} when all started");
     // Nor does any one server see many more than in a calm second.
     let [calm, max] = [2..10, 10..20].map(|seconds| report.max_connects(seconds));
--- a/crates/recovery/src/ramp.rs
+++ b/crates/recovery/src/ramp.rs
@@ -146,7 +146,8 @@
     }
 
     fn is_outage(&self) -> bool {
-        let (attempts, failures) = (self.attempts.sum, self.failures.sum);
+        let attempts = self.attempts.sum;
+        let failures = self.failures.sum;
         attempts >= OUTAGE_MIN_ATTEMPTS && failures >= OUTAGE_FAILURE_SHARE * attempts
     }
 
--- a/crates/recovery/tests/ramp.rs
+++ b/crates/recovery/tests/ramp.rs
@@ -108,7 +108,8 @@
         })
     };
     let times: Vec<_> = (0..20).map(|seed| at_full(seed).unwrap()).collect();
-    let (min, max) = (times.iter().min().unwrap(), times.iter().max().unwrap());
+    let min = times.iter().min().unwrap();
+    let max = times.iter().max().unwrap();
     assert!(max > min, "{times:?}");
 }
 
--- a/crates/recovery/tests/retry_after.rs
+++ b/crates/recovery/tests/retry_after.rs
@@ -94,7 +94,8 @@
     ) {
         let mut schedule = RetryAfterSchedule::new(seed, max_seconds * SECOND);
         let max_seconds = max_seconds.clamp(1, MAX_RETRY_AFTER_SECONDS);
-        let (mut now, mut due) = (0, Vec::new());
+        let mut now = 0;
+        let mut due = Vec::new();
         for (passed, what) in steps {
             now += passed;
             match what {
