--- a/crates/mintshelf/src/fleet/status.rs
+++ b/crates/mintshelf/src/fleet/status.rs
@@ -61,21 +61,31 @@
     fleet.voters.get(index).map(|voter| voter.name.as_str())
 }
 
+fn replica_output<'a>(
+    status: &FleetStatus,
+    voter: &'a FleetVoter,
+    report: Option<&StatusReport>,
+) -> ReplicaOutput<'a> {
+    let state = report.map(|report| ReplicaState {
+        is_leader: report.status.is_leader,
+        term: report.status.term,
+        applied: report.status.applied_index,
+        lag: lag(status, report),
+        incarnation: report.incarnation,
+        members: report.members,
+    });
+    ReplicaOutput {
+        name: &voter.name,
+        address: voter.address.to_string(),
+        responds: report.is_some(),
+        state,
+    }
+}
+
 fn print_json(fleet: &Fleet, status: &FleetStatus) {
-    let replica_output = |voter: &'_ FleetVoter, report: &Option<StatusReport>| {
-        let state = report.as_ref().map(|report| ReplicaState {
-            is_leader: report.status.is_leader,
-            term: report.status.term,
-            applied: report.status.applied_index,
-            lag: lag(status, report),
-            incarnation: report.incarnation,
-            members: report.members,
-        });
-        let address = voter.address.to_string();
-        json!(ReplicaOutput { name: &voter.name, address, responds: report.is_some(), state })
-    };
     let voters = fleet.voters.iter().zip(&status.reports);
-    let voters: Vec<_> = voters.map(|(voter, report)| replica_output(voter, report)).collect();
+    let voters: Vec<ReplicaOutput> =
+        voters.map(|(voter, report)| replica_output(status, voter, report.as_ref())).collect();
     let output = json!({
         "fleet": fleet.fleet,
         "leader": leader_name(fleet, status),
