--- a/crates/mintshelf/src/daemon.rs
+++ b/crates/mintshelf/src/daemon.rs
@@ -41,7 +41,7 @@
     path: PathBuf,
     state: RefCell<State>,
     budget: ResourceBudget,
-    /// ResourceBudget of tenants, routes and clusters, and their usage.
+    /// Limits of tenants, routes and clusters, and their usage.
     pub admission: Rc<AdmissionController>,
     connections: Rc<ConnectionPool>,
     client_timeouts: ClientTimeouts,
--- a/crates/mintshelf/tests/compatibility/metrics.rs
+++ b/crates/mintshelf/tests/compatibility/metrics.rs
@@ -23,7 +23,7 @@
     )
 }
 
-/// A server of WebSockets that says back what it hears, and breaks off when told to.
+/// A WebSocket server that says back what it hears, and breaks off when told to.
 fn echo() -> Peer {
     Peer::start(|stream| {
         let Ok(mut socket) = tungstenite::accept(stream) else { return };
