--- a/crates/mintshelf/tests/compatibility/bindings.rs
+++ b/crates/mintshelf/tests/compatibility/bindings.rs
@@ -34,8 +34,8 @@
 
 /// Stand-ins for servers and clients, under the names that the tests call them by.
 pub use mintshelf_test_support::{
-    answer, ask, config, connect, free_address, get, request, wait_until, Daemon, Peer, Server,
-    Sidecar, LONG,
+    config, connect, free_address, get, ok_response as answer, request, send_request as ask,
+    wait_until, Daemon, Peer, Server, Sidecar, TEST_TIMEOUT as LONG,
 };
 
 const MILLISECOND: u64 = 1_000_000;
--- a/crates/mintshelf/tests/compatibility/endpoint_lists.rs
+++ b/crates/mintshelf/tests/compatibility/endpoint_lists.rs
@@ -26,7 +26,7 @@
     configuration["known"] = serde_json::from_str::<Value>(&list).unwrap();
     let sidecar = Sidecar::start(PROGRAM, configuration);
     for number in 0..5 {
-        let got = sidecar.ask(&request("safe", &format!("txn-{number}"))).unwrap();
+        let got = sidecar.send_request(&request("safe", &format!("txn-{number}"))).unwrap();
         assert_eq!((got.status(), got.body.as_slice()), (200, &b"listed"[..]));
     }
 }
@@ -37,11 +37,13 @@
     let list = text("endpoint-list.json").replace("127.0.0.1:9001", &server.at.to_string());
     let discovery = Server::start(move |_, _| Some(answer(&list)));
     let sidecar = Sidecar::start(PROGRAM, config(discovery.at, Vec::new()));
-    wait_until("the list is held", || discovery.seen().iter().any(|call| call.after() == Some(41)));
-    let calls = discovery.seen();
+    wait_until("the list is held", || {
+        discovery.requests().iter().any(|call| call.after() == Some(41))
+    });
+    let calls = discovery.requests();
     let (path, wait) = calls[0].path().split_once("&wait_ms=").unwrap();
     assert_eq!(path, "/api/targets?after=1");
     assert!(wait.parse::<u64>().is_ok(), "{wait}");
-    let got = sidecar.ask(&request("safe", "txn-1")).unwrap();
+    let got = sidecar.send_request(&request("safe", "txn-1")).unwrap();
     assert_eq!((got.status(), got.body.as_slice()), (200, &b"listed"[..]));
 }
--- a/crates/mintshelf/tests/compatibility/metrics.rs
+++ b/crates/mintshelf/tests/compatibility/metrics.rs
@@ -51,8 +51,8 @@
     let (at, admin) = (free_address(), free_address());
     let text = file(at, admin, [plain.at, live.at, other.at]);
     let daemon = Daemon::start(PROGRAM, at, &text, &[]);
-    assert_eq!(daemon.ask(&get("/plain")).unwrap().status(), 200);
-    assert_eq!(daemon.ask(&get("/nowhere")).unwrap().status(), 404);
+    assert_eq!(daemon.send_request(&get("/plain")).unwrap().status(), 200);
+    assert_eq!(daemon.send_request(&get("/nowhere")).unwrap().status(), 404);
     let mut ended = socket(at);
     ended.close(None).unwrap();
     while ended.read().is_ok() {}
--- a/crates/mintshelf/tests/compatibility/platform_configuration.rs
+++ b/crates/mintshelf/tests/compatibility/platform_configuration.rs
@@ -111,7 +111,7 @@
     configuration["peers_all"] = json!(free_address().to_string());
     configuration["known"]["targets"][0]["endpoint"] = json!(server.at.to_string());
     let sidecar = Sidecar::start(PROGRAM, configuration);
-    let got = sidecar.ask(&request("safe", "txn-1")).unwrap();
+    let got = sidecar.send_request(&request("safe", "txn-1")).unwrap();
     assert_eq!((got.status(), got.body.as_slice()), (200, &b"served"[..]));
 }
 
--- a/crates/mintshelf/tests/fleet/cluster.rs
+++ b/crates/mintshelf/tests/fleet/cluster.rs
@@ -1,7 +1,7 @@
 //! Some replicas as processes, their files and connections.
 
 use mintshelf_test_support::relay::Relay;
-use mintshelf_test_support::{answer, free_address, wait_until, Daemon, Server};
+use mintshelf_test_support::{free_address, ok_response, wait_until, Daemon, Server};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -41,7 +41,7 @@
                 links.insert(Link { dials, listens }, Relay::start(*address));
             }
         }
-        let server = Server::start(|_, _| Some(answer("here")));
+        let server = Server::start(|_, _| Some(ok_response("here")));
         let listeners = (0..replicas).map(|_| free_address()).collect();
         let processes = (0..replicas).map(|_| None).collect();
         Cluster { directory, addresses, listeners, server, links, processes }
--- a/crates/mintshelf/tests/fleet/main.rs
+++ b/crates/mintshelf/tests/fleet/main.rs
@@ -39,7 +39,11 @@
     let log = || cluster.processes[killed].as_ref().map(Daemon::log_output).unwrap_or_default();
     wait_until("it says that its store is behind", || log().contains("this voter must stop"));
     let daemon = cluster.processes[killed].as_ref().unwrap();
-    assert_eq!(daemon.ask(&get("/")).map(|answer| answer.status()), Some(200), "traffic goes on");
+    assert_eq!(
+        daemon.send_request(&get("/")).map(|answer| answer.status()),
+        Some(200),
+        "traffic goes on"
+    );
 }
 
 #[test]
@@ -79,5 +83,5 @@
     assert_eq!(listed.status.code(), Some(69));
     assert!(text(&listed.stderr).contains("1 of 3 voters answer, 2 are needed"), "{listed:?}");
     let daemon = cluster.processes[left].as_ref().unwrap();
-    assert_eq!(daemon.ask(&get("/")).map(|answer| answer.status()), Some(200));
+    assert_eq!(daemon.send_request(&get("/")).map(|answer| answer.status()), Some(200));
 }
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -8,7 +8,6 @@
 
 mod addresses;
 mod client;
-mod compatibility;
 mod daemon;
 mod discovery;
 mod message;
@@ -23,7 +22,6 @@
     connect, metric, read_to_close, request, request_with_timeout, reset_connection, send_request,
 };
 #[doc(hidden)]
-pub use compatibility::{answer, ask, LONG};
 pub use daemon::{Daemon, CONFIGURATION_APPLIED, CONFIGURATION_REJECTED};
 pub use discovery::{entry, Discovery};
 pub use message::{get, ok_response, Message};
