--- a/crates/balancer/src/api/class.rs
+++ b/crates/balancer/src/api/class.rs
@@ -74,10 +74,3 @@
         self.initial.saturating_mul(factor).min(self.max)
     }
 }
-
-impl From<[Nanos; 2]> for Backoff {
-    /// Takes the initial and the maximum delay, in this order.
-    fn from([initial, max]: [Nanos; 2]) -> Self {
-        Backoff { initial, max }
-    }
-}
--- a/crates/config/src/platform.rs
+++ b/crates/config/src/platform.rs
@@ -1,7 +1,7 @@
 //! The sidecar's configuration on the platform: the JSON file that `RELAY_CONFIG` names.
 
 use mintshelf_balancer::api::Settings;
-use mintshelf_balancer::settings::parse_settings;
+use mintshelf_balancer::settings::{parse_settings, SettingsError};
 use serde::de::DeserializeOwned;
 use serde::Deserialize;
 use serde_json::Value;
@@ -38,8 +38,8 @@
     #[error("{0} is under {MIN_FILE_DESCRIPTORS}")]
     FewFileDescriptors(usize),
     /// The decision module does not take its settings.
-    #[error("{0}")]
-    Settings(String),
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
     #[error("'{name}' is there twice")]
     DuplicateName { field: String, name: String },
     #[error("is 0: nothing could be sent to any server; it is 1 at least")]
@@ -186,8 +186,7 @@
             return Err(ContentError::FewFileDescriptors(raw.limits.sockets));
         }
         let settings_text = raw.settings.to_string();
-        let settings = parse_settings(&settings_text)
-            .map_err(|error| ContentError::Settings(error.to_string()))?;
+        let settings = parse_settings(&settings_text)?;
         let names: Names = parse_json(&settings_text, "settings.")?;
         // Requests of one class or tenant would get the effect or the share of the other.
         check_unique("classes", &names.classes)?;
