--- /dev/null
+++ b/crates/balancer/tests/decision_digests/coverage.rs
@@ -0,0 +1,164 @@
+//! Counts what the generated input reaches.
+
+use crate::encoding::reason_number;
+use mintshelf_balancer::api::{Action, Event, ListKind, Outcome};
+use std::collections::BTreeMap;
+
+/// What is counted: a kind of event, outcome, list, action or end of a request.
+type Reached = &'static str;
+
+/// Everything that the input must reach.
+const ALL: &[Reached] = &[
+    "event: list",
+    "event: discovery address",
+    "event: request",
+    "event: stream",
+    "event: hedge",
+    "event: attempt ended",
+    "event: client disconnected",
+    "event: timer",
+    "event: probed",
+    "event: gossip",
+    "list: changes",
+    "list: full",
+    "list: cached",
+    "list: failed",
+    "attempt: ok",
+    "attempt: error",
+    "attempt: rejected",
+    "attempt: full",
+    "attempt: timed out",
+    "attempt: connect failed",
+    "attempt: reset",
+    "attempt: cancelled",
+    "attempt: unused",
+    "probe: ok",
+    "probe: failed",
+    "action: send",
+    "action: retry",
+    "action: reject",
+    "action: reject with retry-after",
+    "action: fail",
+    "action: set timer",
+    "action: drop timer",
+    "action: probe",
+    "action: close idle",
+    "action: gossip",
+    "action: watch",
+    "end: 0",
+    "end: 1",
+    "end: 2",
+    "end: 3",
+    "end: 4",
+];
+/// Each is reached this often at least, over all seeds.
+const MIN_COUNT: u64 = 20;
+
+/// Counts by kind.
+#[derive(Default)]
+pub struct Coverage(BTreeMap<Reached, u64>);
+
+impl Coverage {
+    fn count(&mut self, reached: Reached) {
+        *self.0.entry(reached).or_default() += 1;
+    }
+
+    /// Adds the counts of one seed.
+    pub fn add(&mut self, other: &Coverage) {
+        for (reached, count) in &other.0 {
+            *self.0.entry(reached).or_default() += count;
+        }
+    }
+
+    /// Counts an event.
+    pub fn count_event(&mut self, event: &Event) {
+        match event {
+            Event::Servers { kind, .. } => {
+                self.count("event: list");
+                self.count(list_name(*kind));
+            }
+            Event::DiscoveryAddressChanged => self.count("event: discovery address"),
+            Event::Request { .. } => self.count("event: request"),
+            Event::StreamStarted { .. } => self.count("event: stream"),
+            Event::HedgeRequested { .. } => self.count("event: hedge"),
+            Event::AttemptEnded { outcome, .. } => {
+                self.count("event: attempt ended");
+                self.count(outcome_name(*outcome));
+            }
+            Event::ClientDisconnected { .. } => self.count("event: client disconnected"),
+            Event::Timer { .. } => self.count("event: timer"),
+            Event::Probed { outcome, .. } => {
+                self.count("event: probed");
+                let is_ok = *outcome == Outcome::Ok;
+                self.count(if is_ok { "probe: ok" } else { "probe: failed" });
+            }
+            Event::Gossip { .. } => self.count("event: gossip"),
+        }
+    }
+
+    /// Counts an action; `is_retry`: a send of a request that was sent before.
+    pub fn count_action(&mut self, action: &Action, is_retry: bool) {
+        match action {
+            Action::Send { .. } if is_retry => self.count("action: retry"),
+            Action::Send { .. } => self.count("action: send"),
+            Action::Reject { retry_after, reason, .. } => {
+                let has_advice = *retry_after > 0;
+                self.count(if has_advice {
+                    "action: reject with retry-after"
+                } else {
+                    "action: reject"
+                });
+                self.count(end_name(reason_number(*reason)));
+            }
+            Action::Fail { reason, .. } => {
+                self.count("action: fail");
+                self.count(end_name(reason_number(*reason)));
+            }
+            Action::SetTimer { .. } => self.count("action: set timer"),
+            Action::DropTimer { .. } => self.count("action: drop timer"),
+            Action::Probe { .. } => self.count("action: probe"),
+            Action::CloseIdle { .. } => self.count("action: close idle"),
+            Action::SendGossip { .. } => self.count("action: gossip"),
+            Action::Watch { .. } => self.count("action: watch"),
+            Action::Cancel { .. } | Action::FetchServers | Action::Log { .. } => {
+                panic!("the balancer emits no such action: {action:?}");
+            }
+        }
+    }
+
+    /// Checks that everything was reached.
+    pub fn check(&self) {
+        for reached in ALL {
+            let count = self.0.get(reached).copied().unwrap_or(0);
+            assert!(count >= MIN_COUNT, "{reached}: {count} times");
+        }
+        assert_eq!(self.0.len(), ALL.len(), "something else was reached: {:?}", self.0);
+    }
+}
+
+fn list_name(kind: ListKind) -> Reached {
+    match kind {
+        ListKind::Changes => "list: changes",
+        ListKind::Full => "list: full",
+        ListKind::Cached => "list: cached",
+        ListKind::Failed => "list: failed",
+    }
+}
+
+fn outcome_name(outcome: Outcome) -> Reached {
+    match outcome {
+        Outcome::Ok => "attempt: ok",
+        Outcome::Error => "attempt: error",
+        Outcome::Rejected => "attempt: rejected",
+        Outcome::Full => "attempt: full",
+        Outcome::TimedOut => "attempt: timed out",
+        Outcome::ConnectFailed => "attempt: connect failed",
+        Outcome::Reset => "attempt: reset",
+        Outcome::Cancelled => "attempt: cancelled",
+        Outcome::Unused => "attempt: unused",
+    }
+}
+
+fn end_name(reason: u8) -> Reached {
+    ["end: 0", "end: 1", "end: 2", "end: 3", "end: 4"][usize::from(reason)]
+}
--- /dev/null
+++ b/crates/balancer/tests/decision_digests/deployments.rs
@@ -0,0 +1,97 @@
+//! Settings of an instance by seed: every mode, in many combinations.
+
+use crate::common::{self, MS, SECOND};
+use crate::numbers::Numbers;
+use mintshelf_balancer::api::{
+    Backoff, Nanos, Objective, Prices, ReportField, ReportMode, Settings, SizeKind, Tenant,
+};
+
+/// Values of a load report in the order of some deployment.
+const REPORT_FIELDS: &[&[ReportField]] = &[
+    &[],
+    &[ReportField::Queue],
+    &[ReportField::InFlight],
+    &[ReportField::InFlight, ReportField::Queue, ReportField::ErrorsPerSecond],
+    &[
+        ReportField::Other,
+        ReportField::Utilization,
+        ReportField::InFlight,
+        ReportField::LatencyMs,
+        ReportField::ServedPerSecond,
+        ReportField::ErrorsPerSecond,
+        ReportField::Queue,
+    ],
+];
+
+/// The moment at which the instance of a seed starts: both ends of the clock, and between. The
+/// last one leaves a margin of some months for the delays of timers.
+pub fn start(seed: u64) -> Nanos {
+    [0, SECOND, 1_000_000 * SECOND, u64::MAX - 10_000_000 * SECOND][(seed % 4) as usize]
+}
+
+/// The settings of a seed's instance.
+pub fn settings(numbers: &mut Numbers) -> Settings {
+    let mut settings = common::settings();
+    settings.instances = numbers.pick(&[1, 2, 20, 900]);
+    settings.self_index = numbers.below(u64::from(settings.instances)) as u32;
+    settings.kinds = numbers.pick(&[1, 3]);
+    settings.tenants = (0..numbers.pick(&[0, 1, 4])).map(tenant).collect();
+    settings.is_weighted_by_work = numbers.once_in(2);
+    settings.must_poll = numbers.once_in(2);
+    settings.size_kind =
+        numbers.pick(&[SizeKind::Absent, SizeKind::Nominal, SizeKind::Rough, SizeKind::Live]);
+    settings.report_mode =
+        numbers.pick(&[ReportMode::Absent, ReportMode::Answers, ReportMode::Probes]);
+    settings.report_fields = numbers.pick(REPORT_FIELDS).to_vec();
+    settings.initial_capacity = numbers.pick(&[0.0, 0.2, 1.0]);
+    settings.warm_up = numbers.pick(&[0, 3 * SECOND, 10 * SECOND]);
+    settings.can_probe = numbers.below(3) > 0;
+    settings.has_peers = numbers.once_in(2);
+    settings.retry_after = numbers.once_in(2);
+    settings.max_retry_after = numbers.pick(&[0, SECOND, 10 * SECOND]);
+    settings.allows_parallel_attempts = numbers.once_in(2);
+    settings.max_attempts = numbers.pick(&[1, 3, 6]);
+    settings.retry_ratio = numbers.pick(&[0.1, 1.0]);
+    settings.retry_budget_max = numbers.pick(&[0.0, 5.0, 50.0]);
+    settings.is_silence_local = numbers.once_in(2);
+    settings.objective = objective(numbers);
+    settings.prices = prices(numbers);
+    vary_classes(numbers, &mut settings);
+    settings
+}
+
+fn tenant(number: u32) -> Tenant {
+    Tenant { quota_per_second: f64::from(number) * 20.0, share: 0.25 }
+}
+
+fn objective(numbers: &mut Numbers) -> Objective {
+    Objective {
+        overall: 1.0,
+        worst_window: numbers.pick(&[0.0, 0.5]),
+        worst_class: numbers.pick(&[0.0, 1.0]),
+        worst_tenant: 0.2,
+    }
+}
+
+fn prices(numbers: &mut Numbers) -> Prices {
+    Prices {
+        cross_zone: numbers.pick(&[0.0, 0.02]),
+        connection: numbers.pick(&[0.0, 0.002, 0.5]),
+        probe: numbers.pick(&[0.0, 0.001, 0.01]),
+        ..Prices::default()
+    }
+}
+
+fn vary_classes(numbers: &mut Numbers, settings: &mut Settings) {
+    let has_backoff = numbers.once_in(3);
+    for class in &mut settings.classes {
+        class.latency_objective = numbers.pick(&[60 * MS, 400 * MS, 2 * SECOND]);
+        class.dedup_window = numbers.pick(&[50 * MS, 5 * SECOND]);
+        class.priority_weight = numbers.pick(&[0.5, 1.0, 8.0]);
+        class.late_weight = numbers.pick(&[0.0, 0.5]);
+        class.max_attempts = numbers.pick(&[2, 6]);
+        if has_backoff {
+            class.backoff = Backoff { initial: 10 * MS, max: 80 * MS };
+        }
+    }
+}
--- /dev/null
+++ b/crates/balancer/tests/decision_digests/encoding.rs
@@ -0,0 +1,69 @@
+//! Actions as bytes, field by field: names of Rust types and fields do not reach a digest.
+
+use mintshelf_balancer::api::{Action, EndReason};
+
+/// Appends an action to the answers.
+pub fn encode(bytes: &mut Vec<u8>, action: &Action) {
+    match action {
+        Action::Send { id, server, timeout_at } => {
+            bytes.push(1);
+            encode_text(bytes, id);
+            bytes.extend(u64::from(*server).to_le_bytes());
+            bytes.extend(timeout_at.to_le_bytes());
+        }
+        Action::Cancel { id, attempt } => {
+            bytes.push(2);
+            encode_text(bytes, id);
+            bytes.extend(u64::from(*attempt).to_le_bytes());
+        }
+        Action::Reject { id, retry_after, reason } => {
+            bytes.push(3);
+            encode_text(bytes, id);
+            bytes.extend(retry_after.to_le_bytes());
+            bytes.push(reason_number(*reason));
+        }
+        Action::Fail { id, reason } => {
+            bytes.push(4);
+            encode_text(bytes, id);
+            bytes.push(reason_number(*reason));
+        }
+        Action::SetTimer { after, token } => encode_numbers(bytes, 5, &[*after, *token]),
+        Action::DropTimer { token } => encode_numbers(bytes, 6, &[*token]),
+        Action::Probe { server } => encode_numbers(bytes, 7, &[u64::from(*server)]),
+        Action::CloseIdle { server } => encode_numbers(bytes, 8, &[u64::from(*server)]),
+        Action::SendGossip { peer, payload } => {
+            encode_numbers(bytes, 9, &[peer.map_or(u64::MAX, u64::from), payload.len() as u64]);
+            bytes.extend(payload);
+        }
+        Action::Watch { on } => encode_numbers(bytes, 10, &[u64::from(*on)]),
+        Action::FetchServers => bytes.push(11),
+        Action::Log { text } => {
+            bytes.push(12);
+            encode_text(bytes, text);
+        }
+    }
+}
+
+/// Appends a tag and numbers.
+pub fn encode_numbers(bytes: &mut Vec<u8>, tag: u8, numbers: &[u64]) {
+    bytes.push(tag);
+    for number in numbers {
+        bytes.extend(number.to_le_bytes());
+    }
+}
+
+fn encode_text(bytes: &mut Vec<u8>, text: &str) {
+    bytes.extend((text.len() as u64).to_le_bytes());
+    bytes.extend(text.as_bytes());
+}
+
+/// A number for each reason, the same whatever the reasons are called.
+pub fn reason_number(reason: EndReason) -> u8 {
+    match reason {
+        EndReason::Futile => 0,
+        EndReason::Overload => 1,
+        EndReason::LongQueue => 2,
+        EndReason::NoServer => 3,
+        EndReason::NoRetry => 4,
+    }
+}
--- /dev/null
+++ b/crates/balancer/tests/decision_digests/main.rs
@@ -0,0 +1,49 @@
+//! The decisions of a balancer, byte for byte: generated events and the digests of the actions
+//! that follow from them.
+//!
+//! The digests are of the platform's floating-point library too: `exp`, `ln` and `exp2` are not
+//! exactly rounded. They say nothing about which decisions are right, only that they are the same.
+
+#[path = "../common/mod.rs"]
+mod common;
+mod coverage;
+mod deployments;
+mod encoding;
+mod numbers;
+mod world;
+
+use coverage::Coverage;
+use world::World;
+use xxhash_rust::xxh3::xxh3_64;
+
+/// One line for each seed: the seed and the digest of what followed from its events.
+const EXPECTED: &str = include_str!("digests.txt");
+/// Seeds of deployments with few servers.
+const SMALL_SEEDS: u64 = 240;
+/// Further seeds, of deployments with thousands of servers.
+const LARGE_SEEDS: u64 = 12;
+const SMALL_STEPS: u64 = 220;
+const LARGE_STEPS: u64 = 25;
+
+/// Plays the events of a seed; returns the digest of the answers.
+fn play(seed: u64, coverage: &mut Coverage) -> u64 {
+    let is_large = seed >= SMALL_SEEDS;
+    let mut world = World::new(seed, is_large);
+    let steps = if is_large { LARGE_STEPS } else { SMALL_STEPS };
+    for step in 0..steps {
+        world.step(step);
+    }
+    coverage.add(&world.coverage);
+    xxh3_64(&world.answers)
+}
+
+#[test]
+fn generated_events_give_the_recorded_actions() {
+    let mut coverage = Coverage::default();
+    let seeds = 0..SMALL_SEEDS + LARGE_SEEDS;
+    let actual: Vec<String> =
+        seeds.map(|seed| format!("{seed} {:016x}", play(seed, &mut coverage))).collect();
+    coverage.check();
+    let expected: Vec<&str> = EXPECTED.lines().collect();
+    assert_eq!(actual, expected, "seeds and digests");
+}
--- /dev/null
+++ b/crates/balancer/tests/decision_digests/numbers.rs
@@ -0,0 +1,29 @@
+//! A repeatable sequence of numbers.
+
+/// Generates the input; independent of the random numbers of the balancer.
+pub struct Numbers(u64);
+
+impl Numbers {
+    /// The sequence of a seed.
+    pub fn new(seed: u64) -> Self {
+        let mut numbers = Numbers(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1);
+        numbers.below(2);
+        numbers
+    }
+
+    /// A number below `bound`.
+    pub fn below(&mut self, bound: u64) -> u64 {
+        self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
+        (self.0 >> 33) % bound
+    }
+
+    /// True once in `period` times.
+    pub fn once_in(&mut self, period: u64) -> bool {
+        self.below(period) == 0
+    }
+
+    /// One of several values.
+    pub fn pick<T: Copy>(&mut self, values: &[T]) -> T {
+        values[self.below(values.len() as u64) as usize]
+    }
+}
