--- a/crates/admission/benches/cost.rs
+++ b/crates/admission/benches/cost.rs
@@ -8,10 +8,11 @@
 };
 use mintshelf_admission::rate::RateConfig;
 use mintshelf_admission::tenants::TenantResolver;
-use mintshelf_balancer::api::{Effect, Nanos};
+use mintshelf_balancer::api::Effect;
 use mintshelf_retry::attempts::AttemptTracker;
 use mintshelf_retry::policy::{HedgeDelay, HedgePolicy, RetryPolicy};
 use mintshelf_retry::schedule::{AttemptTimeout, TimeoutBounds};
+use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::cmp::Reverse;
@@ -21,8 +22,6 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-const MS: Nanos = 1_000_000;
-const SECOND: Nanos = 1_000 * MS;
 const ROUNDS: u64 = 400_000;
 
 /// Nanoseconds a call: the least of five rounds.
@@ -68,7 +67,7 @@
                 is_repeat: false,
                 priority_weight: 1.0,
                 deadline: now + SECOND,
-                expected_latency: MS,
+                expected_latency: MILLISECOND,
             };
             black_box(admission.enqueue(now, "c", entry));
             black_box(admission.complete(now, "c", tenant));
@@ -92,11 +91,11 @@
     let policy = RetryPolicy {
         effect: Effect::Safe,
         attempt_timeout: AttemptTimeout::Adaptive,
-        timeout_bounds: TimeoutBounds { min: 50 * MS, max: 600 * MS },
+        timeout_bounds: TimeoutBounds { min: 50 * MILLISECOND, max: 600 * MILLISECOND },
         max_attempts: 3,
         hedge,
-        connect_timeout: 200 * MS,
-        idle_timeout: 15_000 * MS,
+        connect_timeout: 200 * MILLISECOND,
+        idle_timeout: 15_000 * MILLISECOND,
     };
     let mut tracker = AttemptTracker::new(policy, 0);
     println!(
@@ -106,7 +105,7 @@
             tracker.record_request();
             black_box(tracker.attempt_timeout(now, 0));
             black_box(tracker.hedge_delay(now));
-            tracker.record_response(now, (n % 7 + 1) * MS);
+            tracker.record_response(now, (n % 7 + 1) * MILLISECOND);
         })
     );
 }
@@ -114,7 +113,7 @@
 /// Concurrency of the queue.
 const PLACES: u32 = 20;
 /// Mean latency of a response.
-const SERVICE: Nanos = 10 * MS;
+const SERVICE: Nanos = 10 * MILLISECOND;
 const MEMBERS: usize = 4;
 /// Simulated time.
 const DURATION: Nanos = 60 * SECOND;
@@ -286,7 +285,7 @@
             let claims = [first, 0.9 * share, 0.9 * share, 0.9 * share];
             let others = outcome.served[1..].iter().sum::<f64>() / 3.0;
             let index = jain(&outcome.served, &claims);
-            let p99 = outcome.p99 as f64 / MS as f64;
+            let p99 = outcome.p99 as f64 / MILLISECOND as f64;
             format!("{index:>6.3} {:>7.0} {others:>7.0} {p99:>7.1}", outcome.served[0])
         };
         println!("{multiple:>9} | {} | {}", half(false), half(true));
--- a/crates/admission/src/admission.rs
+++ b/crates/admission/src/admission.rs
@@ -7,7 +7,7 @@
     FairQueue, FairQueueConfig, QueueDecision, QueueEntry, QueueTicket, QueueTransitions,
     QueueUsage,
 };
-use mintshelf_balancer::api::Nanos;
+use mintshelf_time::Nanos;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
--- a/crates/admission/src/limit.rs
+++ b/crates/admission/src/limit.rs
@@ -1,7 +1,7 @@
 //! The limits of one tenant or route, with what counts against them.
 
 use crate::rate::{RateConfig, RateLimit};
-use mintshelf_balancer::api::Nanos;
+use mintshelf_time::Nanos;
 
 /// What a tenant or a route is limited to; nothing by default.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
--- a/crates/admission/src/member.rs
+++ b/crates/admission/src/member.rs
@@ -1,7 +1,7 @@
 //! One tenant at a fair queue: what it has in flight, what waits, and in which order.
 
 use crate::queue::{QueueEntry, QueueTicket};
-use mintshelf_balancer::api::Nanos;
+use mintshelf_time::Nanos;
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
--- a/crates/admission/src/queue.rs
+++ b/crates/admission/src/queue.rs
@@ -7,14 +7,14 @@
 //! last in this order, not the one that came last.
 
 use crate::member::{Member, Rank};
-use mintshelf_balancer::api::Nanos;
+use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 
 /// A tenant counts as active for this long after its last request.
-const ACTIVE_PERIOD: Nanos = 1_000_000_000;
+const ACTIVE_PERIOD: Nanos = SECOND;
 /// Inactive tenants are looked for this often.
-const SWEEP_INTERVAL: Nanos = 100_000_000;
+const SWEEP_INTERVAL: Nanos = 100 * MILLISECOND;
 /// Part of a tenant's share of the concurrency that is reserved for it. More would leave places
 /// unused while others wait; who waits is served next by share in any case.
 const RESERVED_PART: f64 = 0.25;
--- a/crates/admission/src/rate.rs
+++ b/crates/admission/src/rate.rs
@@ -5,7 +5,7 @@
 use governor::nanos::Nanos as GovernorNanos;
 use governor::state::{InMemoryState, NotKeyed};
 use governor::{Quota, RateLimiter};
-use mintshelf_balancer::api::Nanos;
+use mintshelf_time::Nanos;
 use std::cell::Cell;
 use std::fmt;
 use std::num::NonZeroU32;
--- a/crates/admission/src/slots.rs
+++ b/crates/admission/src/slots.rs
@@ -5,12 +5,12 @@
 //! share: one that wants a slot below its share gets a claim, and a connection of the tenant
 //! furthest over its own share is to be closed.
 
-use mintshelf_balancer::api::Nanos;
+use mintshelf_time::{Nanos, SECOND};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
 /// How long a claim is good: who was rejected is to come back within this time.
-pub const CLAIM_DURATION: Nanos = 10_000_000_000;
+pub const CLAIM_DURATION: Nanos = 10 * SECOND;
 /// Upper bound of one tenant's claims at one time: each has another connection closed.
 const MAX_CLAIMS: u32 = 16;
 
--- a/crates/admission/tests/queue.rs
+++ b/crates/admission/tests/queue.rs
@@ -8,14 +8,11 @@
     FairQueue, FairQueueConfig, QueueDecision, QueueEntry, QueueTicket, QueueTransitions,
     QueueUsage, RejectReason, RejectedTicket,
 };
-use mintshelf_balancer::api::Nanos;
+use mintshelf_time::{MILLISECOND, SECOND};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
 
-const MS: Nanos = 1_000_000;
-const SECOND: Nanos = 1_000 * MS;
-
 fn config(max_concurrency: u32, max_queued: u32, shares: &[(&str, f64)]) -> FairQueueConfig {
     let shares = shares.iter().map(|(name, share)| ((*name).into(), *share)).collect();
     FairQueueConfig { max_concurrency, max_queued, shares }
@@ -88,9 +85,9 @@
         QueueDecision::Reject(RejectReason::TooLate)
     );
     assert_eq!(queue.enqueue(0, of(SECOND, 0)).0, QueueDecision::Admit);
-    let late = waits(queue.enqueue(0, of(SECOND, 300 * MS)).0);
-    let fits = waits(queue.enqueue(0, of(2 * SECOND, 300 * MS)).0);
-    let transitions = queue.complete(800 * MS, &"a".into());
+    let late = waits(queue.enqueue(0, of(SECOND, 300 * MILLISECOND)).0);
+    let fits = waits(queue.enqueue(0, of(2 * SECOND, 300 * MILLISECOND)).0);
+    let transitions = queue.complete(800 * MILLISECOND, &"a".into());
     assert_eq!(
         transitions,
         QueueTransitions {
@@ -109,17 +106,17 @@
     let went =
         (0..50).filter(|_| queue.enqueue(0, entry("greedy")).0 == QueueDecision::Admit).count();
     assert_eq!((went, queue.usage()), (14, usage(15, 36)));
-    assert_eq!(queue.enqueue(MS, entry("calm")).0, QueueDecision::Admit);
+    assert_eq!(queue.enqueue(MILLISECOND, entry("calm")).0, QueueDecision::Admit);
     let waiting: Vec<QueueTicket> =
-        (0..6).map(|_| waits(queue.enqueue(MS, entry("calm")).0)).collect();
+        (0..6).map(|_| waits(queue.enqueue(MILLISECOND, entry("calm")).0)).collect();
     // Freed places go to the one with the least for its share, until the two have as much.
     let freed: Vec<QueueTicket> =
-        (0..6).flat_map(|_| queue.complete(2 * MS, &greedy).admitted).collect();
+        (0..6).flat_map(|_| queue.complete(2 * MILLISECOND, &greedy).admitted).collect();
     assert_eq!(freed, waiting);
     assert_eq!(queue.usage(), usage(16, 36));
     // When the calm one is long gone nothing is kept for it.
     for _ in 0..8 {
-        let _ = queue.complete(3 * MS, &calm);
+        let _ = queue.complete(3 * MILLISECOND, &calm);
     }
     let _ = queue.complete(5 * SECOND, &greedy);
     let _ = queue.complete(5 * SECOND, &greedy);
@@ -195,11 +192,11 @@
             }
         };
         for (what, who, priority_weight, is_repeat, elapsed) in steps {
-            now += elapsed * MS;
+            now += elapsed * MILLISECOND;
             match what {
                 0..=4 => {
                     let tenant: Rc<str> = names[who].into();
-                    let deadline = now + u64::from(priority_weight) * 300 * MS + MS;
+                    let deadline = now + u64::from(priority_weight) * 300 * MILLISECOND + MILLISECOND;
                     let entry = QueueEntry { tenant: tenant.clone(), is_repeat, priority_weight: f64::from(priority_weight), deadline, expected_latency: 0 };
                     let (decision, transitions) = queue.enqueue(now, entry);
                     carry(transitions, &mut waiting, &mut inside);
--- a/crates/admission/tests/slots.rs
+++ b/crates/admission/tests/slots.rs
@@ -3,13 +3,11 @@
 use mintshelf_admission::slots::{
     SlotConfig, SlotOwner, SlotRejected, SlotTable, SlotUnavailable, CLAIM_DURATION,
 };
-use mintshelf_balancer::api::Nanos;
+use mintshelf_time::SECOND;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-const SECOND: Nanos = 1_000_000_000;
-
 fn owner(tenant: &str) -> SlotOwner {
     SlotOwner { tenant: tenant.into(), route: "r".into(), cluster: "c".into() }
 }
--- a/crates/balancer/src/api/action.rs
+++ b/crates/balancer/src/api/action.rs
@@ -1,6 +1,7 @@
 //! What a balancer asks of its sidecar.
 
-use super::{Nanos, RequestId, ServerId};
+use super::{RequestId, ServerId};
+use mintshelf_time::Nanos;
 
 /// Why the balancer ended a request that no server has answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/balancer/src/api/class.rs
+++ b/crates/balancer/src/api/class.rs
@@ -1,6 +1,6 @@
 //! Request classes: their effect, their deadlines and the schedule of their retries.
 
-use super::Nanos;
+use mintshelf_time::Nanos;
 
 /// How often a request's effect may happen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/balancer/src/api/endpoint.rs
+++ b/crates/balancer/src/api/endpoint.rs
@@ -1,6 +1,7 @@
 //! Entries of the endpoint lists that discovery provides.
 
-use super::{Nanos, ServerId};
+use super::ServerId;
+use mintshelf_time::Nanos;
 
 /// Whether a listed server takes traffic.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
--- a/crates/balancer/src/api/event.rs
+++ b/crates/balancer/src/api/event.rs
@@ -1,6 +1,7 @@
 //! What a sidecar reports to its balancer.
 
-use super::{ListKind, ListedServer, Nanos, RequestId, ServerId};
+use super::{ListKind, ListedServer, RequestId, ServerId};
+use mintshelf_time::Nanos;
 use std::sync::Arc;
 
 /// How an attempt or a probe ended.
--- a/crates/balancer/src/api/settings.rs
+++ b/crates/balancer/src/api/settings.rs
@@ -1,6 +1,7 @@
 //! Settings of one instance: the deployment, what it permits and what it optimizes.
 
-use super::{Class, Nanos};
+use super::Class;
+use mintshelf_time::Nanos;
 
 /// A tenant's quota.
 #[derive(Debug, Clone, PartialEq)]
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -1,12 +1,13 @@
 //! The balancer of one instance: its state, and the dispatch of events to the policy.
 
-use crate::api::{Action, Event, Nanos, Outcome, RequestId, ServerId, Settings};
+use crate::api::{Action, Event, Outcome, RequestId, ServerId, Settings};
 use crate::budget::RetryBudget;
 use crate::rng::Rng;
 use crate::state::{
     Attempt, AttemptEnd, AttemptRecord, ClassOrders, DiscoveryCall, LatencyModel, OverloadState,
     ProbeResult, ReportFreshness, Request, ServerTable, Timer, TimerTable, TrafficEstimates,
 };
+use mintshelf_time::Nanos;
 use std::collections::HashMap;
 use std::mem;
 
--- a/crates/balancer/src/decay.rs
+++ b/crates/balancer/src/decay.rs
@@ -1,6 +1,6 @@
 //! Sums and means with exponential decay: each part loses half its weight in a half-life.
 
-use crate::api::Nanos;
+use mintshelf_time::Nanos;
 
 /// A sum that decays exponentially.
 #[derive(Debug, Clone, Copy, Default)]
--- a/crates/balancer/src/decide/admission.rs
+++ b/crates/balancer/src/decide/admission.rs
@@ -1,10 +1,11 @@
 //! Admission control: how much is rejected on arrival, and of what.
 
 use super::rates::{RATE_HALF_LIFE, RATE_MEMORY_SECONDS};
-use super::{Balancer, SECOND};
-use crate::api::{Nanos, Objective};
+use super::Balancer;
+use crate::api::Objective;
 use crate::decay::DecayingCounter;
 use crate::state::Request;
+use mintshelf_time::{Nanos, SECOND};
 
 /// Known work is rejected if the fastest kind takes over this multiple of the objective for it.
 const FUTILE_MULTIPLE: f64 = 2.5;
--- a/crates/balancer/src/decide/attempt_end.rs
+++ b/crates/balancer/src/decide/attempt_end.rs
@@ -2,8 +2,9 @@
 
 use super::rates::RATE_HALF_LIFE;
 use super::{health, Balancer};
-use crate::api::{Effect, EndReason, Nanos, Outcome, RequestId};
+use crate::api::{Effect, EndReason, Outcome, RequestId};
 use crate::state::{AttemptEnd, AttemptRecord, LatencySample, Timer};
+use mintshelf_time::Nanos;
 
 /// Weight of an attempt in the baseline share of failures.
 const FAILURE_SHARE_GAIN: f64 = 0.005;
--- a/crates/balancer/src/decide/attempts.rs
+++ b/crates/balancer/src/decide/attempts.rs
@@ -1,13 +1,14 @@
 //! Requests from arrival to each send: what is permitted, when one is held, and how it ends.
 
 use super::rates::RATE_HALF_LIFE;
-use super::{admission, load_reports, Balancer, MS};
-use crate::api::{Action, Effect, EndReason, Group, Nanos, RequestId};
+use super::{admission, load_reports, Balancer};
+use crate::api::{Action, Effect, EndReason, Group, RequestId};
 use crate::server_order::{AdjacentPair, Candidates};
 use crate::state::{PermittedActions, Request, Timer};
+use mintshelf_time::{Nanos, MILLISECOND};
 
 /// A request that no server can take is attempted again after this time.
-pub const HOLD_STEP: Nanos = 40 * MS;
+pub const HOLD_STEP: Nanos = 40 * MILLISECOND;
 /// Longest hold, as a fraction of the latency objective of the class.
 pub const HOLD_SHARE: f64 = 0.5;
 /// An attempt is overdue, and counts as congested, past this fraction of its objective.
--- a/crates/balancer/src/decide/candidates.rs
+++ b/crates/balancer/src/decide/candidates.rs
@@ -1,12 +1,13 @@
 //! Which servers are in each class's order, and which of them a request may choose from.
 
-use super::{Balancer, MS, SECOND};
-use crate::api::{Group, ListedServer, Nanos, ServerId};
+use super::Balancer;
+use crate::api::{Group, ListedServer, ServerId};
 use crate::server_order::{Candidates, ServerOrder};
 use crate::state::{OrderedServers, Request};
+use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 
 /// The orders are refreshed at least this often, since speeds drift.
-const ORDER_MAX_AGE: Nanos = 200 * MS;
+const ORDER_MAX_AGE: Nanos = 200 * MILLISECOND;
 /// Up to this number of servers every instance uses all of them.
 const SUBSET_MIN: usize = 6;
 /// The same where a further server costs [`SUBSET_COST`] in connections or more.
--- a/crates/balancer/src/decide/discovery.rs
+++ b/crates/balancer/src/decide/discovery.rs
@@ -1,16 +1,17 @@
 //! Calls to discovery, and the endpoint lists that it provides.
 
 use super::rates::{RATE_HALF_LIFE, RATE_MEMORY_SECONDS};
-use super::{Balancer, MS, SECOND};
-use crate::api::{Action, EndpointState, ListKind, ListedServer, Nanos, NOTIFIED_WITHIN};
+use super::Balancer;
+use crate::api::{Action, EndpointState, ListKind, ListedServer, NOTIFIED_WITHIN};
 use crate::rng::hash;
 use crate::state::{DiscoveryCall, ServerState, Timer};
+use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 
 /// The first call to discovery falls within this part of the time after which changes count as
 /// known.
 const WATCH_SPREAD: Nanos = NOTIFIED_WITHIN / 5 * 2;
 /// The same after discovery's address has changed: the old one may fall silent.
-const ADDRESS_CHANGE_SPREAD: Nanos = 600 * MS;
+const ADDRESS_CHANGE_SPREAD: Nanos = 600 * MILLISECOND;
 /// Delay after a failed call, give or take a half.
 const WATCH_RETRY: Nanos = NOTIFIED_WITHIN / 5;
 /// No list tells of the latest start of all so late, unless the clock is wrong or discovery was
--- a/crates/balancer/src/decide/health.rs
+++ b/crates/balancer/src/decide/health.rs
@@ -1,7 +1,7 @@
 //! Outlier ejection: servers that fail leave the order for a while.
 
-use super::{Balancer, SECOND};
-use crate::api::Nanos;
+use super::Balancer;
+use mintshelf_time::{Nanos, SECOND};
 
 /// Failures in succession (weighted) that eject a server.
 pub(super) const EJECT_AFTER: f64 = 3.0;
--- a/crates/balancer/src/decide/load_reports.rs
+++ b/crates/balancer/src/decide/load_reports.rs
@@ -1,14 +1,15 @@
 //! Load reports: when to probe for them, and how a pair is chosen by them.
 
-use super::{health, Balancer, MS, SECOND};
-use crate::api::{Action, EndReason, Nanos, ReportField, RequestId, ServerId};
+use super::{health, Balancer};
+use crate::api::{Action, EndReason, ReportField, RequestId, ServerId};
 use crate::server_order::{AdjacentPair, ServerOrder};
 use crate::state::ProbeResult;
+use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 
 /// Requests presumed to be served concurrently by a server.
 const PRESUMED_CONCURRENCY: f64 = 6.0;
 /// Age up to which a report stands for a queue; older ones are probed for again.
-const REPORT_FRESH: Nanos = 6 * MS;
+const REPORT_FRESH: Nanos = 6 * MILLISECOND;
 /// How many ticks a request waits for the reports of its pair.
 pub(super) const REPORT_TICKS: Nanos = 4;
 /// Price of a probe (weight per request) up to which reports are probed for.
--- a/crates/balancer/src/decide/mod.rs
+++ b/crates/balancer/src/decide/mod.rs
@@ -4,8 +4,6 @@
 //! of their paper). Exceptions act only through which servers are eligible, how fast a server
 //! is estimated to be, whether a request is admitted and when it is attempted again.
 
-use crate::api::Nanos;
-
 mod admission;
 mod attempt_end;
 pub mod attempts;
@@ -20,6 +18,3 @@
 
 pub use crate::balancer::{Balancer, ServiceSummary};
 pub use crate::server_order::{AdjacentPair, Candidates, ServerOrder};
-
-const MS: Nanos = 1_000_000;
-const SECOND: Nanos = 1_000 * MS;
--- a/crates/balancer/src/decide/peers.rs
+++ b/crates/balancer/src/decide/peers.rs
@@ -1,9 +1,10 @@
 //! Gossip: exchange of observations with other instances.
 
 use super::rates::RATE_HALF_LIFE;
-use super::{Balancer, SECOND};
-use crate::api::{Action, Nanos};
+use super::Balancer;
+use crate::api::Action;
 use crate::gossip::{GossipMessage, ServerObservation};
+use mintshelf_time::{Nanos, SECOND};
 
 /// Interval at which an instance with traffic hands half of its observations to one peer.
 const GOSSIP_INTERVAL: Nanos = SECOND;
--- a/crates/balancer/src/decide/rates.rs
+++ b/crates/balancer/src/decide/rates.rs
@@ -1,12 +1,12 @@
 //! Rates of arrivals and of served requests, and the capacity of all servers.
 
-use super::{Balancer, MS, SECOND};
-use crate::api::Nanos;
+use super::Balancer;
+use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 
 /// Mean age in seconds of what the arrival and service rates remember.
 pub(super) const RATE_MEMORY_SECONDS: f64 = 10.0;
 /// The half-life of that memory.
-pub(super) const RATE_HALF_LIFE: Nanos = 6_931 * MS;
+pub(super) const RATE_HALF_LIFE: Nanos = 6_931 * MILLISECOND;
 /// Share of the arrivals that is presumed to be served where nothing has been served yet.
 const PRESUMED_SERVED_SHARE: f64 = 0.05;
 /// Capacity that is presumed at least, in units of listed size.
--- a/crates/balancer/src/decide/speed.rs
+++ b/crates/balancer/src/decide/speed.rs
@@ -1,8 +1,9 @@
 //! How fast servers are, learned from the latencies of their responses.
 
-use super::{health, Balancer, MS, SECOND};
-use crate::api::{Nanos, SizeKind};
+use super::{health, Balancer};
+use crate::api::SizeKind;
 use crate::state::{Gains, LatencySample, Request, ServerState, SpeedMemory};
+use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 
 /// Weight of one new sample in a class's typical latency.
 const TYPICAL_GAIN: f64 = 0.05;
@@ -17,7 +18,7 @@
 /// The same where peers share theirs.
 const SHARED_MEMORY: SpeedMemory = SpeedMemory { prior_samples: 0.5, half_life: 6 * SECOND };
 /// Half-life of the recent latency ratio over all servers.
-const RECENT_RATIO_HALF_LIFE: Nanos = 700 * MS;
+const RECENT_RATIO_HALF_LIFE: Nanos = 700 * MILLISECOND;
 /// Bound of one sample (log of a latency ratio): work is heavy-tailed.
 const SAMPLE_CLIP: f64 = 2.5;
 /// Bounds of the learned factor on a server's listed size.
--- a/crates/balancer/src/decide/warm_up.rs
+++ b/crates/balancer/src/decide/warm_up.rs
@@ -1,7 +1,8 @@
 //! Slow start: how much a server may be sent while it warms up.
 
-use super::{Balancer, SECOND};
+use super::Balancer;
 use crate::state::ServerState;
+use mintshelf_time::SECOND;
 
 /// Part of the load that overloads a warming server which all instances may spend together.
 const WARM_UP_SAFETY: f64 = 0.6;
--- a/crates/balancer/src/settings/mod.rs
+++ b/crates/balancer/src/settings/mod.rs
@@ -3,10 +3,11 @@
 mod document;
 
 use crate::api::{
-    Backoff, Class, Effect, Group, Nanos, Objective, Prices, ReportField, ReportMode, Settings,
-    SizeKind, Tenant,
+    Backoff, Class, Effect, Group, Objective, Prices, ReportField, ReportMode, Settings, SizeKind,
+    Tenant,
 };
 use document::{ClassEntry, ObjectiveEntry, PricesEntry, SettingsDocument, TenantEntry};
+use mintshelf_time::Nanos;
 use thiserror::Error;
 
 /// Retry credits that each request adds on the platform, whose document has no key for it.
--- a/crates/balancer/src/state/capacity.rs
+++ b/crates/balancer/src/state/capacity.rs
@@ -1,7 +1,7 @@
 //! Sums over the servers in service, kept up to date by each change: a sum made anew for each
 //! request would cost work in proportion to the fleet.
 
-use crate::api::Nanos;
+use mintshelf_time::Nanos;
 use std::collections::BTreeMap;
 
 /// Larger listed sizes count as this: one absurd size must not drown the others' in rounding.
--- a/crates/balancer/src/state/estimators.rs
+++ b/crates/balancer/src/state/estimators.rs
@@ -1,9 +1,10 @@
 //! Estimates that a balancer keeps of latency, traffic and overload.
 
 use super::request::{LatencySample, Request};
-use crate::api::{Nanos, Settings};
+use crate::api::Settings;
 use crate::decay::{DecayingCounter, DecayingMean};
 use crate::gossip::GossipMessage;
+use mintshelf_time::Nanos;
 
 /// Estimates of latency by class and kind of machine, as natural logs of nanoseconds.
 #[derive(Debug, Default)]
--- a/crates/balancer/src/state/request.rs
+++ b/crates/balancer/src/state/request.rs
@@ -1,7 +1,8 @@
 //! Records of requests and their attempts.
 
-use crate::api::{Nanos, Outcome, ServerId};
+use crate::api::{Outcome, ServerId};
 use crate::server_order::AdjacentPair;
+use mintshelf_time::Nanos;
 
 /// One attempt of a request.
 #[derive(Debug, Clone, Default)]
--- a/crates/balancer/src/state/server.rs
+++ b/crates/balancer/src/state/server.rs
@@ -1,8 +1,9 @@
 //! What is known of each server, and the state of the calls to discovery.
 
-use crate::api::{EndpointState, ListedServer, Nanos, Outcome};
+use crate::api::{EndpointState, ListedServer, Outcome};
 use crate::decay::{DecayingCounter, DecayingMean};
 use crate::server_order::ServerOrder;
+use mintshelf_time::Nanos;
 
 /// What one instance knows of a server.
 #[derive(Debug, Default)]
--- a/crates/balancer/src/state/server_table.rs
+++ b/crates/balancer/src/state/server_table.rs
@@ -4,7 +4,8 @@
 use super::capacity::{CapacityTotals, CountedServer};
 use super::ordered_servers::{GroupedServers, OrderKey, OrderedServers};
 use super::server::ServerState;
-use crate::api::{Class, EndpointState, Group, ListedServer, Nanos, ServerId, Settings};
+use crate::api::{Class, EndpointState, Group, ListedServer, ServerId, Settings};
+use mintshelf_time::Nanos;
 use std::collections::{BTreeSet, HashMap};
 use std::ops::{Index, IndexMut};
 
--- a/crates/balancer/src/state/timers.rs
+++ b/crates/balancer/src/state/timers.rs
@@ -1,6 +1,7 @@
 //! Timers by token, with the purpose of each.
 
-use crate::api::{Action, Nanos, RequestId};
+use crate::api::{Action, RequestId};
+use mintshelf_time::Nanos;
 use std::collections::HashMap;
 
 /// The purpose of a timer.
--- a/crates/balancer/tests/admission.rs
+++ b/crates/balancer/tests/admission.rs
@@ -2,8 +2,9 @@
 
 mod common;
 
-use common::{ended, ended_after, rejected, request, sends, settings, TestBalancer, MS, SECOND};
-use mintshelf_balancer::api::{Action, Event, Nanos, Outcome, ServerId};
+use common::{ended, ended_after, rejected, request, sends, settings, TestBalancer};
+use mintshelf_balancer::api::{Action, Event, Outcome, ServerId};
+use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 
 /// Sends a safe request; how it ends, after `took`, if it is sent at all.
 fn send_one(
@@ -27,7 +28,8 @@
     for now in (from..until).step_by(gap as usize) {
         all += 1;
         let id = format!("r{now}");
-        not_sent += u32::from(!send_one(instance, now, &id, 2 * SECOND, 20 * MS, Outcome::Ok));
+        not_sent +=
+            u32::from(!send_one(instance, now, &id, 2 * SECOND, 20 * MILLISECOND, Outcome::Ok));
     }
     f64::from(not_sent) / f64::from(all)
 }
@@ -37,13 +39,13 @@
     const WAITS: usize = 12;
     let mut sent: Vec<Option<ServerId>> = Vec::new();
     for n in 0..160 + WAITS {
-        let now = from + n as Nanos * 25 * MS;
+        let now = from + n as Nanos * 25 * MILLISECOND;
         if let Some(&Some(server)) = n.checked_sub(WAITS).and_then(|n| sent.get(n)) {
             let id = format!("j{}", n - WAITS);
-            instance.handle(now, ended_after(300 * MS, &id, server, Outcome::TimedOut));
+            instance.handle(now, ended_after(300 * MILLISECOND, &id, server, Outcome::TimedOut));
         }
         if n < 160 {
-            let actions = instance.handle(now, request(&format!("j{n}"), 0, 300 * MS));
+            let actions = instance.handle(now, request(&format!("j{n}"), 0, 300 * MILLISECOND));
             sent.push(sends(&actions).first().copied());
         }
     }
@@ -57,7 +59,7 @@
     let mut now = SECOND;
     let mut rejections = 0;
     for i in 0..300 {
-        now += 20 * MS;
+        now += 20 * MILLISECOND;
         let id = format!("a{i}");
         let out = instance.handle(now, request(&id, 4, 2 * SECOND));
         rejections += i32::from(rejected(&out));
@@ -81,12 +83,14 @@
     let mut instance = TestBalancer::with(settings(), 1..=4);
     let mut timers = Vec::new();
     for i in 0..30 {
-        timers.extend(instance.handle(SECOND + i * MS, request(&format!("a{i}"), 4, 20 * SECOND)));
+        timers.extend(
+            instance.handle(SECOND + i * MILLISECOND, request(&format!("a{i}"), 4, 20 * SECOND)),
+        );
     }
     // 400 ms are the class's objective, and nothing has ended yet.
     for timer in timers {
         if let Action::SetTimer { after, token } = timer {
-            instance.handle(SECOND + 30 * MS + after, Event::Timer { token });
+            instance.handle(SECOND + 30 * MILLISECOND + after, Event::Timer { token });
         }
     }
     let rejections: i32 = (0..40)
@@ -107,7 +111,7 @@
     let mut drive = |from: Nanos, n: u64, took: Nanos| {
         let mut rejections = 0;
         for i in 0..n {
-            let now = from + i * 100 * MS;
+            let now = from + i * 100 * MILLISECOND;
             let name = format!("r{from}-{i}");
             let actions = instance.handle(now, request(&name, 0, 2 * SECOND));
             rejections += u64::from(rejected(&actions));
@@ -131,9 +135,10 @@
         }
         rejections
     };
-    drive(SECOND, 300, 50 * MS);
+    drive(SECOND, 300, 50 * MILLISECOND);
     assert!(drive(31 * SECOND, 30, SECOND) > 5, "an overload leads to rejections");
-    let late: Vec<_> = (0..8).map(|round| drive((34 + 2 * round) * SECOND, 20, 50 * MS)).collect();
+    let late: Vec<_> =
+        (0..8).map(|round| drive((34 + 2 * round) * SECOND, 20, 50 * MILLISECOND)).collect();
     assert!(late[0] > 5, "rejections hold at first: {late:?}");
     assert!(late[3..].iter().sum::<u64>() < 20, "rejections outlive the overload: {late:?}");
 }
@@ -148,14 +153,15 @@
         let mut instance = TestBalancer::with(settings(), 0..6);
         // Draws of its own for each instance.
         for n in 0..seed {
-            send_one(&mut instance, SECOND, &format!("d{n}"), 2 * SECOND, MS, Outcome::Ok);
+            send_one(&mut instance, SECOND, &format!("d{n}"), 2 * SECOND, MILLISECOND, Outcome::Ok);
         }
-        assert_eq!(rejected_share(&mut instance, SECOND, 11 * SECOND, 50 * MS), 0.0);
+        assert_eq!(rejected_share(&mut instance, SECOND, 11 * SECOND, 50 * MILLISECOND), 0.0);
         overload(&mut instance, 11 * SECOND);
         // All come again and again, as rejected clients do.
-        let often = 25 * MS / 2;
-        during += rejected_share(&mut instance, 15_300 * MS, 16_300 * MS, often) / 20.0;
-        rejected_share(&mut instance, 16_300 * MS, 17 * SECOND, often);
+        let often = 25 * MILLISECOND / 2;
+        during +=
+            rejected_share(&mut instance, 15_300 * MILLISECOND, 16_300 * MILLISECOND, often) / 20.0;
+        rejected_share(&mut instance, 16_300 * MILLISECOND, 17 * SECOND, often);
         later += rejected_share(&mut instance, 17 * SECOND, 18 * SECOND, often) / 20.0;
     }
     assert!(during > 0.4, "an overload goes unnoticed: {during}");
@@ -168,15 +174,22 @@
 fn a_request_whose_client_leaves_before_a_response_is_rejected_at_once() {
     let mut instance = TestBalancer::with(settings(), 0..6);
     for n in 0..40 {
-        let now = SECOND + n * 50 * MS;
-        assert!(send_one(&mut instance, now, &format!("a{n}"), 2 * SECOND, 80 * MS, Outcome::Ok));
+        let now = SECOND + n * 50 * MILLISECOND;
+        assert!(send_one(
+            &mut instance,
+            now,
+            &format!("a{n}"),
+            2 * SECOND,
+            80 * MILLISECOND,
+            Outcome::Ok
+        ));
     }
     let hurried = |instance: &mut TestBalancer, id: &str, client_timeout| {
         let actions = instance.handle(4 * SECOND, request(id, 0, client_timeout));
         rejected(&actions) && sends(&actions).is_empty()
     };
-    assert!(hurried(&mut instance, "x", 40 * MS), "half of what answers take");
-    assert!(!hurried(&mut instance, "y", 160 * MS), "twice what they take");
+    assert!(hurried(&mut instance, "x", 40 * MILLISECOND), "half of what answers take");
+    assert!(!hurried(&mut instance, "y", 160 * MILLISECOND), "twice what they take");
     assert!(!hurried(&mut instance, "z", 2 * SECOND), "all the time there is");
 }
 
@@ -187,7 +200,7 @@
     let mut sent = 0;
     for n in 0..100 {
         let now = SECOND + n * 3 * SECOND;
-        let took = 1_800 * MS;
+        let took = 1_800 * MILLISECOND;
         sent += u32::from(send_one(
             &mut instance,
             now,
--- a/crates/balancer/tests/common/fleet.rs
+++ b/crates/balancer/tests/common/fleet.rs
@@ -1,11 +1,11 @@
 //! Many instances that send to a few servers, of which one starts in the middle of the run.
 
-use super::{class, ended, ended_after, list, request, sends, server, settings, MS, SECOND};
+use super::{class, ended, ended_after, list, request, sends, server, settings};
 use mintshelf_balancer::api::{
-    Action, Effect, EndpointState, Group, ListKind, ListedServer, Nanos, Outcome, ServerId,
-    Settings,
+    Action, Effect, EndpointState, Group, ListKind, ListedServer, Outcome, ServerId, Settings,
 };
 use mintshelf_balancer::decide::Balancer;
+use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cmp::Reverse;
@@ -18,9 +18,9 @@
 /// When traffic that is held comes, and servers that are lost later leave.
 const HELD_UNTIL: Nanos = START + 3 * SECOND;
 /// Shortest time of a response.
-const MIN_LATENCY: Nanos = 40 * MS;
+const MIN_LATENCY: Nanos = 40 * MILLISECOND;
 /// Longest wait in a server's queue.
-const MAX_QUEUE: Nanos = 500 * MS;
+const MAX_QUEUE: Nanos = 500 * MILLISECOND;
 /// Warm servers that leave where most are lost.
 const LOST_SERVERS: usize = 9;
 
@@ -226,7 +226,7 @@
     fn schedule_next(&mut self, now: Nanos, instance: usize, number: u64) {
         let mut at = now + self.draw_gap(instance);
         if self.fleet.shape == Shape::Held && (START..HELD_UNTIL).contains(&at) {
-            at = HELD_UNTIL + (self.draw() * 200.0) as Nanos * MS;
+            at = HELD_UNTIL + (self.draw() * 200.0) as Nanos * MILLISECOND;
         }
         self.arrivals.push(Reverse(Arrival { at, number, instance }));
     }
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -4,24 +4,20 @@
 pub mod fleet;
 
 use mintshelf_balancer::api::{
-    Action, Backoff, Class, Effect, Event, Group, ListKind, ListedServer, Nanos, Objective,
-    Outcome, Prices, ReportMode, ServerId, Settings, SizeKind,
+    Action, Backoff, Class, Effect, Event, Group, ListKind, ListedServer, Objective, Outcome,
+    Prices, ReportMode, ServerId, Settings, SizeKind,
 };
 use mintshelf_balancer::decide::Balancer;
+use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 use std::sync::Arc;
 
-/// A millisecond in nanoseconds.
-pub const MS: Nanos = 1_000_000;
-/// A second in nanoseconds.
-pub const SECOND: Nanos = 1_000 * MS;
-
 /// A class with the deadlines of these tests.
 pub fn class(effect: Effect, group: Group) -> Class {
     Class {
         effect,
         group,
         dedup_window: 5 * SECOND,
-        latency_objective: 400 * MS,
+        latency_objective: 400 * MILLISECOND,
         deadline: 2 * SECOND,
         priority_weight: 1.0,
         late_weight: 0.0,
@@ -53,9 +49,9 @@
         size_kind: SizeKind::Nominal,
         report_mode: ReportMode::Absent,
         report_fields: Vec::new(),
-        tick: 5 * MS,
-        answer_slack: 15 * MS,
-        drain_grace: 500 * MS,
+        tick: 5 * MILLISECOND,
+        answer_slack: 15 * MILLISECOND,
+        drain_grace: 500 * MILLISECOND,
         initial_capacity: 0.2,
         warm_up: 10 * SECOND,
         overload_multiple: 4.0,
@@ -70,7 +66,7 @@
         retry_ratio: 0.2,
         retry_budget_max: 5.0,
         is_silence_local: false,
-        connect_timeout: 200 * MS,
+        connect_timeout: 200 * MILLISECOND,
         idle_timeout: 15 * SECOND,
         objective: Objective { overall: 1.0, ..Objective::default() },
         prices: Prices::default(),
@@ -103,7 +99,7 @@
 /// The end of an attempt after 20 ms.
 pub fn ended(id: &str, attempt: u32, server: ServerId, outcome: Outcome, finished: bool) -> Event {
     let id = Arc::from(id);
-    let took = 20 * MS;
+    let took = 20 * MILLISECOND;
     let report = None;
     Event::AttemptEnded { id, attempt, outcome, finished, took, server, report }
 }
--- a/crates/balancer/tests/discovery.rs
+++ b/crates/balancer/tests/discovery.rs
@@ -2,8 +2,9 @@
 
 mod common;
 
-use common::{list, settings, TestBalancer, SECOND};
+use common::{list, settings, TestBalancer};
 use mintshelf_balancer::api::{Action, Event, ListKind, Settings};
+use mintshelf_time::SECOND;
 
 #[test]
 fn discovery_is_polled_in_time_and_again_after_failures() {
--- a/crates/balancer/tests/ejection.rs
+++ b/crates/balancer/tests/ejection.rs
@@ -2,8 +2,9 @@
 
 mod common;
 
-use common::{ended, request, sends, settings, TestBalancer, MS, SECOND};
-use mintshelf_balancer::api::{Action, Event, Nanos, Outcome, ServerId, Settings};
+use common::{ended, request, sends, settings, TestBalancer};
+use mintshelf_balancer::api::{Action, Event, Outcome, ServerId, Settings};
+use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 
@@ -19,7 +20,7 @@
     let mut instance = TestBalancer::with(settings(), 0..6);
     let mut sent = vec![Vec::new(); 6];
     for n in 0..span * 200 {
-        let now = SECOND + n * 5 * MS;
+        let now = SECOND + n * 5 * MILLISECOND;
         let second = (now - SECOND) as f64 / SECOND as f64;
         let id = n.to_string();
         let mut actions = instance.handle(now, request(&id, 0, 2 * SECOND));
@@ -28,7 +29,8 @@
             sent[server as usize].push(second);
             let broke = breaks(server, second);
             let outcome = if broke { Outcome::Reset } else { Outcome::Ok };
-            actions = instance.handle(now + 4 * MS, ended(&id, attempt, server, outcome, !broke));
+            actions = instance
+                .handle(now + 4 * MILLISECOND, ended(&id, attempt, server, outcome, !broke));
         }
     }
     sent
@@ -72,7 +74,7 @@
     let mut held = [false; 6];
     let mut late = Vec::new();
     for n in 0..120 {
-        let now = SECOND + n * 5 * MS;
+        let now = SECOND + n * 5 * MILLISECOND;
         let id = n.to_string();
         let actions = instance.handle(now, request(&id, 0, 2 * SECOND));
         let Some(&server) = sends(&actions).first() else { continue };
@@ -84,14 +86,14 @@
             continue;
         }
         let outcome = if dead(server) { Outcome::ConnectFailed } else { Outcome::Ok };
-        instance.handle(now + MS, ended(&id, 0, server, outcome, !dead(server)));
+        instance.handle(now + MILLISECOND, ended(&id, 0, server, outcome, !dead(server)));
     }
     assert_eq!(held, [false, false, false, true, true, true]);
-    let now = SECOND + 120 * 5 * MS;
+    let now = SECOND + 120 * 5 * MILLISECOND;
     late.into_iter().for_each(|token| drop(instance.handle(now, Event::Timer { token })));
     let mut out = 0;
     for n in 120..220 {
-        let actions = instance.handle(now + MS, request(&n.to_string(), 0, 2 * SECOND));
+        let actions = instance.handle(now + MILLISECOND, request(&n.to_string(), 0, 2 * SECOND));
         out += sends(&actions).len();
         assert!(sends(&actions).iter().all(|server| !dead(*server)), "a dead server was sent one");
     }
@@ -117,7 +119,7 @@
     let mut there = |instance: &mut TestBalancer, from: Nanos, class: u32| {
         let mut count = 0;
         // One in flight there already, only dedicated ones of many go to it.
-        for at in (0..600).map(|i| from + i * MS / 10) {
+        for at in (0..600).map(|i| from + i * MILLISECOND / 10) {
             number += 1;
             let id = format!("r{number}");
             let to = sends(&instance.handle(at, request(&id, class, 2 * SECOND)))[0];
@@ -127,12 +129,12 @@
         count
     };
     // Those sent well after the one that hangs are answered.
-    assert!(there(&mut instance, SECOND + 150 * MS, 4) > 0);
+    assert!(there(&mut instance, SECOND + 150 * MILLISECOND, 4) > 0);
     for (after, token) in timers {
         instance.handle(SECOND + after, Event::Timer { token });
     }
-    assert_eq!(there(&mut instance, SECOND + 500 * MS, 0), 0);
-    assert!(there(&mut instance, SECOND + 900 * MS, 4) > 0);
+    assert_eq!(there(&mut instance, SECOND + 500 * MILLISECOND, 0), 0);
+    assert!(there(&mut instance, SECOND + 900 * MILLISECOND, 4) > 0);
     // After a while the class is tried there again.
     assert!(there(&mut instance, SECOND + 4 * SECOND, 0) > 0);
 }
--- a/crates/balancer/tests/generated_events.rs
+++ b/crates/balancer/tests/generated_events.rs
@@ -2,11 +2,12 @@
 
 mod common;
 
-use common::{ended, list, request, sends, server, settings, TestBalancer, MS, SECOND};
+use common::{ended, list, request, sends, server, settings, TestBalancer};
 use mintshelf_balancer::api::{
-    Action, Class, Effect, EndpointState, Event, Group, ListKind, ListedServer, Nanos, Outcome,
-    RequestId, ServerId, Settings,
+    Action, Class, Effect, EndpointState, Event, Group, ListKind, ListedServer, Outcome, RequestId,
+    ServerId, Settings,
 };
+use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 use std::collections::HashMap;
 
 /// A repeatable sequence of numbers.
@@ -88,11 +89,11 @@
 
     fn new_request(&mut self, step: u64, class: u64) -> Event {
         let id = format!("r{step}");
-        let event = request(&id, class as u32, 300 * MS);
+        let event = request(&id, class as u32, 300 * MILLISECOND);
         self.requests.push(ModelRequest {
             id,
             class: class as usize,
-            deadline: self.now + 300 * MS,
+            deadline: self.now + 300 * MILLISECOND,
             attempts: Vec::new(),
             is_answered: false,
         });
@@ -163,7 +164,7 @@
 
     fn check_deadlines(&self, seed: u64) {
         for request in &self.requests {
-            let is_in_time = self.now <= request.deadline + 45 * MS;
+            let is_in_time = self.now <= request.deadline + 45 * MILLISECOND;
             assert!(request.is_answered || is_in_time, "{} lost, seed {seed}", request.id);
         }
     }
@@ -216,7 +217,7 @@
         };
         let mut instance = TestBalancer::with(settings, 1..=6);
         for step in 0..400u64 {
-            model.now += (1 + numbers.below(8)) * 5 * MS;
+            model.now += (1 + numbers.below(8)) * 5 * MILLISECOND;
             let mut events = model.due_events(&mut numbers);
             if numbers.below(10) == 0 {
                 events.push(state_change(&mut numbers));
@@ -247,7 +248,7 @@
         let mut all = Vec::new();
         for i in 0..200 {
             let id = format!("a{i}");
-            let now = SECOND + i * 7 * MS;
+            let now = SECOND + i * 7 * MILLISECOND;
             if has_neighbour {
                 let actions = neighbour.handle(now, request(&id, 0, SECOND));
                 let server = sends(&actions)[0];
--- a/crates/balancer/tests/gossip.rs
+++ b/crates/balancer/tests/gossip.rs
@@ -1,9 +1,10 @@
 //! Messages between instances: bytes, and that they change what is known.
 
 mod common;
-use common::{ended, request, sends, settings, TestBalancer, MS, SECOND};
+use common::{ended, request, sends, settings, TestBalancer};
 use mintshelf_balancer::api::{Action, Event, Outcome, ServerId, Settings};
 use mintshelf_balancer::gossip::{GossipMessage, ServerObservation};
+use mintshelf_time::{MILLISECOND, SECOND};
 
 fn observation(server: ServerId, sum: f64, count: f64) -> ServerObservation {
     ServerObservation { server, sum, count }
@@ -58,7 +59,7 @@
     instance.handle(SECOND, Event::Gossip { from, payload });
     let mut to_slow = 0;
     for i in 0..400 {
-        let now = 2 * SECOND + i * MS;
+        let now = 2 * SECOND + i * MILLISECOND;
         let id = format!("a{i}");
         let to = sends(&instance.handle(now, request(&id, 0, 2 * SECOND)))[0];
         to_slow += i32::from(to == 2);
@@ -73,7 +74,7 @@
     let mut instance = TestBalancer::with(Settings { has_peers: true, ..settings() }, 1..=4);
     let mut message = Vec::new();
     for i in 0..100 {
-        let now = SECOND + i * 100 * MS;
+        let now = SECOND + i * 100 * MILLISECOND;
         let out = instance.handle(now, request(&format!("a{i}"), 0, 2 * SECOND));
         for to in sends(&out) {
             instance.handle(now, ended(&format!("a{i}"), 0, to, Outcome::Ok, true));
--- a/crates/balancer/tests/large_fleets.rs
+++ b/crates/balancer/tests/large_fleets.rs
@@ -3,10 +3,9 @@
 
 mod common;
 
-use common::{ended, list, request, sends, server, settings, TestBalancer, MS, SECOND};
-use mintshelf_balancer::api::{
-    EndpointState, ListKind, ListedServer, Nanos, Outcome, ServerId, Settings,
-};
+use common::{ended, list, request, sends, server, settings, TestBalancer};
+use mintshelf_balancer::api::{EndpointState, ListKind, ListedServer, Outcome, ServerId, Settings};
+use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 use proptest::prelude::{any, prop, prop_assert, prop_assert_eq, proptest};
 use rustix::time::{clock_gettime, ClockId};
 use std::collections::{HashMap, HashSet};
@@ -61,7 +60,7 @@
 fn cost_of_requests(mut instance: TestBalancer, outcome: Outcome) -> u64 {
     let send_all = |instance: &mut TestBalancer, from: u64, to: u64| {
         for number in from..to {
-            let now = SECOND + number * 20 * MS;
+            let now = SECOND + number * 20 * MILLISECOND;
             let id = format!("r{number}");
             let mut sent = sends(&instance.handle(now, request(&id, 0, SECOND)));
             let mut attempt = 0;
@@ -105,7 +104,7 @@
         let mut instance = balancer_of(fleet(count, 0));
         cpu_ns(|| {
             for step in 0..STEPS {
-                let now = SECOND + step * 20 * MS;
+                let now = SECOND + step * 20 * MILLISECOND;
                 let state =
                     if step % 2 == 0 { EndpointState::Draining } else { EndpointState::Live };
                 let changed = (1..=10).map(|id| ListedServer { state, ..server(id) }).collect();
@@ -122,14 +121,14 @@
     let mut instance = balancer_of((1..=4).map(server).collect());
     let mut counts = HashMap::new();
     for number in 0..500u64 {
-        let now = SECOND + number * 10 * MS;
+        let now = SECOND + number * 10 * MILLISECOND;
         if number == 200 {
             instance.handle(now, list(ListKind::Full, entries.clone()));
         }
         let id = format!("r{number}");
         let sent = sends(&instance.handle(now, request(&id, 0, SECOND)));
         let Some(to) = sent.first().copied() else { continue };
-        instance.handle(now + 5 * MS, ended(&id, 0, to, Outcome::Ok, true));
+        instance.handle(now + 5 * MILLISECOND, ended(&id, 0, to, Outcome::Ok, true));
         if number >= 200 {
             *counts.entry(to).or_default() += 1;
         }
@@ -236,7 +235,7 @@
         let mut gone = HashSet::new();
         let mut now = 20 * SECOND;
         for (is_full, changed, elapsed_ms) in updates {
-            now += elapsed_ms * MS;
+            now += elapsed_ms * MILLISECOND;
             let mut entries: Vec<ListedServer> = Vec::new();
             for (id, state, age) in changed {
                 let state = match state {
--- a/crates/balancer/tests/load_reports.rs
+++ b/crates/balancer/tests/load_reports.rs
@@ -2,10 +2,11 @@
 
 mod common;
 
-use common::{rejected, request, sends, settings, TestBalancer, MS, SECOND};
+use common::{rejected, request, sends, settings, TestBalancer};
 use mintshelf_balancer::api::{
     Action, Event, Outcome, ReportField, ReportMode, ServerId, Settings,
 };
+use mintshelf_time::{MILLISECOND, SECOND};
 
 /// In large fleets an instance met an overload before it had learned what a reported queue
 /// means, and sent requests into queues of seconds.
@@ -21,15 +22,15 @@
         let mut instance = TestBalancer::with(set.clone(), 1..=4);
         let mut counts = (0, 0);
         for i in 0..40 {
-            let now = SECOND + i * 100 * MS;
+            let now = SECOND + i * 100 * MILLISECOND;
             let out = instance.handle(now, request(&format!("a{i}"), 0, SECOND));
             for action in out {
                 let Action::Probe { server } = action else { continue };
                 let outcome = Outcome::Ok;
-                let took = MS;
+                let took = MILLISECOND;
                 let report = Some(vec![queue, queue + (i % 2) as f64 * 0.1]);
-                let out =
-                    instance.handle(now + 5 * MS, Event::Probed { server, outcome, took, report });
+                let out = instance
+                    .handle(now + 5 * MILLISECOND, Event::Probed { server, outcome, took, report });
                 counts.0 += i32::from(rejected(&out));
                 counts.1 += sends(&out).len() as i32;
             }
@@ -58,7 +59,7 @@
     let mut instance = TestBalancer::with(settings, 1..=4);
     let mut probed = 0;
     for number in 0..200 {
-        let now = SECOND + number * 40 * MS;
+        let now = SECOND + number * 40 * MILLISECOND;
         let out = instance.handle(now, request(&format!("r{number}"), 0, 2 * SECOND));
         let first = probes(&out);
         probed += first.len();
@@ -67,8 +68,8 @@
             for again in 0..2 {
                 let report = Some(vec![0.0, 1.0 + number as f64]);
                 let outcome = Outcome::Ok;
-                let took = MS / 2;
-                let at = now + (1 + again) * MS / 2;
+                let took = MILLISECOND / 2;
+                let at = now + (1 + again) * MILLISECOND / 2;
                 instance.handle(at, Event::Probed { server, outcome, took, report });
             }
         }
--- a/crates/balancer/tests/quotas.rs
+++ b/crates/balancer/tests/quotas.rs
@@ -2,8 +2,9 @@
 
 mod common;
 
-use common::{ended, rejected, request, sends, settings, TestBalancer, MS, SECOND};
+use common::{ended, rejected, request, sends, settings, TestBalancer};
 use mintshelf_balancer::api::{Event, Outcome, Settings, Tenant};
+use mintshelf_time::{MILLISECOND, SECOND};
 
 /// In overload, rejections go first to the tenant that sends past its quota.
 #[test]
@@ -15,7 +16,7 @@
     let mut rejections = [0, 0];
     let mut ends = 0;
     for i in 0..400u64 {
-        let now = SECOND + i * 20 * MS;
+        let now = SECOND + i * 20 * MILLISECOND;
         let id = format!("a{i}");
         let Event::Request { id, class, key, repeat, client_timeout, cost_hint, .. } =
             request(&id, 0, 2 * SECOND)
@@ -55,7 +56,7 @@
         TestBalancer::with(Settings { tenants, has_peers: true, ..settings() }, 1..=4);
     let mut rejections = 0;
     for i in 0..400u64 {
-        let now = SECOND + i * 100 * MS;
+        let now = SECOND + i * 100 * MILLISECOND;
         let id = format!("a{i}");
         let out = instance.handle(now, request(&id, 0, 2 * SECOND));
         rejections += i32::from(rejected(&out));
--- a/crates/balancer/tests/retries.rs
+++ b/crates/balancer/tests/retries.rs
@@ -2,8 +2,9 @@
 
 mod common;
 
-use common::{ended, failed, rejected, request, sends, settings, timers, TestBalancer, MS, SECOND};
-use mintshelf_balancer::api::{Backoff, Event, Nanos, Outcome, Settings};
+use common::{ended, failed, rejected, request, sends, settings, timers, TestBalancer};
+use mintshelf_balancer::api::{Backoff, Event, Outcome, Settings};
+use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 
 /// Classes with backoff far over their windows, and hedges allowed.
 fn permissive_settings() -> Settings {
@@ -28,7 +29,7 @@
         let begun = 2 * SECOND + n * 100 * SECOND;
         let first = instance.handle(begun, request(&id, 1, 60 * SECOND));
         let server = sends(&first)[0];
-        let ended_at = begun + 100 * MS;
+        let ended_at = begun + 100 * MILLISECOND;
         let actions = instance.handle(ended_at, ended(&id, 0, server, Outcome::Reset, false));
         assert!(sends(&actions).is_empty(), "a backoff comes first");
         let (after, token) = timers(&actions)[0];
@@ -60,12 +61,16 @@
     let hedges = |set: Settings, class: u32| {
         let mut instance = TestBalancer::with(set, 1..=4);
         let first = sends(&instance.handle(2 * SECOND, request("a", class, 60 * SECOND)));
-        let more =
-            sends(&instance.handle(2 * SECOND + 50 * MS, Event::HedgeRequested { id: "a".into() }));
+        let more = sends(
+            &instance
+                .handle(2 * SECOND + 50 * MILLISECOND, Event::HedgeRequested { id: "a".into() }),
+        );
         assert!(more.iter().all(|server| *server != first[0]), "it goes elsewhere");
         // One beside the first, never two.
-        let third =
-            sends(&instance.handle(2 * SECOND + 60 * MS, Event::HedgeRequested { id: "a".into() }));
+        let third = sends(
+            &instance
+                .handle(2 * SECOND + 60 * MILLISECOND, Event::HedgeRequested { id: "a".into() }),
+        );
         assert!(more.is_empty() || third.is_empty());
         more.len()
     };
@@ -92,23 +97,23 @@
         let mut unanswered = Vec::new();
         // Server 1 says nothing, the others answer at once.
         for n in 0..600u64 {
-            let now = 2 * SECOND + n * 5 * MS;
+            let now = 2 * SECOND + n * 5 * MILLISECOND;
             let id = format!("r{n}");
             let actions = instance.handle(now, request(&id, 0, 2 * SECOND));
             rejections += u32::from(rejected(&actions));
             match sends(&actions).first() {
                 Some(1) => unanswered.push((now, id)),
-                Some(server) => {
-                    drop(instance.handle(now + MS, ended(&id, 0, *server, Outcome::Ok, true)))
-                }
+                Some(server) => drop(
+                    instance.handle(now + MILLISECOND, ended(&id, 0, *server, Outcome::Ok, true)),
+                ),
                 None => {}
             }
             // What is unanswered is given up after 100 ms, and goes elsewhere.
-            while unanswered.first().is_some_and(|(sent, _)| now >= sent + 100 * MS) {
+            while unanswered.first().is_some_and(|(sent, _)| now >= sent + 100 * MILLISECOND) {
                 let (_, id) = unanswered.remove(0);
                 let actions = instance.handle(now, ended(&id, 0, 1, Outcome::TimedOut, false));
                 if let Some(server) = sends(&actions).first() {
-                    instance.handle(now + MS, ended(&id, 1, *server, Outcome::Ok, true));
+                    instance.handle(now + MILLISECOND, ended(&id, 1, *server, Outcome::Ok, true));
                 }
             }
         }
@@ -136,26 +141,26 @@
         }
     }
     for (id, server) in at_others {
-        answer(&mut instance, 2 * SECOND + 2 * MS, &id, server);
+        answer(&mut instance, 2 * SECOND + 2 * MILLISECOND, &id, server);
     }
     assert!(at_one.len() > 10, "{}", at_one.len());
-    answer(&mut instance, 2 * SECOND + 5 * MS, &at_one.remove(0), 1);
+    answer(&mut instance, 2 * SECOND + 5 * MILLISECOND, &at_one.remove(0), 1);
     // The others go on answering.
     for n in 0..20u64 {
-        let now = 2 * SECOND + 10 * MS + n * 4 * MS;
+        let now = 2 * SECOND + 10 * MILLISECOND + n * 4 * MILLISECOND;
         let id = format!("s{n}");
         match sends(&instance.handle(now, request(&id, 0, 2 * SECOND)))[..] {
             [1] => at_one.push(id),
-            [server] => answer(&mut instance, now + MS, &id, server),
+            [server] => answer(&mut instance, now + MILLISECOND, &id, server),
             _ => panic!("sent once"),
         }
     }
     for id in at_one {
-        instance.handle(2 * SECOND + 120 * MS, ended(&id, 0, 1, Outcome::TimedOut, false));
+        instance.handle(2 * SECOND + 120 * MILLISECOND, ended(&id, 0, 1, Outcome::TimedOut, false));
     }
     let rejections = (0..200).filter(|n| {
-        let actions =
-            instance.handle(2 * SECOND + 130 * MS, request(&format!("t{n}"), 0, 2 * SECOND));
+        let actions = instance
+            .handle(2 * SECOND + 130 * MILLISECOND, request(&format!("t{n}"), 0, 2 * SECOND));
         rejected(&actions)
     });
     assert_eq!(rejections.count(), 0);
--- a/crates/balancer/tests/safety_rules.rs
+++ b/crates/balancer/tests/safety_rules.rs
@@ -2,12 +2,11 @@
 
 mod common;
 
-use common::{
-    ended, failed, list, rejected, request, sends, server, settings, TestBalancer, MS, SECOND,
-};
+use common::{ended, failed, list, rejected, request, sends, server, settings, TestBalancer};
 use mintshelf_balancer::api::{
-    Action, Effect, EndpointState, Event, Group, ListKind, ListedServer, Nanos, Outcome, Settings,
+    Action, Effect, EndpointState, Event, Group, ListKind, ListedServer, Outcome, Settings,
 };
+use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 
 #[test]
 fn retries_follow_effect_outcome_and_group() {
@@ -25,7 +24,8 @@
         for outcome in outcomes {
             let mut instance = TestBalancer::with(settings.clone(), 1..=8);
             let first = sends(&instance.handle(SECOND, request("a", class as u32, 2 * SECOND)))[0];
-            let after = instance.handle(SECOND + 20 * MS, ended("a", 0, first, outcome, false));
+            let after =
+                instance.handle(SECOND + 20 * MILLISECOND, ended("a", 0, first, outcome, false));
             let next = sends(&after);
             let what = format!("{about:?} after {outcome:?}: {after:?}");
             if outcome.never_ran() || about.effect == Effect::Safe {
@@ -61,14 +61,14 @@
         let mut instance = TestBalancer::with(settings.clone(), 1..=4);
         for number in 0..400u64 {
             let id = format!("f{number}");
-            let now = SECOND + number * 5 * MS;
+            let now = SECOND + number * 5 * MILLISECOND;
             for server in sends(&instance.handle(now, request(&id, 0, 2 * SECOND))) {
                 instance.handle(now, ended(&id, 0, server, Outcome::TimedOut, true));
             }
         }
         for number in 0..200u64 {
             let id = format!("k{number}");
-            let now = 3 * SECOND + number * MS;
+            let now = 3 * SECOND + number * MILLISECOND;
             let Some(server) = sends(&instance.handle(now, request(&id, 1, 9 * SECOND))).pop()
             else {
                 continue;
@@ -167,7 +167,9 @@
         // Unsafe, so that the error ends it too.
         let mut out = instance.handle(SECOND, request("a", 4, 2 * SECOND));
         let first = sends(&out)[0];
-        out.extend(instance.handle(SECOND + 20 * MS, ended("a", 0, first, outcome, finished)));
+        out.extend(
+            instance.handle(SECOND + 20 * MILLISECOND, ended("a", 0, first, outcome, finished)),
+        );
         let tokens = |of: fn(&Action) -> Option<u64>| out.iter().filter_map(of).collect::<Vec<_>>();
         let set = tokens(|action| match action {
             Action::SetTimer { token, .. } => Some(*token),
@@ -194,7 +196,7 @@
         _ => None,
     });
     let (after, token) = timer.unwrap();
-    instance.handle(SECOND + 10 * MS, Event::StreamStarted { id: "a".into(), attempt: 0 });
+    instance.handle(SECOND + 10 * MILLISECOND, Event::StreamStarted { id: "a".into(), attempt: 0 });
     assert!(instance.handle(SECOND + after, Event::Timer { token }).is_empty());
     // The server that answers slowly but well is still drawn.
     let drawn = (0..200).any(|n| {
@@ -202,6 +204,7 @@
         sends(&instance.handle(SECOND + after, request(&id, 0, 2 * SECOND))).contains(&first)
     });
     assert!(drawn);
-    let after = instance.handle(SECOND + 600 * MS, ended("a", 0, first, Outcome::Reset, false));
+    let after =
+        instance.handle(SECOND + 600 * MILLISECOND, ended("a", 0, first, Outcome::Reset, false));
     assert!(sends(&after).is_empty() && failed(&after), "{after:?}");
 }
--- a/crates/balancer/tests/server_speed.rs
+++ b/crates/balancer/tests/server_speed.rs
@@ -2,10 +2,9 @@
 
 mod common;
 
-use common::{list, rejected, request, sends, server, settings, TestBalancer, MS, SECOND};
-use mintshelf_balancer::api::{
-    Action, Event, ListKind, ListedServer, Nanos, Outcome, Settings, SizeKind,
-};
+use common::{list, rejected, request, sends, server, settings, TestBalancer};
+use mintshelf_balancer::api::{Action, Event, ListKind, ListedServer, Outcome, Settings, SizeKind};
+use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 
 fn request_with_work(id: &str, cost: Nanos) -> Event {
     match request(id, 0, 2 * SECOND) {
@@ -22,10 +21,10 @@
     let entry = |id| ListedServer { kind: id % 2, ..server(id) };
     instance.handle(SECOND, list(ListKind::Full, (0..6).map(entry).collect()));
     for i in 0..400u64 {
-        let now = SECOND + i * 10 * MS;
+        let now = SECOND + i * 10 * MILLISECOND;
         let id = format!("t{i}");
-        let to = sends(&instance.handle(now, request_with_work(&id, 50 * MS)))[0];
-        let took = if to % 2 == 1 { 100 * MS } else { 50 * MS };
+        let to = sends(&instance.handle(now, request_with_work(&id, 50 * MILLISECOND)))[0];
+        let took = if to % 2 == 1 { 100 * MILLISECOND } else { 50 * MILLISECOND };
         let id = id.as_str().into();
         let attempt = 0;
         let outcome = Outcome::Ok;
@@ -44,13 +43,16 @@
     let mut instance = instance_with_two_kinds();
     // 250 ms are in time (objective 400 ms) on the fast kind alone.
     for i in 0..100 {
-        let to =
-            sends(&instance.handle(6 * SECOND, request_with_work(&format!("a{i}"), 250 * MS)))[0];
+        let to = sends(
+            &instance.handle(6 * SECOND, request_with_work(&format!("a{i}"), 250 * MILLISECOND)),
+        )[0];
         assert_eq!(to % 2, 0, "a long request went to the slow kind");
     }
     let short: Vec<_> = (0..100)
         .map(|i| {
-            sends(&instance.handle(6 * SECOND, request_with_work(&format!("b{i}"), 20 * MS)))[0] % 2
+            sends(
+                &instance.handle(6 * SECOND, request_with_work(&format!("b{i}"), 20 * MILLISECOND)),
+            )[0] % 2
         })
         .collect();
     assert!(short.contains(&1), "short requests may go anywhere");
@@ -64,7 +66,7 @@
     instance.handle(SECOND, list(ListKind::Full, (0..6).map(entry).collect()));
     let mut last = [0, 0];
     for i in 0..600u64 {
-        let now = SECOND + i * 20 * MS;
+        let now = SECOND + i * 20 * MILLISECOND;
         let name = format!("s{i}");
         let actions = instance.handle(now, request(&name, 0, 2 * SECOND));
         let server = sends(&actions)[0];
@@ -74,7 +76,7 @@
         });
         last[(server % 2) as usize] = timer.expect("a timer for the attempt");
         // The objective is 400 ms, of which 0.6 are 240.
-        let took = if server % 2 == 1 { 170 * MS } else { 60 * MS };
+        let took = if server % 2 == 1 { 170 * MILLISECOND } else { 60 * MILLISECOND };
         let id = name.as_str().into();
         let attempt = 0;
         let outcome = Outcome::Ok;
@@ -83,8 +85,8 @@
         let end = Event::AttemptEnded { id, attempt, outcome, finished, took, server, report };
         instance.handle(now + took, end);
     }
-    assert_eq!(last[0], 240 * MS);
-    assert!((280 * MS..=400 * MS).contains(&last[1]), "{last:?}");
+    assert_eq!(last[0], 240 * MILLISECOND);
+    assert!((280 * MILLISECOND..=400 * MILLISECOND).contains(&last[1]), "{last:?}");
 }
 
 /// One speed for all classes would send each class to kinds that suit another.
@@ -95,14 +97,14 @@
     instance.handle(SECOND, list(ListKind::Full, (0..6).map(entry).collect()));
     let mut served_on_fast_kind = [0, 0];
     for i in 0..2000u64 {
-        let now = SECOND + i * 10 * MS;
+        let now = SECOND + i * 10 * MILLISECOND;
         let name = format!("f{i}");
         // Class 0 is quick on kind 0, class 4 on kind 1.
         let (class, quick) = if i % 2 == 0 { (0, 0) } else { (4, 1) };
         let server = sends(&instance.handle(now, request(&name, class, 2 * SECOND)))[0];
         let fits = server % 2 == quick;
         served_on_fast_kind[(i % 2) as usize] += u32::from(fits && i >= 1000);
-        let took = if fits { 50 * MS } else { 150 * MS };
+        let took = if fits { 50 * MILLISECOND } else { 150 * MILLISECOND };
         let id = name.as_str().into();
         let attempt = 0;
         let outcome = Outcome::Ok;
@@ -131,15 +133,15 @@
         });
         timer.expect("a timer for the attempt")
     };
-    assert_eq!(overdue_after("short", 20 * MS), 240 * MS);
-    assert!(overdue_after("long", 250 * MS) > 350 * MS);
+    assert_eq!(overdue_after("short", 20 * MILLISECOND), 240 * MILLISECOND);
+    assert!(overdue_after("long", 250 * MILLISECOND) > 350 * MILLISECOND);
 }
 
 #[test]
 fn known_work_that_is_late_anywhere_is_rejected() {
     let mut instance = instance_with_two_kinds();
     assert!(rejected(&instance.handle(6 * SECOND, request_with_work("long", 3 * SECOND))));
-    assert!(!rejected(&instance.handle(6 * SECOND, request_with_work("short", 20 * MS))));
+    assert!(!rejected(&instance.handle(6 * SECOND, request_with_work("short", 20 * MILLISECOND))));
 }
 
 /// With no sizes listed, a kind that takes twice as long for every class would get half of the
@@ -154,10 +156,10 @@
         let mut slow = 0.0;
         let mut all = 0.0;
         for i in 0..3_000u64 {
-            let now = SECOND + i * 200 * MS;
+            let now = SECOND + i * 200 * MILLISECOND;
             let name = format!("a{i}");
             let server = sends(&instance.handle(now, request(&name, 0, 2 * SECOND)))[0];
-            let took = [50, 100][server as usize % 2] * MS;
+            let took = [50, 100][server as usize % 2] * MILLISECOND;
             if i >= 1_000 {
                 all += 1.0;
                 slow += f64::from(server % 2);
--- a/crates/balancer/tests/server_subset.rs
+++ b/crates/balancer/tests/server_subset.rs
@@ -2,8 +2,9 @@
 
 mod common;
 
-use common::{ended, request, sends, settings, TestBalancer, MS, SECOND};
+use common::{ended, request, sends, settings, TestBalancer};
 use mintshelf_balancer::api::{Outcome, Prices, Settings};
+use mintshelf_time::{MILLISECOND, SECOND};
 
 /// Many instances with a connection to each of six servers hold hundreds at every server.
 #[test]
@@ -13,7 +14,7 @@
         let mut instance = TestBalancer::with(Settings { prices, instances, ..settings() }, 1..=12);
         let mut reached = std::collections::BTreeSet::new();
         for i in 0..300u64 {
-            let now = SECOND + i * 500 * MS;
+            let now = SECOND + i * 500 * MILLISECOND;
             let id = format!("a{i}");
             let to = sends(&instance.handle(now, request(&id, 0, 2 * SECOND)))[0];
             reached.insert(to);
@@ -37,8 +38,8 @@
                 TestBalancer::with(Settings { self_index, prices, ..settings() }, 1..=40);
             let mut met = std::collections::HashSet::new();
             for i in 0..60 {
-                let out =
-                    instance.handle(SECOND + i * MS, request(&format!("a{i}"), 0, 2 * SECOND));
+                let out = instance
+                    .handle(SECOND + i * MILLISECOND, request(&format!("a{i}"), 0, 2 * SECOND));
                 met.extend(sends(&out));
             }
             own += met.iter().filter(|id| *id % 2 == 0).count();
--- a/crates/balancer/tests/slow_start.rs
+++ b/crates/balancer/tests/slow_start.rs
@@ -4,8 +4,9 @@
 mod common;
 
 use common::fleet::{sends_to_started_server, Fleet, Shape, WARM_UP};
-use common::{ended, list, request, sends, server, settings, TestBalancer, MS, SECOND};
-use mintshelf_balancer::api::{ListKind, ListedServer, Nanos, Outcome, ServerId};
+use common::{ended, list, request, sends, server, settings, TestBalancer};
+use mintshelf_balancer::api::{ListKind, ListedServer, Outcome, ServerId};
+use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 use std::collections::HashMap;
 
 /// The most by which any 2 s exceed their budget of N sends, in multiples of 2 √N + 2.
@@ -86,7 +87,7 @@
     let mut now = SECOND;
     let mut count: HashMap<ServerId, u32> = HashMap::new();
     for i in 0..2000 {
-        now += 5 * MS;
+        now += 5 * MILLISECOND;
         if i == 1000 {
             let fresh = ListedServer { started_at: now, ..server(9) };
             instance.handle(now, list(ListKind::Changes, vec![fresh]));
@@ -112,17 +113,17 @@
     let mut count_sends = |from: Nanos, name: &str| {
         let mut count = 0;
         for number in 0..200u64 {
-            let now = from + number * 10 * MS;
+            let now = from + number * 10 * MILLISECOND;
             let id = format!("{name}{number}");
             let Some(to) = sends(&instance.handle(now, request(&id, 0, SECOND))).first().copied()
             else {
                 continue;
             };
             count += usize::from(to == 9);
-            instance.handle(now + 5 * MS, ended(&id, 0, to, Outcome::Ok, true));
+            instance.handle(now + 5 * MILLISECOND, ended(&id, 0, to, Outcome::Ok, true));
             if number == 100 && name == "before" {
                 let entry = ListedServer { started_at, ..server(9) };
-                instance.handle(now + 6 * MS, list(ListKind::Changes, vec![entry]));
+                instance.handle(now + 6 * MILLISECOND, list(ListKind::Changes, vec![entry]));
             }
         }
         count
--- a/crates/config/src/balancer.rs
+++ b/crates/config/src/balancer.rs
@@ -2,24 +2,25 @@
 
 use crate::model::{Class, Cluster, ConnectionLimits, OperatorConfig, Route, RouteAction};
 use mintshelf_balancer::api::{
-    Class as BalancerClassSettings, Effect, Group, ListedServer, Nanos, Objective, Prices,
-    Settings, SizeKind,
+    Class as BalancerClassSettings, Effect, Group, ListedServer, Objective, Prices, Settings,
+    SizeKind,
 };
 use mintshelf_retry::policy::RetryPolicy;
 use mintshelf_retry::schedule::{AttemptSchedule, AttemptTimeout, DedupGroup, RetryOn};
+use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Shortest time between two turns of the decision module.
-const TICK: Nanos = 5_000_000;
+const TICK: Nanos = 5 * MILLISECOND;
 /// How long requests may still go to a server after the news that it drains.
-const DRAIN_GRACE: Nanos = 250_000_000;
+const DRAIN_GRACE: Nanos = 250 * MILLISECOND;
 /// Multiple of its present capacity at which a server that warms up is overloaded.
 const OVERLOAD_MULTIPLE: f64 = 3.0;
 /// How long that multiple must last.
-const OVERLOAD_AFTER: Nanos = 2_000_000_000;
+const OVERLOAD_AFTER: Nanos = 2 * SECOND;
 /// Price of crossing zones, in points a request, where a cluster names a zone.
 const CROSS_ZONE_PRICE: f64 = 0.02;
 /// The part of a deduplication window that a client may be asked to wait.
--- a/crates/consensus-node/src/clock.rs
+++ b/crates/consensus-node/src/clock.rs
@@ -1,6 +1,6 @@
 //! The monotonic clock that durations are counted on.
 
-use mintshelf_lease::timing::{Nanos, SECOND};
+use mintshelf_time::{Nanos, SECOND};
 use rustix::time::{clock_gettime, ClockId};
 
 /// Nanoseconds since the machine started, including the time in which it was suspended: a machine
--- a/crates/consensus-node/src/lib.rs
+++ b/crates/consensus-node/src/lib.rs
@@ -5,7 +5,8 @@
 //! use mintshelf_consensus_node::lease_keeper::{keep_lease, LeaseRequest, LeaseStatus};
 //! use mintshelf_lease::client::LeaseConfig;
 //! use mintshelf_lease::command::Owner;
-//! use mintshelf_lease::timing::{ClockError, SECOND};
+//! use mintshelf_lease::timing::ClockError;
+//! use mintshelf_time::SECOND;
 //! use tokio::sync::watch;
 //!
 //! # async fn example() {
--- a/crates/consensus-node/src/transport.rs
+++ b/crates/consensus-node/src/transport.rs
@@ -8,7 +8,7 @@
 };
 use crate::node::NodeConfig;
 use futures_util::{SinkExt, StreamExt};
-use mintshelf_lease::timing::{Nanos, MS, SECOND};
+use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::net::SocketAddr;
@@ -28,7 +28,7 @@
 /// Backoff while no descriptors are free.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 /// First backoff between two attempts to reach a replica.
-const DIAL_BACKOFF_MIN: Nanos = 50 * MS;
+const DIAL_BACKOFF_MIN: Nanos = 50 * MILLISECOND;
 /// Longest backoff between two attempts to reach a replica.
 const DIAL_BACKOFF_MAX: Nanos = SECOND;
 
--- a/crates/consensus-node/tests/nodes/fleet.rs
+++ b/crates/consensus-node/tests/nodes/fleet.rs
@@ -8,9 +8,10 @@
 use mintshelf_consensus_node::store::{Identity, OpenedStore, Store, StoreContent};
 use mintshelf_lease::client::{ActiveGrant, LeaseConfig};
 use mintshelf_lease::command::Owner;
-use mintshelf_lease::timing::{ClockError, Nanos, Timing, MS, SECOND};
+use mintshelf_lease::timing::{ClockError, Timing};
 use mintshelf_test_support::relay::Relay;
 use mintshelf_test_support::{free_address, wait_until};
+use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -22,8 +23,8 @@
 
 fn timing() -> Timing {
     Timing {
-        election_timeout: 500 * MS,
-        heartbeat_interval: 100 * MS,
+        election_timeout: 500 * MILLISECOND,
+        heartbeat_interval: 100 * MILLISECOND,
         session_timeout: 2 * SECOND,
         lease_duration: 3 * SECOND,
         clock_error: ClockError::default(),
--- a/crates/consensus-node/tests/store/main.rs
+++ b/crates/consensus-node/tests/store/main.rs
@@ -9,7 +9,8 @@
 use mintshelf_consensus_node::store::{Identity, OpenedStore, Store, StoreContent, FILE};
 use mintshelf_consensus_node::store_error::StoreError;
 use mintshelf_lease::command::{Command, Owner};
-use mintshelf_lease::timing::{Nanos, Timing, MS, SECOND};
+use mintshelf_lease::timing::Timing;
+use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::path::{Path, PathBuf};
@@ -66,7 +67,7 @@
         let replica = Replica::new(1, &state, &Timing::default(), store.opened()).unwrap();
         let mut single = SingleReplica { store, replica, now: SECOND };
         while !single.replica.status().is_leader {
-            single.now += 100 * MS;
+            single.now += 100 * MILLISECOND;
             single.replica.tick(single.now);
             single.write_batches().unwrap();
         }
--- a/crates/consensus/benches/leases.rs
+++ b/crates/consensus/benches/leases.rs
@@ -12,7 +12,8 @@
 use mintshelf_consensus::persistent_state::PersistentState;
 use mintshelf_consensus::replica::Replica;
 use mintshelf_lease::command::{Command, Owner};
-use mintshelf_lease::timing::{ClockError, Nanos, Timing, MS, SECOND};
+use mintshelf_lease::timing::{ClockError, Timing};
+use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 use raft::eraftpb::Message;
 use std::time::{Duration, Instant};
 
@@ -30,7 +31,7 @@
 fn quantile_ms(sorted: &[Nanos], quantile: f64) -> f64 {
     let last = sorted.len().saturating_sub(1);
     let value = sorted.get((last as f64 * quantile) as usize);
-    value.map_or(f64::NAN, |duration| *duration as f64 / MS as f64)
+    value.map_or(f64::NAN, |duration| *duration as f64 / MILLISECOND as f64)
 }
 
 /// Links of 1 to 8 ms (one in twenty up to 400, one in a hundred lost), syncs of 1 to 10 ms.
@@ -66,7 +67,7 @@
 /// Time from a crash to the next operation, in one simulation.
 fn failover_time(replicas: usize, seed: u64, victims: Victims) -> Option<Nanos> {
     let mut simulation = Simulation::new(without_faults(replicas), seed);
-    let crash_at = 10 * SECOND + seed * 13 * MS;
+    let crash_at = 10 * SECOND + seed * 13 * MILLISECOND;
     simulation.run_until(crash_at);
     simulation.kill_victims(victims);
     simulation.run_until(crash_at + 30 * SECOND);
@@ -76,7 +77,7 @@
 }
 
 fn print_failover_times() {
-    let lease_ms = SimulationConfig::default().lease_duration / MS;
+    let lease_ms = SimulationConfig::default().lease_duration / MILLISECOND;
     println!(
         "\ntime without a holder's operation after a crash, ms: lease of {lease_ms} ms, election \
          of 500"
@@ -207,7 +208,7 @@
             cluster.load = LeaderLoad::default();
             renewals = 0;
         }
-        now += 10 * MS;
+        now += 10 * MILLISECOND;
         cluster.replicas.iter_mut().for_each(|replica| replica.tick(now));
         let begin = Instant::now();
         if step > FIRST_RENEWAL_STEP {
--- a/crates/consensus/src/state_machine.rs
+++ b/crates/consensus/src/state_machine.rs
@@ -3,7 +3,8 @@
 use mintshelf_lease::command::{Command, Response};
 use mintshelf_lease::expiry::LeaseExpiry;
 use mintshelf_lease::lease::Leases;
-use mintshelf_lease::timing::{ClockError, Nanos};
+use mintshelf_lease::timing::ClockError;
+use mintshelf_time::Nanos;
 use serde::{de::DeserializeOwned, Serialize};
 
 /// A replicated state machine. Each replica applies the same commands in the same order; time
--- a/crates/consensus/tests/common/simulation/clients.rs
+++ b/crates/consensus/tests/common/simulation/clients.rs
@@ -7,7 +7,7 @@
 use super::{Event, ProcessId, RequestKey, RequestLatency, SentRequest, Simulation};
 use mintshelf_lease::client::{HolderAction, LeaseClient, LeaseConfig};
 use mintshelf_lease::command::{Command, Owner, Response};
-use mintshelf_lease::timing::{Nanos, MS};
+use mintshelf_time::{Nanos, MILLISECOND};
 
 /// The resource that all operations act upon.
 const RESOURCE: &str = "resource";
@@ -108,7 +108,8 @@
         let own_now = self.clock_of(id);
         let now = self.now;
         let lease_duration = self.config.lease_duration;
-        let duration = 50 * MS + self.draw_below((lease_duration / MS) / 3) * MS;
+        let duration =
+            50 * MILLISECOND + self.draw_below((lease_duration / MILLISECOND) / 3) * MILLISECOND;
         let incarnation = self.processes[id].incarnation;
         let clock_ppm = self.processes[id].clock.ppm;
         let Some(process) = self.client_mut(id) else { return };
@@ -117,7 +118,7 @@
         }
         if process.client.is_released() && now >= process.idle_until {
             process.client.request();
-            process.operations_left = 1 + (now / MS) as u32 % 12;
+            process.operations_left = 1 + (now / MILLISECOND) as u32 % 12;
         }
         if process.operations_left == 0 {
             process.client.release();
--- a/crates/consensus/tests/common/simulation/config.rs
+++ b/crates/consensus/tests/common/simulation/config.rs
@@ -1,6 +1,7 @@
 //! The parameters of a simulation.
 
-use mintshelf_lease::timing::{ClockError, Nanos, Timing, MS, SECOND};
+use mintshelf_lease::timing::{ClockError, Timing};
+use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 
 /// A fault that is put into the lease client on purpose.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -60,8 +61,8 @@
 
     pub fn timing(&self) -> Timing {
         Timing {
-            election_timeout: 500 * MS,
-            heartbeat_interval: 100 * MS,
+            election_timeout: 500 * MILLISECOND,
+            heartbeat_interval: 100 * MILLISECOND,
             session_timeout: 2 * SECOND,
             lease_duration: self.lease_duration,
             clock_error: self.assumed_clock_error(),
--- a/crates/consensus/tests/common/simulation/faults.rs
+++ b/crates/consensus/tests/common/simulation/faults.rs
@@ -2,7 +2,7 @@
 
 use super::process::Role;
 use super::{Event, Link, ProcessId, Simulation};
-use mintshelf_lease::timing::{Nanos, MS};
+use mintshelf_time::{Nanos, MILLISECOND};
 
 /// Processes to kill, by what they are at that time.
 #[derive(Clone, Copy)]
@@ -14,7 +14,7 @@
 impl Simulation {
     pub(super) fn draw_next_fault(&mut self) -> Nanos {
         let interval = self.config.fault_interval;
-        self.now + interval / 4 + self.draw_below(interval * 3 / 2 / MS) * MS
+        self.now + interval / 4 + self.draw_below(interval * 3 / 2 / MILLISECOND) * MILLISECOND
     }
 
     pub(super) fn stop(&mut self, id: ProcessId) {
@@ -28,7 +28,8 @@
                 operation.is_disturbed = true;
             }
         }
-        let duration = 20 * MS + self.draw_below(self.config.lease_duration * 2 / MS) * MS;
+        let duration = 20 * MILLISECOND
+            + self.draw_below(self.config.lease_duration * 2 / MILLISECOND) * MILLISECOND;
         self.schedule(self.now + duration, Event::Continue { process: id });
     }
 
@@ -57,7 +58,7 @@
             // What it did until now counts.
             self.record(id, operation);
         }
-        let restart_at = self.now + 50 * MS + self.draw_below(4_000) * MS;
+        let restart_at = self.now + 50 * MILLISECOND + self.draw_below(4_000) * MILLISECOND;
         self.schedule(restart_at, Event::Restart { process: id });
     }
 
@@ -97,7 +98,7 @@
             self.cut_off_client();
         }
         if self.draw_below(2) == 0 {
-            let heal_at = self.now + self.draw_below(3_000) * MS;
+            let heal_at = self.now + self.draw_below(3_000) * MILLISECOND;
             self.schedule(heal_at, Event::Heal);
         }
         let next_fault_at = self.draw_next_fault();
--- a/crates/consensus/tests/common/simulation/mod.rs
+++ b/crates/consensus/tests/common/simulation/mod.rs
@@ -16,7 +16,7 @@
 use mintshelf_consensus::persistent_state::PersistentState;
 use mintshelf_consensus::write_batch::WriteBatch;
 use mintshelf_lease::fence::Fence;
-use mintshelf_lease::timing::{Nanos, MS, SECOND};
+use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 use network::Message;
 use process::{Clock, Process, Role};
 use rand_core::{RngCore, SeedableRng};
@@ -157,7 +157,7 @@
         let error_ppm = i64::from(self.config.clock_error.ppm);
         // The extremes of what is allowed, and the middle.
         let ppm = [-error_ppm, 0, error_ppm][self.draw_below(3) as usize];
-        let offset = SECOND + self.draw_below(1_000_000) * MS;
+        let offset = SECOND + self.draw_below(1_000_000) * MILLISECOND;
         let role = if id < self.config.replicas { Role::Replica(None) } else { Role::Client(None) };
         self.processes.push(Process {
             clock: Clock { offset, ppm },
@@ -178,7 +178,7 @@
         } else {
             Role::Client(Some(Box::new(self.new_client(id))))
         };
-        let first_tick_at = self.now + self.draw_below(100) * MS;
+        let first_tick_at = self.now + self.draw_below(100) * MILLISECOND;
         self.schedule(first_tick_at, Event::Tick { process: id, incarnation });
     }
 
@@ -250,7 +250,7 @@
             _ => return,
         }
         self.advance(id);
-        let interval = if id < self.config.replicas { 100 * MS } else { 20 * MS };
+        let interval = if id < self.config.replicas { 100 * MILLISECOND } else { 20 * MILLISECOND };
         self.schedule(self.now + interval, Event::Tick { process: id, incarnation });
     }
 
--- a/crates/consensus/tests/common/simulation/network.rs
+++ b/crates/consensus/tests/common/simulation/network.rs
@@ -3,7 +3,7 @@
 use super::process::{Requester, Role};
 use super::{Event, Link, ProcessId, Simulation};
 use mintshelf_lease::command::{Command, Response};
-use mintshelf_lease::timing::MS;
+use mintshelf_time::MILLISECOND;
 
 #[derive(Clone)]
 pub enum Message {
@@ -16,20 +16,20 @@
     pub(super) fn send(&mut self, from: ProcessId, to: ProcessId, message: Message) {
         let is_lost = self.draw_below(100) == 0;
         let delay = match (self.is_network_slow, self.draw_below(20)) {
-            (true, _) => self.draw_below(2_500) * MS,
-            (_, 0) => self.draw_below(400) * MS,
-            _ => MS + self.draw_below(8) * MS,
+            (true, _) => self.draw_below(2_500) * MILLISECOND,
+            (_, 0) => self.draw_below(400) * MILLISECOND,
+            _ => MILLISECOND + self.draw_below(8) * MILLISECOND,
         };
         if is_lost || self.cut_links.contains(&Link { from, to }) {
             return;
         }
         // Links between replicas deliver complete messages; a new link may bring one twice.
         if let (Message::Raft(_), 0) = (&message, self.draw_below(50)) {
-            let late = self.now + delay + self.draw_below(1_000) * MS;
+            let late = self.now + delay + self.draw_below(1_000) * MILLISECOND;
             self.schedule(late, Event::Delivered { to, from, message: message.clone() });
         }
         if let (Message::Request { .. }, 0) = (&message, self.draw_below(20)) {
-            let late = self.now + delay + self.draw_below(4_000) * MS;
+            let late = self.now + delay + self.draw_below(4_000) * MILLISECOND;
             self.schedule(late, Event::Delivered { to, from, message: message.clone() });
         }
         self.schedule(self.now + delay, Event::Delivered { to, from, message });
--- a/crates/consensus/tests/common/simulation/process.rs
+++ b/crates/consensus/tests/common/simulation/process.rs
@@ -4,7 +4,7 @@
 use mintshelf_consensus::replica::Replica;
 use mintshelf_consensus::write_batch::ProposalId;
 use mintshelf_lease::client::LeaseClient;
-use mintshelf_lease::timing::Nanos;
+use mintshelf_time::Nanos;
 use std::collections::BTreeMap;
 
 /// A process's own monotonic clock.
--- a/crates/consensus/tests/common/simulation/replicas.rs
+++ b/crates/consensus/tests/common/simulation/replicas.rs
@@ -6,7 +6,7 @@
 use mintshelf_consensus::message::encode;
 use mintshelf_consensus::replica::Replica;
 use mintshelf_consensus::write_batch::WriteBatch;
-use mintshelf_lease::timing::MS;
+use mintshelf_time::MILLISECOND;
 use rand_core::RngCore;
 use std::collections::BTreeMap;
 
@@ -41,7 +41,8 @@
             self.send(id, requester.client, Message::Response { request_id, response });
         }
         let incarnation = self.processes[id].incarnation;
-        let sync_duration = if batch.must_sync { MS + self.draw_below(10) * MS } else { 0 };
+        let sync_duration =
+            if batch.must_sync { MILLISECOND + self.draw_below(10) * MILLISECOND } else { 0 };
         let synced = Event::Synced { process: id, incarnation, batch: Box::new(batch) };
         self.schedule(self.now + sync_duration, synced);
     }
--- a/crates/consensus/tests/messages.rs
+++ b/crates/consensus/tests/messages.rs
@@ -5,7 +5,8 @@
 use mintshelf_consensus::persistent_state::PersistentState;
 use mintshelf_consensus::replica::{Replica, SNAPSHOT_ENTRIES};
 use mintshelf_lease::command::{Command, Owner};
-use mintshelf_lease::timing::{Nanos, Timing, MS, SECOND};
+use mintshelf_lease::timing::Timing;
+use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 use protobuf::Message as _;
 use raft::eraftpb::{Message, MessageType};
 use rand_core::{RngCore, SeedableRng};
@@ -82,7 +83,7 @@
 
     fn run(&mut self, ticks: u32) {
         for _ in 0..ticks {
-            self.now += 100 * MS;
+            self.now += 100 * MILLISECOND;
             self.replicas.iter_mut().for_each(|replica| replica.tick(self.now));
             self.settle();
         }
@@ -149,7 +150,7 @@
     let mut replica: Replica =
         Replica::new(emptied as u64 + 1, &state, &Timing::default(), 99).unwrap();
     let leader = cluster.leader();
-    cluster.now += 100 * MS;
+    cluster.now += 100 * MILLISECOND;
     cluster.replicas[leader].tick(cluster.now);
     let batch = cluster.replicas[leader].next_batch(cluster.now).unwrap().unwrap();
     let is_to_emptied = |message: &&Message| message.to as usize == emptied + 1;
@@ -214,7 +215,7 @@
                 Ok(()) => accepted += 1,
                 Err(_) => rejected += 1,
             }
-            now += 50 * MS;
+            now += 50 * MILLISECOND;
             replica.tick(now);
             while let Ok(Some(batch)) = replica.next_batch(now) {
                 store.write(&batch);
--- a/crates/discovery/tests/notification_deadline.rs
+++ b/crates/discovery/tests/notification_deadline.rs
@@ -1,10 +1,11 @@
 //! Whatever calls failed before, changes are received within 6 s of discovery being reachable.
 
 use mintshelf_balancer::api::{
-    Action, Backoff, Class, Effect, Event, Group, ListKind, Nanos, Settings, NOTIFIED_WITHIN,
+    Action, Backoff, Class, Effect, Event, Group, ListKind, Settings, NOTIFIED_WITHIN,
 };
 use mintshelf_balancer::decide::Balancer;
 use mintshelf_discovery::watch::{CallOutcome, NextCall, WatchState};
+use mintshelf_time::Nanos;
 use proptest::prelude::*;
 use std::time::Duration;
 
--- a/crates/fleet-simulator/benches/storm.rs
+++ b/crates/fleet-simulator/benches/storm.rs
@@ -2,9 +2,8 @@
 //! `cargo bench -p mintshelf-fleet-simulator`. Seeds are printed; a row comes out the same every
 //! time.
 
-use mintshelf_fleet_simulator::{
-    simulate, Fault, FaultKind, Report, RetryBehavior, Scenario, MS, SECOND,
-};
+use mintshelf_fleet_simulator::{simulate, Fault, FaultKind, Report, RetryBehavior, Scenario};
+use mintshelf_time::{MILLISECOND, SECOND};
 use std::ops::Range;
 
 const SEED: u64 = 20;
@@ -84,7 +83,7 @@
         for seconds in [2, 10, 60] {
             for (retry, name) in [
                 (RetryBehavior::Immediate, "at once"),
-                (RetryBehavior::Backoff(100 * MS), "pause"),
+                (RetryBehavior::Backoff(100 * MILLISECOND), "pause"),
                 (RetryBehavior::HonorAdvice, "honour"),
             ] {
                 print_outages(rate, seconds, retry, name);
--- a/crates/fleet-simulator/src/discovery.rs
+++ b/crates/fleet-simulator/src/discovery.rs
@@ -1,8 +1,8 @@
 //! The discovery service: its endpoints, who watches them, and the limit on its calls.
 
 use crate::fleet::DiscoveryConfig;
-use crate::SECOND;
-use mintshelf_balancer::api::{EndpointState, ListedServer, Nanos, ServerId};
+use mintshelf_balancer::api::{EndpointState, ListedServer, ServerId};
+use mintshelf_time::{Nanos, SECOND};
 use std::collections::BTreeMap;
 
 /// The discovery service of the simulated site.
--- a/crates/fleet-simulator/src/fleet.rs
+++ b/crates/fleet-simulator/src/fleet.rs
@@ -1,7 +1,7 @@
 //! Changes of the fleet beside its servers' faults, and special conditions of a site: releases,
 //! restarts, a discovery service of limited speed, skewed traffic, impatient clients.
 
-use mintshelf_balancer::api::Nanos;
+use mintshelf_time::Nanos;
 use std::ops::Range;
 
 /// What a fleet goes through. By default nothing: sidecars know their servers from the start,
--- a/crates/fleet-simulator/src/lib.rs
+++ b/crates/fleet-simulator/src/lib.rs
@@ -31,8 +31,3 @@
 fn uniform(rng: &mut impl rand_core::RngCore) -> f64 {
     (rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
 }
-
-/// A millisecond in nanoseconds.
-pub const MS: u64 = 1_000_000;
-/// A second in nanoseconds.
-pub const SECOND: u64 = 1_000 * MS;
--- a/crates/fleet-simulator/src/report.rs
+++ b/crates/fleet-simulator/src/report.rs
@@ -1,7 +1,6 @@
 //! The results of a run.
 
-use crate::SECOND;
-use mintshelf_balancer::api::Nanos;
+use mintshelf_time::{Nanos, SECOND};
 use std::ops::Range;
 
 /// Price of a new connection, as a share of all weight at one for every first request.
--- a/crates/fleet-simulator/src/scenario.rs
+++ b/crates/fleet-simulator/src/scenario.rs
@@ -1,8 +1,8 @@
 //! Scenarios: the site, its traffic, the faults of its servers and how its clients retry.
 
 use crate::fleet::FleetConfig;
-use crate::{MS, SECOND};
-use mintshelf_balancer::api::{Effect, Nanos};
+use mintshelf_balancer::api::Effect;
+use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 use std::ops::Range;
 
 /// For how long servers discard the repeats of an idempotent request.
@@ -34,8 +34,8 @@
         effect: Effect::Safe,
         share: 0.5,
         work: 8.0,
-        latency_objective: 400 * MS,
-        deadline: 800 * MS,
+        latency_objective: 400 * MILLISECOND,
+        deadline: 800 * MILLISECOND,
         priority_weight: 1.0,
     },
     TrafficClass {
@@ -43,8 +43,8 @@
         effect: Effect::Safe,
         share: 0.25,
         work: 15.0,
-        latency_objective: 800 * MS,
-        deadline: 1_600 * MS,
+        latency_objective: 800 * MILLISECOND,
+        deadline: 1_600 * MILLISECOND,
         priority_weight: 1.0,
     },
     TrafficClass {
@@ -52,8 +52,8 @@
         effect: Effect::Idempotent,
         share: 0.15,
         work: 20.0,
-        latency_objective: 800 * MS,
-        deadline: 1_600 * MS,
+        latency_objective: 800 * MILLISECOND,
+        deadline: 1_600 * MILLISECOND,
         priority_weight: 2.0,
     },
     TrafficClass {
@@ -61,8 +61,8 @@
         effect: Effect::Unsafe,
         share: 0.1,
         work: 40.0,
-        latency_objective: 1_200 * MS,
-        deadline: 2_400 * MS,
+        latency_objective: 1_200 * MILLISECOND,
+        deadline: 2_400 * MILLISECOND,
         priority_weight: 4.0,
     },
 ];
@@ -155,7 +155,7 @@
             capacity: 1.5,
             duration: seconds * SECOND,
             faults: Vec::new(),
-            retry: RetryBehavior::Backoff(100 * MS),
+            retry: RetryBehavior::Backoff(100 * MILLISECOND),
             ramp: Some(2 * SECOND),
             max_retry_after: 60 * SECOND,
             warm_up: 0,
--- a/crates/fleet-simulator/src/server.rs
+++ b/crates/fleet-simulator/src/server.rs
@@ -2,9 +2,9 @@
 
 use crate::fleet::Thrashing;
 use crate::scenario::{mean_work, FaultKind, Scenario};
-use crate::{MS, SECOND};
-use mintshelf_balancer::api::{Nanos, RequestId};
+use mintshelf_balancer::api::RequestId;
 use mintshelf_balancer::decay::DecayingCounter;
+use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 use std::collections::{HashMap, VecDeque};
 
 /// First requests a second of a server for each six of its concurrency.
@@ -19,7 +19,7 @@
 const LOAD_MEMORY_NS: f64 = 0.5 * SECOND as f64;
 const LOAD_HALF_LIFE: Nanos = 346_573_590;
 /// Latency of the network between any two hosts, one way.
-pub(crate) const ONE_WAY_LATENCY: Nanos = MS / 4;
+pub(crate) const ONE_WAY_LATENCY: Nanos = MILLISECOND / 4;
 
 /// One attempt as it reaches a server.
 #[derive(Debug, Clone)]
--- a/crates/fleet-simulator/src/sidecar/connections.rs
+++ b/crates/fleet-simulator/src/sidecar/connections.rs
@@ -1,7 +1,6 @@
 //! Idle connections of a sidecar to its servers.
 
-use crate::SECOND;
-use mintshelf_balancer::api::Nanos;
+use mintshelf_time::{Nanos, SECOND};
 
 /// Idle connections that are kept to each server.
 const MAX_IDLE: usize = 16;
--- a/crates/fleet-simulator/src/sidecar/mod.rs
+++ b/crates/fleet-simulator/src/sidecar/mod.rs
@@ -4,21 +4,20 @@
 mod settings;
 
 use crate::scenario::{Scenario, CLASSES, DEDUP_WINDOW};
-use crate::{MS, SECOND};
 use connections::IdleConnections;
 use mintshelf_balancer::api::{
-    Action, Effect, EndpointState, Event, ListKind, ListedServer, Nanos, Outcome, RequestId,
-    ServerId,
+    Action, Effect, EndpointState, Event, ListKind, ListedServer, Outcome, RequestId, ServerId,
 };
 use mintshelf_balancer::decide::Balancer;
 use mintshelf_recovery::{OutageSignal, Recovery};
+use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 use settings::settings;
 use std::collections::{HashMap, VecDeque};
 
 /// Maximum number of attempts of one request.
 const MAX_ATTEMPTS: u32 = 3;
 /// Longest wait for a connection.
-pub(crate) const CONNECT_TIMEOUT: Nanos = 200 * MS;
+pub(crate) const CONNECT_TIMEOUT: Nanos = 200 * MILLISECOND;
 
 /// The response to a client.
 #[derive(Debug, Clone, Copy, PartialEq)]
--- a/crates/fleet-simulator/src/sidecar/settings.rs
+++ b/crates/fleet-simulator/src/sidecar/settings.rs
@@ -2,8 +2,8 @@
 
 use super::{CONNECT_TIMEOUT, MAX_ATTEMPTS};
 use crate::scenario::{Scenario, TrafficClass, CLASSES, DEDUP_WINDOW};
-use crate::{MS, SECOND};
 use mintshelf_balancer::api::{Backoff, Class, Group, Objective, Prices, Settings, SizeKind};
+use mintshelf_time::{MILLISECOND, SECOND};
 
 /// Prices of side effects at the simulated site.
 const PRICES: Prices = Prices {
@@ -46,9 +46,9 @@
         kinds: 1,
         classes: CLASSES.iter().map(class).collect(),
         size_kind: SizeKind::Nominal,
-        tick: 5 * MS,
-        answer_slack: 20 * MS,
-        drain_grace: 250 * MS,
+        tick: 5 * MILLISECOND,
+        answer_slack: 20 * MILLISECOND,
+        drain_grace: 250 * MILLISECOND,
         initial_capacity: scenario.initial_capacity,
         warm_up: scenario.warm_up,
         overload_multiple: 3.0,
--- a/crates/fleet-simulator/src/simulation/clients.rs
+++ b/crates/fleet-simulator/src/simulation/clients.rs
@@ -3,17 +3,17 @@
 use super::{Event, Simulation, BEGIN};
 use crate::scenario::{RetryBehavior, CLASSES};
 use crate::sidecar::{Reply, RequestOwner};
-use crate::{MS, SECOND};
-use mintshelf_balancer::api::{Effect, Nanos, RequestId};
+use mintshelf_balancer::api::{Effect, RequestId};
+use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 
 /// Retries of a client after its first request.
 pub(super) const MAX_RETRIES: u32 = 2;
 /// A client waits this much longer than its sidecar.
-const TIMEOUT_SLACK: Nanos = 100 * MS;
+const TIMEOUT_SLACK: Nanos = 100 * MILLISECOND;
 /// Delay of a retry that honours advice and had none.
-pub(super) const DEFAULT_RETRY_DELAY: Nanos = 100 * MS;
+pub(super) const DEFAULT_RETRY_DELAY: Nanos = 100 * MILLISECOND;
 /// Delay of an immediate retry.
-const IMMEDIATE_RETRY_DELAY: Nanos = MS;
+const IMMEDIATE_RETRY_DELAY: Nanos = MILLISECOND;
 
 /// A client with one thing to do, for which it may send several requests.
 pub(super) struct Client {
--- a/crates/fleet-simulator/src/simulation/event.rs
+++ b/crates/fleet-simulator/src/simulation/event.rs
@@ -1,7 +1,8 @@
 //! Events of the simulation, and the queue that orders them in time.
 
 use crate::server::Job;
-use mintshelf_balancer::api::{ListedServer, Nanos, Outcome, RequestId};
+use mintshelf_balancer::api::{ListedServer, Outcome, RequestId};
+use mintshelf_time::Nanos;
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
--- a/crates/fleet-simulator/src/simulation/fleet.rs
+++ b/crates/fleet-simulator/src/simulation/fleet.rs
@@ -7,7 +7,8 @@
 use crate::scenario::{FaultKind, Scenario, CLASSES};
 use crate::server::Server;
 use crate::sidecar::Sidecar;
-use mintshelf_balancer::api::{Effect, EndpointState, ListKind, ListedServer, Nanos, ServerId};
+use mintshelf_balancer::api::{Effect, EndpointState, ListKind, ListedServer, ServerId};
+use mintshelf_time::Nanos;
 
 /// Spreads the sidecars' traffic: the fractional part of √2, whose multiples are uniform.
 const SKEW_ROOT: f64 = 0.414_213_562_373_095;
--- a/crates/fleet-simulator/src/simulation/servers.rs
+++ b/crates/fleet-simulator/src/simulation/servers.rs
@@ -3,8 +3,8 @@
 use super::{Event, Simulation};
 use crate::scenario::{mean_work, FaultKind, CLASSES, DEDUP_WINDOW};
 use crate::server::{Arrival, FinishedJob, Job, StartedJob, ONE_WAY_LATENCY};
-use crate::SECOND;
-use mintshelf_balancer::api::{Effect, EndpointState, Nanos, Outcome};
+use mintshelf_balancer::api::{Effect, EndpointState, Outcome};
+use mintshelf_time::{Nanos, SECOND};
 
 /// An overloaded server restarts after this time.
 const OVERLOAD_DOWNTIME: Nanos = 3 * SECOND;
--- a/crates/fleet-simulator/src/simulation/sidecars.rs
+++ b/crates/fleet-simulator/src/simulation/sidecars.rs
@@ -4,12 +4,12 @@
 use crate::scenario::{mean_work, CLASSES};
 use crate::server::{Job, ONE_WAY_LATENCY};
 use crate::sidecar::{RequestOwner, SidecarAction, CONNECT_TIMEOUT};
-use crate::{MS, SECOND};
-use mintshelf_balancer::api::{Nanos, Outcome, RequestId, ServerId};
+use mintshelf_balancer::api::{Outcome, RequestId, ServerId};
+use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 use rand_distr::Distribution;
 
 /// Time after a drain was announced in which sends are allowed, with slack.
-const DRAIN_GRACE: Nanos = 250 * MS + 50 * MS;
+const DRAIN_GRACE: Nanos = 250 * MILLISECOND + 50 * MILLISECOND;
 /// Trips over the network before a request is sent on a new connection, and with it.
 const NEW_CONNECTION_TRIPS: u64 = 3;
 
--- a/crates/fleet-simulator/src/standard.rs
+++ b/crates/fleet-simulator/src/standard.rs
@@ -4,8 +4,8 @@
     Burst, DiscoveryConfig, EarlyTimeouts, FleetConfig, Release, Restart, Thrashing,
 };
 use crate::scenario::{Fault, FaultKind, RetryBehavior, Scenario};
-use crate::{uniform, MS, SECOND};
-use mintshelf_balancer::api::Nanos;
+use crate::uniform;
+use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use std::ops::Range;
@@ -176,7 +176,7 @@
         let tenth = sidecars.div_ceil(10);
         let restart = |number: usize| Restart {
             at: BEGIN + number as u64 * SECOND,
-            downtime: 300 * MS,
+            downtime: 300 * MILLISECOND,
             sidecars: number * tenth..((number + 1) * tenth).min(sidecars),
         };
         self.scenario.fleet.restarts = (0..10).map(restart).collect();
@@ -186,7 +186,7 @@
         self.add_release(0.35, 9.0, 4, 3.0);
         let sidecars = 0..self.scenario.sidecars * 7 / 10;
         let at = BEGIN + duration(self.draw(1.0, 3.0));
-        self.scenario.fleet.restarts.push(Restart { at, downtime: 500 * MS, sidecars });
+        self.scenario.fleet.restarts.push(Restart { at, downtime: 500 * MILLISECOND, sidecars });
         let factor = self.draw(3.0, 6.0);
         self.add_fault(self.last_eighth(), 8.0, FaultKind::Slow(factor));
     }
--- a/crates/fleet-simulator/tests/outages.rs
+++ b/crates/fleet-simulator/tests/outages.rs
@@ -1,14 +1,13 @@
 //! The rules through outages, and what the recovery package changes, on seeded runs.
 
-use mintshelf_fleet_simulator::{
-    simulate, Fault, FaultKind, Report, RetryBehavior, Scenario, MS, SECOND,
-};
+use mintshelf_fleet_simulator::{simulate, Fault, FaultKind, Report, RetryBehavior, Scenario};
+use mintshelf_time::{MILLISECOND, SECOND};
 use std::ops::Range;
 
 const RETRIES: [RetryBehavior; 4] = [
     RetryBehavior::Never,
     RetryBehavior::Immediate,
-    RetryBehavior::Backoff(100 * MS),
+    RetryBehavior::Backoff(100 * MILLISECOND),
     RetryBehavior::HonorAdvice,
 ];
 
@@ -62,7 +61,7 @@
             warm_up: if seed % 2 == 0 { 4 * SECOND } else { 0 },
             ..Scenario::without_faults(seed, 80.0, 4)
         };
-        let fault = Fault { from: SECOND, until: 2_500 * MS, servers, kind };
+        let fault = Fault { from: SECOND, until: 2_500 * MILLISECOND, servers, kind };
         let scenario = scenario.with_fault(fault);
         let report = simulate(&scenario);
         assert_rules_hold(&scenario, &report);
--- a/crates/fleet-simulator/tests/standard_scenarios.rs
+++ b/crates/fleet-simulator/tests/standard_scenarios.rs
@@ -1,8 +1,9 @@
 //! The standard scenarios: their served shares, and the rules that hold in each.
 
 use mintshelf_fleet_simulator::{
-    simulate, standard_scenario, FleetConfig, Report, Restart, Scenario, StandardScenario, SECOND,
+    simulate, standard_scenario, FleetConfig, Report, Restart, Scenario, StandardScenario,
 };
+use mintshelf_time::SECOND;
 use std::ops::Range;
 
 /// Broken rules of any kind: repeated effects, lost responses, excess attempts, sends to
--- a/crates/lease/src/client.rs
+++ b/crates/lease/src/client.rs
@@ -2,7 +2,8 @@
 
 use crate::command::{Command, Owner, Rejection, Response};
 use crate::fence::Token;
-use crate::timing::{ClockError, Nanos};
+use crate::timing::ClockError;
+use mintshelf_time::Nanos;
 use thiserror::Error;
 
 /// Requests are repeated this many times within one lease duration.
--- a/crates/lease/src/command.rs
+++ b/crates/lease/src/command.rs
@@ -4,7 +4,7 @@
 //! order of variants and fields is part of that format.
 
 use crate::fence::Token;
-use crate::timing::{Nanos, MS, SECOND};
+use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
@@ -15,7 +15,7 @@
 /// Longest name of a lease or a member, in bytes.
 pub const NAME_MAX: usize = 128;
 /// Shortest lease duration.
-pub const DURATION_MIN: Nanos = 100 * MS;
+pub const DURATION_MIN: Nanos = 100 * MILLISECOND;
 /// Longest lease duration.
 pub const DURATION_MAX: Nanos = 86_400 * SECOND;
 
--- a/crates/lease/src/expiry.rs
+++ b/crates/lease/src/expiry.rs
@@ -8,7 +8,8 @@
 use crate::command::{Command, Owner};
 use crate::fence::Token;
 use crate::lease::{LeaseHolder, Leases, Waiter};
-use crate::timing::{ClockError, Nanos, SECOND};
+use crate::timing::ClockError;
+use mintshelf_time::{Nanos, SECOND};
 use std::collections::{BTreeMap, VecDeque};
 
 /// A proposal that has not been applied within this time is repeated: it may have been lost with
--- a/crates/lease/src/lease.rs
+++ b/crates/lease/src/lease.rs
@@ -8,7 +8,7 @@
     WAITERS_MAX,
 };
 use crate::fence::Token;
-use crate::timing::Nanos;
+use mintshelf_time::Nanos;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -18,7 +18,7 @@
 //! ```
 //! use mintshelf_lease::command::{Command, Owner, Response};
 //! use mintshelf_lease::lease::Leases;
-//! use mintshelf_lease::timing::SECOND;
+//! use mintshelf_time::SECOND;
 //!
 //! let acquire = |member: &str| Command::Acquire {
 //!     lease: "nightly-report".into(),
--- a/crates/lease/src/timing.rs
+++ b/crates/lease/src/timing.rs
@@ -1,19 +1,11 @@
 //! Durations on clocks with a bounded error, and the check that a fleet's timeouts fit together.
 
+use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// A time or a duration on one process's monotonic clock, in nanoseconds. Times of two processes
-/// can't be compared, and nothing here compares them.
-pub type Nanos = u64;
-
-/// A millisecond.
-pub const MS: Nanos = 1_000_000;
-/// A second.
-pub const SECOND: Nanos = 1_000 * MS;
-
 /// Shortest duration that [`Timing`] accepts.
-const DURATION_MIN: Nanos = MS;
+const DURATION_MIN: Nanos = MILLISECOND;
 /// Longest duration that [`Timing`] accepts.
 const DURATION_MAX: Nanos = 86_400 * SECOND;
 /// Largest clock error that [`Timing`] accepts, in parts per million.
@@ -80,7 +72,7 @@
     fn default() -> Self {
         Timing {
             election_timeout: SECOND,
-            heartbeat_interval: 100 * MS,
+            heartbeat_interval: 100 * MILLISECOND,
             session_timeout: 5 * SECOND,
             lease_duration: 10 * SECOND,
             clock_error: ClockError::default(),
@@ -95,7 +87,7 @@
     #[error(
         "election {}ms is under 5 times the heartbeat of {}ms ({}ms): one late message would \
          depose a leader; raise election or lower heartbeat",
-        election / MS, heartbeat / MS, heartbeat * HEARTBEATS_PER_ELECTION / MS
+        election / MILLISECOND, heartbeat / MILLISECOND, heartbeat * HEARTBEATS_PER_ELECTION / MILLISECOND
     )]
     Election {
         /// Election timeout as given.
@@ -107,7 +99,7 @@
     #[error(
         "lease {}ms is under {}ms = 3 x (2 x election {}ms): a third of it is what a renewal may \
          take, and an election takes up to twice its timeout; raise lease or lower election",
-        lease / MS, election * ELECTIONS_PER_LEASE / MS, election / MS
+        lease / MILLISECOND, election * ELECTIONS_PER_LEASE / MILLISECOND, election / MILLISECOND
     )]
     Lease {
         /// Lease duration as given.
@@ -119,7 +111,7 @@
     #[error(
         "session {}ms is under {}ms = 2 x election {}ms: each change of leader would end all \
          sessions; raise session or lower election",
-        session / MS, election * ELECTIONS_PER_SESSION / MS, election / MS
+        session / MILLISECOND, election * ELECTIONS_PER_SESSION / MILLISECOND, election / MILLISECOND
     )]
     Session {
         /// Session timeout as given.
--- a/crates/lease/tests/leases/client.rs
+++ b/crates/lease/tests/leases/client.rs
@@ -5,7 +5,8 @@
     ActiveGrant, HolderAction, LeaseClient, LeaseConfig, LeaseUnavailable,
 };
 use mintshelf_lease::command::{Command, Response};
-use mintshelf_lease::timing::{ClockError, MS, SECOND};
+use mintshelf_lease::timing::ClockError;
+use mintshelf_time::{MILLISECOND, SECOND};
 
 fn client(owner_index: u8, ppm: u32) -> LeaseClient {
     LeaseClient::new(LeaseConfig {
@@ -33,15 +34,16 @@
     client.tick(10 * SECOND, &mut actions);
     let (request_id, command) = sent_request(&mut actions);
     assert_eq!(command, acquire(0, false));
-    assert_eq!(client.begin_operation(10 * SECOND, MS), Err(LeaseUnavailable::NotHolder));
+    assert_eq!(client.begin_operation(10 * SECOND, MILLISECOND), Err(LeaseUnavailable::NotHolder));
     let granted = Response::Granted { token: 7 };
     client.handle_response(12 * SECOND, request_id, &granted, &mut actions);
     assert_eq!(std::mem::take(&mut actions), vec![HolderAction::Acquired { token: 7 }]);
     let expires_at = 10 * SECOND + DURATION - DURATION / 10;
     assert_eq!(client.active_grant(expires_at - 1), Some(ActiveGrant { token: 7, expires_at }));
-    assert_eq!(client.begin_operation(expires_at - MS, MS), Ok(7));
-    let too_soon = LeaseUnavailable::ExpiresTooSoon { required: 2 * MS, remaining: MS };
-    assert_eq!(client.begin_operation(expires_at - MS, 2 * MS), Err(too_soon));
+    assert_eq!(client.begin_operation(expires_at - MILLISECOND, MILLISECOND), Ok(7));
+    let too_soon =
+        LeaseUnavailable::ExpiresTooSoon { required: 2 * MILLISECOND, remaining: MILLISECOND };
+    assert_eq!(client.begin_operation(expires_at - MILLISECOND, 2 * MILLISECOND), Err(too_soon));
     assert_eq!(client.begin_operation(expires_at, 0), Err(LeaseUnavailable::NotHolder));
     client.tick(expires_at, &mut actions);
     assert_eq!(actions[0], HolderAction::Lost);
@@ -70,19 +72,19 @@
     let mut client = client(0, 0);
     client.tick(0, &mut actions);
     let (request_id, _) = sent_request(&mut actions);
-    client.handle_response(MS, request_id, &Response::Granted { token: 3 }, &mut actions);
+    client.handle_response(MILLISECOND, request_id, &Response::Granted { token: 3 }, &mut actions);
     actions.clear();
-    client.begin_operation(MS, SECOND).unwrap();
+    client.begin_operation(MILLISECOND, SECOND).unwrap();
     client.release();
-    let denied = client.begin_operation(2 * MS, MS);
+    let denied = client.begin_operation(2 * MILLISECOND, MILLISECOND);
     assert_eq!(denied, Err(LeaseUnavailable::NotHolder), "nothing new begins");
     client.tick(SECOND / 2, &mut actions);
     assert!(actions.is_empty(), "{actions:?}");
-    client.tick(SECOND + MS, &mut actions);
+    client.tick(SECOND + MILLISECOND, &mut actions);
     let (request_id, command) = sent_request(&mut actions);
     assert!(matches!(command, Command::Release { token: 3, .. }));
     assert!(!client.is_released());
     client.release();
-    client.handle_response(SECOND + 2 * MS, request_id, &Response::Done, &mut actions);
+    client.handle_response(SECOND + 2 * MILLISECOND, request_id, &Response::Done, &mut actions);
     assert!(client.is_released());
 }
--- a/crates/lease/tests/leases/common.rs
+++ b/crates/lease/tests/leases/common.rs
@@ -1,7 +1,7 @@
 //! Owners, commands and a lease duration that the tests share.
 
 use mintshelf_lease::command::{Command, Owner, Response};
-use mintshelf_lease::timing::{Nanos, SECOND};
+use mintshelf_time::{Nanos, SECOND};
 
 /// Duration of all leases of these tests.
 pub const DURATION: Nanos = 3 * SECOND;
--- a/crates/lease/tests/leases/expiry.rs
+++ b/crates/lease/tests/leases/expiry.rs
@@ -4,7 +4,8 @@
 use mintshelf_lease::command::Command;
 use mintshelf_lease::expiry::LeaseExpiry;
 use mintshelf_lease::lease::Leases;
-use mintshelf_lease::timing::{ClockError, MS, SECOND};
+use mintshelf_lease::timing::ClockError;
+use mintshelf_time::{MILLISECOND, SECOND};
 
 #[test]
 fn the_leader_counts_from_the_last_renewal_and_a_new_leader_counts_anew() {
@@ -22,7 +23,7 @@
     assert!(expiry.due_commands(expires_at - 1).is_empty());
     let expire = Command::Expire { lease: "a".into(), token, renewals: 1 };
     assert_eq!(expiry.due_commands(expires_at), vec![expire.clone()]);
-    assert!(expiry.due_commands(expires_at + MS).is_empty(), "not proposed at every tick");
+    assert!(expiry.due_commands(expires_at + MILLISECOND).is_empty(), "not proposed at every tick");
     let repeated = expiry.due_commands(expires_at + SECOND);
     assert_eq!(repeated, vec![expire.clone()], "again, if it was lost");
     leases.apply(&expire);
--- a/crates/lease/tests/leases/state_machine.rs
+++ b/crates/lease/tests/leases/state_machine.rs
@@ -5,7 +5,7 @@
     Command, Owner, Rejection, Response, DURATION_MAX, LEASES_MAX, NAME_MAX, WAITERS_MAX,
 };
 use mintshelf_lease::lease::Leases;
-use mintshelf_lease::timing::Nanos;
+use mintshelf_time::Nanos;
 use proptest::prelude::{any, prop_oneof, Just, ProptestConfig, Strategy};
 use proptest::{prop_assert, prop_assert_eq, proptest};
 
--- a/crates/lease/tests/leases/timing.rs
+++ b/crates/lease/tests/leases/timing.rs
@@ -1,7 +1,8 @@
 //! Which timeouts fit together, and how durations count on clocks with an error.
 
 use crate::common::DURATION;
-use mintshelf_lease::timing::{ClockError, Timing, TimingError, MS, SECOND};
+use mintshelf_lease::timing::{ClockError, Timing, TimingError};
+use mintshelf_time::{MILLISECOND, SECOND};
 use proptest::prelude::ProptestConfig;
 use proptest::{prop_assert, proptest};
 
@@ -32,7 +33,8 @@
     let lease = Timing { lease_duration: 5 * SECOND, ..Timing::default() }.check().unwrap_err();
     assert_eq!(lease, TimingError::Lease { lease: 5 * SECOND, election: SECOND });
     assert!(lease.to_string().contains("5000ms is under 6000ms = 3 x (2 x election 1000ms)"));
-    let election = Timing { election_timeout: 300 * MS, ..Timing::default() }.check().unwrap_err();
+    let election =
+        Timing { election_timeout: 300 * MILLISECOND, ..Timing::default() }.check().unwrap_err();
     assert!(election.to_string().contains("under 5 times the heartbeat of 100ms (500ms)"));
     let session = Timing { session_timeout: SECOND, ..Timing::default() }.check().unwrap_err();
     assert!(session.to_string().contains("2 x election"));
--- a/crates/lease/tests/model/case.rs
+++ b/crates/lease/tests/model/case.rs
@@ -4,7 +4,8 @@
 use mintshelf_lease::command::{Command, Owner, Response};
 use mintshelf_lease::expiry::LeaseExpiry;
 use mintshelf_lease::lease::Leases;
-use mintshelf_lease::timing::{ClockError, Nanos, MS};
+use mintshelf_lease::timing::ClockError;
+use mintshelf_time::{Nanos, MILLISECOND};
 use stateright::{Model, Property};
 
 pub const ONE_HOLDER: &str = "one holder at a time";
@@ -12,8 +13,8 @@
 pub const PASSES_ON: &str = "it goes from one to the other";
 
 /// A step of true time.
-const STEP: Nanos = 100 * MS;
-const DURATION: Nanos = 400 * MS;
+const STEP: Nanos = 100 * MILLISECOND;
+const DURATION: Nanos = 400 * MILLISECOND;
 const CLOCK_ERROR: ClockError = ClockError { ppm: 250_000 };
 /// The only lease of the model.
 pub const LEASE: &str = "a";
@@ -121,7 +122,7 @@
 
     /// The clock of the current leader, the fastest that is allowed.
     pub fn leader_now(&self) -> Nanos {
-        self.step * STEP * 5 / 4 + u64::from(self.leader_changes) * 300 * MS
+        self.step * STEP * 5 / 4 + u64::from(self.leader_changes) * 300 * MILLISECOND
     }
 }
 
--- a/crates/lease/tests/model/transitions.rs
+++ b/crates/lease/tests/model/transitions.rs
@@ -7,7 +7,7 @@
 use mintshelf_lease::command::{Command, Response};
 use mintshelf_lease::expiry::LeaseExpiry;
 use mintshelf_lease::lease::Lease;
-use mintshelf_lease::timing::Nanos;
+use mintshelf_time::Nanos;
 use std::collections::BTreeMap;
 
 /// Adds a message in flight; the oldest is lost where there are too many.
--- a/crates/mintshelf/src/fleet/lease_guard.rs
+++ b/crates/mintshelf/src/fleet/lease_guard.rs
@@ -1,7 +1,7 @@
 //! The guard of a command under a lease, and the last stage before the command.
 
 use mintshelf_consensus_node::clock;
-use mintshelf_lease::timing::Nanos;
+use mintshelf_time::Nanos;
 use rustix::process::{getppid, kill_process_group, set_parent_process_death_signal, Pid, Signal};
 use std::ffi::OsString;
 use std::io::BufRead;
--- a/crates/mintshelf/src/fleet/leases.rs
+++ b/crates/mintshelf/src/fleet/leases.rs
@@ -7,7 +7,7 @@
 use mintshelf_consensus_node::frame::NamedLease;
 use mintshelf_lease::command::{Command, Response};
 use mintshelf_lease::lease::LeaseHolder;
-use mintshelf_lease::timing::{Nanos, MS};
+use mintshelf_time::{Nanos, MILLISECOND};
 use serde::Serialize;
 use serde_json::json;
 use std::path::Path;
@@ -70,7 +70,7 @@
         member: &holder.owner.member,
         incarnation: holder.owner.incarnation,
         token: holder.token,
-        duration_ms: holder.duration / MS,
+        duration_ms: holder.duration / MILLISECOND,
         renewals: holder.renewals,
         is_revoked: holder.is_revoked,
     });
@@ -90,7 +90,7 @@
             Some(LeaseHolder { owner, token, duration, renewals, is_revoked }) => println!(
                 "{name:<24} {:<16} {token:>8} {:>9} {renewals:>9}  {waiting}{}",
                 owner.member,
-                duration / MS,
+                duration / MILLISECOND,
                 if *is_revoked { " (revoked)" } else { "" },
             ),
         }
--- a/crates/mintshelf/tests/compatibility/bindings.rs
+++ b/crates/mintshelf/tests/compatibility/bindings.rs
@@ -27,6 +27,7 @@
 use mintshelf_quota::state_machine::{self as quota_commands, QuotaRejection, QuotaStateMachine};
 use mintshelf_simulator_adapter::host::Host;
 use mintshelf_simulator_adapter::wire::write_action;
+use mintshelf_time::{MILLISECOND, SECOND};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::fmt::Debug;
@@ -38,8 +39,6 @@
     wait_until, Daemon, Peer, Server, Sidecar, TEST_TIMEOUT as LONG,
 };
 
-const MILLISECOND: u64 = 1_000_000;
-const SECOND: u64 = 1_000 * MILLISECOND;
 const DAY: u64 = 86_400 * SECOND;
 /// The token that the replica of the store fixture grants next.
 const NEXT_TOKEN: u64 = 7;
--- a/crates/mintshelf/tests/conformance/module.rs
+++ b/crates/mintshelf/tests/conformance/module.rs
@@ -2,11 +2,10 @@
 
 use super::stage::{settings, Ended, Stage, START};
 use super::{End, LineRow, Met, State};
-use mintshelf_balancer::api::{
-    Action, EndpointState, Event, ListKind, ListedServer, Nanos, Outcome,
-};
+use mintshelf_balancer::api::{Action, EndpointState, Event, ListKind, ListedServer, Outcome};
 use mintshelf_balancer::decide::{Balancer, Candidates, ServerOrder};
 use mintshelf_balancer::settings::parse_settings;
+use mintshelf_time::Nanos;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/mintshelf/tests/conformance/stage.rs
+++ b/crates/mintshelf/tests/conformance/stage.rs
@@ -3,14 +3,14 @@
 
 use super::{End, Given, MembersRow, Met, Seen, State};
 use mintshelf_test_support::{config, set_deadlines};
+use mintshelf_time::MILLISECOND;
 use serde_json::{json, Value};
 use std::time::Duration;
 
-pub const MS: u64 = 1_000_000;
 /// Later than any start time that matters.
-pub const START: u64 = 1_000_000 * MS;
+pub const START: u64 = 1_000_000 * MILLISECOND;
 /// Longer than any row takes.
-const PATIENCE: u64 = 25_000 * MS;
+const PATIENCE: u64 = 25_000 * MILLISECOND;
 
 /// An attempt that has ended.
 pub struct Ended<'a> {
@@ -49,7 +49,7 @@
     let nowhere = "127.0.0.1:9".parse().unwrap();
     let mut config = config(nowhere, Vec::new());
     set_deadlines(&mut config, Duration::from_secs(30));
-    config["settings"]["invariants"]["cold"] = json!(8_000 * MS);
+    config["settings"]["invariants"]["cold"] = json!(8_000 * MILLISECOND);
     config["settings"].take()
 }
 
@@ -65,7 +65,7 @@
             let took = match met {
                 // Its client's whole time.
                 Met::Silence => PATIENCE,
-                _ => given.took_ms * MS,
+                _ => given.took_ms * MILLISECOND,
             };
             stage.pass(took);
             let (id, server, met) = ("a", sent[attempt], Some(met));
@@ -83,18 +83,18 @@
 pub fn members<S: Stage>(row: &MembersRow) -> Vec<usize> {
     let mut stage = S::with(&row.servers);
     // The grace of rule 3 is over.
-    stage.pass(300 * MS);
+    stage.pass(300 * MILLISECOND);
     let mut counts = vec![0; row.servers.len()];
     for number in 0..300 {
         let id = number.to_string();
-        stage.request(&id, 0, 8_000 * MS);
+        stage.request(&id, 0, 8_000 * MILLISECOND);
         let sent = stage.sent();
         assert_eq!(sent.len(), number + 1, "one attempt at once");
         let server = sent[number];
         counts[server as usize] += 1;
-        stage.pass(5 * MS);
-        stage.ended(Ended { id: &id, attempt: 0, server, met: None, took: 5 * MS });
-        stage.pass(5 * MS);
+        stage.pass(5 * MILLISECOND);
+        stage.ended(Ended { id: &id, attempt: 0, server, met: None, took: 5 * MILLISECOND });
+        stage.pass(5 * MILLISECOND);
     }
     counts
 }
--- a/crates/mintshelf/tests/fleet/storm.rs
+++ b/crates/mintshelf/tests/fleet/storm.rs
@@ -7,9 +7,9 @@
 use mintshelf_consensus_node::lease_keeper::{keep_lease, LeaseStatus};
 use mintshelf_lease::command::Owner;
 use mintshelf_lease::fence::Fence;
-use mintshelf_lease::timing::{Nanos, MS, SECOND};
 use mintshelf_test_support::relay::{Direction, Relay};
 use mintshelf_test_support::{wait_until, Process};
+use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::net::SocketAddr;
@@ -101,7 +101,7 @@
     /// Acts a number of times, each within what is left of the lease.
     async fn act(mut self, turns: u32) {
         for _ in 0..turns {
-            let duration = (20 + u64::from(self.rng.next_u32() % 150)) * MS;
+            let duration = (20 + u64::from(self.rng.next_u32() % 150)) * MILLISECOND;
             while !self.try_act(duration).await {
                 if self.record.is_over() {
                     return;
@@ -119,7 +119,7 @@
         let grant = self.status.borrow_and_update().grant;
         let start = clock::now();
         // An operation takes its time, and some more on a busy machine.
-        let needed_until = start + duration + 500 * MS;
+        let needed_until = start + duration + 500 * MILLISECOND;
         let Some(grant) = grant.filter(|grant| needed_until < grant.expires_at) else {
             return false;
         };
--- a/crates/proxy/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -1,7 +1,7 @@
 //! The sidecar's clock: Unix time at start plus monotonic time since, so that
 //! start times in server lists need no conversion and never jump.
 
-use mintshelf_balancer::api::Nanos;
+use mintshelf_time::Nanos;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
--- a/crates/proxy/src/cluster/attempt.rs
+++ b/crates/proxy/src/cluster/attempt.rs
@@ -15,8 +15,9 @@
     AttemptResult, UpgradedConnection, UpstreamBody, UpstreamResponse,
 };
 use hyper::Request;
-use mintshelf_balancer::api::{Event, Nanos, Outcome, RequestId, ServerId};
+use mintshelf_balancer::api::{Event, Outcome, RequestId, ServerId};
 use mintshelf_retry::attempts::{RetryConditions, TimeoutAction};
+use mintshelf_time::Nanos;
 use std::rc::Rc;
 
 impl ClusterRuntime {
--- a/crates/proxy/src/cluster/attempt_timeouts.rs
+++ b/crates/proxy/src/cluster/attempt_timeouts.rs
@@ -2,8 +2,9 @@
 
 use crate::upstream::attempt_control::AttemptControl;
 use crate::upstream::response::AttemptResult;
-use mintshelf_balancer::api::{Nanos, Outcome};
+use mintshelf_balancer::api::Outcome;
 use mintshelf_retry::attempts::TimeoutAction;
+use mintshelf_time::Nanos;
 use std::future::{pending, Future};
 use std::pin::pin;
 use std::time::Duration;
--- a/crates/proxy/src/cluster/pending_requests.rs
+++ b/crates/proxy/src/cluster/pending_requests.rs
@@ -5,7 +5,8 @@
 use crate::upstream::attempt_control::AttemptControl;
 use crate::upstream::response::UpstreamResponse;
 use hyper::header::HeaderValue;
-use mintshelf_balancer::api::{Class, Event, Nanos, Outcome, RequestId, ServerId};
+use mintshelf_balancer::api::{Class, Event, Outcome, RequestId, ServerId};
+use mintshelf_time::Nanos;
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
 
--- a/crates/proxy/src/cluster/recovery.rs
+++ b/crates/proxy/src/cluster/recovery.rs
@@ -2,11 +2,11 @@
 //! clients that are not may retry.
 
 use super::request::RequestOutcome;
-use mintshelf_balancer::api::{Class, Nanos, Outcome};
+use mintshelf_balancer::api::{Class, Outcome};
 use mintshelf_recovery::{OutageSignal, Phase, Recovery, DEDUP_WINDOW_DIVISOR};
+use mintshelf_time::{Nanos, SECOND};
 use std::cell::RefCell;
 
-const SECOND: Nanos = 1_000_000_000;
 /// A client may retry this much later than Retry-After says, in nanoseconds.
 const RETRY_AFTER_MARGIN: Nanos = SECOND;
 
--- a/crates/proxy/src/cluster/request.rs
+++ b/crates/proxy/src/cluster/request.rs
@@ -5,7 +5,7 @@
 use crate::upstream::response::UpstreamResponse;
 use hyper::header::HeaderValue;
 use hyper::Request;
-use mintshelf_balancer::api::Nanos;
+use mintshelf_time::Nanos;
 use std::rc::Rc;
 use tokio::sync::OwnedSemaphorePermit;
 
--- a/crates/proxy/src/cluster/retry_trackers.rs
+++ b/crates/proxy/src/cluster/retry_trackers.rs
@@ -1,9 +1,9 @@
 //! What the attempts of each class may do: their timeouts, hedges and connections.
 
 use super::attempt_timeouts::AttemptTimeouts;
-use mintshelf_balancer::api::Nanos;
 use mintshelf_retry::attempts::{AttemptCounts, AttemptTracker, RetryConditions, TimeoutAction};
 use mintshelf_retry::policy::RetryPolicy;
+use mintshelf_time::Nanos;
 use std::cell::RefCell;
 use std::time::Duration;
 
--- a/crates/proxy/src/cluster/runtime.rs
+++ b/crates/proxy/src/cluster/runtime.rs
@@ -17,11 +17,12 @@
 use crate::endpoints::{Endpoint, EndpointListObserver};
 use crate::upstream::pool::{ConnectionPool, Upstream, UpstreamSettings};
 use mintshelf_balancer::api::{
-    Action, Class, EndpointState, Event, ListKind, ListedServer, Nanos, Outcome, ReportMode,
-    RequestId, ServerId, Settings,
+    Action, Class, EndpointState, Event, ListKind, ListedServer, Outcome, ReportMode, RequestId,
+    ServerId, Settings,
 };
 use mintshelf_balancer::decide::Balancer;
 use mintshelf_retry::attempts::AttemptCounts;
+use mintshelf_time::Nanos;
 use std::cell::RefCell;
 use std::future::poll_fn;
 use std::io::Write;
--- a/crates/proxy/src/cluster/spec.rs
+++ b/crates/proxy/src/cluster/spec.rs
@@ -3,9 +3,10 @@
 use super::peers::PeerGossip;
 use crate::upstream::connection_limits::ClusterLimits;
 use crate::upstream::response::UpstreamProtocol;
-use mintshelf_balancer::api::{Nanos, Settings};
+use mintshelf_balancer::api::Settings;
 use mintshelf_config::platform::Names;
 use mintshelf_retry::policy::RetryPolicy;
+use mintshelf_time::Nanos;
 use std::net::SocketAddr;
 
 /// The discovery service of a cluster.
--- a/crates/proxy/src/cluster/state.rs
+++ b/crates/proxy/src/cluster/state.rs
@@ -3,9 +3,10 @@
 use super::pending_requests::PendingRequests;
 use super::request::RequestOutcome;
 use super::timers::TimerQueue;
-use mintshelf_balancer::api::{Class, Effect, Event, Nanos, RequestId};
+use mintshelf_balancer::api::{Class, Effect, Event, RequestId};
 use mintshelf_balancer::decide::Balancer;
 use mintshelf_retry::shutdown::{FinalResponse, ShutdownDeadlines};
+use mintshelf_time::Nanos;
 use std::collections::VecDeque;
 
 /// What the turns of a cluster's runtime change.
--- a/crates/proxy/src/cluster/timers.rs
+++ b/crates/proxy/src/cluster/timers.rs
@@ -1,6 +1,6 @@
 //! The timers that the decision module has set.
 
-use mintshelf_balancer::api::Nanos;
+use mintshelf_time::Nanos;
 use std::collections::HashMap;
 use std::task::{Context, Poll};
 use std::time::Duration;
--- a/crates/proxy/src/gateway/admission.rs
+++ b/crates/proxy/src/gateway/admission.rs
@@ -8,7 +8,7 @@
 use mintshelf_admission::queue::{
     QueueDecision, QueueEntry, QueueTicket, QueueTransitions, RejectReason, RejectedTicket,
 };
-use mintshelf_balancer::api::Nanos;
+use mintshelf_time::Nanos;
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::future::poll_fn;
--- a/crates/proxy/src/gateway/classify.rs
+++ b/crates/proxy/src/gateway/classify.rs
@@ -7,10 +7,11 @@
 use hyper::body::Incoming;
 use hyper::header::{self, HeaderMap};
 use hyper::{Method, Request, StatusCode, Version};
-use mintshelf_balancer::api::{Effect, Nanos};
+use mintshelf_balancer::api::Effect;
 use mintshelf_config::model::{Forward, Route, RouteAction, Sticky};
 use mintshelf_routing::path::has_dot_segments;
 use mintshelf_routing::RequestView;
+use mintshelf_time::Nanos;
 use std::rc::Rc;
 
 /// Header with the key by which a server recognises a repeat.
--- a/crates/proxy/src/gateway/dispatch.rs
+++ b/crates/proxy/src/gateway/dispatch.rs
@@ -4,7 +4,7 @@
 use super::config::{ClusterHandle, ServingConfig};
 use super::rejection::Rejection;
 use crate::cluster::request::{RequestMetadata, RequestOutcome, UpstreamRequest};
-use mintshelf_balancer::api::Nanos;
+use mintshelf_time::Nanos;
 use std::rc::Rc;
 
 /// What a request asks of a cluster.
--- a/crates/proxy/src/gateway/limit_rejections.rs
+++ b/crates/proxy/src/gateway/limit_rejections.rs
@@ -4,10 +4,10 @@
 use hyper::StatusCode;
 use mintshelf_admission::admission::LimitExceeded;
 use mintshelf_admission::queue::RejectReason;
-use mintshelf_balancer::api::Nanos;
+use mintshelf_time::{Nanos, SECOND};
 
 /// Retry-After of requests that may succeed a little later, in nanoseconds.
-pub(super) const MIN_RETRY_AFTER: Nanos = 1_000_000_000;
+pub(super) const MIN_RETRY_AFTER: Nanos = SECOND;
 
 /// The rejection by a limit of a tenant or a route.
 pub(super) fn limit_rejection(exceeded: &LimitExceeded) -> Rejection {
--- a/crates/proxy/src/gateway/rejection.rs
+++ b/crates/proxy/src/gateway/rejection.rs
@@ -4,11 +4,9 @@
 use bytes::Bytes;
 use hyper::header::{self, HeaderName, HeaderValue};
 use hyper::{Response, StatusCode};
-use mintshelf_balancer::api::Nanos;
+use mintshelf_time::{Nanos, SECOND};
 use thiserror::Error;
 
-const SECOND: Nanos = 1_000_000_000;
-
 /// Why a request gets no server's response.
 #[derive(Debug, Error)]
 #[error("{code}: {detail}")]
--- a/crates/proxy/src/gateway/request_body.rs
+++ b/crates/proxy/src/gateway/request_body.rs
@@ -9,7 +9,7 @@
 use bytes::{Bytes, BytesMut};
 use hyper::body::{Body, Frame, Incoming};
 use hyper::StatusCode;
-use mintshelf_balancer::api::Nanos;
+use mintshelf_time::SECOND;
 use std::future::poll_fn;
 use std::pin::Pin;
 use std::sync::Arc;
@@ -17,8 +17,6 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tokio::time::{timeout, timeout_at, Instant};
 
-const SECOND: Nanos = 1_000_000_000;
-
 /// How long a body waits for capacity among the bodies in memory.
 const CAPACITY_WAIT: Duration = Duration::from_secs(1);
 /// How long a body of unknown length may take to be complete before it is passed on as it
--- a/crates/proxy/src/platform/handler.rs
+++ b/crates/proxy/src/platform/handler.rs
@@ -16,9 +16,10 @@
 use hyper::header::{self, HeaderValue};
 use hyper::http::request::Parts;
 use hyper::{Request, Response, StatusCode, Version};
-use mintshelf_balancer::api::{Nanos, Settings};
+use mintshelf_balancer::api::Settings;
 use mintshelf_config::platform::Names;
 use mintshelf_retry::shutdown::ShutdownDeadlines;
+use mintshelf_time::{as_seconds, Nanos, SECOND};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -30,8 +31,7 @@
 const READY_PATH: &str = "/-/ready";
 /// A client that is rejected during the shutdown may retry after this, in nanoseconds: the next
 /// process has started by then.
-const RESTART_RETRY_AFTER: Nanos = 1_000_000_000;
-const NANOS_PER_SECOND: f64 = 1e9;
+const RESTART_RETRY_AFTER: Nanos = SECOND;
 
 /// Responds to requests as the platform's application sends them.
 pub struct PlatformHandler {
@@ -174,7 +174,7 @@
         RequestOutcome::Rejected { retry_after, .. } | RequestOutcome::Paced(retry_after) => {
             let body = Bytes::from_static(b"refused\n");
             let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, body);
-            let seconds = format!("{:.3}", retry_after as f64 / NANOS_PER_SECOND);
+            let seconds = format!("{:.3}", as_seconds(retry_after));
             let seconds = HeaderValue::from_str(&seconds).ok();
             if let Some(seconds) = seconds.filter(|_| retry_after > 0) {
                 response.headers_mut().insert(header::RETRY_AFTER, seconds);
--- a/crates/proxy/src/platform/metadata.rs
+++ b/crates/proxy/src/platform/metadata.rs
@@ -4,8 +4,9 @@
 use crate::cluster::request::RequestMetadata;
 use crate::headers::{cookie_pairs, text};
 use hyper::header::HeaderMap;
-use mintshelf_balancer::api::{Nanos, Settings};
+use mintshelf_balancer::api::Settings;
 use mintshelf_config::platform::Names;
+use mintshelf_time::{as_float, from_float, Nanos, MICROSECOND, MILLISECOND};
 use std::str::FromStr;
 
 /// Header with the id that a client gives a request.
@@ -25,10 +26,6 @@
 /// Cookie with what a request concerns, in hexadecimal digits.
 const KEY_COOKIE: &str = "obj=";
 
-const MILLISECOND: Nanos = 1_000_000;
-/// Nanoseconds in a microsecond.
-const MICROSECOND: f64 = 1e3;
-
 /// Reads what the module learns of a request.
 ///
 /// # Errors
@@ -84,7 +81,7 @@
 fn read_cost_hint(headers: &HeaderMap) -> Result<Option<Nanos>, RejectedRequest> {
     let estimate_us = read_number::<f64>(headers, ESTIMATE_US)
         .map_err(|MalformedNumber| RejectedRequest::bad_request("X-Estimate is not a number\n"))?;
-    let cost_hint = estimate_us.map(|estimate_us| (estimate_us * MICROSECOND) as Nanos);
+    let cost_hint = estimate_us.map(|estimate_us| from_float(estimate_us * as_float(MICROSECOND)));
     Ok(cost_hint.filter(|cost| *cost > 0))
 }
 
--- a/crates/proxy/src/platform/request_body.rs
+++ b/crates/proxy/src/platform/request_body.rs
@@ -7,7 +7,7 @@
 use bytes::BytesMut;
 use hyper::body::{Body, Incoming};
 use hyper::StatusCode;
-use mintshelf_balancer::api::Nanos;
+use mintshelf_time::Nanos;
 use std::future::poll_fn;
 use std::pin::Pin;
 use std::sync::Arc;
--- a/crates/proxy/src/websocket/entry.rs
+++ b/crates/proxy/src/websocket/entry.rs
@@ -1,7 +1,8 @@
 //! One open socket as the registry sees it, and the commands that reach its task.
 
 use mintshelf_admission::slots::SlotOwner;
-use mintshelf_balancer::api::{Nanos, ServerId};
+use mintshelf_balancer::api::ServerId;
+use mintshelf_time::Nanos;
 use mintshelf_websocket::session::EvictionRequest;
 use std::cell::{Cell, RefCell};
 use std::task::Waker;
--- a/crates/proxy/src/websocket/eviction.rs
+++ b/crates/proxy/src/websocket/eviction.rs
@@ -4,7 +4,8 @@
 use super::entry::{ServerLocation, SocketCommand, SocketEntry};
 use super::registry::SocketRegistry;
 use super::schedules::ServerProbe;
-use mintshelf_balancer::api::{Nanos, ServerId};
+use mintshelf_balancer::api::ServerId;
+use mintshelf_time::Nanos;
 use mintshelf_websocket::close::reason_with_retry;
 use mintshelf_websocket::close_code;
 use mintshelf_websocket::session::EvictionRequest;
--- a/crates/proxy/src/websocket/registry.rs
+++ b/crates/proxy/src/websocket/registry.rs
@@ -5,7 +5,7 @@
 use super::stats::{SocketStats, SocketTraffic, SocketUsage};
 use crate::clock::Clock;
 use mintshelf_admission::slots::{SlotConfig, SlotOwner, SlotTable, SlotUnavailable};
-use mintshelf_balancer::api::Nanos;
+use mintshelf_time::Nanos;
 use mintshelf_websocket::session::{Session, SessionEnd};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
--- a/crates/proxy/src/websocket/rejections.rs
+++ b/crates/proxy/src/websocket/rejections.rs
@@ -3,11 +3,11 @@
 use crate::gateway::rejection::Rejection;
 use hyper::StatusCode;
 use mintshelf_admission::slots::SlotUnavailable;
-use mintshelf_balancer::api::Nanos;
+use mintshelf_time::{Nanos, SECOND};
 use mintshelf_websocket::handshake::HandshakeError;
 
 /// Retry-After of handshakes that may succeed a little later.
-const RETRY_AFTER_NS: Nanos = 1_000_000_000;
+const RETRY_AFTER_NS: Nanos = SECOND;
 
 /// The response to a malformed handshake, or one that its route does not allow.
 pub(super) fn handshake_rejected(error: HandshakeError) -> Rejection {
--- a/crates/proxy/src/websocket/relay.rs
+++ b/crates/proxy/src/websocket/relay.rs
@@ -7,7 +7,7 @@
 use crate::tcp::{close_gracefully, SharedStream};
 use crate::upstream::response::UpgradedConnection;
 use bytes::Bytes;
-use mintshelf_balancer::api::Nanos;
+use mintshelf_time::{Nanos, SECOND};
 use mintshelf_websocket::peer::Peer;
 use mintshelf_websocket::session::{ClosedBy, Session, SessionAction, SessionEnd};
 use std::future::{poll_fn, Future};
@@ -24,7 +24,7 @@
 pub type RetryAfter = dyn Fn() -> u64;
 
 /// A timer is set no further ahead than this, one day.
-const MAX_TIMER_NS: Nanos = 86_400_000_000_000;
+const MAX_TIMER_NS: Nanos = 86_400 * SECOND;
 
 /// An open socket with all that it owns.
 pub struct Relay {
--- a/crates/proxy/src/websocket/schedules.rs
+++ b/crates/proxy/src/websocket/schedules.rs
@@ -1,12 +1,12 @@
 //! When the sockets of servers migrate, and when servers were probed last.
 
 use super::entry::ServerLocation;
-use mintshelf_balancer::api::Nanos;
+use mintshelf_time::{Nanos, SECOND};
 use mintshelf_websocket::migration::MigrationSchedule;
 use std::collections::HashMap;
 
 /// Least time between two probes of the same server.
-const PROBE_INTERVAL_NS: Nanos = 1_000_000_000;
+const PROBE_INTERVAL_NS: Nanos = SECOND;
 
 /// The migration schedules of the clusters, by their numbers.
 #[derive(Debug, Default)]
--- a/crates/proxy/src/websocket/upgrade.rs
+++ b/crates/proxy/src/websocket/upgrade.rs
@@ -14,14 +14,12 @@
 use hyper::http::request::Parts;
 use hyper::Request;
 use mintshelf_admission::slots::SlotOwner;
-use mintshelf_balancer::api::Nanos;
 use mintshelf_config::model::WebSocket;
+use mintshelf_time::SECOND;
 use mintshelf_websocket::handshake::ClientHandshake;
 use mintshelf_websocket::session::Session;
 use std::rc::Rc;
 
-const NANOS_PER_SECOND: Nanos = 1_000_000_000;
-
 /// A handshake that has a slot and waits for a server.
 pub(crate) struct PendingUpgrade {
     handshake: ClientHandshake,
@@ -102,9 +100,8 @@
                 ReconnectRequest { target, tenant, handshake, registry: registry.clone() };
             let retry_after: Box<RetryAfter> = Box::new(move || {
                 let runtime = runtime.upgrade();
-                let retry_after =
-                    runtime.map_or(NANOS_PER_SECOND, |runtime| runtime.retry_after(class));
-                (retry_after / NANOS_PER_SECOND).max(1)
+                let retry_after = runtime.map_or(SECOND, |runtime| runtime.retry_after(class));
+                (retry_after / SECOND).max(1)
             });
             let relay = Relay { session, client, server, registry, socket, slot, eviction: None };
             Box::pin(relay.run(prefix, reconnect(handler, request), retry_after))
--- a/crates/quota/benches/quota.rs
+++ b/crates/quota/benches/quota.rs
@@ -4,19 +4,20 @@
 //! `docs/quota-design.md`.
 
 use mintshelf_lease::command::Owner;
-use mintshelf_lease::timing::{ClockError, Nanos, MS, SECOND};
+use mintshelf_lease::timing::ClockError;
 use mintshelf_quota::allocation::{AllocationBatch, AllocationRequest, AllocationResponse};
 use mintshelf_quota::client::QuotaClient;
 use mintshelf_quota::config::Quota;
 use mintshelf_quota::ledger::Ledger;
 use mintshelf_quota::request_collector::RequestCollector;
+use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-const STEP: Nanos = 5 * MS;
-const LINK_DELAY: Nanos = 5 * MS;
-const BATCH_INTERVAL: Nanos = 100 * MS;
-const COMMIT_DELAY: Nanos = 15 * MS;
+const STEP: Nanos = 5 * MILLISECOND;
+const LINK_DELAY: Nanos = 5 * MILLISECOND;
+const BATCH_INTERVAL: Nanos = 100 * MILLISECOND;
+const COMMIT_DELAY: Nanos = 15 * MILLISECOND;
 
 /// What a run came to.
 #[derive(Default)]
@@ -195,7 +196,7 @@
         max_members: members,
         headroom_per_mille: 20,
         grant_duration: 2 * SECOND,
-        max_use_duration: 500 * MS,
+        max_use_duration: 500 * MILLISECOND,
         clock_error: ClockError::default(),
     }
 }
@@ -222,7 +223,7 @@
         quota.check().expect("a quota that can be kept");
         let measurements = Simulation::new(quota, members as usize).run();
         let moved = measurements.move_duration;
-        let moved = moved.map_or("never".into(), |duration| (duration / MS).to_string());
+        let moved = moved.map_or("never".into(), |duration| (duration / MILLISECOND).to_string());
         println!(
             "| {members} | {total} | {floor} | {}/1000 | {:.3} | {:.4} | {moved} |",
             quota.headroom_per_mille,
--- a/crates/quota/src/client.rs
+++ b/crates/quota/src/client.rs
@@ -3,7 +3,7 @@
 use crate::allocation::{AllocationRequest, AllocationResponse, Grant};
 use crate::config::Quota;
 use mintshelf_lease::command::Owner;
-use mintshelf_lease::timing::Nanos;
+use mintshelf_time::Nanos;
 use std::collections::VecDeque;
 
 /// Requests whose responses are still of use. With three requests in each grant's duration, the
--- a/crates/quota/src/config.rs
+++ b/crates/quota/src/config.rs
@@ -1,6 +1,7 @@
 //! A quota as an operator configures it, and the check that it can be kept.
 
-use mintshelf_lease::timing::{ClockError, Nanos, MS, SECOND};
+use mintshelf_lease::timing::ClockError;
+use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
@@ -11,7 +12,7 @@
 /// Largest headroom, in thousandths.
 const HEADROOM_PER_MILLE_MAX: u64 = 900;
 /// Shortest duration of a grant.
-const GRANT_DURATION_MIN: Nanos = 300 * MS;
+const GRANT_DURATION_MIN: Nanos = 300 * MILLISECOND;
 /// Longest duration of a grant, and of the use of a unit.
 const DURATION_MAX: Nanos = 3_600 * SECOND;
 
@@ -66,7 +67,7 @@
     #[error("headroom is {0} in a thousand: at most {HEADROOM_PER_MILLE_MAX}")]
     Headroom(u64),
     /// A grant would expire before it could be renewed, or much too late.
-    #[error("grant duration is {}ms: 300ms to 1h", .0 / MS)]
+    #[error("grant duration is {}ms: 300ms to 1h", .0 / MILLISECOND)]
     GrantDuration(Nanos),
     /// Units in use would keep others from what is free for longer than anyone waits.
     #[error("a unit may be in use for {}s after it was acquired: at most 1h", .0 / SECOND)]
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -23,7 +23,8 @@
 //!
 //! ```
 //! use mintshelf_lease::command::Owner;
-//! use mintshelf_lease::timing::{ClockError, SECOND};
+//! use mintshelf_lease::timing::ClockError;
+//! use mintshelf_time::SECOND;
 //! use mintshelf_quota::allocation::AllocationBatch;
 //! use mintshelf_quota::client::QuotaClient;
 //! use mintshelf_quota::config::Quota;
--- a/crates/quota/src/replica_selector.rs
+++ b/crates/quota/src/replica_selector.rs
@@ -2,16 +2,16 @@
 //! replicas, moved when one fails, without a rush on those that are left.
 
 use mintshelf_lease::command::Owner;
-use mintshelf_lease::timing::{Nanos, MS, SECOND};
+use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use xxhash_rust::xxh3::xxh3_64;
 
 /// A replica that has not responded within this time is given up for the next.
-pub const RESPONSE_TIMEOUT: Nanos = 800 * MS;
+pub const RESPONSE_TIMEOUT: Nanos = 800 * MILLISECOND;
 /// First bound of the backoff after a rejection, or after a round without a response; doubled each
 /// time. The backoff is drawn below it.
-const BACKOFF_MIN: Nanos = 200 * MS;
+const BACKOFF_MIN: Nanos = 200 * MILLISECOND;
 /// Last bound of the backoff.
 const BACKOFF_MAX: Nanos = 5 * SECOND;
 /// Number of doublings after which the bound is the last in any case.
--- a/crates/quota/src/request_collector.rs
+++ b/crates/quota/src/request_collector.rs
@@ -6,7 +6,7 @@
 use crate::ledger::Ledger;
 use mintshelf_lease::command::Owner;
 use mintshelf_lease::expiry::PROPOSAL_RETRY_INTERVAL;
-use mintshelf_lease::timing::Nanos;
+use mintshelf_time::Nanos;
 use std::collections::BTreeMap;
 
 /// One grant whose duration is counted.
--- a/crates/quota/src/session_table.rs
+++ b/crates/quota/src/session_table.rs
@@ -1,7 +1,7 @@
 //! The members that one replica serves.
 
 use mintshelf_lease::command::Owner;
-use mintshelf_lease::timing::{Nanos, SECOND};
+use mintshelf_time::{Nanos, SECOND};
 use std::collections::BTreeMap;
 
 /// Each replica has capacity for this many times its part of the members, so that all are served
--- a/crates/quota/src/state_machine.rs
+++ b/crates/quota/src/state_machine.rs
@@ -11,7 +11,8 @@
 use mintshelf_lease::command::{self as lease, is_valid_name};
 use mintshelf_lease::expiry::LeaseExpiry;
 use mintshelf_lease::lease::Leases;
-use mintshelf_lease::timing::{ClockError, Nanos};
+use mintshelf_lease::timing::ClockError;
+use mintshelf_time::Nanos;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/crates/quota/src/token_bucket.rs
+++ b/crates/quota/src/token_bucket.rs
@@ -1,7 +1,7 @@
 //! A token bucket whose rate follows a grant: a change of grants neither creates nor stores tokens.
 
 use crate::client::Limit;
-use mintshelf_lease::timing::{Nanos, SECOND};
+use mintshelf_time::{Nanos, SECOND};
 
 /// Parts of one token: what a rate of one a second adds in a second of nanoseconds.
 const PARTS_PER_TOKEN: u128 = SECOND as u128;
--- a/crates/quota/src/usage.rs
+++ b/crates/quota/src/usage.rs
@@ -1,7 +1,7 @@
 //! What a member uses of its limit, and what it demands: requests acquire their units here.
 
 use crate::client::Limit;
-use mintshelf_lease::timing::Nanos;
+use mintshelf_time::Nanos;
 
 /// Number of windows that the demand is taken from: one that has just begun has seen too little.
 const WINDOWS: usize = 3;
--- a/crates/quota/tests/config.rs
+++ b/crates/quota/tests/config.rs
@@ -1,7 +1,8 @@
 //! Which quotas can be kept.
 
-use mintshelf_lease::timing::{ClockError, MS, SECOND};
+use mintshelf_lease::timing::ClockError;
 use mintshelf_quota::config::{Quota, QuotaError};
+use mintshelf_time::{MILLISECOND, SECOND};
 
 #[test]
 fn a_quota_that_can_not_be_kept_is_rejected_with_the_sum() {
@@ -24,7 +25,7 @@
         (Quota { max_members: 0, ..good }, QuotaError::Members(0)),
         (Quota { max_members: 5_000, ..good }, QuotaError::Members(5_000)),
         (Quota { headroom_per_mille: 901, ..good }, QuotaError::Headroom(901)),
-        (Quota { grant_duration: MS, ..good }, QuotaError::GrantDuration(MS)),
+        (Quota { grant_duration: MILLISECOND, ..good }, QuotaError::GrantDuration(MILLISECOND)),
         (Quota { max_use_duration: u64::MAX, ..good }, QuotaError::UseDuration(u64::MAX)),
     ] {
         assert_eq!(bad.check(), Err(error));
--- a/crates/quota/tests/ledger.rs
+++ b/crates/quota/tests/ledger.rs
@@ -1,11 +1,12 @@
 //! The rules of the ledger one by one, without clocks: what requests say is all that counts.
 
 use mintshelf_lease::command::Owner;
-use mintshelf_lease::timing::{ClockError, SECOND};
+use mintshelf_lease::timing::ClockError;
 use mintshelf_quota::allocation::{AllocationBatch, AllocationRequest, Grant, GrantExpired};
 use mintshelf_quota::config::Quota;
 use mintshelf_quota::ledger::{Account, Ledger, GRANTS_MAX};
 use mintshelf_quota::request_collector::RequestCollector;
+use mintshelf_time::SECOND;
 
 const QUOTA: Quota = Quota {
     total: 110,
--- a/crates/quota/tests/model/case.rs
+++ b/crates/quota/tests/model/case.rs
@@ -1,25 +1,26 @@
 //! The model: its parameters, states and actions, and the properties that are checked.
 
 use mintshelf_lease::command::Owner;
-use mintshelf_lease::timing::{ClockError, Nanos, MS};
+use mintshelf_lease::timing::ClockError;
 use mintshelf_quota::allocation::{AllocationBatch, AllocationRequest, AllocationResponse};
 use mintshelf_quota::client::QuotaClient;
 use mintshelf_quota::config::Quota;
 use mintshelf_quota::ledger::Ledger;
 use mintshelf_quota::request_collector::RequestCollector;
+use mintshelf_time::{Nanos, MILLISECOND};
 use stateright::{Model, Property};
 
 pub const WITHIN_QUOTA: &str = "never more than the quota";
 const EACH_HAS_MOST: &str = "each has most of it at some time";
 
 /// A step of true time.
-const STEP: Nanos = 100 * MS;
+const STEP: Nanos = 100 * MILLISECOND;
 pub const QUOTA: Quota = Quota {
     total: 3,
     floor: 0,
     max_members: 2,
     headroom_per_mille: 0,
-    grant_duration: 300 * MS,
+    grant_duration: 300 * MILLISECOND,
     max_use_duration: 0,
     clock_error: ClockError { ppm: 250_000 },
 };
@@ -115,7 +116,7 @@
 
     /// The clock of the current leader, the fastest that is allowed.
     pub fn leader_now(&self) -> Nanos {
-        self.step * STEP * 5 / 4 + u64::from(self.leader_changes) * 300 * MS
+        self.step * STEP * 5 / 4 + u64::from(self.leader_changes) * 300 * MILLISECOND
     }
 
     /// Whether a member uses more than its limit.
--- a/crates/quota/tests/model/transitions.rs
+++ b/crates/quota/tests/model/transitions.rs
@@ -2,7 +2,7 @@
 
 use crate::case::{Case, Member, Mutant, World, QUOTA};
 use crate::mutations::{expire_earlier_grants, expire_former_incarnations};
-use mintshelf_lease::timing::Nanos;
+use mintshelf_time::Nanos;
 
 impl Member {
     /// Acquires all that it may, and releases nothing.
--- a/crates/quota/tests/replica_selection.rs
+++ b/crates/quota/tests/replica_selection.rs
@@ -1,15 +1,15 @@
 //! Two thousand members and three replicas, of which one fails and comes back.
 
 use mintshelf_lease::command::Owner;
-use mintshelf_lease::timing::{Nanos, MS, SECOND};
 use mintshelf_quota::replica_selector::{ReplicaSelector, RESPONSE_TIMEOUT};
 use mintshelf_quota::session_table::SessionTable;
+use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 use proptest::prelude::ProptestConfig;
 use proptest::{collection, prop_assert, proptest};
 
 const REPLICAS: usize = 3;
-const STEP: Nanos = 50 * MS;
-const REQUEST_INTERVAL: Nanos = 700 * MS;
+const STEP: Nanos = 50 * MILLISECOND;
+const REQUEST_INTERVAL: Nanos = 700 * MILLISECOND;
 
 fn owner(index: usize) -> Owner {
     Owner { member: format!("sidecar-{index}"), incarnation: 1 }
@@ -155,7 +155,7 @@
         let mut rejections = 0u64;
         let mut last_response_at = 0;
         for (event, pause_ms) in events {
-            now += pause_ms * MS;
+            now += pause_ms * MILLISECOND;
             match selector.select(now) {
                 Some(replica) => {
                     prop_assert!(replica < replicas);
@@ -177,7 +177,7 @@
                 None => prop_assert!(selector.next_change_at(now) <= now + 5 * SECOND),
             }
             // No more than a round of them in each backoff.
-            let rounds = 2 + (now - last_response_at) / MS;
+            let rounds = 2 + (now - last_response_at) / MILLISECOND;
             prop_assert!(rejections <= (replicas as u64) * rounds);
         }
         // At most one response is waited for, and then one backoff.
--- a/crates/quota/tests/replicas/cluster.rs
+++ b/crates/quota/tests/replicas/cluster.rs
@@ -4,14 +4,15 @@
 use crate::network::InFlight;
 use mintshelf_consensus::persistent_state::PersistentState;
 use mintshelf_consensus::replica::Replica;
-use mintshelf_lease::timing::{ClockError, Nanos, Timing, MS, SECOND};
+use mintshelf_lease::timing::{ClockError, Timing};
 use mintshelf_quota::config::Quota;
 use mintshelf_quota::session_table::SessionTable;
 use mintshelf_quota::state_machine::{Command, QuotaStateMachine};
+use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-const STEP: Nanos = 10 * MS;
+const STEP: Nanos = 10 * MILLISECOND;
 pub const MEMBERS: usize = 8;
 pub const REPLICAS: usize = 3;
 pub const QUOTA_NAME: &str = "flash-site";
@@ -24,14 +25,14 @@
     max_members: 8,
     headroom_per_mille: 50,
     grant_duration: 3 * SECOND,
-    max_use_duration: 500 * MS,
+    max_use_duration: 500 * MILLISECOND,
     clock_error: CLOCK_ERROR,
 };
 
 fn timing() -> Timing {
     Timing {
-        election_timeout: 500 * MS,
-        heartbeat_interval: 100 * MS,
+        election_timeout: 500 * MILLISECOND,
+        heartbeat_interval: 100 * MILLISECOND,
         session_timeout: 3 * SECOND,
         lease_duration: 3 * SECOND,
         clock_error: CLOCK_ERROR,
@@ -179,7 +180,7 @@
         let used = (by_members + self.orphaned_units.len()) as u64;
         self.max_used = self.max_used.max(used);
         if used > QUOTA.total && self.excess.is_none() {
-            self.excess = Some(Excess { at_ms: now / MS, used });
+            self.excess = Some(Excess { at_ms: now / MILLISECOND, used });
         }
         used
     }
--- a/crates/quota/tests/replicas/faults.rs
+++ b/crates/quota/tests/replicas/faults.rs
@@ -2,7 +2,7 @@
 
 use crate::cluster::{Cluster, MEMBERS, REPLICAS};
 use crate::member::Member;
-use mintshelf_lease::timing::SECOND;
+use mintshelf_time::SECOND;
 
 impl Cluster {
     pub fn cause_faults(&mut self) {
--- a/crates/quota/tests/replicas/member.rs
+++ b/crates/quota/tests/replicas/member.rs
@@ -3,10 +3,10 @@
 use crate::cluster::{Cluster, QUOTA, REPLICAS};
 use crate::network::Message;
 use mintshelf_lease::command::Owner;
-use mintshelf_lease::timing::{Nanos, MS};
 use mintshelf_quota::client::QuotaClient;
 use mintshelf_quota::replica_selector::ReplicaSelector;
 use mintshelf_quota::usage::Usage;
+use mintshelf_time::{Nanos, MILLISECOND};
 
 /// A unit in use.
 #[derive(Debug, Clone, Copy)]
@@ -53,7 +53,7 @@
         self.usage.set_limit(self.client.limit(own_now));
         while (self.units.len() as u64) < self.demand && self.usage.try_acquire(own_now) {
             let is_long = self.units.len().is_multiple_of(2);
-            let duration = if is_long { QUOTA.max_use_duration } else { 50 * MS };
+            let duration = if is_long { QUOTA.max_use_duration } else { 50 * MILLISECOND };
             self.units.push(UnitInUse { ends_at: now + duration, acquired_at: own_now });
         }
         let demand = self.usage.demand(own_now).max(self.demand);
--- a/crates/quota/tests/replicas/network.rs
+++ b/crates/quota/tests/replicas/network.rs
@@ -3,9 +3,9 @@
 use crate::cluster::{Cluster, QUOTA_NAME};
 use mintshelf_consensus::message::{self, encode};
 use mintshelf_consensus::write_batch::ProposalResponse;
-use mintshelf_lease::timing::{Nanos, MS, SECOND};
 use mintshelf_quota::allocation::{AllocationRequest, AllocationResponse};
 use mintshelf_quota::state_machine::{QuotaResponse, Response};
+use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 
 /// A message; replicas and members are given by their indexes.
 pub enum Message {
@@ -44,7 +44,7 @@
     pub fn send(&mut self, is_cut: bool, message: Message) {
         let delay = match self.draw_below(40) {
             0 => self.draw_below(SECOND),
-            _ => MS + self.draw_below(8 * MS),
+            _ => MILLISECOND + self.draw_below(8 * MILLISECOND),
         };
         if !is_cut && self.draw_below(60) > 0 {
             self.in_flight.push(InFlight { at: self.now + delay, message });
--- a/crates/quota/tests/simulation/config.rs
+++ b/crates/quota/tests/simulation/config.rs
@@ -1,7 +1,8 @@
 //! The parameters of a simulation.
 
-use mintshelf_lease::timing::{ClockError, Nanos, MS, SECOND};
+use mintshelf_lease::timing::ClockError;
 use mintshelf_quota::config::Quota;
+use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 
 /// A fault that is put into the algorithm on purpose.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -54,7 +55,7 @@
                 max_members: 5,
                 headroom_per_mille: 100,
                 grant_duration: 2 * SECOND,
-                max_use_duration: 1_500 * MS,
+                max_use_duration: 1_500 * MILLISECOND,
                 clock_error: ClockError { ppm: 50_000 },
             },
             fault_period: 30 * SECOND,
--- a/crates/quota/tests/simulation/faults.rs
+++ b/crates/quota/tests/simulation/faults.rs
@@ -3,7 +3,7 @@
 use crate::config::Mutant;
 use crate::member::{Clock, Member};
 use crate::world::World;
-use mintshelf_lease::timing::{MS, SECOND};
+use mintshelf_time::{MILLISECOND, SECOND};
 
 impl World {
     pub fn cause_faults(&mut self) {
@@ -11,7 +11,7 @@
             self.disturb_member(index);
         }
         if self.draw_one_in(300) {
-            let max_duration = if self.draw_one_in(5) { 6 * SECOND } else { 500 * MS };
+            let max_duration = if self.draw_one_in(5) { 6 * SECOND } else { 500 * MILLISECOND };
             self.leaderless_until = self.now + self.draw_below(max_duration);
             self.change_leader();
         }
--- a/crates/quota/tests/simulation/main.rs
+++ b/crates/quota/tests/simulation/main.rs
@@ -12,7 +12,8 @@
 mod world;
 
 use config::{Mutant, SimulationConfig};
-use mintshelf_lease::timing::{ClockError, Nanos, MS};
+use mintshelf_lease::timing::ClockError;
+use mintshelf_time::{Nanos, MILLISECOND};
 use seeds::seed_count;
 use std::ops::Range;
 use world::World;
@@ -47,7 +48,7 @@
         let mut world = World::new(config.clone(), seed);
         world.run();
         if let Some(excess) = &world.excess {
-            let at_ms = excess.at / MS;
+            let at_ms = excess.at / MILLISECOND;
             summary.violations.push(Violation { seed, at_ms, used: excess.used });
         }
         let served = world.served();
--- a/crates/quota/tests/simulation/member.rs
+++ b/crates/quota/tests/simulation/member.rs
@@ -4,9 +4,10 @@
 use crate::network::Message;
 use crate::world::World;
 use mintshelf_lease::command::Owner;
-use mintshelf_lease::timing::{ClockError, Nanos, MS};
+use mintshelf_lease::timing::ClockError;
 use mintshelf_quota::allocation::AllocationResponse;
 use mintshelf_quota::client::QuotaClient;
+use mintshelf_time::{Nanos, MILLISECOND};
 use rand_core::RngCore;
 use rand_pcg::Pcg64Mcg;
 
@@ -22,7 +23,7 @@
     pub fn draw(rng: &mut Pcg64Mcg, error: ClockError) -> Self {
         let error_ppm = i64::from(error.ppm);
         let ppm = [-error_ppm, 0, error_ppm][rng.next_u32() as usize % 3];
-        Clock { offset: u64::from(rng.next_u32()) * MS, ppm }
+        Clock { offset: u64::from(rng.next_u32()) * MILLISECOND, ppm }
     }
 
     /// What it shows at a true time.
--- a/crates/quota/tests/simulation/network.rs
+++ b/crates/quota/tests/simulation/network.rs
@@ -3,8 +3,8 @@
 use crate::config::Mutant;
 use crate::mutations::{expire_earlier_grants, expire_former_incarnations};
 use crate::world::{World, BATCH_INTERVAL};
-use mintshelf_lease::timing::{Nanos, MS, SECOND};
 use mintshelf_quota::allocation::{AllocationBatch, AllocationRequest, AllocationResponse};
+use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 
 #[derive(Clone)]
 pub enum Message {
@@ -37,7 +37,7 @@
         };
         for _ in 0..copies {
             let is_slow = has_faults && self.draw_one_in(20);
-            let delay = self.draw_below(if is_slow { 3 * SECOND } else { 30 * MS });
+            let delay = self.draw_below(if is_slow { 3 * SECOND } else { 30 * MILLISECOND });
             self.in_flight.push(InFlight { at: self.now + delay, message: message.clone() });
         }
     }
@@ -102,7 +102,7 @@
         }
         if let Some(batch) = self.collector.next_batch(leader_now) {
             let is_slow = self.has_faults() && self.draw_one_in(30);
-            let delay = self.draw_below(if is_slow { SECOND } else { 20 * MS });
+            let delay = self.draw_below(if is_slow { SECOND } else { 20 * MILLISECOND });
             let message = Message::Entry { batch, term: self.term };
             self.in_flight.push(InFlight { at: self.now + delay, message });
         }
--- a/crates/quota/tests/simulation/world.rs
+++ b/crates/quota/tests/simulation/world.rs
@@ -8,14 +8,14 @@
 use crate::config::SimulationConfig;
 use crate::member::{Clock, Member};
 use crate::network::InFlight;
-use mintshelf_lease::timing::{Nanos, MS};
 use mintshelf_quota::ledger::Ledger;
 use mintshelf_quota::request_collector::RequestCollector;
+use mintshelf_time::{Nanos, MILLISECOND};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-const STEP: Nanos = 10 * MS;
-pub const BATCH_INTERVAL: Nanos = 100 * MS;
+const STEP: Nanos = 10 * MILLISECOND;
+pub const BATCH_INTERVAL: Nanos = 100 * MILLISECOND;
 
 /// More units in use than the quota has.
 pub struct Excess {
--- a/crates/quota/tests/token_bucket.rs
+++ b/crates/quota/tests/token_bucket.rs
@@ -1,8 +1,8 @@
 //! Token buckets whose rates change hands.
 
-use mintshelf_lease::timing::{Nanos, MS, SECOND};
 use mintshelf_quota::client::Limit;
 use mintshelf_quota::token_bucket::TokenBucket;
+use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 use proptest::prelude::ProptestConfig;
 use proptest::{collection, prop_assert, proptest};
 
@@ -20,7 +20,7 @@
         changes in collection::vec((0u64..400, 0usize..3, 0u64..=90, 0u64..300), 1..60),
     ) {
         const TOTAL: u64 = 90;
-        const FILL_DURATION: Nanos = 500 * MS;
+        const FILL_DURATION: Nanos = 500 * MILLISECOND;
         let nothing = Limit { units: 0, expires_at: Nanos::MAX, floor: 0 };
         let mut buckets = vec![TokenBucket::new(0, nothing, FILL_DURATION); 3];
         let mut limits = [nothing; 3];
@@ -28,7 +28,7 @@
         let mut now = 0;
         for (pause_ms, changed, units, duration_ms) in changes {
             for _ in 0..pause_ms / 5 {
-                now += 5 * MS;
+                now += 5 * MILLISECOND;
                 for bucket in &mut buckets {
                     while bucket.try_take(now) {
                         admitted.push(now);
@@ -39,7 +39,7 @@
             let others = (0..3).filter(|index| *index != changed);
             let others: u64 = others.map(|index| limits[index].units_at(now)).sum();
             let units = units.min(TOTAL - others);
-            limits[changed] = Limit { units, expires_at: now + duration_ms * MS, floor: 0 };
+            limits[changed] = Limit { units, expires_at: now + duration_ms * MILLISECOND, floor: 0 };
             buckets[changed].set_limit(now, limits[changed]);
         }
         for from in 0..admitted.len() {
--- a/crates/quota/tests/usage.rs
+++ b/crates/quota/tests/usage.rs
@@ -1,12 +1,12 @@
 //! What is acquired under a limit, and what counts as demand.
 
-use mintshelf_lease::timing::{Nanos, MS, SECOND};
 use mintshelf_quota::client::Limit;
 use mintshelf_quota::usage::Usage;
+use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 use proptest::prelude::ProptestConfig;
 use proptest::{collection, prop_assert, prop_assert_eq, proptest};
 
-const WINDOW: Nanos = 500 * MS;
+const WINDOW: Nanos = 500 * MILLISECOND;
 
 fn limit(units: u64, expires_at: Nanos, floor: u64) -> Limit {
     Limit { units, expires_at, floor }
@@ -19,11 +19,11 @@
     // What is in use stays in use, and nothing new is acquired before it has come down.
     for left in [4, 3, 2] {
         assert!(!usage.try_acquire(SECOND));
-        usage.release(SECOND, 10 * MS);
+        usage.release(SECOND, 10 * MILLISECOND);
         assert_eq!(usage.used(), left);
     }
     assert!(!usage.try_acquire(SECOND));
-    usage.release(SECOND, 10 * MS);
+    usage.release(SECOND, 10 * MILLISECOND);
     assert!(usage.try_acquire(SECOND));
     usage.set_limit(limit(4, 9 * SECOND, 2));
     assert!(usage.try_acquire(SECOND) && usage.try_acquire(SECOND));
@@ -35,14 +35,14 @@
     let mut usage = Usage::new(0, limit(1, Nanos::MAX, 1), WINDOW);
     assert_eq!(usage.demand(0), 0);
     assert!(usage.try_acquire(0));
-    usage.release(50 * MS, 50 * MS);
-    assert!(usage.try_acquire(60 * MS));
+    usage.release(50 * MILLISECOND, 50 * MILLISECOND);
+    assert!(usage.try_acquire(60 * MILLISECOND));
     // A hundred in half a second that take 50 ms each: ten at once, and the one in use.
     for _ in 0..100 {
-        assert!(!usage.try_acquire(100 * MS));
+        assert!(!usage.try_acquire(100 * MILLISECOND));
     }
-    assert_eq!(usage.demand(100 * MS), 11 + 11 / 4 + 1);
-    usage.release(110 * MS, 50 * MS);
+    assert_eq!(usage.demand(100 * MILLISECOND), 11 + 11 / 4 + 1);
+    usage.release(110 * MILLISECOND, 50 * MILLISECOND);
     // Forgotten after its windows; then there is no demand at all.
     assert!(usage.demand(3 * WINDOW - 1) > 0);
     assert_eq!(usage.demand(4 * WINDOW), 0);
@@ -72,10 +72,10 @@
         let mut released = Vec::new();
         let mut rejected = Vec::new();
         for (event, pause_ms, units, duration_ms) in events {
-            now += pause_ms * MS;
+            now += pause_ms * MILLISECOND;
             match event {
                 0 => {
-                    current = limit(units, now + duration_ms * MS, units.min(1));
+                    current = limit(units, now + duration_ms * MILLISECOND, units.min(1));
                     usage.set_limit(current);
                 }
                 1 if !acquired.is_empty() => {
--- a/crates/recovery/src/baseline.rs
+++ b/crates/recovery/src/baseline.rs
@@ -1,6 +1,6 @@
 //! The normal rate of events, remembered through an outage.
 
-use crate::SECOND_NS;
+use mintshelf_time::SECOND;
 
 /// Weight of a second's own count in the baseline when the rate rises.
 const RISE_GAIN: f64 = 0.3;
@@ -25,7 +25,7 @@
     /// Advances to `now` in nanoseconds and returns how many seconds began since the last call.
     /// A clock that goes back is treated as one that stands still.
     pub(crate) fn advance(&mut self, now: u64) -> u64 {
-        let second = now / SECOND_NS;
+        let second = now / SECOND;
         let passed = second.saturating_sub(self.second);
         for _ in 0..passed.min(MAX_IDLE_SECONDS) {
             let count = f64::from(std::mem::take(&mut self.count));
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -23,9 +23,6 @@
 mod retry_after;
 mod signal;
 
-/// A second in nanoseconds.
-const SECOND_NS: u64 = 1_000_000_000;
-
 pub use ramp::{Phase, RecoveryRamp};
 pub use retry_after::{RetryAfterSchedule, DEDUP_WINDOW_DIVISOR, MAX_RETRY_AFTER_SECONDS};
 pub use signal::OutageSignal;
--- a/crates/recovery/src/ramp.rs
+++ b/crates/recovery/src/ramp.rs
@@ -5,13 +5,13 @@
 
 use crate::baseline::RateBaseline;
 use crate::signal::OutageSignal;
-use crate::SECOND_NS;
 use mintshelf_balancer::decay::DecayingCounter;
+use mintshelf_time::SECOND;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 
 /// Half-life of the counts of attempts, in nanoseconds.
-const ATTEMPTS_HALF_LIFE_NS: u64 = SECOND_NS / 2;
+const ATTEMPTS_HALF_LIFE_NS: u64 = SECOND / 2;
 /// Attempts that must have ended of late before an outage is detected.
 const OUTAGE_MIN_ATTEMPTS: f64 = 16.0;
 /// Fraction of them that must have failed.
@@ -25,7 +25,7 @@
 /// Minimum rate at any time, since the baseline may be unknown or small.
 const MIN_RATE_PER_SECOND: f64 = 10.0;
 /// Interval between two steps of the ramp in nanoseconds, give or take a quarter.
-const STEP_NS: f64 = 0.25 * SECOND_NS as f64;
+const STEP_NS: f64 = 0.25 * SECOND as f64;
 /// Fraction of answers in time from which a step raises the rate.
 const RAISE_SHARE: f64 = 0.9;
 /// Fraction of answers in time below which a step lowers the rate.
@@ -113,7 +113,7 @@
         if self.phase == Phase::Normal {
             return true;
         }
-        let elapsed_seconds = now.saturating_sub(self.credit_updated_at) as f64 / SECOND_NS as f64;
+        let elapsed_seconds = now.saturating_sub(self.credit_updated_at) as f64 / SECOND as f64;
         self.credit_updated_at = now.max(self.credit_updated_at);
         let max_credit = (self.rate_per_second * BURST_SECONDS).max(1.0);
         self.credit = (self.credit + elapsed_seconds * self.rate_per_second).min(max_credit);
--- a/crates/recovery/src/retry_after.rs
+++ b/crates/recovery/src/retry_after.rs
@@ -2,7 +2,7 @@
 //! over the longer, the more of them there are.
 
 use crate::baseline::RateBaseline;
-use crate::SECOND_NS;
+use mintshelf_time::SECOND;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::collections::VecDeque;
@@ -37,7 +37,7 @@
     /// second and at most [`MAX_RETRY_AFTER_SECONDS`].
     #[must_use]
     pub fn new(seed: u64, max_ns: u64) -> Self {
-        let max_seconds = (max_ns / SECOND_NS).clamp(1, MAX_RETRY_AFTER_SECONDS);
+        let max_seconds = (max_ns / SECOND).clamp(1, MAX_RETRY_AFTER_SECONDS);
         RetryAfterSchedule {
             expected_by_second: VecDeque::from(vec![0; max_seconds as usize + 1]),
             expected: 0,
@@ -60,7 +60,7 @@
     pub fn advise_seconds(&mut self, now: u64, dedup_window_ns: Option<u64>) -> u64 {
         self.advance(now);
         let max_seconds = match dedup_window_ns {
-            Some(window) => (window / DEDUP_WINDOW_DIVISOR / SECOND_NS).clamp(1, self.max_seconds),
+            Some(window) => (window / DEDUP_WINDOW_DIVISOR / SECOND).clamp(1, self.max_seconds),
             None => self.max_seconds,
         };
         let needed = (self.expected + 1) as f64 / self.returning_per_second();
--- a/crates/recovery/tests/ramp.rs
+++ b/crates/recovery/tests/ramp.rs
@@ -2,11 +2,11 @@
 //! ramp ends.
 
 use mintshelf_recovery::{OutageSignal, Phase, RecoveryRamp};
+use mintshelf_time::SECOND;
 use proptest::prelude::*;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 
-const SECOND: u64 = 1_000_000_000;
 const RAMP: u64 = 2 * SECOND;
 
 /// Sends requests at `rate` a second from one second to another; `end` is how an attempt ends
--- a/crates/recovery/tests/retry_after.rs
+++ b/crates/recovery/tests/retry_after.rs
@@ -1,10 +1,9 @@
 //! Retry-after advice: bounded, spread, and longer as more clients wait.
 
 use mintshelf_recovery::{RetryAfterSchedule, MAX_RETRY_AFTER_SECONDS};
+use mintshelf_time::SECOND;
 use proptest::prelude::*;
 
-const SECOND: u64 = 1_000_000_000;
-
 /// A schedule after a minute in which `rate` requests a second were served, and the time then.
 fn after_a_minute(rate: u64, max_seconds: u64) -> (RetryAfterSchedule, u64) {
     let mut schedule = RetryAfterSchedule::new(7, max_seconds * SECOND);
--- a/crates/retry/src/attempts.rs
+++ b/crates/retry/src/attempts.rs
@@ -3,15 +3,16 @@
 use crate::latency_window::LatencyWindow;
 use crate::policy::{HedgeDelay, RetryPolicy};
 use crate::schedule::{AttemptTimeout, TimeoutBounds};
-use mintshelf_balancer::api::{Effect, Nanos};
+use mintshelf_balancer::api::Effect;
 use mintshelf_balancer::budget::RetryBudget;
+use mintshelf_time::{Nanos, MILLISECOND};
 
 /// An adaptive time-out is this multiple of the 99th percentile of the latencies seen.
 const ADAPTIVE_TIMEOUT_FACTOR: u64 = 3;
 /// An attempt that no other could follow is looked at again after this part of its time-out.
 const RECHECK_DIVISOR: u64 = 4;
 /// Shortest time until such an attempt is looked at again.
-const MIN_RECHECK_DELAY: Nanos = 1_000_000;
+const MIN_RECHECK_DELAY: Nanos = MILLISECOND;
 /// Hedges that may be saved up while none are sent.
 const MAX_SAVED_HEDGES: f64 = 4.0;
 
--- a/crates/retry/src/checker.rs
+++ b/crates/retry/src/checker.rs
@@ -3,7 +3,8 @@
 use crate::duration::format_nanos;
 use crate::schedule::{AttemptSchedule, AttemptTimeout, RetryOn, ScheduledAttempt};
 use crate::violation::SafetyViolation;
-use mintshelf_balancer::api::{Effect, Nanos};
+use mintshelf_balancer::api::Effect;
+use mintshelf_time::Nanos;
 
 /// When an attempt reaches a server at the latest, counted from the start of the first attempt.
 #[derive(Debug, Clone, Copy)]
--- a/crates/retry/src/duration.rs
+++ b/crates/retry/src/duration.rs
@@ -1,13 +1,11 @@
 //! Durations as people write them.
 
-use mintshelf_balancer::api::Nanos;
+use mintshelf_time::{Nanos, MILLISECOND};
 use std::time::Duration;
 
-const NANOS_PER_MILLISECOND: Nanos = 1_000_000;
-
 /// A duration in seconds or milliseconds, rounded up to the millisecond, as in `1.2 s`.
 pub fn format_nanos(duration: Nanos) -> String {
-    let rounded = Duration::from_millis(duration.div_ceil(NANOS_PER_MILLISECOND));
+    let rounded = Duration::from_millis(duration.div_ceil(MILLISECOND));
     if duration == 0 {
         return "0 s".into();
     }
--- a/crates/retry/src/latency_window.rs
+++ b/crates/retry/src/latency_window.rs
@@ -1,18 +1,16 @@
 //! Quantiles of the latencies seen lately, over a sliding window.
 
 use hdrhistogram::Histogram;
-use mintshelf_balancer::api::Nanos;
+use mintshelf_time::{Nanos, MICROSECOND, MILLISECOND, SECOND};
 
 /// The window slides by half: what is older than twice this is forgotten.
-const HALF_WINDOW: Nanos = 10_000_000_000;
+const HALF_WINDOW: Nanos = 10 * SECOND;
 /// Quantiles are computed anew after this time.
-const MAX_QUANTILE_AGE: Nanos = 250_000_000;
+const MAX_QUANTILE_AGE: Nanos = 250 * MILLISECOND;
 /// Quantiles are computed anew after this many latencies, too.
 const MAX_PENDING_SAMPLES: u32 = 256;
 /// With fewer latencies in the window there are no quantiles.
 const MIN_SAMPLES: u64 = 20;
-/// Resolution of the histogram.
-const MICROSECOND: Nanos = 1_000;
 /// Longest latency of the histogram, in microseconds: an hour. What is longer counts as this.
 pub const MAX_LATENCY_MICROS: u64 = 3_600_000_000;
 /// Precision of the histogram, in decimal digits.
--- a/crates/retry/src/lib.rs
+++ b/crates/retry/src/lib.rs
@@ -10,8 +10,8 @@
 //! use mintshelf_retry::schedule::{
 //!     AttemptSchedule, AttemptTimeout, Backoff, DedupGroup, RetryOn,
 //! };
+//! use mintshelf_time::{MILLISECOND, SECOND};
 //!
-//! const SECOND: u64 = 1_000_000_000;
 //! let schedule = AttemptSchedule {
 //!     effect: Effect::Idempotent,
 //!     dedup_window: 20 * SECOND,
@@ -26,7 +26,7 @@
 //!     retry_on: RetryOn::MayHaveRun,
 //!     is_hedged: false,
 //!     allows_parallel_attempts: false,
-//!     tick: 5_000_000,
+//!     tick: 5 * MILLISECOND,
 //!     max_retry_after: 5 * SECOND,
 //!     client_retries: 0,
 //! };
--- a/crates/retry/src/policy.rs
+++ b/crates/retry/src/policy.rs
@@ -1,7 +1,8 @@
 //! The retry policy of one request class at one cluster.
 
 use crate::schedule::{AttemptTimeout, TimeoutBounds};
-use mintshelf_balancer::api::{Effect, Nanos};
+use mintshelf_balancer::api::Effect;
+use mintshelf_time::Nanos;
 
 /// When a hedge starts, counted from the start of the request's first attempt.
 #[derive(Debug, Clone, Copy, PartialEq)]
--- a/crates/retry/src/schedule.rs
+++ b/crates/retry/src/schedule.rs
@@ -5,8 +5,9 @@
 //! deduplication window and the deduplication group against this.
 
 pub use mintshelf_balancer::api::Backoff;
-use mintshelf_balancer::api::{Effect, Nanos};
+use mintshelf_balancer::api::Effect;
 use mintshelf_balancer::decide::attempts::{HOLD_SHARE, HOLD_STEP};
+use mintshelf_time::Nanos;
 
 /// An adaptive time-out is no shorter than this part of the latency objective: a second attempt
 /// can then still be answered within the objective.
--- a/crates/retry/src/shutdown.rs
+++ b/crates/retry/src/shutdown.rs
@@ -5,15 +5,16 @@
 //! that the platform guarantees (PROTOCOL, "Figures"). A request without a response by then is
 //! lost, however long its client would wait.
 
-use mintshelf_balancer::api::{Effect, Nanos};
+use mintshelf_balancer::api::Effect;
+use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 
 /// The longest deadline of a class counts up to this.
-const MAX_COUNTED_DEADLINE: Nanos = 3_000_000_000;
+const MAX_COUNTED_DEADLINE: Nanos = 3 * SECOND;
 /// The process has this much time on top of the longest deadline.
-const GRACE_PERIOD: Nanos = 700_000_000;
+const GRACE_PERIOD: Nanos = 700 * MILLISECOND;
 /// Final responses are written this long before the process is killed: for the writing itself,
 /// and for a machine that is busy because many processes end at once.
-const WRITE_MARGIN: Nanos = 250_000_000;
+const WRITE_MARGIN: Nanos = 250 * MILLISECOND;
 
 /// The deadlines of a shutdown that has been announced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/retry/src/timeline.rs
+++ b/crates/retry/src/timeline.rs
@@ -2,7 +2,8 @@
 
 use crate::duration::format_nanos;
 use crate::schedule::{AttemptSchedule, ScheduledAttempt};
-use mintshelf_balancer::api::{Effect, Nanos};
+use mintshelf_balancer::api::Effect;
+use mintshelf_time::Nanos;
 use std::fmt;
 
 /// Column of the deadline: a line has one column more.
--- a/crates/retry/src/violation.rs
+++ b/crates/retry/src/violation.rs
@@ -2,7 +2,8 @@
 
 use crate::duration::format_nanos;
 use crate::schedule::AttemptSchedule;
-use mintshelf_balancer::api::{Effect, Nanos};
+use mintshelf_balancer::api::Effect;
+use mintshelf_time::Nanos;
 
 /// A safety rule that a schedule breaks.
 #[derive(Debug, Clone, PartialEq, Eq)]
--- a/crates/retry/tests/attempts.rs
+++ b/crates/retry/tests/attempts.rs
@@ -1,11 +1,10 @@
 //! Time-outs and hedges of one class: their bounds, and what a time-out leads to.
 
-use mintshelf_balancer::api::{Effect, Nanos};
+use mintshelf_balancer::api::Effect;
 use mintshelf_retry::attempts::{AttemptCounts, AttemptTracker, RetryConditions, TimeoutAction};
 use mintshelf_retry::policy::{HedgeDelay, HedgePolicy, RetryPolicy};
 use mintshelf_retry::schedule::{AttemptTimeout, TimeoutBounds};
-
-const MS: Nanos = 1_000_000;
+use mintshelf_time::MILLISECOND;
 
 fn tracker(
     attempt_timeout: AttemptTimeout,
@@ -15,11 +14,11 @@
     let policy = RetryPolicy {
         effect,
         attempt_timeout,
-        timeout_bounds: TimeoutBounds { min: 50 * MS, max: 600 * MS },
+        timeout_bounds: TimeoutBounds { min: 50 * MILLISECOND, max: 600 * MILLISECOND },
         max_attempts: 3,
         hedge,
-        connect_timeout: MS,
-        idle_timeout: MS,
+        connect_timeout: MILLISECOND,
+        idle_timeout: MILLISECOND,
     };
     AttemptTracker::new(policy, 0)
 }
@@ -31,38 +30,41 @@
 #[test]
 fn an_adaptive_timeout_follows_the_latencies_within_its_bounds() {
     let mut tracker = tracker(AttemptTimeout::Adaptive, Effect::Safe, None);
-    assert_eq!(tracker.attempt_timeout(0, 0), Some(100 * MS));
+    assert_eq!(tracker.attempt_timeout(0, 0), Some(100 * MILLISECOND));
     assert_eq!(tracker.attempt_timeout(0, 2), None, "the last attempt has all that is left");
     for number in 0..1000 {
-        tracker.record_response(number, 3 * MS);
+        tracker.record_response(number, 3 * MILLISECOND);
     }
-    assert_eq!(tracker.attempt_timeout(MS, 0), Some(50 * MS));
+    assert_eq!(tracker.attempt_timeout(MILLISECOND, 0), Some(50 * MILLISECOND));
     for number in 0..1000 {
-        tracker.record_response(MS + number, 100 * MS);
+        tracker.record_response(MILLISECOND + number, 100 * MILLISECOND);
     }
-    let timeout = tracker.attempt_timeout(2 * MS, 1).unwrap();
-    assert!((295 * MS..310 * MS).contains(&timeout), "{timeout}");
+    let timeout = tracker.attempt_timeout(2 * MILLISECOND, 1).unwrap();
+    assert!((295 * MILLISECOND..310 * MILLISECOND).contains(&timeout), "{timeout}");
     for number in 0..10_000 {
-        tracker.record_response(3 * MS + number, 9_000 * MS);
+        tracker.record_response(3 * MILLISECOND + number, 9_000 * MILLISECOND);
     }
-    assert_eq!(tracker.attempt_timeout(4 * MS, 1), Some(600 * MS));
+    assert_eq!(tracker.attempt_timeout(4 * MILLISECOND, 1), Some(600 * MILLISECOND));
 }
 
 #[test]
 fn an_attempt_is_cancelled_only_where_a_retry_can_follow() {
     let mut safe = tracker(AttemptTimeout::Adaptive, Effect::Safe, None);
     assert!(matches!(
-        safe.on_timeout(0, 40 * MS, conditions(false, true)),
+        safe.on_timeout(0, 40 * MILLISECOND, conditions(false, true)),
         TimeoutAction::RecheckAfter(_)
     ));
     assert!(matches!(
-        safe.on_timeout(0, 40 * MS, conditions(true, false)),
+        safe.on_timeout(0, 40 * MILLISECOND, conditions(true, false)),
         TimeoutAction::RecheckAfter(_)
     ));
-    assert_eq!(safe.on_timeout(0, 40 * MS, conditions(true, true)), TimeoutAction::Cancel);
-    let mut idempotent = tracker(AttemptTimeout::Fixed(MS), Effect::Idempotent, None);
-    assert_eq!(idempotent.on_timeout(0, MS, conditions(false, false)), TimeoutAction::Cancel);
-    let mut unsafe_class = tracker(AttemptTimeout::Fixed(MS), Effect::Unsafe, None);
+    assert_eq!(safe.on_timeout(0, 40 * MILLISECOND, conditions(true, true)), TimeoutAction::Cancel);
+    let mut idempotent = tracker(AttemptTimeout::Fixed(MILLISECOND), Effect::Idempotent, None);
+    assert_eq!(
+        idempotent.on_timeout(0, MILLISECOND, conditions(false, false)),
+        TimeoutAction::Cancel
+    );
+    let mut unsafe_class = tracker(AttemptTimeout::Fixed(MILLISECOND), Effect::Unsafe, None);
     assert_eq!(unsafe_class.attempt_timeout(0, 0), None);
     assert_eq!(idempotent.counts(), AttemptCounts { timed_out: 1, hedged: 0 });
 }
@@ -75,9 +77,9 @@
     let mut sent = 0;
     for number in 0..1000 {
         tracker.record_request();
-        tracker.record_response(number, 2 * MS);
+        tracker.record_response(number, 2 * MILLISECOND);
         sent += u32::from(tracker.try_hedge());
     }
     assert!((100..=104).contains(&sent), "{sent}");
-    assert!(tracker.hedge_delay(MS).is_some());
+    assert!(tracker.hedge_delay(MILLISECOND).is_some());
 }
--- a/crates/retry/tests/latency_window.rs
+++ b/crates/retry/tests/latency_window.rs
@@ -1,23 +1,24 @@
 //! Quantiles of a window of latencies.
 
-use mintshelf_balancer::api::Nanos;
 use mintshelf_retry::latency_window::{LatencyWindow, MAX_LATENCY_MICROS};
-
-const MS: Nanos = 1_000_000;
+use mintshelf_time::{Nanos, MILLISECOND};
 
 #[test]
 fn quantiles_follow_the_latencies_and_forget_old_ones() {
     let mut window = LatencyWindow::new(0);
     assert_eq!(window.quantiles(0), None);
     for number in 1..=1000 {
-        window.record(number * MS, number * MS / 10);
+        window.record(number * MILLISECOND, number * MILLISECOND / 10);
     }
-    let quantiles = window.quantiles(2000 * MS).unwrap();
+    let quantiles = window.quantiles(2000 * MILLISECOND).unwrap();
     let near = |measured: Nanos, expected: Nanos| measured.abs_diff(expected) * 50 < expected;
-    assert!(near(quantiles.p50, 50 * MS) && near(quantiles.p95, 95 * MS), "{quantiles:?}");
-    assert!(near(quantiles.p99, 99 * MS), "{quantiles:?}");
+    assert!(
+        near(quantiles.p50, 50 * MILLISECOND) && near(quantiles.p95, 95 * MILLISECOND),
+        "{quantiles:?}"
+    );
+    assert!(near(quantiles.p99, 99 * MILLISECOND), "{quantiles:?}");
     // Long after, nothing of it counts.
-    assert_eq!(window.quantiles(60_000 * MS), None);
+    assert_eq!(window.quantiles(60_000 * MILLISECOND), None);
 }
 
 #[test]
@@ -26,5 +27,5 @@
     for _ in 0..100 {
         window.record(0, u64::MAX);
     }
-    assert!(window.quantiles(MS).unwrap().p50 >= MAX_LATENCY_MICROS);
+    assert!(window.quantiles(MILLISECOND).unwrap().p50 >= MAX_LATENCY_MICROS);
 }
--- a/crates/retry/tests/schedule.rs
+++ b/crates/retry/tests/schedule.rs
@@ -2,11 +2,12 @@
 
 mod common;
 
-use common::{idempotent, MS, SECOND};
+use common::idempotent;
 use mintshelf_balancer::api::Effect;
 use mintshelf_retry::duration::format_nanos;
 use mintshelf_retry::schedule::{AttemptSchedule, AttemptTimeout, Backoff, DedupGroup, RetryOn};
 use mintshelf_retry::violation::SafetyViolation;
+use mintshelf_time::{MILLISECOND, SECOND};
 
 #[test]
 fn only_the_sum_of_all_parts_breaks_the_window() {
@@ -16,8 +17,10 @@
         ..idempotent()
     };
     assert_eq!(schedule.violations(), []);
-    let schedule =
-        AttemptSchedule { backoff: Backoff { initial: 1800 * MS, max: 3600 * MS }, ..schedule };
+    let schedule = AttemptSchedule {
+        backoff: Backoff { initial: 1800 * MILLISECOND, max: 3600 * MILLISECOND },
+        ..schedule
+    };
     let violations = schedule.violations();
     let [SafetyViolation::RetryAfterWindow { attempt: 3, at, .. }] = &violations[..] else {
         panic!("{violations:?}")
@@ -33,7 +36,7 @@
         AttemptSchedule { backoff: Backoff::default(), ..schedule.clone() },
         AttemptSchedule { attempt_timeout: AttemptTimeout::Fixed(4 * SECOND), ..schedule.clone() },
         AttemptSchedule {
-            attempt_timeout: AttemptTimeout::Fixed(6900 * MS),
+            attempt_timeout: AttemptTimeout::Fixed(6900 * MILLISECOND),
             connect_timeout: 0,
             ..schedule.clone()
         },
@@ -48,8 +51,8 @@
         assert_eq!(less.violations(), [], "{less:?}");
     }
     let slow = AttemptSchedule {
-        attempt_timeout: AttemptTimeout::Fixed(6900 * MS),
-        connect_timeout: 400 * MS,
+        attempt_timeout: AttemptTimeout::Fixed(6900 * MILLISECOND),
+        connect_timeout: 400 * MILLISECOND,
         ..schedule
     };
     assert_eq!(slow.violations().len(), 1, "the connection alone makes the difference");
@@ -152,7 +155,8 @@
 
 #[test]
 fn durations_are_formatted_for_people() {
-    let durations = [0, 1, 400 * MS, SECOND, 1200 * MS, 21_400 * MS, 300 * SECOND];
+    let durations =
+        [0, 1, 400 * MILLISECOND, SECOND, 1200 * MILLISECOND, 21_400 * MILLISECOND, 300 * SECOND];
     let formatted = durations.map(format_nanos);
     assert_eq!(formatted, ["0 s", "1 ms", "400 ms", "1 s", "1.2 s", "21.4 s", "300 s"]);
 }
--- a/crates/retry/tests/schedule_model.rs
+++ b/crates/retry/tests/schedule_model.rs
@@ -3,9 +3,10 @@
 
 mod common;
 
-use common::{idempotent, MS};
-use mintshelf_balancer::api::{Effect, Nanos};
+use common::idempotent;
+use mintshelf_balancer::api::Effect;
 use mintshelf_retry::schedule::{AttemptSchedule, AttemptTimeout, Backoff, RetryOn};
+use mintshelf_time::{Nanos, MILLISECOND};
 use proptest::prelude::*;
 use proptest::strategy::ValueTree;
 use proptest::test_runner::{RngSeed, TestRunner};
@@ -154,7 +155,7 @@
     let per_try = prop_oneof![
         Just(AttemptTimeout::Deadline),
         Just(AttemptTimeout::Adaptive),
-        (50u64..12_000).prop_map(|ms| AttemptTimeout::Fixed(ms * MS)),
+        (50u64..12_000).prop_map(|ms| AttemptTimeout::Fixed(ms * MILLISECOND)),
     ];
     let retry_on = prop::sample::select(vec![RetryOn::MayHaveRun, RetryOn::NeverRan]);
     (
@@ -167,17 +168,20 @@
             let (window, client_retries, advice, latency_objective) = client;
             AttemptSchedule {
                 effect,
-                dedup_window: window * MS,
+                dedup_window: window * MILLISECOND,
                 max_attempts: attempts,
-                deadline: deadline * MS,
-                latency_objective: (latency_objective * MS).min(deadline * MS),
-                connect_timeout: connect * MS,
+                deadline: deadline * MILLISECOND,
+                latency_objective: (latency_objective * MILLISECOND).min(deadline * MILLISECOND),
+                connect_timeout: connect * MILLISECOND,
                 attempt_timeout: per_try,
-                backoff: Backoff { initial: first * MS, max: max.max(first) * MS },
+                backoff: Backoff {
+                    initial: first * MILLISECOND,
+                    max: max.max(first) * MILLISECOND,
+                },
                 retry_on,
                 is_hedged: hedged && effect == Effect::Safe,
                 allows_parallel_attempts: true,
-                max_retry_after: advice * MS,
+                max_retry_after: advice * MILLISECOND,
                 client_retries: if effect == Effect::Idempotent { client_retries } else { 0 },
                 ..idempotent()
             }
--- a/crates/retry/tests/shutdown.rs
+++ b/crates/retry/tests/shutdown.rs
@@ -2,10 +2,9 @@
 
 use mintshelf_balancer::api::Effect;
 use mintshelf_retry::shutdown::{FinalResponse, ShutdownDeadlines};
+use mintshelf_time::MILLISECOND;
 use proptest::prelude::*;
 
-const MS: u64 = 1_000_000;
-
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
@@ -14,14 +13,14 @@
     #[test]
     fn no_timeout_outlives_the_process(
         begun in 0..u64::MAX / 2,
-        longest in 0..10_000 * MS,
-        late in 0..6_000 * MS,
-        asked in 0..20_000 * MS,
+        longest in 0..10_000 * MILLISECOND,
+        late in 0..6_000 * MILLISECOND,
+        asked in 0..20_000 * MILLISECOND,
     ) {
         let ending = ShutdownDeadlines::new(begun, longest);
-        let killed = begun + longest.min(3_000 * MS) + 700 * MS;
+        let killed = begun + longest.min(3_000 * MILLISECOND) + 700 * MILLISECOND;
         prop_assert!(ending.final_response_at() < killed);
-        prop_assert!(ending.final_response_at() + 300 * MS > killed, "time is given away");
+        prop_assert!(ending.final_response_at() + 300 * MILLISECOND > killed, "time is given away");
         let now = begun + late;
         match ending.limit_timeout(now, asked) {
             Some(patience) => {
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,8 +1,9 @@
 //! Hosts balancers: takes lines of input and writes one reply for each batch.
 
 use crate::wire::{write_action, Message, Problem, Reader, WireError};
-use mintshelf_balancer::api::{Action, Event, Nanos, Settings};
+use mintshelf_balancer::api::{Action, Event, Settings};
 use mintshelf_balancer::decide::Balancer;
+use mintshelf_time::Nanos;
 use std::collections::HashMap;
 
 /// All balancers of one process, and the reply to the current batch.
--- a/crates/simulator-adapter/src/wire/event.rs
+++ b/crates/simulator-adapter/src/wire/event.rs
@@ -2,7 +2,8 @@
 
 use super::fields::Fields;
 use super::{Problem, WireError};
-use mintshelf_balancer::api::{EndpointState, Event, ListKind, Nanos, Outcome, ServerId};
+use mintshelf_balancer::api::{EndpointState, Event, ListKind, Outcome, ServerId};
+use mintshelf_time::Nanos;
 
 const OUTCOMES: &[(&str, Outcome)] = &[
     ("delivered", Outcome::Ok),
--- a/crates/simulator-adapter/src/wire/reader.rs
+++ b/crates/simulator-adapter/src/wire/reader.rs
@@ -3,8 +3,9 @@
 use super::event::{read_event, ENDPOINT_STATES, LIST_KINDS};
 use super::fields::Fields;
 use super::{Problem, WireError};
-use mintshelf_balancer::api::{Event, ListKind, ListedServer, Nanos, Settings};
+use mintshelf_balancer::api::{Event, ListKind, ListedServer, Settings};
 use mintshelf_balancer::settings::parse_settings;
+use mintshelf_time::Nanos;
 use std::collections::HashMap;
 use std::sync::Arc;
 
--- a/crates/websocket/src/session/closing.rs
+++ b/crates/websocket/src/session/closing.rs
@@ -5,7 +5,7 @@
 use crate::close_code;
 use crate::peer::Peer;
 use crate::violation::Violation;
-use mintshelf_balancer::api::Nanos;
+use mintshelf_time::Nanos;
 
 /// What a peer is sent that needs no reason.
 pub(super) const GOING_AWAY: CloseFrame<'static> =
--- a/crates/websocket/src/session/forwarding.rs
+++ b/crates/websocket/src/session/forwarding.rs
@@ -4,7 +4,7 @@
 use crate::frame::{ControlAction, ControlFrame};
 use crate::peer::Peer;
 use crate::violation::Violation;
-use mintshelf_balancer::api::Nanos;
+use mintshelf_time::Nanos;
 
 /// What became of bytes that a peer sent.
 struct Forwarded {
--- a/crates/websocket/src/session/migration.rs
+++ b/crates/websocket/src/session/migration.rs
@@ -7,7 +7,7 @@
 use crate::close_code;
 use crate::frame::{ControlAction, FrameDecoder};
 use crate::peer::Peer;
-use mintshelf_balancer::api::Nanos;
+use mintshelf_time::Nanos;
 
 impl Session {
     /// Keeps the client's first message, from the server's output behind `output_start`. A
--- a/crates/websocket/src/session/mod.rs
+++ b/crates/websocket/src/session/mod.rs
@@ -12,6 +12,7 @@
 mod timeouts;
 mod types;
 
+use mintshelf_time::Nanos;
 pub use types::{
     ClosedBy, EvictionRequest, Resume, SessionAction, SessionConfig, SessionEnd, Traffic,
 };
@@ -20,7 +21,6 @@
 use crate::peer::Peer;
 use crate::timers::SocketTimers;
 use first_message::FirstMessage;
-use mintshelf_balancer::api::Nanos;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use side::{client_decoder, Side};
--- a/crates/websocket/src/session/timeouts.rs
+++ b/crates/websocket/src/session/timeouts.rs
@@ -7,7 +7,7 @@
 use crate::control::{write_control_frame, OPCODE_PING};
 use crate::peer::Peer;
 use crate::timers::TimerEvent;
-use mintshelf_balancer::api::Nanos;
+use mintshelf_time::Nanos;
 
 impl Session {
     /// Handles what is due by [`Session::next_deadline`].
--- a/crates/websocket/src/timers.rs
+++ b/crates/websocket/src/timers.rs
@@ -1,10 +1,10 @@
 //! Timeouts of one socket: idle time, lifetime, unanswered pings, slow messages, stalled writes.
 
 use crate::peer::Peer;
-use mintshelf_balancer::api::Nanos;
+use mintshelf_time::{Nanos, SECOND};
 
 /// After this a ping that could not be sent is due again.
-const PING_RETRY_NS: Nanos = 1_000_000_000;
+const PING_RETRY_NS: Nanos = SECOND;
 /// The greatest part of the lifetime by which that of a single socket may be shorter.
 const LIFETIME_JITTER: f64 = 0.1;
 
--- a/crates/websocket/tests/common/mod.rs
+++ b/crates/websocket/tests/common/mod.rs
@@ -1,5 +1,6 @@
 //! What the tests of sessions share: a configuration, frames, and an independent reader.
 
+use mintshelf_time::SECOND;
 use mintshelf_websocket::peer::Peer;
 use mintshelf_websocket::session::{Resume, Session, SessionConfig};
 use mintshelf_websocket::timers::TimerConfig;
@@ -11,8 +12,6 @@
 use tungstenite::protocol::Role;
 use tungstenite::{Message, WebSocket};
 
-pub const SECOND: u64 = 1_000_000_000;
-
 pub fn config(resume: Option<Resume>) -> Rc<SessionConfig> {
     let timers = TimerConfig {
         idle_timeout_ns: 300 * SECOND,
--- a/crates/websocket/tests/migration.rs
+++ b/crates/websocket/tests/migration.rs
@@ -1,11 +1,9 @@
 //! Migrations are spread evenly over their window.
 
-use mintshelf_balancer::api::Nanos;
+use mintshelf_time::MILLISECOND;
 use mintshelf_websocket::migration::{MigrationSchedule, MAX_STEP_NS};
 use proptest::prelude::{prop, prop_assert, proptest};
 
-const MILLISECOND: Nanos = 1_000_000;
-
 #[test]
 fn a_single_socket_migrates_at_once_and_the_next_soon_after() {
     let mut schedule = MigrationSchedule::new(5_000 * MILLISECOND);
--- a/crates/websocket/tests/session.rs
+++ b/crates/websocket/tests/session.rs
@@ -2,7 +2,8 @@
 
 mod common;
 
-use common::{config, flush, frame, read_messages, SECOND};
+use common::{config, flush, frame, read_messages};
+use mintshelf_time::SECOND;
 use mintshelf_websocket::peer::Peer;
 use mintshelf_websocket::session::{ClosedBy, EvictionRequest, Resume, Session, SessionAction};
 use tungstenite::protocol::frame::coding::{Control, Data, OpCode};
--- a/crates/websocket/tests/session_properties.rs
+++ b/crates/websocket/tests/session_properties.rs
@@ -3,7 +3,8 @@
 
 mod common;
 
-use common::{config, flush, frame, read_messages, SECOND};
+use common::{config, flush, frame, read_messages};
+use mintshelf_time::SECOND;
 use mintshelf_websocket::frame::{ControlAction, ControlFrame, FrameDecoder};
 use mintshelf_websocket::peer::Peer;
 use mintshelf_websocket::session::{
--- a/crates/websocket/tests/timers.rs
+++ b/crates/websocket/tests/timers.rs
@@ -1,11 +1,9 @@
 //! Timers of a socket come due when they should.
 
-use mintshelf_balancer::api::Nanos;
+use mintshelf_time::SECOND;
 use mintshelf_websocket::peer::Peer;
 use mintshelf_websocket::timers::{SocketTimers, TimerConfig, TimerEvent};
 
-const SECOND: Nanos = 1_000_000_000;
-
 fn timers() -> SocketTimers {
     let config = TimerConfig {
         idle_timeout_ns: 300 * SECOND,
