--- a/crates/balancer/examples/choose.rs
+++ b/crates/balancer/examples/choose.rs
@@ -1,6 +1,8 @@
 //! Starts an instance, gives it a list of three servers and lets it choose one.
 
-use mintshelf_balancer::api::{Action, EndpointState, Event, ListKind, ListedServer};
+use mintshelf_balancer::api::{
+    Action, ClassId, EndpointState, Event, ListKind, ListedServer, TenantId,
+};
 use mintshelf_balancer::decide::Balancer;
 use mintshelf_balancer::settings::parse_settings;
 use std::error::Error;
@@ -24,8 +26,8 @@
     balancer.handle(0, Event::Servers { kind: ListKind::Full, version: 1, entries }, &mut actions);
     let request = Event::Request {
         id: "first".into(),
-        class: 0,
-        tenant: 0,
+        class: ClassId::default(),
+        tenant: TenantId::default(),
         key: None,
         cost_hint: None,
         repeat: false,
--- a/crates/balancer/src/api/action.rs
+++ b/crates/balancer/src/api/action.rs
@@ -1,6 +1,6 @@
 //! What a balancer asks of its sidecar.
 
-use super::{RequestId, ServerId};
+use super::{AttemptNumber, RequestId, ServerId};
 use mintshelf_time::Nanos;
 
 /// Why the balancer ended a request that no server has answered.
@@ -36,7 +36,7 @@
         /// The request.
         id: RequestId,
         /// The attempt's number.
-        attempt: u32,
+        attempt: AttemptNumber,
     },
     /// End a request unserved; the client may safely repeat it.
     Reject {
--- a/crates/balancer/src/api/event.rs
+++ b/crates/balancer/src/api/event.rs
@@ -1,6 +1,6 @@
 //! What a sidecar reports to its balancer.
 
-use super::{ListKind, ListedServer, RequestId, ServerId};
+use super::{AttemptNumber, ClassId, ListKind, ListedServer, RequestId, ServerId, TenantId};
 use mintshelf_time::Nanos;
 use std::sync::Arc;
 
@@ -65,10 +65,10 @@
     Request {
         /// Its id.
         id: RequestId,
-        /// Its class, an index into [`Settings::classes`](super::Settings::classes).
-        class: u32,
+        /// Its class.
+        class: ClassId,
         /// Its tenant, if there are tenants.
-        tenant: u32,
+        tenant: TenantId,
         /// Hash of the object that it concerns.
         key: Option<u64>,
         /// Expected work in core time, if known.
@@ -83,8 +83,8 @@
     StreamStarted {
         /// The request.
         id: RequestId,
-        /// The attempt's number, from 0.
-        attempt: u32,
+        /// The attempt's number.
+        attempt: AttemptNumber,
     },
     /// The only attempt of a safe request is slow: a hedge may be sent.
     HedgeRequested {
@@ -95,8 +95,8 @@
     AttemptEnded {
         /// The request.
         id: RequestId,
-        /// The attempt's number, from 0.
-        attempt: u32,
+        /// The attempt's number.
+        attempt: AttemptNumber,
         /// How it ended.
         outcome: Outcome,
         /// Whether the request has ended with it.
--- a/crates/balancer/src/api/mod.rs
+++ b/crates/balancer/src/api/mod.rs
@@ -6,12 +6,14 @@
 mod class;
 mod endpoint;
 mod event;
+mod ids;
 mod settings;
 
 pub use action::{Action, EndReason};
 pub use class::{Backoff, Class, Effect, Group};
 pub use endpoint::{EndpointState, ListKind, ListedServer};
 pub use event::{Event, Outcome};
+pub use ids::{AttemptNumber, ClassId, TenantId};
 use mintshelf_time::{Nanos, SECOND};
 pub use settings::{Objective, Prices, ReportField, ReportMode, Settings, SizeKind, Tenant};
 
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -126,8 +126,8 @@
             Event::DiscoveryAddressChanged => self.on_discovery_address_changed(),
             Event::Request { id, class, tenant, client_timeout, repeat, cost_hint, .. } => {
                 let request = Request {
-                    class: class as usize,
-                    tenant: tenant as usize,
+                    class: class.index(),
+                    tenant: tenant.index(),
                     log_work: cost_hint.filter(|cost| *cost > 0).map(|cost| (cost as f64).ln()),
                     is_repeat: repeat,
                     arrived_at: self.now,
@@ -141,7 +141,7 @@
             }
             Event::AttemptEnded { id, attempt, outcome, finished, took, .. } => {
                 let end = AttemptEnd { outcome, is_request_finished: finished, elapsed: took };
-                self.on_attempt_ended(&id, attempt as usize, end);
+                self.on_attempt_ended(&id, attempt.index(), end);
             }
             Event::HedgeRequested { id } => self.on_hedge_requested(&id),
             Event::ClientDisconnected { id } => self.close(&id),
--- a/crates/balancer/tests/admission.rs
+++ b/crates/balancer/tests/admission.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{ended, ended_after, rejected, request, sends, settings, TestBalancer};
-use mintshelf_balancer::api::{Action, Event, Outcome, ServerId};
+use mintshelf_balancer::api::{Action, AttemptNumber, Event, Outcome, ServerId};
 use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 
 /// Sends a safe request; how it ends, after `took`, if it is sent at all.
@@ -124,7 +124,7 @@
             }
             for server in sends(&actions) {
                 let id = name.as_str().into();
-                let attempt = 0;
+                let attempt = AttemptNumber::default();
                 let outcome = Outcome::Ok;
                 let finished = true;
                 let report = None;
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -4,8 +4,8 @@
 pub mod fleet;
 
 use mintshelf_balancer::api::{
-    Action, Backoff, Class, Effect, Event, Group, ListKind, ListedServer, Objective, Outcome,
-    Prices, ReportMode, ServerId, Settings, SizeKind,
+    Action, AttemptNumber, Backoff, Class, ClassId, Effect, Event, Group, ListKind, ListedServer,
+    Objective, Outcome, Prices, ReportMode, ServerId, Settings, SizeKind, TenantId,
 };
 use mintshelf_balancer::decide::Balancer;
 use mintshelf_time::{Nanos, MILLISECOND, SECOND};
@@ -87,8 +87,8 @@
 pub fn request(id: &str, class: u32, client_timeout: Nanos) -> Event {
     Event::Request {
         id: id.into(),
-        class,
-        tenant: 0,
+        class: ClassId::new(class),
+        tenant: TenantId::default(),
         key: None,
         cost_hint: None,
         repeat: false,
@@ -99,6 +99,7 @@
 /// The end of an attempt after 20 ms.
 pub fn ended(id: &str, attempt: u32, server: ServerId, outcome: Outcome, finished: bool) -> Event {
     let id = Arc::from(id);
+    let attempt = AttemptNumber::new(attempt);
     let took = 20 * MILLISECOND;
     let report = None;
     Event::AttemptEnded { id, attempt, outcome, finished, took, server, report }
@@ -107,7 +108,7 @@
 /// The end of a request's first and last attempt.
 pub fn ended_after(took: Nanos, id: &str, server: ServerId, outcome: Outcome) -> Event {
     let id = Arc::from(id);
-    let attempt = 0;
+    let attempt = AttemptNumber::default();
     let finished = true;
     let report = None;
     Event::AttemptEnded { id, attempt, outcome, finished, took, server, report }
--- a/crates/balancer/tests/quotas.rs
+++ b/crates/balancer/tests/quotas.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{ended, rejected, request, sends, settings, TestBalancer};
-use mintshelf_balancer::api::{Event, Outcome, Settings, Tenant};
+use mintshelf_balancer::api::{Event, Outcome, Settings, Tenant, TenantId};
 use mintshelf_time::{MILLISECOND, SECOND};
 
 /// In overload, rejections go first to the tenant that sends past its quota.
@@ -23,7 +23,7 @@
         else {
             unreachable!()
         };
-        let tenant = (i % 2) as u32;
+        let tenant = TenantId::new((i % 2) as u32);
         let event = Event::Request {
             id: id.clone(),
             class,
@@ -34,7 +34,7 @@
             cost_hint,
         };
         let out = instance.handle(now, event);
-        rejections[tenant as usize] += i32::from(rejected(&out));
+        rejections[tenant.index()] += i32::from(rejected(&out));
         if let Some(to) = sends(&out).first() {
             // One in eight times out, which holds rejections at a low level.
             let slow = (50..53).contains(&ends) || (ends > 50 && ends % 8 == 0);
--- a/crates/balancer/tests/safety_rules.rs
+++ b/crates/balancer/tests/safety_rules.rs
@@ -4,7 +4,8 @@
 
 use common::{ended, failed, list, rejected, request, sends, server, settings, TestBalancer};
 use mintshelf_balancer::api::{
-    Action, Effect, EndpointState, Event, Group, ListKind, ListedServer, Outcome, Settings,
+    Action, AttemptNumber, Effect, EndpointState, Event, Group, ListKind, ListedServer, Outcome,
+    Settings,
 };
 use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 
@@ -149,7 +150,7 @@
     assert!(instance.handle(SECOND, Event::Timer { token: 999 }).is_empty());
     assert!(instance.handle(SECOND, Event::ClientDisconnected { id: "x".into() }).is_empty());
     assert!(instance
-        .handle(SECOND, Event::StreamStarted { id: "x".into(), attempt: 3 })
+        .handle(SECOND, Event::StreamStarted { id: "x".into(), attempt: AttemptNumber::new(3) })
         .is_empty());
     let probed = Event::Probed { server: 77, outcome: Outcome::Ok, took: 1, report: None };
     assert!(instance.handle(SECOND, probed).is_empty());
@@ -196,7 +197,10 @@
         _ => None,
     });
     let (after, token) = timer.unwrap();
-    instance.handle(SECOND + 10 * MILLISECOND, Event::StreamStarted { id: "a".into(), attempt: 0 });
+    instance.handle(
+        SECOND + 10 * MILLISECOND,
+        Event::StreamStarted { id: "a".into(), attempt: AttemptNumber::default() },
+    );
     assert!(instance.handle(SECOND + after, Event::Timer { token }).is_empty());
     // The server that answers slowly but well is still drawn.
     let drawn = (0..200).any(|n| {
--- a/crates/balancer/tests/server_speed.rs
+++ b/crates/balancer/tests/server_speed.rs
@@ -3,7 +3,9 @@
 mod common;
 
 use common::{list, rejected, request, sends, server, settings, TestBalancer};
-use mintshelf_balancer::api::{Action, Event, ListKind, ListedServer, Outcome, Settings, SizeKind};
+use mintshelf_balancer::api::{
+    Action, AttemptNumber, Event, ListKind, ListedServer, Outcome, Settings, SizeKind,
+};
 use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 
 fn request_with_work(id: &str, cost: Nanos) -> Event {
@@ -26,7 +28,7 @@
         let to = sends(&instance.handle(now, request_with_work(&id, 50 * MILLISECOND)))[0];
         let took = if to % 2 == 1 { 100 * MILLISECOND } else { 50 * MILLISECOND };
         let id = id.as_str().into();
-        let attempt = 0;
+        let attempt = AttemptNumber::default();
         let outcome = Outcome::Ok;
         let finished = true;
         let server = to;
@@ -78,7 +80,7 @@
         // The objective is 400 ms, of which 0.6 are 240.
         let took = if server % 2 == 1 { 170 * MILLISECOND } else { 60 * MILLISECOND };
         let id = name.as_str().into();
-        let attempt = 0;
+        let attempt = AttemptNumber::default();
         let outcome = Outcome::Ok;
         let finished = true;
         let report = None;
@@ -106,7 +108,7 @@
         served_on_fast_kind[(i % 2) as usize] += u32::from(fits && i >= 1000);
         let took = if fits { 50 * MILLISECOND } else { 150 * MILLISECOND };
         let id = name.as_str().into();
-        let attempt = 0;
+        let attempt = AttemptNumber::default();
         let outcome = Outcome::Ok;
         let finished = true;
         let report = None;
@@ -165,7 +167,7 @@
                 slow += f64::from(server % 2);
             }
             let id = name.as_str().into();
-            let attempt = 0;
+            let attempt = AttemptNumber::default();
             let outcome = Outcome::Ok;
             let finished = true;
             let report = None;
--- a/crates/config/src/balancer.rs
+++ b/crates/config/src/balancer.rs
@@ -2,8 +2,8 @@
 
 use crate::model::{Class, Cluster, ConnectionLimits, OperatorConfig, Route, RouteAction};
 use mintshelf_balancer::api::{
-    Class as BalancerClassSettings, Effect, Group, ListedServer, Objective, Prices, Settings,
-    SizeKind,
+    Class as BalancerClassSettings, ClassId, Effect, Group, ListedServer, Objective, Prices,
+    Settings, SizeKind,
 };
 use mintshelf_retry::policy::RetryPolicy;
 use mintshelf_retry::schedule::{AttemptSchedule, AttemptTimeout, DedupGroup, RetryOn};
@@ -35,7 +35,7 @@
     /// The mildest effect that its requests may have.
     pub effect: Effect,
     /// The module's number of the class for each effect, by [`severity`].
-    class_numbers: [Option<u32>; EFFECTS.len()],
+    class_numbers: [Option<ClassId>; EFFECTS.len()],
     /// The time-out of a request.
     pub deadline: Nanos,
     /// The priority weight of its requests.
@@ -44,7 +44,7 @@
 
 impl BalancerClass {
     /// The module's number of the class for requests of this effect; none if they can't have it.
-    pub fn class_number(&self, effect: Effect) -> Option<u32> {
+    pub fn class_number(&self, effect: Effect) -> Option<ClassId> {
         self.class_numbers[severity(effect)]
     }
 }
@@ -223,7 +223,7 @@
         };
         let mut class_numbers = [None; EFFECTS.len()];
         for effect in EFFECTS.into_iter().filter(|effect| is_possible(*effect)) {
-            class_numbers[severity(effect)] = Some(self.settings.len() as u32);
+            class_numbers[severity(effect)] = Some(ClassId::from_index(self.settings.len()));
             let schedule = attempt_schedule(class, effect, cluster);
             self.retry_policies.push(retry_policy(class, effect, cluster, &schedule));
             self.settings.push(class_settings(class, &schedule));
--- a/crates/config/tests/attempts.rs
+++ b/crates/config/tests/attempts.rs
@@ -28,9 +28,9 @@
     assert_eq!(errors(&shorter), Vec::<String>::new());
     let file = file::parse("f", shorter.as_bytes()).unwrap();
     let config = balancer_config(&file, "bench", &file.clusters["bench"]);
-    let number = config.classes["queue-run"].class_number(Effect::Idempotent).unwrap() as usize;
+    let number = config.classes["queue-run"].class_number(Effect::Idempotent).unwrap().index();
     assert_eq!(config.retry_policies[number].connect_timeout, 100_000_000);
-    let other = config.classes["run-logs"].class_number(Effect::Safe).unwrap() as usize;
+    let other = config.classes["run-logs"].class_number(Effect::Safe).unwrap().index();
     assert_eq!(config.retry_policies[other].connect_timeout, 2_000_000_000);
     let over = behind("[classes.run-logs]", "connect-timeout = \"3s\"");
     assert_rejected(
--- a/crates/config/tests/balancer.rs
+++ b/crates/config/tests/balancer.rs
@@ -1,6 +1,6 @@
 //! The settings of the decision module for the clusters of a file.
 
-use mintshelf_balancer::api::Effect;
+use mintshelf_balancer::api::{ClassId, Effect};
 use mintshelf_config::balancer::{balancer_config, BalancerClass};
 use mintshelf_config::file;
 
@@ -14,7 +14,8 @@
     let file = file::parse("f", text.as_bytes()).unwrap();
     let config = balancer_config(&file, "a", &file.clusters["a"]);
     let numbers = |class: &BalancerClass| {
-        [Effect::Safe, Effect::Idempotent, Effect::Unsafe].map(|effect| class.class_number(effect))
+        [Effect::Safe, Effect::Idempotent, Effect::Unsafe]
+            .map(|effect| class.class_number(effect).map(ClassId::get))
     };
     assert_eq!(numbers(&config.classes["queue"]), [None, Some(0), Some(1)]);
     assert_eq!(numbers(&config.classes["read"]), [Some(2), None, Some(3)]);
--- a/crates/fleet-simulator/src/server.rs
+++ b/crates/fleet-simulator/src/server.rs
@@ -2,7 +2,7 @@
 
 use crate::fleet::Thrashing;
 use crate::scenario::{mean_work, FaultKind, Scenario};
-use mintshelf_balancer::api::RequestId;
+use mintshelf_balancer::api::{AttemptNumber, RequestId};
 use mintshelf_balancer::decay::DecayingCounter;
 use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 use std::collections::{HashMap, VecDeque};
@@ -28,7 +28,7 @@
     pub(crate) sidecar: usize,
     pub(crate) id: RequestId,
     /// The attempt's number, from 0.
-    pub(crate) attempt: u32,
+    pub(crate) attempt: AttemptNumber,
     pub(crate) client: usize,
     pub(crate) class: usize,
     /// Time that it takes on a warm server.
--- a/crates/fleet-simulator/src/sidecar/mod.rs
+++ b/crates/fleet-simulator/src/sidecar/mod.rs
@@ -6,7 +6,8 @@
 use crate::scenario::{Scenario, CLASSES, DEDUP_WINDOW};
 use connections::IdleConnections;
 use mintshelf_balancer::api::{
-    Action, Effect, EndpointState, Event, ListKind, ListedServer, Outcome, RequestId, ServerId,
+    Action, AttemptNumber, ClassId, Effect, EndpointState, Event, ListKind, ListedServer, Outcome,
+    RequestId, ServerId, TenantId,
 };
 use mintshelf_balancer::decide::Balancer;
 use mintshelf_recovery::{OutageSignal, Recovery};
@@ -36,14 +37,14 @@
     Send {
         id: RequestId,
         /// The attempt's number, from 0.
-        attempt: u32,
+        attempt: AttemptNumber,
         server: ServerId,
         timeout_at: Nanos,
     },
     /// Stop waiting for an attempt.
     Cancel {
         id: RequestId,
-        attempt: u32,
+        attempt: AttemptNumber,
     },
     Reply {
         client: usize,
@@ -204,8 +205,8 @@
         self.requests.insert(id.clone(), request);
         let event = Event::Request {
             id: id.clone(),
-            class: class as u32,
-            tenant: 0,
+            class: ClassId::from_index(class),
+            tenant: TenantId::default(),
             key: None,
             cost_hint: None,
             repeat: false,
@@ -230,11 +231,11 @@
         &mut self,
         now: Nanos,
         id: &RequestId,
-        number: u32,
+        number: AttemptNumber,
         outcome: Outcome,
     ) {
         let Some(request) = self.requests.get_mut(id) else { return };
-        let attempt = request.attempts.get_mut(number as usize);
+        let attempt = request.attempts.get_mut(number.index());
         let Some(attempt) = attempt.filter(|attempt| !attempt.has_ended) else { return };
         attempt.has_ended = true;
         let server = attempt.server;
@@ -341,8 +342,8 @@
 
     fn send(&mut self, now: Nanos, id: RequestId, server: ServerId, timeout_at: Nanos) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let attempt = request.attempts.len() as u32;
-        let is_excess = request.has_attempt_in_flight() || attempt >= MAX_ATTEMPTS;
+        let attempt = AttemptNumber::from_index(request.attempts.len());
+        let is_excess = request.has_attempt_in_flight() || attempt.get() >= MAX_ATTEMPTS;
         self.excess_attempts += u64::from(is_excess);
         request.attempts.push(Attempt { server, sent_at: now, has_ended: false });
         let timeout_at = match timeout_at {
--- a/crates/fleet-simulator/src/simulation/event.rs
+++ b/crates/fleet-simulator/src/simulation/event.rs
@@ -1,7 +1,7 @@
 //! Events of the simulation, and the queue that orders them in time.
 
 use crate::server::Job;
-use mintshelf_balancer::api::{ListedServer, Outcome, RequestId};
+use mintshelf_balancer::api::{AttemptNumber, ListedServer, Outcome, RequestId};
 use mintshelf_time::Nanos;
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
@@ -19,7 +19,7 @@
     /// A server has done a job.
     JobEnds { server: usize, number: u64 },
     /// A sidecar learns how an attempt ended.
-    AttemptEnds { sidecar: usize, id: RequestId, attempt: u32, outcome: Outcome },
+    AttemptEnds { sidecar: usize, id: RequestId, attempt: AttemptNumber, outcome: Outcome },
     /// A timer of a sidecar fires.
     TimerFires { sidecar: usize, incarnation: u64, token: u64 },
     /// A fault begins, by its index in the scenario.
--- a/crates/fleet-simulator/src/simulation/sidecars.rs
+++ b/crates/fleet-simulator/src/simulation/sidecars.rs
@@ -4,7 +4,7 @@
 use crate::scenario::{mean_work, CLASSES};
 use crate::server::{Job, ONE_WAY_LATENCY};
 use crate::sidecar::{RequestOwner, SidecarAction, CONNECT_TIMEOUT};
-use mintshelf_balancer::api::{Outcome, RequestId, ServerId};
+use mintshelf_balancer::api::{AttemptNumber, Outcome, RequestId, ServerId};
 use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 use rand_distr::Distribution;
 
@@ -17,7 +17,7 @@
 struct Send {
     id: RequestId,
     /// The attempt's number, from 0.
-    attempt: u32,
+    attempt: AttemptNumber,
     server: ServerId,
     timeout_at: Nanos,
 }
@@ -54,13 +54,13 @@
         &mut self,
         sidecar: usize,
         id: &RequestId,
-        attempt: u32,
+        attempt: AttemptNumber,
         outcome: Outcome,
     ) {
         if self.now < self.processes[sidecar].down_until {
             return;
         }
-        self.update_digest(u64::from(attempt) << 8 | outcome as u64);
+        self.update_digest(u64::from(attempt.get()) << 8 | outcome as u64);
         self.sidecars[sidecar].handle_attempt_end(self.now, id, attempt, outcome);
         self.perform_actions(sidecar);
     }
--- a/crates/mintshelf/tests/compatibility/bindings.rs
+++ b/crates/mintshelf/tests/compatibility/bindings.rs
@@ -3,7 +3,7 @@
 //! A renaming changes names here and nowhere else. Labels are fixed: fixtures refer to them.
 
 use super::fixtures::hex;
-use mintshelf_balancer::api::{Action, EndReason, EndpointState};
+use mintshelf_balancer::api::{Action, AttemptNumber, EndReason, EndpointState};
 use mintshelf_balancer::gossip::{GossipMessage, ServerObservation};
 use mintshelf_config::platform::{Names, PlatformConfig};
 use mintshelf_consensus::persistent_state::PersistentState;
@@ -291,7 +291,7 @@
     let reason = EndReason::Overload;
     let actions = [
         ("send", Action::Send { id: "t/a".into(), server: 51, timeout_at: 900 }),
-        ("cancel", Action::Cancel { id: "t/a".into(), attempt: 2 }),
+        ("cancel", Action::Cancel { id: "t/a".into(), attempt: AttemptNumber::new(2) }),
         ("refuse", Action::Reject { id: "t/a".into(), retry_after: 700, reason }),
         ("fail", Action::Fail { id: "t/a".into(), reason }),
         ("set a timer", Action::SetTimer { after: 600, token: 4 }),
--- a/crates/mintshelf/tests/conformance/module.rs
+++ b/crates/mintshelf/tests/conformance/module.rs
@@ -2,7 +2,9 @@
 
 use super::stage::{settings, Ended, Stage, START};
 use super::{End, LineRow, Met, State};
-use mintshelf_balancer::api::{Action, EndpointState, Event, ListKind, ListedServer, Outcome};
+use mintshelf_balancer::api::{
+    Action, AttemptNumber, ClassId, EndpointState, Event, ListKind, ListedServer, Outcome, TenantId,
+};
 use mintshelf_balancer::decide::{Balancer, Candidates, ServerOrder};
 use mintshelf_balancer::settings::parse_settings;
 use mintshelf_time::Nanos;
@@ -66,7 +68,8 @@
 
     fn request(&mut self, id: &str, class: usize, patience: u64) {
         let (key, cost_hint) = (None, None);
-        let (id, class, tenant, repeat) = (id.into(), class as u32, 0, false);
+        let class = ClassId::from_index(class);
+        let (id, tenant, repeat) = (id.into(), TenantId::default(), false);
         self.feed(Event::Request {
             id,
             class,
@@ -87,7 +90,7 @@
             Some(Met::Reset | Met::Spoilt) => Outcome::Reset,
             Some(Met::Silence) => Outcome::TimedOut,
         };
-        let (id, attempt) = (ended.id.into(), ended.attempt as u32);
+        let (id, attempt) = (ended.id.into(), AttemptNumber::from_index(ended.attempt));
         let (server, took, report) = (ended.server as u32, ended.took, None);
         let finished = ended.met.is_none();
         self.feed(Event::AttemptEnded { id, attempt, outcome, finished, took, server, report });
--- a/crates/proxy/src/cluster/attempt.rs
+++ b/crates/proxy/src/cluster/attempt.rs
@@ -15,7 +15,7 @@
     AttemptResult, UpgradedConnection, UpstreamBody, UpstreamResponse,
 };
 use hyper::Request;
-use mintshelf_balancer::api::{Event, Outcome, RequestId, ServerId};
+use mintshelf_balancer::api::{AttemptNumber, ClassId, Event, Outcome, RequestId, ServerId};
 use mintshelf_retry::attempts::{RetryConditions, TimeoutAction};
 use mintshelf_time::Nanos;
 use std::rc::Rc;
@@ -69,7 +69,7 @@
     /// When a further attempt of an idempotent request has to be with a server at the latest. The
     /// module decides when it starts; its connection and its writing take time.
     fn send_by(&self, request: &PendingRequest) -> Option<Nanos> {
-        let window = self.classes.get(request.class)?.window()?;
+        let window = self.classes.get(request.class.index())?.window()?;
         Some(request.ran_at()?.saturating_add(window))
     }
 
@@ -78,7 +78,7 @@
         self: &Rc<Self>,
         request: &PendingRequest,
         id: &RequestId,
-        number: u32,
+        number: AttemptNumber,
     ) -> Request<RequestBody> {
         let message = request.request.request.clone();
         if let RequestBody::Streamed(body) = message.body() {
@@ -98,7 +98,7 @@
     fn timeouts(
         &self,
         request: &PendingRequest,
-        number: u32,
+        number: AttemptNumber,
         now: Nanos,
     ) -> Option<AttemptTimeouts> {
         if matches!(request.request.request.body(), RequestBody::Streamed(_)) {
@@ -107,7 +107,7 @@
         self.retries.timeouts(request.class, number, now)
     }
 
-    fn deadlines(&self, class: usize, end_at: Nanos, send_by: Option<Nanos>) -> AttemptDeadlines {
+    fn deadlines(&self, class: ClassId, end_at: Nanos, send_by: Option<Nanos>) -> AttemptDeadlines {
         let bounds = self.retries.connection_bounds(class);
         AttemptDeadlines {
             end: self.clock.instant(end_at),
@@ -118,7 +118,7 @@
     }
 
     /// Whether an attempt whose own timeout has passed is to end now; else when to look again.
-    fn on_timeout(&self, class: usize, timeout_ns: Nanos) -> TimeoutAction {
+    fn on_timeout(&self, class: ClassId, timeout_ns: Nanos) -> TimeoutAction {
         let conditions = RetryConditions {
             has_budget: self.state.borrow().balancer.can_retry(),
             has_other_endpoint: self.source.endpoints.len() > 1,
@@ -127,7 +127,7 @@
     }
 
     /// Asks the module for a hedge of a request, if their share allows one.
-    fn request_hedge(self: &Rc<Self>, class: usize, id: &RequestId) {
+    fn request_hedge(self: &Rc<Self>, class: ClassId, id: &RequestId) {
         if self.retries.try_hedge(class) {
             self.post(Event::HedgeRequested { id: id.clone() });
         }
@@ -138,8 +138,8 @@
 struct AttemptTask {
     runtime: Rc<ClusterRuntime>,
     id: RequestId,
-    number: u32,
-    class: usize,
+    number: AttemptNumber,
+    class: ClassId,
     /// What of its own time limits it.
     timeouts: Option<AttemptTimeouts>,
 }
--- a/crates/proxy/src/cluster/attempt_observer.rs
+++ b/crates/proxy/src/cluster/attempt_observer.rs
@@ -5,7 +5,7 @@
 use crate::clock::Clock;
 use crate::endpoints::Endpoints;
 use crate::request_log::RequestLog;
-use mintshelf_balancer::api::{Outcome, RequestId, ServerId};
+use mintshelf_balancer::api::{AttemptNumber, Outcome, RequestId, ServerId};
 use std::cell::RefCell;
 use tracing::{debug, Level};
 
@@ -41,14 +41,14 @@
     pub(crate) fn attempt_ended(
         &self,
         id: &RequestId,
-        number: u32,
+        number: AttemptNumber,
         outcome: Outcome,
         ended: &EndedAttempt,
         endpoints: &Endpoints,
     ) {
         debug!(
             request = %id,
-            attempt = number + 1,
+            attempt = number.get() + 1,
             server = ended.server,
             ?outcome,
             took_us = ended.took / 1_000,
@@ -64,7 +64,7 @@
 
     fn log_fault(
         &self,
-        number: u32,
+        number: AttemptNumber,
         outcome: Outcome,
         ended: &EndedAttempt,
         endpoints: &Endpoints,
@@ -82,7 +82,7 @@
         tracing::info!(
             %cluster,
             endpoint,
-            attempt = number + 1,
+            attempt = number.get() + 1,
             ?outcome,
             took_ms = ended.took / 1_000_000,
             omitted,
--- a/crates/proxy/src/cluster/pending_requests.rs
+++ b/crates/proxy/src/cluster/pending_requests.rs
@@ -5,7 +5,7 @@
 use crate::upstream::attempt_control::AttemptControl;
 use crate::upstream::response::UpstreamResponse;
 use hyper::header::HeaderValue;
-use mintshelf_balancer::api::{Class, Event, Outcome, RequestId, ServerId};
+use mintshelf_balancer::api::{AttemptNumber, Class, ClassId, Event, Outcome, RequestId, ServerId};
 use mintshelf_time::Nanos;
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
@@ -13,7 +13,7 @@
 /// A request from its last byte to its final response and its last attempt.
 pub(crate) struct PendingRequest {
     pub(crate) request: UpstreamRequest,
-    pub(crate) class: usize,
+    pub(crate) class: ClassId,
     /// A response that takes longer, counted from its attempt's start, is late; in nanoseconds.
     pub(crate) latency_objective: Nanos,
     pub(crate) deadline: Nanos,
@@ -28,7 +28,7 @@
 
 /// An attempt that was just added to its request.
 pub(crate) struct NewAttempt {
-    pub(crate) number: u32,
+    pub(crate) number: AttemptNumber,
     pub(crate) control: Rc<AttemptControl>,
     /// Whether another attempt is in flight at the same server.
     pub(crate) is_duplicate: bool,
@@ -38,7 +38,7 @@
     /// A request without attempts.
     pub(crate) fn new(
         request: UpstreamRequest,
-        class: usize,
+        class: ClassId,
         class_settings: Option<&Class>,
         deadline: Nanos,
         response: Rc<PendingResponse<RequestOutcome>>,
@@ -64,7 +64,7 @@
 
     /// Adds an attempt at `server`.
     pub(crate) fn add_attempt(&mut self, server: ServerId, now: Nanos) -> NewAttempt {
-        let number = self.attempts.len() as u32;
+        let number = AttemptNumber::from_index(self.attempts.len());
         let control = Rc::new(AttemptControl::new(self.request.client.clone()));
         let is_duplicate = self.in_flight().any(|attempt| attempt.server == server);
         self.attempts.push(Attempt {
@@ -105,7 +105,7 @@
 
 /// How an attempt ended.
 pub(crate) struct AttemptEnd {
-    pub(crate) number: u32,
+    pub(crate) number: AttemptNumber,
     pub(crate) outcome: Outcome,
     pub(crate) load_report: Option<Vec<f64>>,
     /// When the head of its response arrived, where that is not now.
@@ -114,14 +114,14 @@
 
 impl AttemptEnd {
     /// The end, now, of an attempt that brought no load report.
-    pub(crate) fn new(number: u32, outcome: Outcome) -> Self {
+    pub(crate) fn new(number: AttemptNumber, outcome: Outcome) -> Self {
         AttemptEnd { number, outcome, load_report: None, responded_at: None }
     }
 }
 
 /// An attempt whose end was recorded.
 pub(crate) struct EndedAttempt {
-    pub(crate) class: usize,
+    pub(crate) class: ClassId,
     pub(crate) server: ServerId,
     /// How long it took, in nanoseconds.
     pub(crate) took: Nanos,
@@ -134,7 +134,7 @@
 /// A request that still waits for its response.
 pub(crate) struct WaitingRequest {
     pub(crate) id: RequestId,
-    pub(crate) class: usize,
+    pub(crate) class: ClassId,
     pub(crate) ran_at: Option<Nanos>,
 }
 
@@ -240,7 +240,7 @@
         now: Nanos,
     ) -> Option<EndedAttempt> {
         let request = self.by_id.get_mut(id)?;
-        let attempt = request.attempts.get_mut(end.number as usize)?;
+        let attempt = request.attempts.get_mut(end.number.index())?;
         if !attempt.is_in_flight() {
             return None;
         }
--- a/crates/proxy/src/cluster/request.rs
+++ b/crates/proxy/src/cluster/request.rs
@@ -5,6 +5,7 @@
 use crate::upstream::response::UpstreamResponse;
 use hyper::header::HeaderValue;
 use hyper::Request;
+use mintshelf_balancer::api::{ClassId, TenantId};
 use mintshelf_time::Nanos;
 use std::rc::Rc;
 use tokio::sync::OwnedSemaphorePermit;
@@ -33,9 +34,9 @@
 /// What the decision module learns of a request.
 pub struct RequestMetadata {
     /// Its class.
-    pub class: u32,
+    pub class: ClassId,
     /// Its tenant.
-    pub tenant: u32,
+    pub tenant: TenantId,
     /// What it concerns.
     pub key: Option<u64>,
     /// Expected work in nanoseconds, if known.
--- a/crates/proxy/src/cluster/retry_trackers.rs
+++ b/crates/proxy/src/cluster/retry_trackers.rs
@@ -1,6 +1,7 @@
 //! What the attempts of each class may do: their timeouts, hedges and connections.
 
 use super::attempt_timeouts::AttemptTimeouts;
+use mintshelf_balancer::api::{AttemptNumber, ClassId};
 use mintshelf_retry::attempts::{AttemptCounts, AttemptTracker, RetryConditions, TimeoutAction};
 use mintshelf_retry::policy::RetryPolicy;
 use mintshelf_time::Nanos;
@@ -25,9 +26,13 @@
         RetryTrackers(policies.into_iter().map(tracker).collect())
     }
 
+    fn tracker(&self, class: ClassId) -> Option<&RefCell<AttemptTracker>> {
+        self.0.get(class.index())
+    }
+
     /// Counts a request.
-    pub(crate) fn begin(&self, class: usize) {
-        if let Some(tracker) = self.0.get(class) {
+    pub(crate) fn begin(&self, class: ClassId) {
+        if let Some(tracker) = self.tracker(class) {
             tracker.borrow_mut().record_request();
         }
     }
@@ -35,20 +40,20 @@
     /// What limits an attempt beside its request's deadline; none where nothing does.
     pub(crate) fn timeouts(
         &self,
-        class: usize,
-        number: u32,
+        class: ClassId,
+        number: AttemptNumber,
         now: Nanos,
     ) -> Option<AttemptTimeouts> {
-        let mut tracker = self.0.get(class)?.borrow_mut();
-        let hedge_after_ns = tracker.hedge_delay(now).filter(|_| number == 0);
-        let timeout_ns = tracker.attempt_timeout(now, number);
+        let mut tracker = self.tracker(class)?.borrow_mut();
+        let hedge_after_ns = tracker.hedge_delay(now).filter(|_| number.index() == 0);
+        let timeout_ns = tracker.attempt_timeout(now, number.get());
         let is_limited = timeout_ns.is_some() || hedge_after_ns.is_some();
         is_limited.then_some(AttemptTimeouts { timeout_ns, hedge_after_ns })
     }
 
     /// What bounds the connections of a class's attempts.
-    pub(crate) fn connection_bounds(&self, class: usize) -> Option<ClassConnectionBounds> {
-        let tracker = self.0.get(class)?.borrow();
+    pub(crate) fn connection_bounds(&self, class: ClassId) -> Option<ClassConnectionBounds> {
+        let tracker = self.tracker(class)?.borrow();
         let policy = tracker.policy();
         Some(ClassConnectionBounds {
             connect_timeout: Duration::from_nanos(policy.connect_timeout),
@@ -59,30 +64,30 @@
     /// What becomes of an attempt whose own timeout has passed.
     pub(crate) fn on_timeout(
         &self,
-        class: usize,
+        class: ClassId,
         now: Nanos,
         timeout_ns: Nanos,
         conditions: RetryConditions,
     ) -> TimeoutAction {
-        let Some(tracker) = self.0.get(class) else { return TimeoutAction::Cancel };
+        let Some(tracker) = self.tracker(class) else { return TimeoutAction::Cancel };
         tracker.borrow_mut().on_timeout(now, timeout_ns, conditions)
     }
 
     /// Whether a hedge may be sent now; it counts as sent then.
-    pub(crate) fn try_hedge(&self, class: usize) -> bool {
-        self.0.get(class).is_some_and(|tracker| tracker.borrow_mut().try_hedge())
+    pub(crate) fn try_hedge(&self, class: ClassId) -> bool {
+        self.tracker(class).is_some_and(|tracker| tracker.borrow_mut().try_hedge())
     }
 
     /// Records how long a server took to respond, in nanoseconds.
-    pub(crate) fn responded(&self, class: usize, now: Nanos, took: Nanos) {
-        if let Some(tracker) = self.0.get(class) {
+    pub(crate) fn responded(&self, class: ClassId, now: Nanos, took: Nanos) {
+        if let Some(tracker) = self.tracker(class) {
             tracker.borrow_mut().record_response(now, took);
         }
     }
 
     /// The median latency of a class in nanoseconds; 0 while it is unknown.
-    pub(crate) fn median_latency(&self, class: usize, now: Nanos) -> Nanos {
-        self.0.get(class).map_or(0, |tracker| tracker.borrow_mut().median_latency(now))
+    pub(crate) fn median_latency(&self, class: ClassId, now: Nanos) -> Nanos {
+        self.tracker(class).map_or(0, |tracker| tracker.borrow_mut().median_latency(now))
     }
 
     pub(crate) fn counts(&self) -> AttemptCounts {
--- a/crates/proxy/src/cluster/runtime.rs
+++ b/crates/proxy/src/cluster/runtime.rs
@@ -17,8 +17,8 @@
 use crate::endpoints::{Endpoint, EndpointListObserver};
 use crate::upstream::pool::{ConnectionPool, Upstream, UpstreamSettings};
 use mintshelf_balancer::api::{
-    Action, Class, EndpointState, Event, ListKind, ListedServer, Outcome, ReportMode, RequestId,
-    ServerId, Settings,
+    Action, AttemptNumber, Class, ClassId, EndpointState, Event, ListKind, ListedServer, Outcome,
+    ReportMode, RequestId, ServerId, Settings,
 };
 use mintshelf_balancer::decide::Balancer;
 use mintshelf_retry::attempts::AttemptCounts;
@@ -183,8 +183,8 @@
     }
 
     /// The median latency of a class in nanoseconds; 0 while it is unknown.
-    pub fn median_latency(&self, class: u32) -> Nanos {
-        self.retries.median_latency(class as usize, self.clock.now())
+    pub fn median_latency(&self, class: ClassId) -> Nanos {
+        self.retries.median_latency(class, self.clock.now())
     }
 
     /// Attempts that were ended for their own timeout, and hedges, so far.
@@ -193,8 +193,8 @@
     }
 
     /// When a client whose request has not been sent may retry, in nanoseconds.
-    pub fn retry_after(&self, class: u32) -> Nanos {
-        let class = self.classes.get(class as usize);
+    pub fn retry_after(&self, class: ClassId) -> Nanos {
+        let class = self.classes.get(class.index());
         let recovery = self.recovery.as_ref();
         let retry_after =
             recovery.and_then(|recovery| recovery.retry_after(self.clock.now(), class, None));
@@ -329,9 +329,9 @@
     }
 }
 
-fn cancel_attempt(state: &RuntimeState, id: &RequestId, number: u32) {
+fn cancel_attempt(state: &RuntimeState, id: &RequestId, number: AttemptNumber) {
     let request = state.requests.get(id);
-    if let Some(attempt) = request.and_then(|request| request.attempts.get(number as usize)) {
+    if let Some(attempt) = request.and_then(|request| request.attempts.get(number.index())) {
         attempt.control.cancel();
     }
 }
--- a/crates/proxy/src/cluster/serve.rs
+++ b/crates/proxy/src/cluster/serve.rs
@@ -30,7 +30,7 @@
             return Some(RequestOutcome::Paced(self.retry_after(class)));
         }
         let outcome = self.balance(now, metadata, request).await?;
-        Some(recovery.request_ended(self.clock.now(), self.classes.get(class as usize), outcome))
+        Some(recovery.request_ended(self.clock.now(), self.classes.get(class.index()), outcome))
     }
 
     async fn balance(
@@ -65,10 +65,10 @@
         if !state.requests.reserve_transaction_id(&request) {
             return None;
         }
-        let class = metadata.class as usize;
+        let class = metadata.class;
         let deadline = now.saturating_add(metadata.client_timeout);
         self.retries.begin(class);
-        let settings = self.classes.get(class);
+        let settings = self.classes.get(class.index());
         let pending = PendingRequest::new(request, class, settings, deadline, response);
         let id = state.requests.insert(pending);
         trace::request_began(&id, &state.requests, Duration::from_nanos(metadata.client_timeout));
--- a/crates/proxy/src/cluster/state.rs
+++ b/crates/proxy/src/cluster/state.rs
@@ -40,7 +40,7 @@
     /// `retry_after` nanoseconds later.
     pub(crate) fn conclude_all(&mut self, classes: &[Class], retry_after: Nanos) {
         for request in self.requests.waiting() {
-            let class = classes.get(request.class);
+            let class = classes.get(request.class.index());
             let effect = class.map_or(Effect::Unsafe, |class| class.effect);
             let ran_at = request.ran_at;
             let outcome = match ShutdownDeadlines::final_response(effect, ran_at.is_some()) {
--- a/crates/proxy/src/cluster/trace.rs
+++ b/crates/proxy/src/cluster/trace.rs
@@ -7,7 +7,7 @@
 use super::request::RequestOutcome;
 use hyper::header::HeaderValue;
 use mintshelf_balancer::api::{
-    EndReason, EndpointState, ListKind, ListedServer, RequestId, ServerId,
+    AttemptNumber, EndReason, EndpointState, ListKind, ListedServer, RequestId, ServerId,
 };
 use mintshelf_balancer::decide::Balancer;
 use std::net::SocketAddr;
@@ -36,7 +36,7 @@
     debug!(
         request = %id,
         transaction = transaction_id(request),
-        class = request.class,
+        class = request.class.get(),
         timeout_ms = timeout.as_millis() as u64,
         "request began"
     );
@@ -57,11 +57,11 @@
 /// An attempt was begun, or found nowhere to go.
 pub(super) fn attempt_began(
     id: &RequestId,
-    number: u32,
+    number: AttemptNumber,
     server: ServerId,
     address: Option<SocketAddr>,
 ) {
-    debug!(request = %id, attempt = number + 1, server, ?address, "attempt began");
+    debug!(request = %id, attempt = number.get() + 1, server, ?address, "attempt began");
 }
 
 /// The name of an outcome in events.
--- a/crates/proxy/src/gateway/classify.rs
+++ b/crates/proxy/src/gateway/classify.rs
@@ -7,7 +7,7 @@
 use hyper::body::Incoming;
 use hyper::header::{self, HeaderMap};
 use hyper::{Method, Request, StatusCode, Version};
-use mintshelf_balancer::api::Effect;
+use mintshelf_balancer::api::{ClassId, Effect};
 use mintshelf_config::model::{Forward, Route, RouteAction, Sticky};
 use mintshelf_routing::path::has_dot_segments;
 use mintshelf_routing::RequestView;
@@ -100,7 +100,7 @@
     pub(crate) cluster: &'a Rc<ClusterHandle>,
     pub(crate) effect: Effect,
     /// The decision module's class.
-    pub(crate) class: u32,
+    pub(crate) class: ClassId,
     pub(crate) priority_weight: f64,
     pub(crate) client_timeout: Nanos,
     pub(crate) is_repeat: bool,
--- a/crates/proxy/src/gateway/dispatch.rs
+++ b/crates/proxy/src/gateway/dispatch.rs
@@ -4,13 +4,14 @@
 use super::config::{ClusterHandle, ServingConfig};
 use super::rejection::Rejection;
 use crate::cluster::request::{RequestMetadata, RequestOutcome, UpstreamRequest};
+use mintshelf_balancer::api::{ClassId, TenantId};
 use mintshelf_time::Nanos;
 use std::rc::Rc;
 
 /// What a request asks of a cluster.
 pub(crate) struct DispatchOptions {
     /// The module's class.
-    pub(crate) class: u32,
+    pub(crate) class: ClassId,
     /// Its weight where the queue of its cluster is full.
     pub(crate) priority_weight: f64,
     /// Whether its client has sent it before.
@@ -60,8 +61,14 @@
         permit = admitted.permit;
         client_timeout = admitted.remaining_timeout;
     }
-    let metadata =
-        RequestMetadata { class, tenant: 0, key: None, cost_hint: None, is_repeat, client_timeout };
+    let metadata = RequestMetadata {
+        class,
+        tenant: TenantId::default(),
+        key: None,
+        cost_hint: None,
+        is_repeat,
+        client_timeout,
+    };
     let outcome = cluster.runtime.serve(metadata, request).await;
     Ok(Dispatched { outcome, permit })
 }
--- a/crates/proxy/src/platform/metadata.rs
+++ b/crates/proxy/src/platform/metadata.rs
@@ -4,7 +4,7 @@
 use crate::cluster::request::RequestMetadata;
 use crate::headers::{cookie_pairs, text};
 use hyper::header::HeaderMap;
-use mintshelf_balancer::api::Settings;
+use mintshelf_balancer::api::{ClassId, Settings, TenantId};
 use mintshelf_config::platform::Names;
 use mintshelf_time::{as_float, from_float, Nanos, MICROSECOND, MILLISECOND};
 use std::str::FromStr;
@@ -50,8 +50,8 @@
     check_labels(headers)?;
     let key = cookie_pairs(headers).find_map(|pair| pair.strip_prefix(KEY_COOKIE));
     Ok(RequestMetadata {
-        class: class as u32,
-        tenant: tenant as u32,
+        class: ClassId::from_index(class),
+        tenant: TenantId::from_index(tenant),
         key: key.and_then(|key| u64::from_str_radix(key, 16).ok()),
         cost_hint,
         is_repeat: text(headers, REPEAT) == Some("1"),
--- a/crates/proxy/src/websocket/upgrade.rs
+++ b/crates/proxy/src/websocket/upgrade.rs
@@ -14,6 +14,7 @@
 use hyper::http::request::Parts;
 use hyper::Request;
 use mintshelf_admission::slots::SlotOwner;
+use mintshelf_balancer::api::ClassId;
 use mintshelf_config::model::WebSocket;
 use mintshelf_time::SECOND;
 use mintshelf_websocket::handshake::ClientHandshake;
@@ -79,7 +80,7 @@
         self,
         handler: &Rc<C>,
         runtime: &Rc<ClusterRuntime>,
-        class: u32,
+        class: ClassId,
         target: ReconnectTarget,
         server: Box<UpgradedConnection>,
     ) -> Upgrade {
--- a/crates/simulator-adapter/src/wire/event.rs
+++ b/crates/simulator-adapter/src/wire/event.rs
@@ -2,7 +2,9 @@
 
 use super::fields::Fields;
 use super::{Problem, WireError};
-use mintshelf_balancer::api::{EndpointState, Event, ListKind, Outcome, ServerId};
+use mintshelf_balancer::api::{
+    AttemptNumber, ClassId, EndpointState, Event, ListKind, Outcome, ServerId, TenantId,
+};
 use mintshelf_time::Nanos;
 
 const OUTCOMES: &[(&str, Outcome)] = &[
@@ -40,7 +42,7 @@
         "resolved" => Event::AttemptEnded {
             id: fields.word("op-id")?.into(),
             outcome: fields.choice("verdict", OUTCOMES)?,
-            attempt: fields.number("leg")?,
+            attempt: AttemptNumber::new(fields.number("leg")?),
             finished: fields.choice("complete", BOOLEANS)?,
             took: fields.number_or("took", 0)?,
             server: fields.number("server")?,
@@ -63,10 +65,10 @@
 
 fn read_request(fields: &mut Fields) -> Result<Event, WireError> {
     let id = fields.word("op-id")?.into();
-    let class = fields.number("grade")?;
+    let class = ClassId::new(fields.number("grade")?);
     let key = fields.key("subject")?;
     let cost: Nanos = fields.number_or("cost", 0)?;
-    let tenant = fields.number_or("org", 0)?;
+    let tenant = TenantId::new(fields.number_or("org", 0)?);
     let attributes: u32 = fields.number_or("attrs", 0)?;
     Ok(Event::Request {
         id,
@@ -83,5 +85,5 @@
     let id = fields.word("op-id")?.into();
     let _server: ServerId = fields.number("server")?;
     let _took: Nanos = fields.number("took")?;
-    Ok(Event::StreamStarted { id, attempt: fields.number("leg")? })
+    Ok(Event::StreamStarted { id, attempt: AttemptNumber::new(fields.number("leg")?) })
 }
