--- a/crates/consensus/benches/leases.rs
+++ b/crates/consensus/benches/leases.rs
@@ -1,6 +1,6 @@
 //! What leases cost and how long a crash is felt, in virtual time and on this machine's cores.
 //! `cargo bench -p mintshelf-consensus --bench leases` prints the tables of
-//! `docs/fleet-design.md`.
+//! `docs/design/fleet.md`.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -3,7 +3,7 @@
 //! The `raft` crate is driven from outside. No I/O and no clock: time is an argument, messages
 //! and writes are handed out, and the driver of a [`replica::Replica`] sends and stores them.
 //!
-//! `docs/fleet-design.md` has the reasons and the alternatives.
+//! `docs/design/fleet.md` has the reasons and the alternatives.
 //!
 //! A fleet of one replica elects itself:
 //!
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -13,7 +13,7 @@
 //! - each grant has a fencing token that only grows; the protected resource rejects lower ones
 //!   ([`fence::Fence`]).
 //!
-//! `docs/fleet-design.md` has the reasons and the alternatives.
+//! `docs/design/fleet.md` has the reasons and the alternatives.
 //!
 //! ```
 //! use mintshelf_lease::command::{Command, Owner, Response};
--- a/crates/quota/benches/quota.rs
+++ b/crates/quota/benches/quota.rs
@@ -1,7 +1,7 @@
 //! What allocation brings and costs, in virtual time: links of 5 ms, a batch each 100 ms, an entry
 //! committed in 15 ms, grants of 2 s. The demand is at one member, then moves to another. CPU is
 //! that of this process. `cargo bench -p mintshelf-quota` prints the tables of
-//! `docs/quota-design.md`.
+//! `docs/design/quota.md`.
 
 use mintshelf_lease::command::Owner;
 use mintshelf_lease::timing::{ClockError, Nanos, MS, SECOND};
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -19,7 +19,7 @@
 //! Requests of clients never wait for it: whoever admits them reads
 //! [`client::QuotaClient::limit`], or a [`token_bucket::TokenBucket`] that follows it.
 //!
-//! `docs/quota-design.md` has the reasons, the alternatives and what is proved.
+//! `docs/design/quota.md` has the reasons, the alternatives and what is proved.
 //!
 //! ```
 //! use mintshelf_lease::command::Owner;
