--- a/crates/balancer/tests/decision_digests/deployments.rs
+++ b/crates/balancer/tests/decision_digests/deployments.rs
@@ -1,10 +1,11 @@
 //! Settings of an instance by seed: every mode, in many combinations.
 
-use crate::common::{self, MS, SECOND};
+use crate::common;
 use crate::numbers::Numbers;
 use mintshelf_balancer::api::{
-    Backoff, Nanos, Objective, Prices, ReportField, ReportMode, Settings, SizeKind, Tenant,
+    Backoff, Objective, Prices, ReportField, ReportMode, Settings, SizeKind, Tenant,
 };
+use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 
 /// Values of a load report in the order of some deployment.
 const REPORT_FIELDS: &[&[ReportField]] = &[
@@ -85,13 +86,13 @@
 fn vary_classes(numbers: &mut Numbers, settings: &mut Settings) {
     let has_backoff = numbers.once_in(3);
     for class in &mut settings.classes {
-        class.latency_objective = numbers.pick(&[60 * MS, 400 * MS, 2 * SECOND]);
-        class.dedup_window = numbers.pick(&[50 * MS, 5 * SECOND]);
+        class.latency_objective = numbers.pick(&[60 * MILLISECOND, 400 * MILLISECOND, 2 * SECOND]);
+        class.dedup_window = numbers.pick(&[50 * MILLISECOND, 5 * SECOND]);
         class.priority_weight = numbers.pick(&[0.5, 1.0, 8.0]);
         class.late_weight = numbers.pick(&[0.0, 0.5]);
         class.max_attempts = numbers.pick(&[2, 6]);
         if has_backoff {
-            class.backoff = Backoff { initial: 10 * MS, max: 80 * MS };
+            class.backoff = Backoff { initial: 10 * MILLISECOND, max: 80 * MILLISECOND };
         }
     }
 }
--- a/crates/balancer/tests/decision_digests/encoding.rs
+++ b/crates/balancer/tests/decision_digests/encoding.rs
@@ -14,7 +14,7 @@
         Action::Cancel { id, attempt } => {
             bytes.push(2);
             encode_text(bytes, id);
-            bytes.extend(u64::from(*attempt).to_le_bytes());
+            bytes.extend(u64::from(attempt.get()).to_le_bytes());
         }
         Action::Reject { id, retry_after, reason } => {
             bytes.push(3);
--- a/crates/balancer/tests/decision_digests/world.rs
+++ b/crates/balancer/tests/decision_digests/world.rs
@@ -1,15 +1,15 @@
 //! The generated surroundings of one instance: clients, servers, discovery and peers.
 
-use crate::common::{MS, SECOND};
 use crate::coverage::Coverage;
 use crate::deployments;
 use crate::encoding::{encode, encode_numbers};
 use crate::numbers::Numbers;
 use mintshelf_balancer::api::{
-    Action, EndpointState, Event, ListKind, ListedServer, Nanos, Outcome, RequestId, ServerId,
-    Settings,
+    Action, AttemptNumber, ClassId, EndpointState, Event, ListKind, ListedServer, Outcome,
+    RequestId, ServerId, Settings, TenantId,
 };
 use mintshelf_balancer::decide::Balancer;
+use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 
 /// Steps after which servers are overloaded, or no longer so.
 const PHASE_STEPS: u64 = 45;
@@ -97,7 +97,7 @@
         self.is_overloaded = step / PHASE_STEPS % 3 == 1;
         self.now += match self.numbers.below(100) {
             0 => self.numbers.below(60) * SECOND,
-            1..=4 => self.numbers.below(400) * MS,
+            1..=4 => self.numbers.below(400) * MILLISECOND,
             _ => self.numbers.below(6_000_000),
         };
         self.fire_timers();
@@ -188,14 +188,14 @@
     /// Latency and outcome of an attempt at a server, by the server's nature.
     fn response(&mut self, server: ServerId) -> (Nanos, Outcome) {
         let load = if self.is_overloaded { 8 } else { 1 };
-        let latency = (3 + self.numbers.below(60)) * MS * load;
+        let latency = (3 + self.numbers.below(60)) * MILLISECOND * load;
         if self.is_overloaded && self.numbers.once_in(5) {
-            return (2 * MS, Outcome::Full);
+            return (2 * MILLISECOND, Outcome::Full);
         }
         match server % 7 {
             0 if self.numbers.below(3) > 0 => {
                 let failures = [Outcome::Error, Outcome::Reset, Outcome::ConnectFailed];
-                (5 * MS, self.numbers.pick(&failures))
+                (5 * MILLISECOND, self.numbers.pick(&failures))
             }
             1 if self.numbers.once_in(2) => (3_600 * SECOND, Outcome::Ok),
             2 => (latency * 10, Outcome::Ok),
@@ -231,7 +231,7 @@
             let is_failed = self.numbers.once_in(10);
             let outcome = if is_failed { self.numbers.pick(&failed) } else { Outcome::Ok };
             let report = (!is_failed).then(|| self.load_report());
-            self.handle(Event::Probed { server, outcome, took: 2 * MS, report });
+            self.handle(Event::Probed { server, outcome, took: 2 * MILLISECOND, report });
         }
     }
 
@@ -265,7 +265,7 @@
         }
         self.handle(Event::AttemptEnded {
             id: attempt.id.clone(),
-            attempt: attempt.number,
+            attempt: AttemptNumber::new(attempt.number),
             outcome: attempt.outcome,
             finished,
             took: self.now - attempt.sent_at,
@@ -281,12 +281,21 @@
         self.next_request += u64::from(!self.numbers.once_in(60));
         let class = self.numbers.below(classes) as u32;
         let class = if self.numbers.once_in(80) { classes as u32 } else { class };
-        let cost = [None, None, None, Some(0), Some(MS), Some(40 * MS), Some(20 * SECOND)];
-        let timeouts = [0, 30 * MS, 300 * MS, 2 * SECOND, 2 * SECOND, 10 * SECOND];
+        let cost = [
+            None,
+            None,
+            None,
+            Some(0),
+            Some(MILLISECOND),
+            Some(40 * MILLISECOND),
+            Some(20 * SECOND),
+        ];
+        let timeouts =
+            [0, 30 * MILLISECOND, 300 * MILLISECOND, 2 * SECOND, 2 * SECOND, 10 * SECOND];
         let event = Event::Request {
             id: id.clone(),
-            class,
-            tenant: self.numbers.below(5) as u32,
+            class: ClassId::new(class),
+            tenant: TenantId::new(self.numbers.below(5) as u32),
             key: None,
             cost_hint: self.numbers.pick(&cost),
             repeat: self.numbers.once_in(10),
@@ -305,7 +314,7 @@
         let number = if self.numbers.once_in(4) { number } else { recent };
         let id: RequestId = format!("r{number}").into();
         match self.numbers.below(30) {
-            0 => self.handle(Event::StreamStarted { id, attempt: 0 }),
+            0 => self.handle(Event::StreamStarted { id, attempt: AttemptNumber::default() }),
             1..=4 => self.handle(Event::HedgeRequested { id }),
             5 => {
                 self.forget(&id);
--- a/crates/mintshelf/tests/compatibility/bindings.rs
+++ b/crates/mintshelf/tests/compatibility/bindings.rs
@@ -3,7 +3,7 @@
 //! A renaming changes names here and nowhere else. Labels are fixed: fixtures refer to them.
 
 use super::fixtures::hex;
-use mintshelf_balancer::api::{Action, EndReason, EndpointState};
+use mintshelf_balancer::api::{Action, AttemptNumber, EndReason, EndpointState};
 use mintshelf_balancer::gossip::{GossipMessage, ServerObservation};
 use mintshelf_config::platform::{Names, PlatformConfig};
 use mintshelf_consensus::persistent_state::PersistentState;
@@ -27,6 +27,7 @@
 use mintshelf_quota::state_machine::{self as quota_commands, QuotaRejection, QuotaStateMachine};
 use mintshelf_simulator_adapter::host::Host;
 use mintshelf_simulator_adapter::wire::write_action;
+use mintshelf_time::{MILLISECOND, SECOND};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::fmt::Debug;
@@ -38,8 +39,6 @@
     wait_until, Daemon, Peer, Server, Sidecar, TEST_TIMEOUT as LONG,
 };
 
-const MILLISECOND: u64 = 1_000_000;
-const SECOND: u64 = 1_000 * MILLISECOND;
 const DAY: u64 = 86_400 * SECOND;
 /// The token that the replica of the store fixture grants next.
 const NEXT_TOKEN: u64 = 7;
@@ -292,7 +291,7 @@
     let reason = EndReason::Overload;
     let actions = [
         ("send", Action::Send { id: "t/a".into(), server: 51, timeout_at: 900 }),
-        ("cancel", Action::Cancel { id: "t/a".into(), attempt: 2 }),
+        ("cancel", Action::Cancel { id: "t/a".into(), attempt: AttemptNumber::new(2) }),
         ("refuse", Action::Reject { id: "t/a".into(), retry_after: 700, reason }),
         ("fail", Action::Fail { id: "t/a".into(), reason }),
         ("set a timer", Action::SetTimer { after: 600, token: 4 }),
