--- a/crates/balancer/examples/choose.rs
+++ b/crates/balancer/examples/choose.rs
@@ -29,8 +29,8 @@
         class: ClassId::default(),
         tenant: TenantId::default(),
         key: None,
-        cost_hint: None,
-        repeat: false,
+        cost_estimate: None,
+        is_client_retry: false,
         client_timeout: 1_000_000_000,
     };
     balancer.handle(1_000_000, request, &mut actions);
--- a/crates/balancer/src/api/action.rs
+++ b/crates/balancer/src/api/action.rs
@@ -83,11 +83,10 @@
         /// An encoded [`GossipMessage`](crate::gossip::GossipMessage) of at most 256 bytes.
         payload: Vec<u8>,
     },
-    /// Start or end a watch on discovery.
-    Watch {
-        /// Whether to start one.
-        on: bool,
-    },
+    /// Start a watch on discovery.
+    StartWatch,
+    /// Stop the watch on discovery.
+    StopWatch,
     /// Fetch the complete list from discovery.
     FetchServers,
     /// Write a log line for the operators.
--- a/crates/balancer/src/api/class.rs
+++ b/crates/balancer/src/api/class.rs
@@ -20,8 +20,8 @@
     All,
     /// Servers of one zone.
     Zone,
-    /// Servers of one cell.
-    Cell,
+    /// Servers of one failure domain.
+    FailureDomain,
 }
 
 /// A class of requests.
--- a/crates/balancer/src/api/endpoint.rs
+++ b/crates/balancer/src/api/endpoint.rs
@@ -22,10 +22,10 @@
     pub id: ServerId,
     /// Its zone.
     pub zone: u32,
-    /// Its kind of machine.
-    pub kind: u32,
-    /// Its cell.
-    pub cell: u32,
+    /// Its hardware model, below [`Settings::hardware_models`](super::Settings::hardware_models).
+    pub hardware_model: u32,
+    /// The failure domain that it shares with other servers.
+    pub failure_domain: u32,
     /// Whether it takes traffic.
     pub state: EndpointState,
     /// Relative size; what it means is in [`Settings::size_kind`](super::Settings::size_kind).
--- a/crates/balancer/src/api/event.rs
+++ b/crates/balancer/src/api/event.rs
@@ -71,10 +71,10 @@
         tenant: TenantId,
         /// Hash of the object that it concerns.
         key: Option<u64>,
-        /// Expected work in core time, if known.
-        cost_hint: Option<Nanos>,
-        /// Marked by the client as a repeat.
-        repeat: bool,
+        /// Expected work in nanoseconds of one core, if the client states it.
+        cost_estimate: Option<Nanos>,
+        /// Whether the client has sent the request before and retries it.
+        is_client_retry: bool,
         /// How long the client waits for a response to this request.
         client_timeout: Nanos,
     },
@@ -100,9 +100,9 @@
         /// How it ended.
         outcome: Outcome,
         /// Whether the request has ended with it.
-        finished: bool,
+        is_request_finished: bool,
         /// Time since the attempt was sent.
-        took: Nanos,
+        elapsed: Nanos,
         /// The server it went to.
         server: ServerId,
         /// A load report, in the order of the settings.
@@ -124,8 +124,8 @@
         server: ServerId,
         /// How it ended.
         outcome: Outcome,
-        /// Time since it was sent.
-        took: Nanos,
+        /// Time since the probe was sent.
+        elapsed: Nanos,
         /// A load report, in the order of the settings.
         report: Option<Vec<f64>>,
     },
--- a/crates/balancer/src/api/settings.rs
+++ b/crates/balancer/src/api/settings.rs
@@ -68,8 +68,8 @@
     pub zone: u32,
     /// How many zones there are.
     pub zones: u32,
-    /// How many kinds of machine there are.
-    pub kinds: u32,
+    /// How many hardware models there are.
+    pub hardware_models: u32,
     /// The request classes.
     pub classes: Vec<Class>,
     /// The tenants, if any.
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -124,12 +124,20 @@
         match event {
             Event::Servers { kind, entries, .. } => self.on_list(kind, &entries),
             Event::DiscoveryAddressChanged => self.on_discovery_address_changed(),
-            Event::Request { id, class, tenant, client_timeout, repeat, cost_hint, .. } => {
+            Event::Request {
+                id,
+                class,
+                tenant,
+                client_timeout,
+                is_client_retry,
+                cost_estimate,
+                ..
+            } => {
                 let request = Request {
                     class: class.index(),
                     tenant: tenant.index(),
-                    log_work: cost_hint.filter(|cost| *cost > 0).map(|cost| (cost as f64).ln()),
-                    is_repeat: repeat,
+                    log_work: cost_estimate.filter(|cost| *cost > 0).map(|cost| (cost as f64).ln()),
+                    is_repeat: is_client_retry,
                     arrived_at: self.now,
                     deadline: self.now.saturating_add(client_timeout),
                     ..Request::default()
@@ -139,8 +147,8 @@
             Event::StreamStarted { id, .. } => {
                 self.requests.entry(id).and_modify(|request| request.is_streaming = true);
             }
-            Event::AttemptEnded { id, attempt, outcome, finished, took, .. } => {
-                let end = AttemptEnd { outcome, is_request_finished: finished, elapsed: took };
+            Event::AttemptEnded { id, attempt, outcome, is_request_finished, elapsed, .. } => {
+                let end = AttemptEnd { outcome, is_request_finished, elapsed };
                 self.on_attempt_ended(&id, attempt.index(), end);
             }
             Event::HedgeRequested { id } => self.on_hedge_requested(&id),
@@ -165,7 +173,8 @@
 
     /// Kind of machine of a server, as an index into the latency model.
     pub(crate) fn kind_of(&self, index: usize) -> usize {
-        (self.servers[index].listed.kind).min(self.settings.kinds.max(1) - 1) as usize
+        (self.servers[index].listed.hardware_model).min(self.settings.hardware_models.max(1) - 1)
+            as usize
     }
 
     /// Sets a timer that belongs to no request.
--- a/crates/balancer/src/decide/candidates.rs
+++ b/crates/balancer/src/decide/candidates.rs
@@ -30,7 +30,7 @@
 enum RetryGroup {
     All,
     Zone(u32),
-    Cell(u32),
+    FailureDomain(u32),
     /// Those of a server that is not known any more: none.
     Unknown,
 }
@@ -40,7 +40,7 @@
         match self {
             RetryGroup::All => true,
             RetryGroup::Zone(zone) => listed.zone == zone,
-            RetryGroup::Cell(cell) => listed.cell == cell,
+            RetryGroup::FailureDomain(cell) => listed.failure_domain == cell,
             RetryGroup::Unknown => false,
         }
     }
@@ -171,7 +171,7 @@
         match group {
             Group::All => RetryGroup::All,
             Group::Zone => RetryGroup::Zone(listed.zone),
-            Group::Cell => RetryGroup::Cell(listed.cell),
+            Group::FailureDomain => RetryGroup::FailureDomain(listed.failure_domain),
         }
     }
 
@@ -180,7 +180,7 @@
         match group {
             RetryGroup::All => Some(self.servers.in_service()),
             RetryGroup::Zone(zone) => self.servers.in_zone(zone),
-            RetryGroup::Cell(cell) => self.servers.in_cell(cell),
+            RetryGroup::FailureDomain(cell) => self.servers.in_cell(cell),
             RetryGroup::Unknown => None,
         }
     }
--- a/crates/balancer/src/decide/discovery.rs
+++ b/crates/balancer/src/decide/discovery.rs
@@ -36,7 +36,7 @@
 
     pub(crate) fn call_discovery(&mut self) {
         if self.discovery.begin_call() {
-            self.actions.push(Action::Watch { on: true });
+            self.actions.push(Action::StartWatch);
         }
     }
 
--- a/crates/balancer/src/settings/document.rs
+++ b/crates/balancer/src/settings/document.rs
@@ -17,7 +17,7 @@
     #[serde(default)]
     pub(super) zones: Vec<String>,
     #[serde(rename = "flavors", default)]
-    pub(super) kinds: Vec<String>,
+    pub(super) hardware_models: Vec<String>,
     pub(super) classes: Vec<ClassEntry>,
     #[serde(default)]
     pub(super) tenants: Vec<TenantEntry>,
--- a/crates/balancer/src/settings/mod.rs
+++ b/crates/balancer/src/settings/mod.rs
@@ -62,7 +62,7 @@
         instances: document.instances.max(1),
         zone: document.zone,
         zones: (document.zones.len() as u32).max(1),
-        kinds: (document.kinds.len() as u32).max(1),
+        hardware_models: (document.hardware_models.len() as u32).max(1),
         classes,
         tenants: document.tenants.iter().map(tenant).collect(),
         over_quota_weight: document.over_quota_weight,
@@ -135,7 +135,7 @@
 fn group(name: &str) -> Result<Group, SettingsError> {
     match name {
         "zone" => Ok(Group::Zone),
-        "cell" => Ok(Group::Cell),
+        "cell" => Ok(Group::FailureDomain),
         "all" | "" => Ok(Group::All),
         other => unknown("classes.group", other),
     }
--- a/crates/balancer/src/state/estimators.rs
+++ b/crates/balancer/src/state/estimators.rs
@@ -28,7 +28,7 @@
             typical: vec![None; classes],
             typical_per_work: vec![None; classes],
             samples: vec![0.0; classes],
-            kind_offset: vec![vec![0.0; settings.kinds.max(1) as usize]; classes],
+            kind_offset: vec![vec![0.0; settings.hardware_models.max(1) as usize]; classes],
             recent_ratio: DecayingMean::default(),
         }
     }
--- a/crates/balancer/src/state/server_table.rs
+++ b/crates/balancer/src/state/server_table.rs
@@ -41,7 +41,7 @@
         ServerTable {
             capacity: CapacityTotals::new(now, settings.warm_up),
             zones: has_group(Group::Zone).then(GroupedServers::default),
-            cells: has_group(Group::Cell).then(GroupedServers::default),
+            cells: has_group(Group::FailureDomain).then(GroupedServers::default),
             ..ServerTable::default()
         }
     }
@@ -178,7 +178,7 @@
         }
         self.capacity.add(self.counted(index));
         let key = self.order_key(index);
-        let ListedServer { zone, cell, .. } = self.servers[index].listed;
+        let ListedServer { zone, failure_domain: cell, .. } = self.servers[index].listed;
         self.in_service.join(key);
         if let Some(zones) = &mut self.zones {
             zones.join(zone, key);
@@ -196,7 +196,7 @@
         }
         self.capacity.remove(self.counted(index));
         let key = self.order_key(index);
-        let ListedServer { zone, cell, .. } = self.servers[index].listed;
+        let ListedServer { zone, failure_domain: cell, .. } = self.servers[index].listed;
         self.in_service.leave(key);
         if let Some(zones) = &mut self.zones {
             zones.leave(zone, key);
--- a/crates/balancer/tests/admission.rs
+++ b/crates/balancer/tests/admission.rs
@@ -6,18 +6,18 @@
 use mintshelf_balancer::api::{Action, AttemptNumber, Event, Outcome, ServerId};
 use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 
-/// Sends a safe request; how it ends, after `took`, if it is sent at all.
+/// Sends a safe request; how it ends, after `elapsed`, if it is sent at all.
 fn send_one(
     instance: &mut TestBalancer,
     now: Nanos,
     id: &str,
     client_timeout: Nanos,
-    took: Nanos,
+    elapsed: Nanos,
     end: Outcome,
 ) -> bool {
     let actions = instance.handle(now, request(id, 0, client_timeout));
     let Some(&server) = sends(&actions).first() else { return false };
-    instance.handle(now + took, ended_after(took, id, server, end));
+    instance.handle(now + elapsed, ended_after(elapsed, id, server, end));
     true
 }
 
@@ -107,8 +107,8 @@
 #[test]
 fn rejections_end_soon_after_an_overload() {
     let mut instance = TestBalancer::with(settings(), 1..=4);
-    // Answers at `gap`, each after `took`; tells how many requests were rejected.
-    let mut drive = |from: Nanos, n: u64, took: Nanos| {
+    // Answers at `gap`, each after `elapsed`; tells how many requests were rejected.
+    let mut drive = |from: Nanos, n: u64, elapsed: Nanos| {
         let mut rejections = 0;
         for i in 0..n {
             let now = from + i * 100 * MILLISECOND;
@@ -116,7 +116,7 @@
             let actions = instance.handle(now, request(&name, 0, 2 * SECOND));
             rejections += u64::from(rejected(&actions));
             let timer = actions.iter().find_map(|action| match action {
-                Action::SetTimer { after, token } if *after < took => Some(*token),
+                Action::SetTimer { after, token } if *after < elapsed => Some(*token),
                 _ => None,
             });
             if let Some(token) = timer {
@@ -126,10 +126,17 @@
                 let id = name.as_str().into();
                 let attempt = AttemptNumber::default();
                 let outcome = Outcome::Ok;
-                let finished = true;
+                let is_request_finished = true;
                 let report = None;
-                let end =
-                    Event::AttemptEnded { id, attempt, outcome, finished, took, server, report };
+                let end = Event::AttemptEnded {
+                    id,
+                    attempt,
+                    outcome,
+                    is_request_finished,
+                    elapsed,
+                    server,
+                    report,
+                };
                 instance.handle(now, end);
             }
         }
@@ -200,13 +207,13 @@
     let mut sent = 0;
     for n in 0..100 {
         let now = SECOND + n * 3 * SECOND;
-        let took = 1_800 * MILLISECOND;
+        let elapsed = 1_800 * MILLISECOND;
         sent += u32::from(send_one(
             &mut instance,
             now,
             &format!("s{n}"),
             2 * SECOND,
-            took,
+            elapsed,
             Outcome::Ok,
         ));
     }
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -33,12 +33,12 @@
         instances: 20,
         zone: 0,
         zones: 2,
-        kinds: 2,
+        hardware_models: 2,
         classes: vec![
             class(Effect::Safe, Group::All),
             class(Effect::Idempotent, Group::All),
             class(Effect::Idempotent, Group::Zone),
-            class(Effect::Idempotent, Group::Cell),
+            class(Effect::Idempotent, Group::FailureDomain),
             class(Effect::Unsafe, Group::All),
         ],
         tenants: Vec::new(),
@@ -75,7 +75,7 @@
 
 /// A server of size 1, its zone and cell by its number.
 pub fn server(id: ServerId) -> ListedServer {
-    ListedServer { id, size: 1.0, zone: id % 2, cell: id % 4, ..ListedServer::default() }
+    ListedServer { id, size: 1.0, zone: id % 2, failure_domain: id % 4, ..ListedServer::default() }
 }
 
 /// An update from discovery.
@@ -90,28 +90,34 @@
         class: ClassId::new(class),
         tenant: TenantId::default(),
         key: None,
-        cost_hint: None,
-        repeat: false,
+        cost_estimate: None,
+        is_client_retry: false,
         client_timeout,
     }
 }
 
 /// The end of an attempt after 20 ms.
-pub fn ended(id: &str, attempt: u32, server: ServerId, outcome: Outcome, finished: bool) -> Event {
+pub fn ended(
+    id: &str,
+    attempt: u32,
+    server: ServerId,
+    outcome: Outcome,
+    is_request_finished: bool,
+) -> Event {
     let id = Arc::from(id);
     let attempt = AttemptNumber::new(attempt);
-    let took = 20 * MILLISECOND;
+    let elapsed = 20 * MILLISECOND;
     let report = None;
-    Event::AttemptEnded { id, attempt, outcome, finished, took, server, report }
+    Event::AttemptEnded { id, attempt, outcome, is_request_finished, elapsed, server, report }
 }
 
 /// The end of a request's first and last attempt.
-pub fn ended_after(took: Nanos, id: &str, server: ServerId, outcome: Outcome) -> Event {
+pub fn ended_after(elapsed: Nanos, id: &str, server: ServerId, outcome: Outcome) -> Event {
     let id = Arc::from(id);
     let attempt = AttemptNumber::default();
-    let finished = true;
+    let is_request_finished = true;
     let report = None;
-    Event::AttemptEnded { id, attempt, outcome, finished, took, server, report }
+    Event::AttemptEnded { id, attempt, outcome, is_request_finished, elapsed, server, report }
 }
 
 /// An instance under test.
--- a/crates/balancer/tests/decision_digests/coverage.rs
+++ b/crates/balancer/tests/decision_digests/coverage.rs
@@ -119,8 +119,11 @@
             Action::Probe { .. } => self.count("action: probe"),
             Action::CloseIdle { .. } => self.count("action: close idle"),
             Action::SendGossip { .. } => self.count("action: gossip"),
-            Action::Watch { .. } => self.count("action: watch"),
-            Action::Cancel { .. } | Action::FetchServers | Action::Log { .. } => {
+            Action::StartWatch => self.count("action: watch"),
+            Action::Cancel { .. }
+            | Action::StopWatch
+            | Action::FetchServers
+            | Action::Log { .. } => {
                 panic!("the balancer emits no such action: {action:?}");
             }
         }
--- a/crates/balancer/tests/decision_digests/deployments.rs
+++ b/crates/balancer/tests/decision_digests/deployments.rs
@@ -35,7 +35,7 @@
     let mut settings = common::settings();
     settings.instances = numbers.pick(&[1, 2, 20, 900]);
     settings.self_index = numbers.below(u64::from(settings.instances)) as u32;
-    settings.kinds = numbers.pick(&[1, 3]);
+    settings.hardware_models = numbers.pick(&[1, 3]);
     settings.tenants = (0..numbers.pick(&[0, 1, 4])).map(tenant).collect();
     settings.is_weighted_by_work = numbers.once_in(2);
     settings.must_poll = numbers.once_in(2);
--- a/crates/balancer/tests/decision_digests/encoding.rs
+++ b/crates/balancer/tests/decision_digests/encoding.rs
@@ -35,7 +35,8 @@
             encode_numbers(bytes, 9, &[peer.map_or(u64::MAX, u64::from), payload.len() as u64]);
             bytes.extend(payload);
         }
-        Action::Watch { on } => encode_numbers(bytes, 10, &[u64::from(*on)]),
+        Action::StopWatch => encode_numbers(bytes, 10, &[0]),
+        Action::StartWatch => encode_numbers(bytes, 10, &[1]),
         Action::FetchServers => bytes.push(11),
         Action::Log { text } => {
             bytes.push(12);
--- a/crates/balancer/tests/decision_digests/world.rs
+++ b/crates/balancer/tests/decision_digests/world.rs
@@ -231,7 +231,7 @@
             let is_failed = self.numbers.once_in(10);
             let outcome = if is_failed { self.numbers.pick(&failed) } else { Outcome::Ok };
             let report = (!is_failed).then(|| self.load_report());
-            self.handle(Event::Probed { server, outcome, took: 2 * MILLISECOND, report });
+            self.handle(Event::Probed { server, outcome, elapsed: 2 * MILLISECOND, report });
         }
     }
 
@@ -259,16 +259,16 @@
 
     fn end_attempt(&mut self, attempt: &InFlight) {
         let is_served = attempt.outcome == Outcome::Ok;
-        let finished = is_served || self.numbers.once_in(25);
-        if finished {
+        let is_request_finished = is_served || self.numbers.once_in(25);
+        if is_request_finished {
             self.forget(&attempt.id);
         }
         self.handle(Event::AttemptEnded {
             id: attempt.id.clone(),
             attempt: AttemptNumber::new(attempt.number),
             outcome: attempt.outcome,
-            finished,
-            took: self.now - attempt.sent_at,
+            is_request_finished,
+            elapsed: self.now - attempt.sent_at,
             server: attempt.server,
             report: None,
         });
@@ -297,8 +297,8 @@
             class: ClassId::new(class),
             tenant: TenantId::new(self.numbers.below(5) as u32),
             key: None,
-            cost_hint: self.numbers.pick(&cost),
-            repeat: self.numbers.once_in(10),
+            cost_estimate: self.numbers.pick(&cost),
+            is_client_retry: self.numbers.once_in(10),
             client_timeout: self.numbers.pick(&timeouts),
         };
         if !self.requests.iter().any(|request| request.id == id) {
@@ -328,11 +328,19 @@
         let id = self.next_server;
         self.next_server += 1;
         let size = self.numbers.pick(&[1.0, 1.0, 1.0, 0.25, 4.0, 0.0, 1e12]);
-        let kind = self.numbers.below(4) as u32;
+        let hardware_model = self.numbers.below(4) as u32;
         let started_at = self.stated_start();
         let state = EndpointState::Live;
         let zone = id % 3;
-        self.listed.push(ListedServer { id, zone, kind, cell: id % 4, state, size, started_at });
+        self.listed.push(ListedServer {
+            id,
+            zone,
+            hardware_model,
+            failure_domain: id % 4,
+            state,
+            size,
+            started_at,
+        });
     }
 
     /// A start by the clock of a server, which may differ from that of the instance.
--- a/crates/balancer/tests/discovery.rs
+++ b/crates/balancer/tests/discovery.rs
@@ -19,7 +19,7 @@
         let limit = if round == 0 { 10 * SECOND } else { 40 * SECOND };
         assert!(after < limit);
         now += after;
-        assert!(instance.handle(now, Event::Timer { token }).contains(&Action::Watch { on: true }));
+        assert!(instance.handle(now, Event::Timer { token }).contains(&Action::StartWatch));
         out = instance.handle(now, list(ListKind::Failed, Vec::new()));
     }
 }
--- a/crates/balancer/tests/generated_events.rs
+++ b/crates/balancer/tests/generated_events.rs
@@ -106,7 +106,7 @@
                 let is_out = entries[0].state != EndpointState::Live;
                 self.out_of_service.insert(entries[0].id, is_out);
             }
-            Event::AttemptEnded { id, finished: true, .. } => {
+            Event::AttemptEnded { id, is_request_finished: true, .. } => {
                 let same = self.requests.iter_mut().filter(|request| request.id == **id);
                 same.for_each(|request| request.is_answered = true);
             }
@@ -177,7 +177,7 @@
         assert!(now - first.sent_at <= class.dedup_window);
         match class.group {
             Group::Zone => assert_eq!(first.server % 2, server % 2),
-            Group::Cell => assert_eq!(first.server % 4, server % 4),
+            Group::FailureDomain => assert_eq!(first.server % 4, server % 4),
             Group::All => {}
         }
     }
--- a/crates/balancer/tests/large_fleets.rs
+++ b/crates/balancer/tests/large_fleets.rs
@@ -65,8 +65,10 @@
             let mut sent = sends(&instance.handle(now, request(&id, 0, SECOND)));
             let mut attempt = 0;
             while let Some(to) = sent.first().copied() {
-                let finished = outcome == Outcome::Ok;
-                sent = sends(&instance.handle(now, ended(&id, attempt, to, outcome, finished)));
+                let is_request_finished = outcome == Outcome::Ok;
+                sent = sends(
+                    &instance.handle(now, ended(&id, attempt, to, outcome, is_request_finished)),
+                );
                 attempt += 1;
             }
         }
--- a/crates/balancer/tests/load_reports.rs
+++ b/crates/balancer/tests/load_reports.rs
@@ -27,10 +27,12 @@
             for action in out {
                 let Action::Probe { server } = action else { continue };
                 let outcome = Outcome::Ok;
-                let took = MILLISECOND;
+                let elapsed = MILLISECOND;
                 let report = Some(vec![queue, queue + (i % 2) as f64 * 0.1]);
-                let out = instance
-                    .handle(now + 5 * MILLISECOND, Event::Probed { server, outcome, took, report });
+                let out = instance.handle(
+                    now + 5 * MILLISECOND,
+                    Event::Probed { server, outcome, elapsed, report },
+                );
                 counts.0 += i32::from(rejected(&out));
                 counts.1 += sends(&out).len() as i32;
             }
@@ -68,9 +70,9 @@
             for again in 0..2 {
                 let report = Some(vec![0.0, 1.0 + number as f64]);
                 let outcome = Outcome::Ok;
-                let took = MILLISECOND / 2;
+                let elapsed = MILLISECOND / 2;
                 let at = now + (1 + again) * MILLISECOND / 2;
-                instance.handle(at, Event::Probed { server, outcome, took, report });
+                instance.handle(at, Event::Probed { server, outcome, elapsed, report });
             }
         }
     }
--- a/crates/balancer/tests/quotas.rs
+++ b/crates/balancer/tests/quotas.rs
@@ -18,8 +18,9 @@
     for i in 0..400u64 {
         let now = SECOND + i * 20 * MILLISECOND;
         let id = format!("a{i}");
-        let Event::Request { id, class, key, repeat, client_timeout, cost_hint, .. } =
-            request(&id, 0, 2 * SECOND)
+        let Event::Request {
+            id, class, key, is_client_retry, client_timeout, cost_estimate, ..
+        } = request(&id, 0, 2 * SECOND)
         else {
             unreachable!()
         };
@@ -29,9 +30,9 @@
             class,
             tenant,
             key,
-            repeat,
+            is_client_retry,
             client_timeout,
-            cost_hint,
+            cost_estimate,
         };
         let out = instance.handle(now, event);
         rejections[tenant.index()] += i32::from(rejected(&out));
--- a/crates/balancer/tests/safety_rules.rs
+++ b/crates/balancer/tests/safety_rules.rs
@@ -37,7 +37,9 @@
                 (Effect::Unsafe, _) => assert!(failed(&after) && next.is_empty(), "{what}"),
                 (_, Group::All) => assert_eq!(next.len(), 1, "{what}"),
                 (_, Group::Zone) => assert!(next.iter().all(|n| n % 2 == first % 2), "{what}"),
-                (_, Group::Cell) => assert!(next.iter().all(|n| n % 4 == first % 4), "{what}"),
+                (_, Group::FailureDomain) => {
+                    assert!(next.iter().all(|n| n % 4 == first % 4), "{what}")
+                }
             }
         }
     }
@@ -152,7 +154,7 @@
     assert!(instance
         .handle(SECOND, Event::StreamStarted { id: "x".into(), attempt: AttemptNumber::new(3) })
         .is_empty());
-    let probed = Event::Probed { server: 77, outcome: Outcome::Ok, took: 1, report: None };
+    let probed = Event::Probed { server: 77, outcome: Outcome::Ok, elapsed: 1, report: None };
     assert!(instance.handle(SECOND, probed).is_empty());
     assert!(instance.handle(SECOND, Event::Gossip { from: 9, payload: vec![1, 2] }).is_empty());
     assert!(sends(&instance.handle(SECOND, request("b", 99, SECOND))).is_empty());
@@ -163,13 +165,16 @@
 
 #[test]
 fn a_request_that_ends_drops_its_timers() {
-    for (outcome, finished) in [(Outcome::Ok, true), (Outcome::Error, false)] {
+    for (outcome, is_request_finished) in [(Outcome::Ok, true), (Outcome::Error, false)] {
         let mut instance = TestBalancer::with(settings(), 1..=4);
         // Unsafe, so that the error ends it too.
         let mut out = instance.handle(SECOND, request("a", 4, 2 * SECOND));
         let first = sends(&out)[0];
         out.extend(
-            instance.handle(SECOND + 20 * MILLISECOND, ended("a", 0, first, outcome, finished)),
+            instance.handle(
+                SECOND + 20 * MILLISECOND,
+                ended("a", 0, first, outcome, is_request_finished),
+            ),
         );
         let tokens = |of: fn(&Action) -> Option<u64>| out.iter().filter_map(of).collect::<Vec<_>>();
         let set = tokens(|action| match action {
--- a/crates/balancer/tests/server_speed.rs
+++ b/crates/balancer/tests/server_speed.rs
@@ -1,4 +1,4 @@
-//! Speeds learned by class, by kind of machine and by known work.
+//! Speeds learned by class, by hardware model and by known work.
 
 mod common;
 
@@ -10,45 +10,61 @@
 
 fn request_with_work(id: &str, cost: Nanos) -> Event {
     match request(id, 0, 2 * SECOND) {
-        Event::Request { id, class, tenant, key, repeat, client_timeout, .. } => {
-            Event::Request { id, class, tenant, key, repeat, client_timeout, cost_hint: Some(cost) }
+        Event::Request { id, class, tenant, key, is_client_retry, client_timeout, .. } => {
+            Event::Request {
+                id,
+                class,
+                tenant,
+                key,
+                is_client_retry,
+                client_timeout,
+                cost_estimate: Some(cost),
+            }
         }
         other => other,
     }
 }
 
-/// Servers of kind 1 take twice as long for the same work.
-fn instance_with_two_kinds() -> TestBalancer {
+/// Servers of model 1 take twice as long for the same work.
+fn instance_with_two_hardware_models() -> TestBalancer {
     let mut instance = TestBalancer::new(settings()).0;
-    let entry = |id| ListedServer { kind: id % 2, ..server(id) };
+    let entry = |id| ListedServer { hardware_model: id % 2, ..server(id) };
     instance.handle(SECOND, list(ListKind::Full, (0..6).map(entry).collect()));
     for i in 0..400u64 {
         let now = SECOND + i * 10 * MILLISECOND;
         let id = format!("t{i}");
         let to = sends(&instance.handle(now, request_with_work(&id, 50 * MILLISECOND)))[0];
-        let took = if to % 2 == 1 { 100 * MILLISECOND } else { 50 * MILLISECOND };
+        let elapsed = if to % 2 == 1 { 100 * MILLISECOND } else { 50 * MILLISECOND };
         let id = id.as_str().into();
         let attempt = AttemptNumber::default();
         let outcome = Outcome::Ok;
-        let finished = true;
+        let is_request_finished = true;
         let server = to;
         let report = None;
-        let end = Event::AttemptEnded { id, attempt, outcome, finished, took, server, report };
-        instance.handle(now + took, end);
+        let end = Event::AttemptEnded {
+            id,
+            attempt,
+            outcome,
+            is_request_finished,
+            elapsed,
+            server,
+            report,
+        };
+        instance.handle(now + elapsed, end);
     }
     instance
 }
 
-/// Long work on the slow kind is late however idle the server is.
+/// Long work on the slow model is late however idle the server is.
 #[test]
 fn known_work_goes_where_it_meets_its_objective() {
-    let mut instance = instance_with_two_kinds();
-    // 250 ms are in time (objective 400 ms) on the fast kind alone.
+    let mut instance = instance_with_two_hardware_models();
+    // 250 ms are in time (objective 400 ms) on the fast model alone.
     for i in 0..100 {
         let to = sends(
             &instance.handle(6 * SECOND, request_with_work(&format!("a{i}"), 250 * MILLISECOND)),
         )[0];
-        assert_eq!(to % 2, 0, "a long request went to the slow kind");
+        assert_eq!(to % 2, 0, "a long request went to the slow model");
     }
     let short: Vec<_> = (0..100)
         .map(|i| {
@@ -60,11 +76,11 @@
     assert!(short.contains(&1), "short requests may go anywhere");
 }
 
-/// A class that is slow on a kind of server by its work alone is no sign of congestion.
+/// A class that is slow on a hardware model by its work alone is no sign of congestion.
 #[test]
-fn a_class_that_is_slow_on_a_kind_is_overdue_later_there() {
+fn a_class_that_is_slow_on_a_model_is_overdue_later_there() {
     let mut instance = TestBalancer::new(settings()).0;
-    let entry = |id| ListedServer { kind: id % 2, ..server(id) };
+    let entry = |id| ListedServer { hardware_model: id % 2, ..server(id) };
     instance.handle(SECOND, list(ListKind::Full, (0..6).map(entry).collect()));
     let mut last = [0, 0];
     for i in 0..600u64 {
@@ -78,14 +94,22 @@
         });
         last[(server % 2) as usize] = timer.expect("a timer for the attempt");
         // The objective is 400 ms, of which 0.6 are 240.
-        let took = if server % 2 == 1 { 170 * MILLISECOND } else { 60 * MILLISECOND };
+        let elapsed = if server % 2 == 1 { 170 * MILLISECOND } else { 60 * MILLISECOND };
         let id = name.as_str().into();
         let attempt = AttemptNumber::default();
         let outcome = Outcome::Ok;
-        let finished = true;
+        let is_request_finished = true;
         let report = None;
-        let end = Event::AttemptEnded { id, attempt, outcome, finished, took, server, report };
-        instance.handle(now + took, end);
+        let end = Event::AttemptEnded {
+            id,
+            attempt,
+            outcome,
+            is_request_finished,
+            elapsed,
+            server,
+            report,
+        };
+        instance.handle(now + elapsed, end);
     }
     assert_eq!(last[0], 240 * MILLISECOND);
     assert!((280 * MILLISECOND..=400 * MILLISECOND).contains(&last[1]), "{last:?}");
@@ -93,32 +117,40 @@
 
 /// One speed for all classes would send each class to kinds that suit another.
 #[test]
-fn each_class_prefers_the_kind_that_suits_it() {
+fn each_class_prefers_the_model_that_suits_it() {
     let mut instance = TestBalancer::new(settings()).0;
-    let entry = |id| ListedServer { kind: id % 2, ..server(id) };
+    let entry = |id| ListedServer { hardware_model: id % 2, ..server(id) };
     instance.handle(SECOND, list(ListKind::Full, (0..6).map(entry).collect()));
-    let mut served_on_fast_kind = [0, 0];
+    let mut served_on_fast_model = [0, 0];
     for i in 0..2000u64 {
         let now = SECOND + i * 10 * MILLISECOND;
         let name = format!("f{i}");
-        // Class 0 is quick on kind 0, class 4 on kind 1.
+        // Class 0 is quick on model 0, class 4 on model 1.
         let (class, quick) = if i % 2 == 0 { (0, 0) } else { (4, 1) };
         let server = sends(&instance.handle(now, request(&name, class, 2 * SECOND)))[0];
         let fits = server % 2 == quick;
-        served_on_fast_kind[(i % 2) as usize] += u32::from(fits && i >= 1000);
-        let took = if fits { 50 * MILLISECOND } else { 150 * MILLISECOND };
+        served_on_fast_model[(i % 2) as usize] += u32::from(fits && i >= 1000);
+        let elapsed = if fits { 50 * MILLISECOND } else { 150 * MILLISECOND };
         let id = name.as_str().into();
         let attempt = AttemptNumber::default();
         let outcome = Outcome::Ok;
-        let finished = true;
+        let is_request_finished = true;
         let report = None;
-        let end = Event::AttemptEnded { id, attempt, outcome, finished, took, server, report };
-        instance.handle(now + took, end);
+        let end = Event::AttemptEnded {
+            id,
+            attempt,
+            outcome,
+            is_request_finished,
+            elapsed,
+            server,
+            report,
+        };
+        instance.handle(now + elapsed, end);
     }
     // Of 500 each; half would fit by chance.
     assert!(
-        served_on_fast_kind.iter().all(|n| *n > 300),
-        "{served_on_fast_kind:?} of 500 went where they are quick"
+        served_on_fast_model.iter().all(|n| *n > 300),
+        "{served_on_fast_model:?} of 500 went where they are quick"
     );
 }
 
@@ -126,7 +158,7 @@
 /// have others rejected.
 #[test]
 fn known_long_work_is_overdue_later() {
-    let mut instance = instance_with_two_kinds();
+    let mut instance = instance_with_two_hardware_models();
     let mut overdue_after = |id: &str, cost: Nanos| {
         let actions = instance.handle(6 * SECOND, request_with_work(id, cost));
         let timer = actions.iter().find_map(|action| match action {
@@ -141,19 +173,19 @@
 
 #[test]
 fn known_work_that_is_late_anywhere_is_rejected() {
-    let mut instance = instance_with_two_kinds();
+    let mut instance = instance_with_two_hardware_models();
     assert!(rejected(&instance.handle(6 * SECOND, request_with_work("long", 3 * SECOND))));
     assert!(!rejected(&instance.handle(6 * SECOND, request_with_work("short", 20 * MILLISECOND))));
 }
 
-/// With no sizes listed, a kind that takes twice as long for every class would get half of the
+/// With no sizes listed, a model that takes twice as long for every class would get half of the
 /// requests.
 #[test]
-fn without_listed_sizes_a_slow_kind_gets_less() {
+fn without_listed_sizes_a_slow_model_gets_less() {
     let slow_part = |size_kind: SizeKind| {
         let classes = settings().classes[..1].to_vec();
         let mut instance = TestBalancer::new(Settings { size_kind, classes, ..settings() }).0;
-        let entry = |id| ListedServer { kind: id % 2, ..server(id) };
+        let entry = |id| ListedServer { hardware_model: id % 2, ..server(id) };
         instance.handle(SECOND, list(ListKind::Full, (0..6).map(entry).collect()));
         let mut slow = 0.0;
         let mut all = 0.0;
@@ -161,7 +193,7 @@
             let now = SECOND + i * 200 * MILLISECOND;
             let name = format!("a{i}");
             let server = sends(&instance.handle(now, request(&name, 0, 2 * SECOND)))[0];
-            let took = [50, 100][server as usize % 2] * MILLISECOND;
+            let elapsed = [50, 100][server as usize % 2] * MILLISECOND;
             if i >= 1_000 {
                 all += 1.0;
                 slow += f64::from(server % 2);
@@ -169,10 +201,18 @@
             let id = name.as_str().into();
             let attempt = AttemptNumber::default();
             let outcome = Outcome::Ok;
-            let finished = true;
+            let is_request_finished = true;
             let report = None;
-            let end = Event::AttemptEnded { id, attempt, outcome, finished, took, server, report };
-            instance.handle(now + took, end);
+            let end = Event::AttemptEnded {
+                id,
+                attempt,
+                outcome,
+                is_request_finished,
+                elapsed,
+                server,
+                report,
+            };
+            instance.handle(now + elapsed, end);
         }
         slow / all
     };
--- a/crates/config/src/balancer.rs
+++ b/crates/config/src/balancer.rs
@@ -322,7 +322,7 @@
         instances: 1,
         zone: zones.number(&cluster.zone),
         zones: zones.count(),
-        kinds: 1,
+        hardware_models: 1,
         classes,
         size_kind: SizeKind::Nominal,
         tick: TICK,
--- a/crates/discovery/tests/notification_deadline.rs
+++ b/crates/discovery/tests/notification_deadline.rs
@@ -87,7 +87,7 @@
         self.now += after;
         let mut actions = Vec::new();
         self.balancer.handle(self.now, Event::Timer { token }, &mut actions);
-        assert!(actions.contains(&Action::Watch { on: true }), "{actions:?}");
+        assert!(actions.contains(&Action::StartWatch), "{actions:?}");
         self.watch = WatchState::default();
     }
 
--- a/crates/fleet-simulator/src/sidecar/mod.rs
+++ b/crates/fleet-simulator/src/sidecar/mod.rs
@@ -208,8 +208,8 @@
             class: ClassId::from_index(class),
             tenant: TenantId::default(),
             key: None,
-            cost_hint: None,
-            repeat: false,
+            cost_estimate: None,
+            is_client_retry: false,
             client_timeout,
         };
         self.post(now, event);
@@ -260,7 +260,15 @@
         let id = id.clone();
         let attempt = number;
         let report = None;
-        let end = Event::AttemptEnded { id, attempt, outcome, finished, took, server, report };
+        let end = Event::AttemptEnded {
+            id,
+            attempt,
+            outcome,
+            is_request_finished: finished,
+            elapsed: took,
+            server,
+            report,
+        };
         self.post(now, end);
     }
 
@@ -307,13 +315,13 @@
                 Action::CloseIdle { server } => {
                     self.actions.push(SidecarAction::CloseIdle { server });
                 }
-                Action::Watch { on: true } => self.actions.push(SidecarAction::Watch),
+                Action::StartWatch => self.actions.push(SidecarAction::Watch),
                 // A dropped timer that fires has no effect; the settings permit none of the
                 // others.
                 Action::DropTimer { .. }
                 | Action::Probe { .. }
                 | Action::SendGossip { .. }
-                | Action::Watch { .. }
+                | Action::StopWatch
                 | Action::FetchServers
                 | Action::Log { .. } => {}
             }
--- a/crates/fleet-simulator/src/sidecar/settings.rs
+++ b/crates/fleet-simulator/src/sidecar/settings.rs
@@ -43,7 +43,7 @@
         must_poll: scenario.fleet.discovery.is_some(),
         poll_within: 10 * SECOND,
         prices: if scenario.fleet.has_prices { PRICES } else { Prices::default() },
-        kinds: 1,
+        hardware_models: 1,
         classes: CLASSES.iter().map(class).collect(),
         size_kind: SizeKind::Nominal,
         tick: 5 * MILLISECOND,
--- a/crates/mintshelf/tests/compatibility/bindings.rs
+++ b/crates/mintshelf/tests/compatibility/bindings.rs
@@ -254,8 +254,8 @@
             "  number {} zone {} model {} group {} {state} capacity {} started {} at {at}\n",
             endpoint.id,
             endpoint.zone,
-            endpoint.kind,
-            endpoint.cell,
+            endpoint.hardware_model,
+            endpoint.failure_domain,
             endpoint.size,
             endpoint.started_at
         ));
@@ -301,8 +301,8 @@
         ("tell one peer", Action::SendGossip { peer: Some(3), payload: payload.clone() }),
         ("tell all peers", Action::SendGossip { peer: None, payload }),
         ("tell nothing", Action::SendGossip { peer: None, payload: Vec::new() }),
-        ("watch", Action::Watch { on: true }),
-        ("watch no more", Action::Watch { on: false }),
+        ("watch", Action::StartWatch),
+        ("watch no more", Action::StopWatch),
         ("fetch", Action::FetchServers),
         ("log", Action::Log { text: "two\nlines".into() }),
     ];
--- a/crates/mintshelf/tests/conformance/module.rs
+++ b/crates/mintshelf/tests/conformance/module.rs
@@ -67,16 +67,16 @@
     }
 
     fn request(&mut self, id: &str, class: usize, patience: u64) {
-        let (key, cost_hint) = (None, None);
+        let (key, cost_estimate) = (None, None);
         let class = ClassId::from_index(class);
-        let (id, tenant, repeat) = (id.into(), TenantId::default(), false);
+        let (id, tenant, is_client_retry) = (id.into(), TenantId::default(), false);
         self.feed(Event::Request {
             id,
             class,
             tenant,
             key,
-            cost_hint,
-            repeat,
+            cost_estimate,
+            is_client_retry,
             client_timeout: patience,
         });
     }
@@ -91,9 +91,17 @@
             Some(Met::Silence) => Outcome::TimedOut,
         };
         let (id, attempt) = (ended.id.into(), AttemptNumber::from_index(ended.attempt));
-        let (server, took, report) = (ended.server as u32, ended.took, None);
-        let finished = ended.met.is_none();
-        self.feed(Event::AttemptEnded { id, attempt, outcome, finished, took, server, report });
+        let (server, elapsed, report) = (ended.server as u32, ended.took, None);
+        let is_request_finished = ended.met.is_none();
+        self.feed(Event::AttemptEnded {
+            id,
+            attempt,
+            outcome,
+            is_request_finished,
+            elapsed,
+            server,
+            report,
+        });
     }
 
     fn sent(&self) -> Vec<u64> {
--- a/crates/proxy/src/cluster/runtime.rs
+++ b/crates/proxy/src/cluster/runtime.rs
@@ -275,7 +275,8 @@
                         peers.send(peer, &payload);
                     }
                 }
-                Action::Watch { on } => self.source.set_watch(on, self.clone()),
+                Action::StartWatch => self.source.set_watch(true, self.clone()),
+                Action::StopWatch => self.source.set_watch(false, self.clone()),
                 Action::FetchServers => self.source.fetch(self.clone()),
                 // A log that nobody reads must not stop the sidecar.
                 Action::Log { text } => drop(writeln!(std::io::stderr(), "{text}")),
@@ -286,7 +287,7 @@
     fn check_health(self: &Rc<Self>, state: &mut RuntimeState, server: ServerId) {
         let Some(target) = self.source.target(server) else {
             let outcome = Outcome::ConnectFailed;
-            state.events.push_back(Event::Probed { server, outcome, took: 0, report: None });
+            state.events.push_back(Event::Probed { server, outcome, elapsed: 0, report: None });
             return;
         };
         let runtime = self.clone();
@@ -295,7 +296,7 @@
             let result = runtime.health_checker.check(&runtime.upstream, target).await;
             let took = runtime.clock.now().saturating_sub(sent_at);
             let HealthCheckResult { outcome, load_report: report } = result;
-            runtime.post(Event::Probed { server, outcome, took, report });
+            runtime.post(Event::Probed { server, outcome, elapsed: took, report });
         });
     }
 
--- a/crates/proxy/src/cluster/serve.rs
+++ b/crates/proxy/src/cluster/serve.rs
@@ -77,8 +77,8 @@
             class: metadata.class,
             tenant: metadata.tenant,
             key: metadata.key,
-            cost_hint: metadata.cost_hint,
-            repeat: metadata.is_repeat,
+            cost_estimate: metadata.cost_hint,
+            is_client_retry: metadata.is_repeat,
             client_timeout: metadata.client_timeout,
         });
         self.turn(&mut state);
--- a/crates/proxy/src/discovery/reader.rs
+++ b/crates/proxy/src/discovery/reader.rs
@@ -51,8 +51,8 @@
         ListedServer {
             id: self.numbers.assign(&entry.uid),
             zone: name_index(&self.names.zones, &entry.az),
-            kind: name_index(&self.names.kinds, &entry.model),
-            cell: entry.pod_group,
+            hardware_model: name_index(&self.names.kinds, &entry.model),
+            failure_domain: entry.pod_group,
             state: match entry.state {
                 EntryState::Serving => EndpointState::Live,
                 EntryState::Draining => EndpointState::Draining,
--- a/crates/proxy/tests/endpoint_lists.rs
+++ b/crates/proxy/tests/endpoint_lists.rs
@@ -40,7 +40,7 @@
     let Applied { kind, servers, is_valid } = apply(&mut reader, &text, true);
     assert!(is_valid);
     assert_eq!((kind, servers.len(), reader.revision()), (ListKind::Full, 1, 41));
-    assert_eq!((servers[0].zone, servers[0].kind, servers[0].cell), (0, 0, 3));
+    assert_eq!((servers[0].zone, servers[0].hardware_model, servers[0].failure_domain), (0, 0, 3));
     assert_eq!(servers[0].started_at, 7_000_000);
     assert!(addresses.address(servers[0].id).is_some());
 }
--- a/crates/simulator-adapter/src/wire/action.rs
+++ b/crates/simulator-adapter/src/wire/action.rs
@@ -23,7 +23,8 @@
         Action::Probe { server } => writeln!(reply, "probe {server}"),
         Action::CloseIdle { server } => writeln!(reply, "drop_conns {server}"),
         Action::SendGossip { peer, payload } => write_gossip(reply, *peer, payload),
-        Action::Watch { on } => writeln!(reply, "stream_changes {}", u8::from(*on)),
+        Action::StartWatch => writeln!(reply, "stream_changes 1"),
+        Action::StopWatch => writeln!(reply, "stream_changes 0"),
         Action::FetchServers => writeln!(reply, "pull"),
         Action::Log { text } => writeln!(reply, "debug {}", text.replace(['\n', '\r'], " ")),
     }
--- a/crates/simulator-adapter/src/wire/event.rs
+++ b/crates/simulator-adapter/src/wire/event.rs
@@ -43,8 +43,8 @@
             id: fields.word("op-id")?.into(),
             outcome: fields.choice("verdict", OUTCOMES)?,
             attempt: AttemptNumber::new(fields.number("leg")?),
-            finished: fields.choice("complete", BOOLEANS)?,
-            took: fields.number_or("took", 0)?,
+            is_request_finished: fields.choice("complete", BOOLEANS)?,
+            elapsed: fields.number_or("took", 0)?,
             server: fields.number("server")?,
             report: fields.load_report("metrics")?,
         },
@@ -53,7 +53,7 @@
         "health" => Event::Probed {
             outcome: fields.choice("verdict", OUTCOMES)?,
             server: fields.number("server")?,
-            took: fields.number_or("took", 0)?,
+            elapsed: fields.number_or("took", 0)?,
             report: fields.load_report("metrics")?,
         },
         "peer_data" => {
@@ -75,8 +75,8 @@
         class,
         tenant,
         key,
-        cost_hint: (attributes & HAS_COST != 0 && cost > 0).then_some(cost),
-        repeat: attributes & IS_REPEAT != 0,
+        cost_estimate: (attributes & HAS_COST != 0 && cost > 0).then_some(cost),
+        is_client_retry: attributes & IS_REPEAT != 0,
         client_timeout: fields.number("grace")?,
     })
 }
--- a/crates/simulator-adapter/src/wire/reader.rs
+++ b/crates/simulator-adapter/src/wire/reader.rs
@@ -176,8 +176,8 @@
         list.entries.push(ListedServer {
             id: fields.number("server")?,
             zone: fields.number_or("rack-zone", 0)?,
-            kind: fields.number_or("shape", 0)?,
-            cell: fields.number_or("stripe", 0)?,
+            hardware_model: fields.number_or("shape", 0)?,
+            failure_domain: fields.number_or("stripe", 0)?,
             state: fields.choice("condition", ENDPOINT_STATES)?,
             size: fields.finite("size")?,
             started_at: fields.number_or("boot-time", 0)?,
