--- a/crates/balancer/src/decide/attempts.rs
+++ b/crates/balancer/src/decide/attempts.rs
@@ -1,16 +1,15 @@
 //! Requests from arrival to each send: what is permitted, when one is held, and how it ends.
 
+use super::hold::{hold_until, HOLD_RETRY_INTERVAL};
 use super::rates::RATE_HALF_LIFE;
+use super::retry_group::RetryGroup;
+use super::retry_safety::{permitted_actions, AttemptLimits, PermittedActions, SendPermission};
 use super::{admission, load_reports, Balancer};
-use crate::api::{Action, Effect, EndReason, Group, RequestId};
+use crate::api::{Action, EndReason, RequestId};
 use crate::server_order::{AdjacentPair, Candidates};
-use crate::state::{PermittedActions, Request, Timer};
-use mintshelf_time::{Nanos, MILLISECOND};
+use crate::state::{Request, Timer};
+use mintshelf_time::Nanos;
 
-/// A request that no server can take is attempted again after this time.
-pub const HOLD_STEP: Nanos = 40 * MILLISECOND;
-/// Longest hold, as a fraction of the latency objective of the class.
-pub const HOLD_SHARE: f64 = 0.5;
 /// An attempt is overdue, and counts as congested, past this fraction of its objective.
 const OVERDUE_SHARE: f64 = 0.6;
 /// Nor before this many times what its known work typically takes; nor what the class
@@ -44,32 +43,10 @@
         }
     }
 
-    /// What the safety rules permit for a request. Every send, rejection and failure asks here.
+    /// What the safety rules permit for a request at a time.
     pub(super) fn permitted_actions(&self, at: Nanos, request: &Request) -> PermittedActions {
         let class = &self.settings.classes[request.class];
-        let nothing = PermittedActions::default();
-        if request.is_finished || request.is_streaming {
-            return nothing;
-        }
-        let max_attempts = class.max_attempts.min(self.settings.max_attempts) as usize;
-        let may_send = request.attempts.len() < max_attempts
-            && at < request.deadline
-            && (self.settings.allows_parallel_attempts || !request.has_attempt_in_flight());
-        let first = request.attempts.iter().find(|attempt| attempt.may_have_run());
-        match (class.effect, first) {
-            (Effect::Safe, _) | (_, None) => PermittedActions::unrestricted(may_send),
-            (Effect::Unsafe, Some(_)) => nothing,
-            (Effect::Idempotent, Some(first)) => {
-                // A repeat that arrives after the deduplication window would run twice.
-                let until = first.sent_at + class.dedup_window;
-                let is_in_window = at < until.saturating_sub(self.settings.tick);
-                PermittedActions {
-                    may_send: may_send && is_in_window,
-                    group_of: Some(first.server),
-                    may_reject: class.group == Group::All && is_in_window,
-                }
-            }
-        }
+        permitted_actions(class, AttemptLimits::new(&self.settings), &request.progress(), at)
     }
 
     /// Sends a request if a server can take it, else holds or ends it.
@@ -79,12 +56,10 @@
             return;
         }
         let request = &self.requests[id];
-        let objective = self.settings.classes[request.class].latency_objective as f64;
-        let hold_until = request.arrived_at + (objective * HOLD_SHARE) as Nanos;
-        let hold_until = hold_until.min(request.deadline.saturating_sub(HOLD_STEP));
-        if self.permitted_actions(self.now, request).may_send && self.now < hold_until {
-            // A list or credit may come, but the hold has an end.
-            self.set_request_timer(HOLD_STEP, id, Timer::HoldExpired(id.clone()));
+        let class = &self.settings.classes[request.class];
+        let may_send = self.permitted_actions(self.now, request).send != SendPermission::Forbidden;
+        if may_send && self.now < hold_until(class, request.arrived_at, request.deadline) {
+            self.set_request_timer(HOLD_RETRY_INTERVAL, id, Timer::HoldExpired(id.clone()));
         } else {
             self.end(id, EndReason::NoServer);
         }
@@ -93,10 +68,10 @@
     /// Sends a request, or probes its pair first; returns whether either was done.
     pub(super) fn try_send(&mut self, id: &RequestId) -> bool {
         let Some(request) = self.requests.remove(id) else { return false };
-        let permitted = self.permitted_actions(self.now, &request);
-        let group_of = permitted.group_of;
-        let drawn =
-            if permitted.may_send { self.draw_candidates(&request, group_of) } else { None };
+        let permission = self.permitted_actions(self.now, &request).send;
+        let group = self.settings.classes[request.class].group;
+        let group = RetryGroup::new(permission, group, &self.servers);
+        let drawn = group.and_then(|group| self.draw_candidates(&request, group));
         self.requests.insert(id.clone(), request);
         let chosen = match drawn {
             None => return false,
--- a/crates/balancer/src/decide/candidates.rs
+++ b/crates/balancer/src/decide/candidates.rs
@@ -1,9 +1,9 @@
 //! Which servers are in each class's order, and which of them a request may choose from.
 
+use super::retry_group::RetryGroup;
 use super::Balancer;
-use crate::api::{Group, ListedServer, ServerId};
 use crate::server_order::{Candidates, ServerOrder};
-use crate::state::{OrderedServers, Request};
+use crate::state::Request;
 use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 
 /// The orders are refreshed at least this often, since speeds drift.
@@ -25,27 +25,6 @@
 /// Ejections are ignored if servers that are not ejected have less than this share of the size.
 const EJECTED_PANIC_SHARE: f64 = 0.3;
 
-/// The servers among which a request may be sent.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum RetryGroup {
-    All,
-    Zone(u32),
-    FailureDomain(u32),
-    /// Those of a server that is not known any more: none.
-    Unknown,
-}
-
-impl RetryGroup {
-    fn contains(self, listed: &ListedServer) -> bool {
-        match self {
-            RetryGroup::All => true,
-            RetryGroup::Zone(zone) => listed.zone == zone,
-            RetryGroup::FailureDomain(cell) => listed.failure_domain == cell,
-            RetryGroup::Unknown => false,
-        }
-    }
-}
-
 impl Balancer {
     fn refresh_orders(&mut self) {
         let age = self.now.saturating_sub(self.orders.refreshed_at);
@@ -105,7 +84,7 @@
     pub(super) fn draw_candidates(
         &mut self,
         request: &Request,
-        group_of: Option<ServerId>,
+        group: RetryGroup,
     ) -> Option<Candidates> {
         self.refresh_orders();
         let objective = self.settings.classes[request.class].latency_objective as f64;
@@ -116,7 +95,7 @@
                 return drawn;
             }
         }
-        let mut servers = self.untried_servers(request, group_of);
+        let mut servers = self.untried_servers(request, group);
         servers.retain(|index| self.may_send(*index));
         // Long work is late on slow kinds: those count that take least, if all take long.
         let expected = servers.iter().map(|index| self.expected_latency(*index, request));
@@ -138,12 +117,11 @@
 
     /// Servers of the request's group: those of its order not yet tried, else others not yet
     /// tried, else any.
-    fn untried_servers(&self, request: &Request, group_of: Option<ServerId>) -> Vec<usize> {
+    fn untried_servers(&self, request: &Request, group: RetryGroup) -> Vec<usize> {
         let is_untried = |index: &usize| {
             let id = self.servers[*index].listed.id;
             request.attempts.iter().all(|attempt| attempt.server != id)
         };
-        let group = self.retry_group(request, group_of);
         let is_in_group = |index: &usize| group.contains(&self.servers[*index].listed);
         let order = self.orders.by_class[request.class].members();
         let in_order = order.iter().copied().filter(is_in_group).filter(is_untried);
@@ -151,37 +129,11 @@
         if !servers.is_empty() {
             return servers;
         }
-        let Some(group) = self.group_servers(group) else { return servers };
+        let Some(group) = group.servers(&self.servers) else { return servers };
         let untried: Vec<usize> = group.iter().filter(is_untried).take(FALLBACK_MAX).collect();
         if !untried.is_empty() {
             return untried;
         }
         group.iter().take(FALLBACK_MAX).collect()
     }
-
-    /// The servers that discard repeats of what a server ran. The group of a server that is no
-    /// longer known is unknown.
-    fn retry_group(&self, request: &Request, group_of: Option<ServerId>) -> RetryGroup {
-        let group = self.settings.classes[request.class].group;
-        let Some(server) = group_of.filter(|_| group != Group::All) else {
-            return RetryGroup::All;
-        };
-        let Some(index) = self.servers.index_of(server) else { return RetryGroup::Unknown };
-        let listed = &self.servers[index].listed;
-        match group {
-            Group::All => RetryGroup::All,
-            Group::Zone => RetryGroup::Zone(listed.zone),
-            Group::FailureDomain => RetryGroup::FailureDomain(listed.failure_domain),
-        }
-    }
-
-    /// The servers in service of a group; `None` if there are none.
-    fn group_servers(&self, group: RetryGroup) -> Option<&OrderedServers> {
-        match group {
-            RetryGroup::All => Some(self.servers.in_service()),
-            RetryGroup::Zone(zone) => self.servers.in_zone(zone),
-            RetryGroup::FailureDomain(cell) => self.servers.in_cell(cell),
-            RetryGroup::Unknown => None,
-        }
-    }
 }
--- a/crates/balancer/src/decide/load_reports.rs
+++ b/crates/balancer/src/decide/load_reports.rs
@@ -1,5 +1,6 @@
 //! Load reports: when to probe for them, and how a pair is chosen by them.
 
+use super::retry_safety::SendPermission;
 use super::{health, Balancer};
 use crate::api::{Action, EndReason, ReportField, RequestId, ServerId};
 use crate::server_order::{AdjacentPair, ServerOrder};
@@ -120,7 +121,7 @@
         let is_too_long = chosen.is_some_and(|index| self.expected_wait(index) > max_wait);
         match chosen {
             Some(_) if is_too_long && is_first => self.end(id, EndReason::LongQueue),
-            Some(index) if permitted.may_send => self.send(id, index),
+            Some(index) if permitted.send != SendPermission::Forbidden => self.send(id, index),
             _ => self.advance(id),
         }
     }
--- a/crates/balancer/src/decide/mod.rs
+++ b/crates/balancer/src/decide/mod.rs
@@ -6,13 +6,16 @@
 
 mod admission;
 mod attempt_end;
-pub mod attempts;
+mod attempts;
 mod candidates;
 mod discovery;
 mod health;
+pub mod hold;
 mod load_reports;
 mod peers;
 mod rates;
+mod retry_group;
+pub mod retry_safety;
 mod speed;
 mod warm_up;
 
--- /dev/null
+++ b/crates/balancer/src/decide/retry_safety.rs
@@ -0,0 +1,132 @@
+//! Retry safety: whether a request may be sent, and whether it may be rejected.
+//!
+//! | effect of the class | no attempt may have run | an attempt may have run |
+//! | --- | --- | --- |
+//! | safe | send to any server, reject | send to any server, reject |
+//! | idempotent | send to any server, reject | within the deduplication window: send to the group of that attempt; reject if all servers are one group |
+//! | unsafe | send to any server, reject | nothing |
+//!
+//! A send is permitted only before the deadline, while attempts remain, and beside an attempt in
+//! flight only where the deployment allows parallel attempts. Nothing is permitted for a request
+//! that has ended or whose response stream has begun. Every send, rejection and failure is
+//! decided by [`permitted_actions`].
+
+use crate::api::{Class, Effect, Group, ServerId, Settings};
+use mintshelf_time::Nanos;
+
+/// Limits of the deployment on the attempts of a request.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct AttemptLimits {
+    /// Maximum number of attempts of a request of any class.
+    pub max_attempts: u32,
+    /// Whether a request may have two attempts in flight.
+    pub allows_parallel_attempts: bool,
+    /// By how much an attempt may reach its server later than it was decided, in nanoseconds.
+    pub max_send_delay: Nanos,
+}
+
+impl AttemptLimits {
+    /// The limits of an instance with these settings.
+    #[must_use]
+    pub fn new(settings: &Settings) -> Self {
+        AttemptLimits {
+            max_attempts: settings.max_attempts,
+            allows_parallel_attempts: settings.allows_parallel_attempts,
+            max_send_delay: settings.tick,
+        }
+    }
+}
+
+/// An attempt that may have had its effect.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct PossibleRun {
+    /// The server it was sent to.
+    pub server: ServerId,
+    /// When it was sent.
+    pub sent_at: Nanos,
+}
+
+/// How far a request has come.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct RequestProgress {
+    /// Number of attempts so far.
+    pub attempts: usize,
+    /// Whether one of them has not ended.
+    pub has_attempt_in_flight: bool,
+    /// The first attempt that may have had its effect.
+    pub first_possible_run: Option<PossibleRun>,
+    /// When its client stops waiting.
+    pub deadline: Nanos,
+    /// Whether it has ended or its response stream has begun.
+    pub is_settled: bool,
+}
+
+/// To which servers an attempt may be sent.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum SendPermission {
+    /// To none.
+    Forbidden,
+    /// To any server.
+    AnyServer,
+    /// To the servers in the deduplication group of this one.
+    GroupOf(ServerId),
+}
+
+/// What the safety rules permit for a request at one moment.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct PermittedActions {
+    /// Where another attempt may be sent.
+    pub send: SendPermission,
+    /// Whether the request may be rejected; otherwise it can only fail.
+    pub may_reject: bool,
+}
+
+impl PermittedActions {
+    const NONE: Self = PermittedActions { send: SendPermission::Forbidden, may_reject: false };
+}
+
+/// What is permitted at the time `at` for a request of a class.
+#[must_use]
+pub fn permitted_actions(
+    class: &Class,
+    limits: AttemptLimits,
+    request: &RequestProgress,
+    at: Nanos,
+) -> PermittedActions {
+    if request.is_settled {
+        return PermittedActions::NONE;
+    }
+    let may_send = may_attempt(class, limits, request, at);
+    match (class.effect, request.first_possible_run) {
+        (Effect::Safe, _) | (_, None) => PermittedActions {
+            send: if may_send { SendPermission::AnyServer } else { SendPermission::Forbidden },
+            may_reject: true,
+        },
+        (Effect::Unsafe, Some(_)) => PermittedActions::NONE,
+        (Effect::Idempotent, Some(first)) => {
+            let is_in_window = is_in_dedup_window(class, limits, first, at);
+            let may_send = may_send && is_in_window;
+            PermittedActions {
+                send: match may_send {
+                    true => SendPermission::GroupOf(first.server),
+                    false => SendPermission::Forbidden,
+                },
+                may_reject: is_in_window && class.group == Group::All,
+            }
+        }
+    }
+}
+
+/// Whether the deadline and the limits on attempts leave room for one more.
+fn may_attempt(class: &Class, limits: AttemptLimits, request: &RequestProgress, at: Nanos) -> bool {
+    let max_attempts = class.max_attempts.min(limits.max_attempts) as usize;
+    let may_be_parallel = limits.allows_parallel_attempts || !request.has_attempt_in_flight;
+    request.attempts < max_attempts && at < request.deadline && may_be_parallel
+}
+
+/// Whether a repeat that is decided now reaches its server while the first run is remembered: a
+/// later one would run twice.
+fn is_in_dedup_window(class: &Class, limits: AttemptLimits, first: PossibleRun, at: Nanos) -> bool {
+    let window_end = first.sent_at + class.dedup_window;
+    at < window_end.saturating_sub(limits.max_send_delay)
+}
--- a/crates/balancer/src/state/mod.rs
+++ b/crates/balancer/src/state/mod.rs
@@ -12,9 +12,7 @@
     Gains, LatencyModel, OverloadState, ReportFreshness, SpeedMemory, TrafficEstimates,
 };
 pub(crate) use ordered_servers::OrderedServers;
-pub(crate) use request::{
-    Attempt, AttemptEnd, AttemptRecord, LatencySample, PermittedActions, ProbeResult, Request,
-};
+pub(crate) use request::{Attempt, AttemptEnd, AttemptRecord, LatencySample, ProbeResult, Request};
 pub(crate) use server::{ClassOrders, DiscoveryCall, ServerState};
 pub(crate) use server_table::ServerTable;
 pub(crate) use timers::{Timer, TimerTable};
--- a/crates/balancer/src/state/request.rs
+++ b/crates/balancer/src/state/request.rs
@@ -1,6 +1,7 @@
 //! Records of requests and their attempts.
 
 use crate::api::{Outcome, ServerId};
+use crate::decide::retry_safety::{PossibleRun, RequestProgress};
 use crate::server_order::AdjacentPair;
 use mintshelf_time::Nanos;
 
@@ -44,13 +45,6 @@
     pub(crate) timer_tokens: Vec<u64>,
 }
 
-impl PermittedActions {
-    /// An attempt at any server, if `may_send`, and a rejection.
-    pub(crate) fn unrestricted(may_send: bool) -> Self {
-        PermittedActions { may_send, group_of: None, may_reject: true }
-    }
-}
-
 impl Request {
     /// Whether it is open with a single attempt in flight.
     pub(crate) fn has_one_in_flight(&self) -> bool {
@@ -80,17 +74,19 @@
     pub(crate) fn has_attempt_in_flight(&self) -> bool {
         self.attempts.iter().any(Attempt::is_in_flight)
     }
-}
 
-/// What the safety rules permit for a request at one moment.
-#[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub(crate) struct PermittedActions {
-    /// Another attempt may be sent.
-    pub(crate) may_send: bool,
-    /// The attempt must go to the deduplication group of this server.
-    pub(crate) group_of: Option<ServerId>,
-    /// The request may be rejected; otherwise it can only fail.
-    pub(crate) may_reject: bool,
+    /// What the safety rules need to know of it.
+    pub(crate) fn progress(&self) -> RequestProgress {
+        let first_possible_run = self.attempts.iter().find(|attempt| attempt.may_have_run());
+        RequestProgress {
+            attempts: self.attempts.len(),
+            has_attempt_in_flight: self.has_attempt_in_flight(),
+            first_possible_run: first_possible_run
+                .map(|attempt| PossibleRun { server: attempt.server, sent_at: attempt.sent_at }),
+            deadline: self.deadline,
+            is_settled: self.is_finished || self.is_streaming,
+        }
+    }
 }
 
 /// The report that an attempt has ended.
--- a/crates/balancer/src/state/server_table.rs
+++ b/crates/balancer/src/state/server_table.rs
@@ -31,7 +31,7 @@
     in_service: OrderedServers,
     /// Absent unless a class has deduplication groups of that kind.
     zones: Option<GroupedServers>,
-    cells: Option<GroupedServers>,
+    failure_domains: Option<GroupedServers>,
 }
 
 impl ServerTable {
@@ -41,7 +41,7 @@
         ServerTable {
             capacity: CapacityTotals::new(now, settings.warm_up),
             zones: has_group(Group::Zone).then(GroupedServers::default),
-            cells: has_group(Group::FailureDomain).then(GroupedServers::default),
+            failure_domains: has_group(Group::FailureDomain).then(GroupedServers::default),
             ..ServerTable::default()
         }
     }
@@ -66,9 +66,9 @@
         self.zones.as_ref()?.get(zone)
     }
 
-    /// Servers in service of a cell, in order.
-    pub(crate) fn in_cell(&self, cell: u32) -> Option<&OrderedServers> {
-        self.cells.as_ref()?.get(cell)
+    /// Servers in service of a failure domain, in order.
+    pub(crate) fn in_failure_domain(&self, domain: u32) -> Option<&OrderedServers> {
+        self.failure_domains.as_ref()?.get(domain)
     }
 
     /// Sums over the servers in service.
@@ -158,7 +158,10 @@
     /// Puts the changes since the last call into effect in the order.
     pub(crate) fn apply_changes(&mut self) {
         self.in_service.apply_changes();
-        self.zones.iter_mut().chain(&mut self.cells).for_each(GroupedServers::apply_changes);
+        self.zones
+            .iter_mut()
+            .chain(&mut self.failure_domains)
+            .for_each(GroupedServers::apply_changes);
     }
 
     /// Changes a server and what is derived from it.
@@ -178,13 +181,13 @@
         }
         self.capacity.add(self.counted(index));
         let key = self.order_key(index);
-        let ListedServer { zone, failure_domain: cell, .. } = self.servers[index].listed;
+        let ListedServer { zone, failure_domain, .. } = self.servers[index].listed;
         self.in_service.join(key);
         if let Some(zones) = &mut self.zones {
             zones.join(zone, key);
         }
-        if let Some(cells) = &mut self.cells {
-            cells.join(cell, key);
+        if let Some(domains) = &mut self.failure_domains {
+            domains.join(failure_domain, key);
         }
     }
 
@@ -196,13 +199,13 @@
         }
         self.capacity.remove(self.counted(index));
         let key = self.order_key(index);
-        let ListedServer { zone, failure_domain: cell, .. } = self.servers[index].listed;
+        let ListedServer { zone, failure_domain, .. } = self.servers[index].listed;
         self.in_service.leave(key);
         if let Some(zones) = &mut self.zones {
             zones.leave(zone, key);
         }
-        if let Some(cells) = &mut self.cells {
-            cells.leave(cell, key);
+        if let Some(domains) = &mut self.failure_domains {
+            domains.leave(failure_domain, key);
         }
     }
 
--- /dev/null
+++ b/crates/balancer/tests/retry_safety.rs
@@ -0,0 +1,112 @@
+//! The safety rules as a table: effect and group of the class, attempts so far, and what is
+//! permitted.
+
+use mintshelf_balancer::api::{Backoff, Class, Effect, Group};
+use mintshelf_balancer::decide::retry_safety::{
+    permitted_actions, AttemptLimits, PossibleRun, RequestProgress, SendPermission,
+};
+use mintshelf_time::{Nanos, MILLISECOND, SECOND};
+
+/// When the first attempt of the tables was sent.
+const SENT_AT: Nanos = 100 * SECOND;
+const DEDUP_WINDOW: Nanos = 5 * SECOND;
+const MAX_SEND_DELAY: Nanos = 5 * MILLISECOND;
+const LIMITS: AttemptLimits = AttemptLimits {
+    max_attempts: 3,
+    allows_parallel_attempts: false,
+    max_send_delay: MAX_SEND_DELAY,
+};
+const FIRST_RUN: Option<PossibleRun> = Some(PossibleRun { server: 7, sent_at: SENT_AT });
+
+fn class(effect: Effect, group: Group) -> Class {
+    Class {
+        effect,
+        group,
+        dedup_window: DEDUP_WINDOW,
+        latency_objective: SECOND,
+        deadline: 60 * SECOND,
+        priority_weight: 1.0,
+        late_weight: 0.0,
+        max_attempts: 6,
+        backoff: Backoff::default(),
+    }
+}
+
+/// A request after one attempt that has ended.
+fn after_one_attempt(first_possible_run: Option<PossibleRun>) -> RequestProgress {
+    RequestProgress {
+        attempts: 1,
+        has_attempt_in_flight: false,
+        first_possible_run,
+        deadline: SENT_AT + 60 * SECOND,
+        is_settled: false,
+    }
+}
+
+#[test]
+fn what_may_follow_an_attempt_depends_on_effect_and_group() {
+    use Effect::{Idempotent, Safe, Unsafe};
+    use Group::{All, FailureDomain, Zone};
+    use SendPermission::{AnyServer, Forbidden, GroupOf};
+    let in_window = SENT_AT + SECOND;
+    let past_window = SENT_AT + DEDUP_WINDOW;
+    let table = [
+        // The attempt certainly never ran.
+        (Safe, All, None, in_window, AnyServer, true),
+        (Idempotent, Zone, None, in_window, AnyServer, true),
+        (Idempotent, Zone, None, past_window, AnyServer, true),
+        (Unsafe, All, None, past_window, AnyServer, true),
+        // It may have run.
+        (Safe, All, FIRST_RUN, in_window, AnyServer, true),
+        (Safe, All, FIRST_RUN, past_window, AnyServer, true),
+        (Idempotent, All, FIRST_RUN, in_window, GroupOf(7), true),
+        (Idempotent, Zone, FIRST_RUN, in_window, GroupOf(7), false),
+        (Idempotent, FailureDomain, FIRST_RUN, in_window, GroupOf(7), false),
+        (Idempotent, All, FIRST_RUN, past_window, Forbidden, false),
+        (Idempotent, Zone, FIRST_RUN, past_window, Forbidden, false),
+        (Unsafe, All, FIRST_RUN, in_window, Forbidden, false),
+    ];
+    for (effect, group, first_run, at, send, may_reject) in table {
+        let request = after_one_attempt(first_run);
+        let permitted = permitted_actions(&class(effect, group), LIMITS, &request, at);
+        let row = format!("{effect:?} {group:?} {first_run:?} at {at}");
+        assert_eq!(permitted.send, send, "{row}");
+        assert_eq!(permitted.may_reject, may_reject, "{row}");
+    }
+}
+
+#[test]
+fn the_deduplication_window_ends_early_by_the_longest_delay_of_a_send() {
+    let last = SENT_AT + DEDUP_WINDOW - MAX_SEND_DELAY;
+    let class = class(Effect::Idempotent, Group::All);
+    let request = after_one_attempt(FIRST_RUN);
+    let may_send = |at| permitted_actions(&class, LIMITS, &request, at).send;
+    assert_eq!(may_send(last - 1), SendPermission::GroupOf(7));
+    assert_eq!(may_send(last), SendPermission::Forbidden);
+}
+
+#[test]
+fn sends_end_with_the_deadline_and_the_attempts() {
+    let class = Class { max_attempts: 2, ..class(Effect::Safe, Group::All) };
+    let open = after_one_attempt(None);
+    let may_send = |request: RequestProgress, at| {
+        permitted_actions(&class, LIMITS, &request, at).send != SendPermission::Forbidden
+    };
+    assert!(may_send(open, open.deadline - 1));
+    assert!(!may_send(open, open.deadline), "the client has left");
+    assert!(!may_send(RequestProgress { attempts: 2, ..open }, SENT_AT), "attempts of the class");
+    let in_flight = RequestProgress { has_attempt_in_flight: true, ..open };
+    assert!(!may_send(in_flight, SENT_AT), "parallel attempts are forbidden");
+    let parallel = AttemptLimits { allows_parallel_attempts: true, ..LIMITS };
+    let permitted = permitted_actions(&class, parallel, &in_flight, SENT_AT);
+    assert_eq!(permitted.send, SendPermission::AnyServer);
+    assert!(permitted.may_reject);
+}
+
+#[test]
+fn nothing_is_permitted_for_a_request_that_is_settled() {
+    let settled = RequestProgress { is_settled: true, ..after_one_attempt(None) };
+    let permitted = permitted_actions(&class(Effect::Safe, Group::All), LIMITS, &settled, SENT_AT);
+    assert_eq!(permitted.send, SendPermission::Forbidden);
+    assert!(!permitted.may_reject);
+}
--- a/crates/retry/src/schedule.rs
+++ b/crates/retry/src/schedule.rs
@@ -6,7 +6,7 @@
 
 pub use mintshelf_balancer::api::Backoff;
 use mintshelf_balancer::api::Effect;
-use mintshelf_balancer::decide::attempts::{HOLD_SHARE, HOLD_STEP};
+use mintshelf_balancer::decide::hold::{HOLD_RETRY_INTERVAL, MAX_HOLD_OBJECTIVE_FRACTION};
 use mintshelf_time::Nanos;
 
 /// An adaptive time-out is no shorter than this part of the latency objective: a second attempt
@@ -163,13 +163,13 @@
 
     /// When attempt `number` starts at the latest, after one that started at `previous_start`.
     fn next_latest_start(&self, previous_start: Nanos, number: u32) -> Nanos {
-        let hold = (self.latency_objective as f64 * HOLD_SHARE) as Nanos;
+        let hold = (self.latency_objective as f64 * MAX_HOLD_OBJECTIVE_FRACTION) as Nanos;
         let mut latest_start = previous_start
             .saturating_add(self.max_attempt_duration())
             .saturating_add(self.max_backoff(number - 1));
         if latest_start < hold {
             // Without a server to go to, the request may be held for that long.
-            latest_start = hold + HOLD_STEP;
+            latest_start = hold + HOLD_RETRY_INTERVAL;
         }
         latest_start.min(self.deadline.saturating_sub(1))
     }
