--- a/crates/admission/benches/cost.rs
+++ b/crates/admission/benches/cost.rs
@@ -4,7 +4,7 @@
 use mintshelf_admission::admission::{Admission, AdmissionConfig};
 use mintshelf_admission::limit::LimitConfig;
 use mintshelf_admission::queue::{
-    FairQueue, FairQueueConfig, QueueDecision, QueueEntry, QueueTicket,
+    Enqueued, FairQueue, FairQueueConfig, QueueDecision, QueueEntry, QueueTicket,
 };
 use mintshelf_admission::rate::RateConfig;
 use mintshelf_admission::tenants::TenantResolver;
@@ -24,7 +24,7 @@
 
 const ROUNDS: u64 = 400_000;
 
-/// Nanoseconds a call: the least of five rounds.
+/// Nanoseconds a call: the minimum of five rounds.
 fn cost(mut call: impl FnMut(u64)) -> f64 {
     let round = |call: &mut dyn FnMut(u64)| {
         let begun = Instant::now();
@@ -59,7 +59,7 @@
     for tenants in [1, 4, 64] {
         let (mut admission, names) = admission(tenants);
         // Every tenant is active, as under load.
-        let through = cost(|n| {
+        let nanos = cost(|n| {
             let (now, tenant) = (n * 10_000, &names[n as usize % tenants]);
             let _ = black_box(admission.begin_request(now, tenant, "r"));
             let entry = QueueEntry {
@@ -73,7 +73,7 @@
             black_box(admission.complete(now, "c", tenant));
             admission.end_request(tenant, "r");
         });
-        println!("{through:>9.0}  tenant and route with rates, cluster's queue; {tenants} tenants");
+        println!("{nanos:>9.0}  tenant and route with rates, cluster's queue; {tenants} tenants");
     }
     let mut resolver = TenantResolver::new();
     for n in 0..64u8 {
@@ -118,7 +118,7 @@
 /// Simulated time.
 const DURATION: Nanos = 60 * SECOND;
 
-/// What a simulation came to.
+/// The results of a simulation.
 struct Outcome {
     /// Requests served in a second, by member.
     served: [f64; MEMBERS],
@@ -126,7 +126,7 @@
     p99: Nanos,
 }
 
-/// A request of a member comes, or one that was admitted ends. Ordered by time, then by number.
+/// A request of a member arrives, or an admitted one ends. Ordered by time, then by number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Event {
     at: Nanos,
@@ -155,7 +155,7 @@
     waits: Vec<Nanos>,
 }
 
-/// What a member can claim in a second.
+/// Requests a second that a member can claim.
 fn share_per_second() -> f64 {
     f64::from(PLACES) * SECOND as f64 / SERVICE as f64 / MEMBERS as f64
 }
@@ -216,7 +216,8 @@
         let mut admitted = Vec::new();
         let transitions = if event.is_arrival {
             self.schedule_arrival(now, self.last_number, member);
-            let (decision, transitions) = self.queue.enqueue(now, self.entry(now, member));
+            let Enqueued { decision, transitions } =
+                self.queue.enqueue(now, self.entry(now, member));
             match decision {
                 QueueDecision::Admit => admitted.push(Waiting { member, since: now }),
                 QueueDecision::Wait(ticket) => {
@@ -261,8 +262,8 @@
     }
 }
 
-/// Jain's index of what each was served for what it could claim: its demand, or its share of
-/// what is there if that is less (Jain, Chiu, Hawe 1984).
+/// Jain's fairness index of the requests served, relative to what each member could claim: its
+/// demand, or its share of the capacity if that is less (Jain, Chiu, Hawe 1984).
 fn jain(served: &[f64; MEMBERS], claims: &[f64; MEMBERS]) -> f64 {
     let parts: Vec<f64> = served.iter().zip(claims).map(|(got, claim)| got / claim).collect();
     let sum: f64 = parts.iter().sum();
@@ -280,7 +281,7 @@
         let half = |has_tenants| {
             let outcome = Simulation::new(multiple, has_tenants).run();
             let share = share_per_second();
-            // What the others leave of theirs is there for the first.
+            // The first may use what the others leave of their shares.
             let first = (multiple * share).min(1.3 * share);
             let claims = [first, 0.9 * share, 0.9 * share, 0.9 * share];
             let others = outcome.served[1..].iter().sum::<f64>() / 3.0;
--- a/crates/admission/src/admission.rs
+++ b/crates/admission/src/admission.rs
@@ -1,11 +1,10 @@
 //! All limits of an installation: those of tenants and routes, which reject at once, and those of
-//! clusters, which queue. They outlive the configurations that set them: what is in flight goes
-//! on counting.
+//! clusters, which queue. They outlive the configurations that set them: requests in flight still
+//! count after a reload.
 
 use crate::limit::{Limit, LimitConfig};
 use crate::queue::{
-    FairQueue, FairQueueConfig, QueueDecision, QueueEntry, QueueTicket, QueueTransitions,
-    QueueUsage,
+    Enqueued, FairQueue, FairQueueConfig, QueueEntry, QueueTicket, QueueTransitions, QueueUsage,
 };
 use mintshelf_time::Nanos;
 use std::collections::BTreeMap;
@@ -18,7 +17,7 @@
     pub tenants: BTreeMap<Rc<str>, LimitConfig>,
     /// By route.
     pub routes: BTreeMap<Rc<str>, LimitConfig>,
-    /// By cluster; those without a limit are not in it.
+    /// By cluster; one without an entry is not limited.
     pub clusters: BTreeMap<Rc<str>, FairQueueConfig>,
 }
 
@@ -32,11 +31,11 @@
 /// The limit that rejected a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LimitExceeded {
-    /// The rate of its tenant; the time until one more is allowed.
+    /// The rate of its tenant; the time until the next request is allowed.
     TenantRate(Nanos),
     /// The concurrency of its tenant.
     TenantConcurrency,
-    /// The rate of its route; the time until one more is allowed.
+    /// The rate of its route; the time until the next request is allowed.
     RouteRate(Nanos),
     /// The concurrency of its route.
     RouteConcurrency,
@@ -86,10 +85,10 @@
 ///     deadline: 1_000_000_000,
 ///     expected_latency: 0,
 /// };
-/// let (first, _) = admission.enqueue(0, "web", entry.clone()).unwrap();
-/// assert_eq!(first, QueueDecision::Admit);
-/// let (second, _) = admission.enqueue(0, "web", entry.clone()).unwrap();
-/// let QueueDecision::Wait(ticket) = second else { panic!("the cluster takes one at a time") };
+/// let first = admission.enqueue(0, "web", entry.clone()).unwrap();
+/// assert_eq!(first.decision, QueueDecision::Admit);
+/// let second = admission.enqueue(0, "web", entry.clone()).unwrap();
+/// let QueueDecision::Wait(ticket) = second.decision else { panic!("the cluster takes one at a time") };
 /// let transitions = admission.complete(1_000_000, "web", &entry.tenant);
 /// assert_eq!(transitions.admitted, [ticket]);
 /// ```
@@ -117,9 +116,9 @@
 }
 
 impl Admission {
-    /// Puts a configuration in force. What is in flight goes on counting under its name; what
-    /// waits at a cluster that is no longer limited is admitted. Back come the transitions by
-    /// cluster, which the caller passes on to those who wait.
+    /// Applies a configuration. Requests in flight still count under the names of their tenant,
+    /// route and cluster; those that wait at a cluster that is no longer limited are admitted.
+    /// Returns the transitions by cluster, of which the caller notifies the requests that wait.
     #[must_use = "requests that wait never learn that they are admitted or rejected"]
     pub fn configure(
         &mut self,
@@ -143,13 +142,13 @@
         transitions
     }
 
-    /// Admits a request to its tenant's and its route's limits. Each one admitted is to be ended
-    /// by [`Admission::end_request`].
+    /// Admits a request by the limits of its tenant and its route. Each one admitted is to be
+    /// ended by [`Admission::end_request`].
     ///
     /// # Errors
     ///
-    /// The first limit that is exceeded; nothing counts against any limit then, but for a rate
-    /// of the tenant where that of the route is exceeded.
+    /// The first limit that is exceeded. The request then counts against no limit, except that it
+    /// has used the tenant's rate where the rate of the route is exceeded.
     pub fn begin_request(
         &mut self,
         now: Nanos,
@@ -158,8 +157,7 @@
     ) -> Result<(), LimitExceeded> {
         let tenant = self.tenants.get_mut(tenant);
         let route = self.routes.get_mut(route);
-        // Concurrency is checked first since that takes nothing: a request that is rejected for
-        // it uses up no rate.
+        // Concurrency is checked first: a request that it rejects has used none of the rate.
         if tenant.as_ref().is_some_and(|limit| limit.is_concurrency_full()) {
             return Err(LimitExceeded::TenantConcurrency);
         }
@@ -182,28 +180,22 @@
         limits.into_iter().flatten().for_each(Limit::end_request);
     }
 
-    /// Reserves memory for a tenant's request body; whether there is enough. If so, the bytes are
-    /// to be given back by [`Admission::release_body`].
+    /// Reserves memory for a tenant's request body, and returns whether there is enough. If so,
+    /// the bytes are to be released by [`Admission::release_body`].
     #[must_use]
     pub fn try_reserve_body(&mut self, tenant: &str, bytes: u64) -> bool {
         self.tenants.get_mut(tenant).is_none_or(|limit| limit.try_reserve_bytes(bytes))
     }
 
-    /// Gives back memory that was reserved for a body.
+    /// Releases memory that was reserved for a body.
     pub fn release_body(&mut self, tenant: &str, bytes: u64) {
         if let Some(limit) = self.tenants.get_mut(tenant) {
             limit.release_bytes(bytes);
         }
     }
 
-    /// Offers a request to a cluster's queue; none if the cluster has no limit.
-    #[must_use]
-    pub fn enqueue(
-        &mut self,
-        now: Nanos,
-        cluster: &str,
-        entry: QueueEntry,
-    ) -> Option<(QueueDecision, QueueTransitions)> {
+    /// Offers a request to a cluster's queue; `None` if the cluster has no limit.
+    pub fn enqueue(&mut self, now: Nanos, cluster: &str, entry: QueueEntry) -> Option<Enqueued> {
         self.clusters.get_mut(cluster).map(|queue| queue.enqueue(now, entry))
     }
 
@@ -216,7 +208,7 @@
         }
     }
 
-    /// Takes a request that waits out of a cluster's queue.
+    /// Removes a request that waits from a cluster's queue.
     pub fn cancel(&mut self, cluster: &str, ticket: QueueTicket) {
         if let Some(queue) = self.clusters.get_mut(cluster) {
             queue.cancel(ticket);
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,15 +1,15 @@
 //! Admission control: which tenant a request belongs to ([`tenants`]), rate and concurrency
-//! limits of tenants and routes ([`admission`], [`limit`], [`rate`]), fair queues before clusters
-//! ([`queue`]) and slots for long-lived connections ([`slots`]).
+//! limits of tenants and routes ([`admission`], [`limit`], [`rate`]), fair queues in front of
+//! clusters ([`queue`]) and slots for long-lived connections ([`slots`]).
 //!
-//! No I/O: time is an argument, in nanoseconds on the caller's monotonic clock. Everything here
-//! belongs to one thread.
+//! No I/O: time is an argument, in nanoseconds on the caller's monotonic clock. All state is owned
+//! by the thread of the caller.
 #![forbid(unsafe_code)]
 
 pub mod admission;
 pub mod limit;
-mod member;
 pub mod queue;
 pub mod rate;
+mod share;
 pub mod slots;
 pub mod tenants;
--- a/crates/admission/src/limit.rs
+++ b/crates/admission/src/limit.rs
@@ -6,7 +6,7 @@
 /// What a tenant or a route is limited to; nothing by default.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct LimitConfig {
-    /// Requests in a time.
+    /// Requests in a period.
     pub rate: Option<RateConfig>,
     /// Requests in flight at one time.
     pub max_concurrency: Option<u32>,
@@ -33,9 +33,9 @@
 }
 
 impl Limit {
-    /// Changes the limits; what is in flight goes on counting.
+    /// Changes the limits; requests in flight still count.
     pub(crate) fn configure(&mut self, now: Nanos, config: LimitConfig) {
-        // A rate that stays as it was does not get its burst anew.
+        // An unchanged rate keeps its state: a reload grants no further burst.
         if self.config.rate != config.rate {
             self.rate = config.rate.map(|rate| RateLimit::new(rate, now));
         }
@@ -51,7 +51,7 @@
         self.config.max_concurrency.is_some_and(|max| self.in_flight >= max)
     }
 
-    /// Takes one request from the rate; if there is none, the time until there is.
+    /// Takes one request from the rate; the error is the time until the next one is allowed.
     pub(crate) fn try_acquire_rate(&self, now: Nanos) -> Result<(), Nanos> {
         self.rate.as_ref().map_or(Ok(()), |rate| rate.try_acquire(now))
     }
@@ -64,7 +64,7 @@
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Reserves memory for a body; whether there is enough.
+    /// Reserves memory for a body, and returns whether there is enough.
     pub(crate) fn try_reserve_bytes(&mut self, bytes: u64) -> bool {
         let reserved = self.body_bytes.saturating_add(bytes);
         if self.config.max_body_bytes.is_some_and(|max| reserved > max) {
--- /dev/null
+++ b/crates/admission/src/queue/mod.rs
@@ -0,0 +1,162 @@
+//! A concurrency limit shared fairly between tenants, with a bounded queue.
+//!
+//! A free place goes to whichever tenant comes first, except for a few that are reserved for
+//! active tenants: otherwise the long requests of one tenant could occupy all of them. The queue
+//! is ordered by tenant (the lowest load for its share first), then first attempts before repeats,
+//! by descending priority weight, and by deadline. If it is full, the last request in this order
+//! is rejected, which need not be the one that came last.
+
+mod active_tenants;
+mod config;
+mod rank;
+mod request;
+mod tenant;
+
+pub use config::FairQueueConfig;
+pub use request::{
+    Enqueued, QueueDecision, QueueEntry, QueueTicket, QueueTransitions, QueueUsage, RejectReason,
+    RejectedTicket,
+};
+
+use active_tenants::{ActiveTenants, Dequeued};
+use mintshelf_time::Nanos;
+use rank::Rank;
+use std::collections::HashMap;
+use std::rc::Rc;
+
+/// Where a request waits.
+#[derive(Debug, Clone)]
+struct QueuePosition {
+    tenant: Rc<str>,
+    rank: Rank,
+}
+
+/// The concurrency limit and the queue of one cluster.
+#[derive(Debug, Default)]
+pub struct FairQueue {
+    config: FairQueueConfig,
+    tenants: ActiveTenants,
+    waiting: HashMap<QueueTicket, QueuePosition>,
+    last_ticket: QueueTicket,
+}
+
+impl FairQueue {
+    /// Starts with nothing in flight.
+    #[must_use]
+    pub fn new(config: FairQueueConfig) -> Self {
+        FairQueue { config, ..FairQueue::default() }
+    }
+
+    /// How many requests are in flight, and wait.
+    #[must_use]
+    pub fn usage(&self) -> QueueUsage {
+        QueueUsage { in_flight: self.tenants.in_flight() as usize, queued: self.waiting.len() }
+    }
+
+    /// Changes the bounds. What is in flight stays and counts; what waits keeps its place unless
+    /// the queue is now too short for it.
+    #[must_use = "requests that wait never learn that they are admitted or rejected"]
+    pub fn configure(&mut self, now: Nanos, config: FairQueueConfig) -> QueueTransitions {
+        self.config = config;
+        self.tenants.divide_reservations(&self.config);
+        let mut transitions = QueueTransitions::default();
+        while self.waiting.len() > self.config.max_queued as usize {
+            let busiest = self.tenants.busiest_waiting();
+            let Some(ticket) = busiest.and_then(|tenant| self.pop_last(&tenant)) else { break };
+            transitions.reject(ticket, RejectReason::QueueFull);
+        }
+        self.admit_waiting(now, &mut transitions);
+        transitions
+    }
+
+    /// Offers a request. Another one that waits may be rejected in its favor.
+    pub fn enqueue(&mut self, now: Nanos, entry: QueueEntry) -> Enqueued {
+        let mut transitions = QueueTransitions::default();
+        let decision = self.decide(now, entry, &mut transitions);
+        Enqueued { decision, transitions }
+    }
+
+    fn decide(
+        &mut self,
+        now: Nanos,
+        entry: QueueEntry,
+        transitions: &mut QueueTransitions,
+    ) -> QueueDecision {
+        self.tenants.record_activity(now, &entry.tenant, &self.config);
+        if now.saturating_add(entry.expected_latency) >= entry.deadline {
+            return QueueDecision::Reject(RejectReason::TooLate);
+        }
+        if self.tenants.can_admit_at_once(&entry.tenant, &self.config) {
+            self.tenants.begin(&entry.tenant);
+            return QueueDecision::Admit;
+        }
+        self.last_ticket = self.last_ticket.next();
+        let ticket = self.last_ticket;
+        let rank = Rank::new(&entry, ticket);
+        if self.waiting.len() >= self.config.max_queued as usize {
+            match self.displace(&entry.tenant, rank) {
+                Some(displaced) => transitions.reject(displaced, RejectReason::QueueFull),
+                None => return QueueDecision::Reject(RejectReason::QueueFull),
+            }
+        }
+        self.tenants.push(&entry.tenant, rank, entry.expected_latency);
+        self.waiting.insert(ticket, QueuePosition { tenant: entry.tenant, rank });
+        QueueDecision::Wait(ticket)
+    }
+
+    /// Ends a request that was admitted.
+    #[must_use = "requests that wait never learn that they are admitted or rejected"]
+    pub fn complete(&mut self, now: Nanos, tenant: &Rc<str>) -> QueueTransitions {
+        self.tenants.end(tenant);
+        let mut transitions = QueueTransitions::default();
+        self.admit_waiting(now, &mut transitions);
+        self.tenants.sweep(now, &self.config);
+        transitions
+    }
+
+    /// Removes a request that waits from the queue.
+    pub fn cancel(&mut self, ticket: QueueTicket) {
+        let Some(position) = self.waiting.remove(&ticket) else { return };
+        self.tenants.remove(&position.tenant, &position.rank);
+    }
+
+    /// Takes a request that ranks behind this one out of the full queue; none if there is none.
+    fn displace(&mut self, tenant: &Rc<str>, rank: Rank) -> Option<QueueTicket> {
+        let busiest = self.tenants.busiest_waiting()?;
+        if busiest != *tenant {
+            let relative_load =
+                |load: u32, tenant: &str| f64::from(load) / self.config.share(tenant);
+            let own_load = relative_load(self.tenants.load(tenant) + 1, tenant);
+            if own_load <= relative_load(self.tenants.load(&busiest), &busiest) {
+                return self.pop_last(&busiest);
+            }
+        }
+        if rank < *self.tenants.last_rank(tenant)? {
+            self.pop_last(tenant)
+        } else {
+            None
+        }
+    }
+
+    fn pop_last(&mut self, tenant: &str) -> Option<QueueTicket> {
+        let rank = self.tenants.pop_last(tenant)?;
+        self.waiting.remove(&rank.ticket);
+        Some(rank.ticket)
+    }
+
+    /// Admits requests that wait while the concurrency limit allows it.
+    fn admit_waiting(&mut self, now: Nanos, transitions: &mut QueueTransitions) {
+        while self.tenants.in_flight() < self.config.max_concurrency && !self.waiting.is_empty() {
+            let Some(tenant) = self.tenants.next_to_admit(&self.config) else { return };
+            let Some(first) = self.tenants.pop_first(&tenant) else { return };
+            let Dequeued { rank, expected_latency } = first;
+            self.waiting.remove(&rank.ticket);
+            if now.saturating_add(expected_latency) >= rank.deadline {
+                transitions.reject(rank.ticket, RejectReason::TooLate);
+            } else {
+                self.tenants.begin(&tenant);
+                transitions.admitted.push(rank.ticket);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/admission/src/queue/rank.rs
@@ -0,0 +1,27 @@
+//! The order of the requests of one tenant.
+
+use super::request::{QueueEntry, QueueTicket};
+use mintshelf_time::Nanos;
+use std::cmp::Reverse;
+
+/// The place of a request among those of its tenant; the smallest is admitted first. The order of
+/// the fields is the order of precedence.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct Rank {
+    is_repeat: bool,
+    /// The bits of a number that is not negative, which are ordered as the number is.
+    priority_weight: Reverse<u64>,
+    pub(super) deadline: Nanos,
+    pub(super) ticket: QueueTicket,
+}
+
+impl Rank {
+    pub(super) fn new(entry: &QueueEntry, ticket: QueueTicket) -> Self {
+        Rank {
+            is_repeat: entry.is_repeat,
+            priority_weight: Reverse(entry.priority_weight.max(0.0).to_bits()),
+            deadline: entry.deadline,
+            ticket,
+        }
+    }
+}
--- a/crates/admission/src/rate.rs
+++ b/crates/admission/src/rate.rs
@@ -5,7 +5,7 @@
 use governor::nanos::Nanos as GovernorNanos;
 use governor::state::{InMemoryState, NotKeyed};
 use governor::{Quota, RateLimiter};
-use mintshelf_time::Nanos;
+use mintshelf_time::{from_duration, Nanos};
 use std::cell::Cell;
 use std::fmt;
 use std::num::NonZeroU32;
@@ -19,7 +19,7 @@
     pub count: NonZeroU32,
     /// The period.
     pub period: Duration,
-    /// Requests at once after a pause.
+    /// Requests at once after a time without any.
     pub burst: NonZeroU32,
 }
 
@@ -36,12 +36,12 @@
     }
 }
 
-/// A clock that stands where it was set.
+/// A clock that shows the time to which it was advanced.
 #[derive(Debug, Clone, Default)]
 struct ManualClock(Rc<Cell<Nanos>>);
 
 impl ManualClock {
-    /// Moves on to a time; never back, which the library does not allow.
+    /// Advances to a time; an earlier one is ignored, since the library requires a monotonic clock.
     fn advance_to(&self, now: Nanos) {
         self.0.set(self.0.get().max(now));
     }
@@ -61,7 +61,7 @@
 pub struct RateLimit {
     config: RateConfig,
     clock: ManualClock,
-    /// None for a rate that can't be enforced, which limits nothing.
+    /// `None` for a rate that can't be enforced, which limits nothing.
     limiter: Option<Limiter>,
 }
 
@@ -87,9 +87,8 @@
     pub fn try_acquire(&self, now: Nanos) -> Result<(), Nanos> {
         self.clock.advance_to(now);
         let Some(limiter) = &self.limiter else { return Ok(()) };
-        limiter.check().map_err(|not_until| {
-            let wait = not_until.wait_time_from(self.clock.now());
-            u64::try_from(wait.as_nanos()).unwrap_or(Nanos::MAX)
-        })
+        limiter
+            .check()
+            .map_err(|not_until| from_duration(not_until.wait_time_from(self.clock.now())))
     }
 }
--- a/crates/admission/src/slots.rs
+++ b/crates/admission/src/slots.rs
@@ -1,17 +1,18 @@
-//! Slots for long-lived connections: how many there are, who has them, and who makes room.
+//! Slots for long-lived connections, shared fairly between tenants.
 //!
-//! A place at a queue is given back within a deadline; a slot may be occupied for hours, so a
-//! tenant that comes late could find none. While others want slots no tenant has more than its
-//! share: one that wants a slot below its share gets a claim, and a connection of the tenant
-//! furthest over its own share is to be closed.
+//! A request releases its place within a deadline; a connection may occupy its slot for hours, so
+//! a tenant that comes late could find none. While others want slots no tenant has more than its
+//! share: a tenant below its share that finds no slot gets a claim on one, and a connection of the
+//! tenant furthest over its own share is to be closed.
 
+use crate::share::proportional_part;
 use mintshelf_time::{Nanos, SECOND};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// How long a claim is good: who was rejected is to come back within this time.
+/// How long a claim lasts: the rejected client is to retry within this time.
 pub const CLAIM_DURATION: Nanos = 10 * SECOND;
-/// Upper bound of one tenant's claims at one time: each has another connection closed.
+/// Upper bound of one tenant's claims at one time, each of which closes another connection.
 const MAX_CLAIMS: u32 = 16;
 
 /// Bounds of the slots, and the shares of tenants.
@@ -21,11 +22,11 @@
     pub capacity: u32,
     /// Shares of tenants; 1 for one that is not named.
     pub shares: BTreeMap<Rc<str>, f64>,
-    /// Upper bounds of tenants; those without one are not in it.
+    /// Upper bounds of tenants; one without an entry has none.
     pub tenants: BTreeMap<Rc<str>, u32>,
-    /// Upper bounds of routes; those without one are not in it.
+    /// Upper bounds of routes; one without an entry has none.
     pub routes: BTreeMap<Rc<str>, u32>,
-    /// Upper bounds of clusters; those without one are not in it.
+    /// Upper bounds of clusters; one without an entry has none.
     pub clusters: BTreeMap<Rc<str>, u32>,
 }
 
@@ -53,7 +54,7 @@
     Cluster,
 }
 
-/// A rejection, and who is to make room for the next attempt.
+/// A rejection, and whose connection is to be closed so that the next attempt finds a slot.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SlotRejected {
     /// Why.
@@ -64,11 +65,11 @@
 
 /// One tenant's slots.
 #[derive(Debug, Default)]
-struct Member {
+struct TenantSlots {
     occupied: u32,
-    /// Slots that are free, or are being freed, for it.
+    /// Slots that are reserved for it, free or still occupied by a connection that closes.
     claims: u32,
-    /// Until when they are reserved.
+    /// When all of its claims expire.
     claims_expire_at: Nanos,
 }
 
@@ -77,7 +78,7 @@
 pub struct SlotTable {
     config: SlotConfig,
     occupied: u32,
-    tenants: BTreeMap<Rc<str>, Member>,
+    tenants: BTreeMap<Rc<str>, TenantSlots>,
     routes: BTreeMap<Rc<str>, u32>,
     clusters: BTreeMap<Rc<str>, u32>,
 }
@@ -107,11 +108,11 @@
 
     /// How many slots each tenant has; those without any are left out.
     pub fn by_tenant(&self) -> impl Iterator<Item = (&Rc<str>, u32)> {
-        let members = self.tenants.iter().filter(|(_, member)| member.occupied > 0);
-        members.map(|(name, member)| (name, member.occupied))
+        let tenants = self.tenants.iter().filter(|(_, slots)| slots.occupied > 0);
+        tenants.map(|(name, slots)| (name, slots.occupied))
     }
 
-    /// Occupies a slot, which is to be given back by [`SlotTable::release`].
+    /// Occupies a slot, which is to be released by [`SlotTable::release`].
     ///
     /// # Errors
     ///
@@ -129,21 +130,20 @@
         Err(SlotRejected { reason: SlotUnavailable::Full, reclaim_from })
     }
 
-    /// Gives back a slot whose connection has closed.
+    /// Releases a slot whose connection has closed.
     pub fn release(&mut self, owner: &SlotOwner) {
         self.occupied = self.occupied.saturating_sub(1);
-        if let Some(member) = self.tenants.get_mut(&owner.tenant) {
-            member.occupied = member.occupied.saturating_sub(1);
+        if let Some(slots) = self.tenants.get_mut(&owner.tenant) {
+            slots.occupied = slots.occupied.saturating_sub(1);
         }
         decrement(&mut self.routes, &owner.route);
         decrement(&mut self.clusters, &owner.cluster);
-        // At time 0 nothing expires; this drops a tenant without slots and claims.
-        self.expire_claims(0);
+        self.remove_idle_tenants();
     }
 
     fn check_bounds(&self, owner: &SlotOwner) -> Result<(), SlotUnavailable> {
         let SlotOwner { tenant, route, cluster } = owner;
-        let occupied = self.tenants.get(tenant).map_or(0, |member| member.occupied);
+        let occupied = self.tenants.get(tenant).map_or(0, |slots| slots.occupied);
         if self.config.tenants.get(tenant).is_some_and(|max| occupied >= *max) {
             return Err(SlotUnavailable::Tenant);
         }
@@ -157,9 +157,9 @@
     }
 
     fn occupy(&mut self, owner: &SlotOwner) {
-        let member = self.tenants.entry(owner.tenant.clone()).or_default();
-        member.occupied += 1;
-        member.claims = member.claims.saturating_sub(1);
+        let slots = self.tenants.entry(owner.tenant.clone()).or_default();
+        slots.occupied += 1;
+        slots.claims = slots.claims.saturating_sub(1);
         self.occupied += 1;
         *self.routes.entry(owner.route.clone()).or_default() += 1;
         *self.clusters.entry(owner.cluster.clone()).or_default() += 1;
@@ -169,44 +169,48 @@
         self.config.shares.get(tenant).copied().unwrap_or(1.0)
     }
 
-    /// Slots that are a tenant's by its share, among the tenants that have or claim some and
-    /// `newcomer`, which wants one.
+    /// Slots that a tenant may have by its share, among the tenants that have or claim some and
+    /// `newcomer`, which wants one. At least one.
     fn fair_part(&self, tenant: &str, newcomer: &str) -> u32 {
         let mut total_share: f64 = self.tenants.keys().map(|name| self.share(name)).sum();
         if !self.tenants.contains_key(newcomer) {
             total_share += self.share(newcomer);
         }
         let capacity = f64::from(self.config.capacity);
-        let part = capacity * self.share(tenant) / total_share.max(f64::MIN_POSITIVE);
-        (part as u32).max(1)
+        proportional_part(capacity, self.share(tenant), total_share).max(1)
     }
 
-    /// Slots that are reserved for other tenants than this one.
+    /// Slots that are reserved for tenants other than this one.
     fn claimed_by_others(&self, tenant: &str) -> u32 {
         let others = self.tenants.iter().filter(|(name, _)| ***name != *tenant);
-        others.map(|(_, member)| member.claims).sum()
+        others.map(|(_, slots)| slots.claims).sum()
     }
 
     fn expire_claims(&mut self, now: Nanos) {
-        self.tenants.retain(|_, member| {
-            if member.claims_expire_at <= now {
-                member.claims = 0;
+        for slots in self.tenants.values_mut() {
+            if slots.claims_expire_at <= now {
+                slots.claims = 0;
             }
-            member.occupied > 0 || member.claims > 0
-        });
+        }
+        self.remove_idle_tenants();
+    }
+
+    fn remove_idle_tenants(&mut self) {
+        self.tenants.retain(|_, slots| slots.occupied > 0 || slots.claims > 0);
     }
 
-    /// Claims a slot for a tenant below its share; the tenant that is to make room, if any.
+    /// Claims a slot for a tenant below its share. Returns the tenant of which a connection is to
+    /// be closed for it; `None` if it gets no claim.
     fn claim(&mut self, now: Nanos, tenant: &Rc<str>) -> Option<Rc<str>> {
         let own = self.tenants.get(tenant);
-        let (occupied, claims) = own.map_or((0, 0), |member| (member.occupied, member.claims));
+        let (occupied, claims) = own.map_or((0, 0), |slots| (slots.occupied, slots.claims));
         if occupied + claims >= self.fair_part(tenant, tenant) || claims >= MAX_CLAIMS {
             return None;
         }
         let reclaim_from = self.furthest_over_share(tenant)?;
-        let member = self.tenants.entry(tenant.clone()).or_default();
-        member.claims += 1;
-        member.claims_expire_at = now.saturating_add(CLAIM_DURATION);
+        let slots = self.tenants.entry(tenant.clone()).or_default();
+        slots.claims += 1;
+        slots.claims_expire_at = now.saturating_add(CLAIM_DURATION);
         Some(reclaim_from)
     }
 
@@ -214,11 +218,11 @@
     /// are not subtracted from its slots.
     fn furthest_over_share(&self, newcomer: &Rc<str>) -> Option<Rc<str>> {
         let relative_load =
-            |(name, member): &(&Rc<str>, &Member)| f64::from(member.occupied) / self.share(name);
+            |(name, slots): &(&Rc<str>, &TenantSlots)| f64::from(slots.occupied) / self.share(name);
         self.tenants
             .iter()
             .filter(|(name, _)| *name != newcomer)
-            .filter(|(name, member)| member.occupied > self.fair_part(name, newcomer))
+            .filter(|(name, slots)| slots.occupied > self.fair_part(name, newcomer))
             .max_by(|one, other| relative_load(one).total_cmp(&relative_load(other)))
             .map(|(name, _)| name.clone())
     }
--- a/crates/admission/src/tenants.rs
+++ b/crates/admission/src/tenants.rs
@@ -6,7 +6,7 @@
 use std::net::IpAddr;
 use std::rc::Rc;
 
-/// The name of the tenant of all requests that belong to no other.
+/// The name of the tenant of all requests that belong to no other one.
 pub const OTHER_TENANTS: &str = "others";
 
 /// The tenants by what identifies them.
--- a/crates/admission/tests/queue.rs
+++ b/crates/admission/tests/queue.rs
@@ -1,11 +1,11 @@
-//! A fair queue through random events: bounds, order, fairness, and that no request is forgotten.
+//! A fair queue through random events: bounds, order, fairness, and that every request ends.
 
 use mintshelf_admission::admission::{
     Admission, AdmissionConfig, ClusterUsage, LimitExceeded, TenantUsage,
 };
 use mintshelf_admission::limit::LimitConfig;
 use mintshelf_admission::queue::{
-    FairQueue, FairQueueConfig, QueueDecision, QueueEntry, QueueTicket, QueueTransitions,
+    Enqueued, FairQueue, FairQueueConfig, QueueDecision, QueueEntry, QueueTicket, QueueTransitions,
     QueueUsage, RejectReason, RejectedTicket,
 };
 use mintshelf_time::{MILLISECOND, SECOND};
@@ -32,7 +32,7 @@
     QueueUsage { in_flight, queued }
 }
 
-fn waits(decision: QueueDecision) -> QueueTicket {
+fn expect_ticket(decision: QueueDecision) -> QueueTicket {
     match decision {
         QueueDecision::Wait(ticket) => ticket,
         other => panic!("{other:?}"),
@@ -40,53 +40,54 @@
 }
 
 #[test]
-fn a_full_queue_retains_the_highest_priority_and_not_the_first_come() {
+fn a_full_queue_retains_the_highest_priority_and_not_the_oldest() {
     let mut queue = FairQueue::new(config(1, 2, &[]));
-    let of = |priority_weight, is_repeat, deadline| QueueEntry {
+    let entry_with = |priority_weight, is_repeat, deadline| QueueEntry {
         priority_weight,
         is_repeat,
         deadline,
         ..entry("a")
     };
-    assert_eq!(queue.enqueue(0, of(1.0, false, SECOND)).0, QueueDecision::Admit);
-    let cheap = waits(queue.enqueue(0, of(1.0, false, SECOND)).0);
-    let again = waits(queue.enqueue(0, of(9.0, true, SECOND)).0);
-    // A first try comes before a repeat, whatever that is worth.
-    let (decision, transitions) = queue.enqueue(1, of(2.0, false, 2 * SECOND));
-    let dear = waits(decision);
+    assert_eq!(queue.enqueue(0, entry_with(1.0, false, SECOND)).decision, QueueDecision::Admit);
+    let low_priority = expect_ticket(queue.enqueue(0, entry_with(1.0, false, SECOND)).decision);
+    let repeat = expect_ticket(queue.enqueue(0, entry_with(9.0, true, SECOND)).decision);
+    // A first attempt precedes a repeat, whatever its priority weight.
+    let Enqueued { decision, transitions } = queue.enqueue(1, entry_with(2.0, false, 2 * SECOND));
+    let high_priority = expect_ticket(decision);
     assert_eq!(
         transitions.rejected,
-        [RejectedTicket { ticket: again, reason: RejectReason::QueueFull }]
+        [RejectedTicket { ticket: repeat, reason: RejectReason::QueueFull }]
     );
-    // The same worth, and more time: it is the one to go, at once.
+    // The same priority weight and a later deadline: it is rejected at once.
     assert_eq!(
-        queue.enqueue(2, of(1.0, false, 3 * SECOND)).0,
+        queue.enqueue(2, entry_with(1.0, false, 3 * SECOND)).decision,
         QueueDecision::Reject(RejectReason::QueueFull)
     );
-    let (decision, transitions) = queue.enqueue(2, of(1.0, false, SECOND / 2));
-    let urgent = waits(decision);
+    let Enqueued { decision, transitions } = queue.enqueue(2, entry_with(1.0, false, SECOND / 2));
+    let urgent = expect_ticket(decision);
     assert_eq!(
         transitions.rejected,
-        [RejectedTicket { ticket: cheap, reason: RejectReason::QueueFull }]
+        [RejectedTicket { ticket: low_priority, reason: RejectReason::QueueFull }]
     );
     let tenant: Rc<str> = "a".into();
-    assert_eq!(queue.complete(3, &tenant).admitted, [dear]);
+    assert_eq!(queue.complete(3, &tenant).admitted, [high_priority]);
     assert_eq!(queue.complete(4, &tenant).admitted, [urgent]);
     assert_eq!(queue.complete(5, &tenant), QueueTransitions::default());
     assert_eq!(queue.usage(), usage(0, 0));
 }
 
 #[test]
-fn what_can_no_longer_be_answered_is_not_sent() {
+fn a_request_that_would_miss_its_deadline_is_rejected() {
     let mut queue = FairQueue::new(config(1, 9, &[]));
-    let of = |deadline, expected_latency| QueueEntry { deadline, expected_latency, ..entry("a") };
+    let entry_with =
+        |deadline, expected_latency| QueueEntry { deadline, expected_latency, ..entry("a") };
     assert_eq!(
-        queue.enqueue(0, of(SECOND, 2 * SECOND)).0,
+        queue.enqueue(0, entry_with(SECOND, 2 * SECOND)).decision,
         QueueDecision::Reject(RejectReason::TooLate)
     );
-    assert_eq!(queue.enqueue(0, of(SECOND, 0)).0, QueueDecision::Admit);
-    let late = waits(queue.enqueue(0, of(SECOND, 300 * MILLISECOND)).0);
-    let fits = waits(queue.enqueue(0, of(2 * SECOND, 300 * MILLISECOND)).0);
+    assert_eq!(queue.enqueue(0, entry_with(SECOND, 0)).decision, QueueDecision::Admit);
+    let late = expect_ticket(queue.enqueue(0, entry_with(SECOND, 300 * MILLISECOND)).decision);
+    let fits = expect_ticket(queue.enqueue(0, entry_with(2 * SECOND, 300 * MILLISECOND)).decision);
     let transitions = queue.complete(800 * MILLISECOND, &"a".into());
     assert_eq!(
         transitions,
@@ -98,23 +99,24 @@
 }
 
 #[test]
-fn a_greedy_tenant_takes_what_is_free_and_not_what_is_reserved() {
+fn a_greedy_tenant_uses_free_capacity_but_no_reservation_of_others() {
     let mut queue = FairQueue::new(config(16, 100, &[("calm", 1.0), ("greedy", 1.0)]));
     let [calm, greedy] = ["calm", "greedy"].map(Rc::<str>::from);
-    assert_eq!(queue.enqueue(0, entry("calm")).0, QueueDecision::Admit);
-    // A quarter of each one's half is kept for it: of the calm one's two places one is left.
-    let went =
-        (0..50).filter(|_| queue.enqueue(0, entry("greedy")).0 == QueueDecision::Admit).count();
-    assert_eq!((went, queue.usage()), (14, usage(15, 36)));
-    assert_eq!(queue.enqueue(MILLISECOND, entry("calm")).0, QueueDecision::Admit);
+    assert_eq!(queue.enqueue(0, entry("calm")).decision, QueueDecision::Admit);
+    // A quarter of each tenant's half is reserved: of two places for "calm" one is still free.
+    let admitted = (0..50)
+        .filter(|_| queue.enqueue(0, entry("greedy")).decision == QueueDecision::Admit)
+        .count();
+    assert_eq!((admitted, queue.usage()), (14, usage(15, 36)));
+    assert_eq!(queue.enqueue(MILLISECOND, entry("calm")).decision, QueueDecision::Admit);
     let waiting: Vec<QueueTicket> =
-        (0..6).map(|_| waits(queue.enqueue(MILLISECOND, entry("calm")).0)).collect();
-    // Freed places go to the one with the least for its share, until the two have as much.
+        (0..6).map(|_| expect_ticket(queue.enqueue(MILLISECOND, entry("calm")).decision)).collect();
+    // Freed places go to the tenant with the lowest load for its share, until both have as much.
     let freed: Vec<QueueTicket> =
         (0..6).flat_map(|_| queue.complete(2 * MILLISECOND, &greedy).admitted).collect();
     assert_eq!(freed, waiting);
     assert_eq!(queue.usage(), usage(16, 36));
-    // When the calm one is long gone nothing is kept for it.
+    // Nothing is reserved for a tenant that has long been inactive.
     for _ in 0..8 {
         let _ = queue.complete(3 * MILLISECOND, &calm);
     }
@@ -124,7 +126,7 @@
 }
 
 #[test]
-fn limits_that_change_count_what_is_under_way_once() {
+fn changed_limits_count_requests_in_flight_once() {
     let limit = |max| {
         let limit = LimitConfig { max_concurrency: Some(max), ..LimitConfig::default() };
         AdmissionConfig {
@@ -137,21 +139,21 @@
     let _ = admission.configure(0, &limit(2));
     for _ in 0..2 {
         assert_eq!(admission.begin_request(0, "a", "r"), Ok(()));
-        assert_eq!(admission.enqueue(0, "c", entry("a")).unwrap().0, QueueDecision::Admit);
+        assert_eq!(admission.enqueue(0, "c", entry("a")).unwrap().decision, QueueDecision::Admit);
     }
     assert_eq!(admission.begin_request(0, "a", "r"), Err(LimitExceeded::TenantConcurrency));
-    let waiting = waits(admission.enqueue(0, "c", entry("a")).unwrap().0);
-    // Less: nobody is put out, nobody goes until there is room.
+    let waiting = expect_ticket(admission.enqueue(0, "c", entry("a")).unwrap().decision);
+    // A lower limit ends no request, and admits none until there is capacity.
     assert_eq!(admission.configure(0, &limit(1))["c"], QueueTransitions::default());
     assert_eq!(admission.complete(0, "c", &"a".into()), QueueTransitions::default());
-    // More: who waits goes at once.
+    // A higher limit admits the waiting request at once.
     assert_eq!(admission.configure(0, &limit(3))["c"].admitted, [waiting]);
     assert_eq!(
         admission.usage().clusters,
         [ClusterUsage { cluster: "c".to_string(), queue: usage(2, 0) }]
     );
     assert_eq!(admission.usage().tenants, [TenantUsage { tenant: "a".to_string(), in_flight: 2 }]);
-    // No limit any more, then one again: the two still count.
+    // Without a limit and then with one again, the two requests still count.
     let _ = admission.configure(0, &AdmissionConfig::default());
     assert_eq!(admission.begin_request(0, "a", "r"), Ok(()));
     let _ = admission.configure(0, &limit(3));
@@ -166,8 +168,8 @@
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None,
         rng_seed: proptest::test_runner::RngSeed::Fixed(5), ..ProptestConfig::default() })]
 
-    /// Through any day each offer has exactly one end, the bounds hold, and no place stays
-    /// free while somebody waits who is not held back for another's part.
+    /// Through any sequence of events each offer has exactly one end, the bounds hold, and no place
+    /// stays free while a request waits that no reservation holds back.
     #[test]
     fn every_offer_has_one_end_and_the_bounds_hold(
         max_concurrency in 1u32..6,
@@ -176,41 +178,41 @@
     ) {
         let names = ["a", "b", "c"];
         let mut queue = FairQueue::new(config(max_concurrency, max_queued, &[("a", 1.0), ("b", 2.0), ("c", 0.5)]));
-        let mut inside: Vec<Rc<str>> = Vec::new();
+        let mut in_flight: Vec<Rc<str>> = Vec::new();
         let mut waiting: HashMap<QueueTicket, Rc<str>> = HashMap::new();
         let mut ended: BTreeSet<QueueTicket> = BTreeSet::new();
         let mut now = 0;
         let mut max_concurrency = max_concurrency;
-        let mut carry = |transitions: QueueTransitions, waiting: &mut HashMap<QueueTicket, Rc<str>>, inside: &mut Vec<Rc<str>>| {
+        let mut apply = |transitions: QueueTransitions, waiting: &mut HashMap<QueueTicket, Rc<str>>, in_flight: &mut Vec<Rc<str>>| {
             for ticket in transitions.admitted {
                 assert!(ended.insert(ticket), "two ends");
-                inside.push(waiting.remove(&ticket).expect("it waited"));
+                in_flight.push(waiting.remove(&ticket).expect("it waited"));
             }
             for RejectedTicket { ticket, .. } in transitions.rejected {
                 assert!(ended.insert(ticket), "two ends");
                 waiting.remove(&ticket).expect("it waited");
             }
         };
-        for (what, who, priority_weight, is_repeat, elapsed) in steps {
+        for (event, member, priority_weight, is_repeat, elapsed) in steps {
             now += elapsed * MILLISECOND;
-            match what {
+            match event {
                 0..=4 => {
-                    let tenant: Rc<str> = names[who].into();
+                    let tenant: Rc<str> = names[member].into();
                     let deadline = now + u64::from(priority_weight) * 300 * MILLISECOND + MILLISECOND;
                     let entry = QueueEntry { tenant: tenant.clone(), is_repeat, priority_weight: f64::from(priority_weight), deadline, expected_latency: 0 };
-                    let (decision, transitions) = queue.enqueue(now, entry);
-                    carry(transitions, &mut waiting, &mut inside);
+                    let Enqueued { decision, transitions } = queue.enqueue(now, entry);
+                    apply(transitions, &mut waiting, &mut in_flight);
                     match decision {
-                        QueueDecision::Admit => inside.push(tenant),
+                        QueueDecision::Admit => in_flight.push(tenant),
                         QueueDecision::Wait(ticket) => drop(waiting.insert(ticket, tenant)),
                         QueueDecision::Reject(_) => {}
                     }
                 }
                 5..=7 => {
-                    if !inside.is_empty() {
-                        let tenant = inside.swap_remove(who % inside.len());
+                    if !in_flight.is_empty() {
+                        let tenant = in_flight.swap_remove(member % in_flight.len());
                         let transitions = queue.complete(now, &tenant);
-                        carry(transitions, &mut waiting, &mut inside);
+                        apply(transitions, &mut waiting, &mut in_flight);
                     }
                 }
                 8 => {
@@ -223,18 +225,18 @@
                 _ => {
                     max_concurrency = 1 + (max_concurrency + priority_weight) % 6;
                     let transitions = queue.configure(now, config(max_concurrency, max_queued, &[("a", 1.0), ("b", 2.0)]));
-                    carry(transitions, &mut waiting, &mut inside);
+                    apply(transitions, &mut waiting, &mut in_flight);
                 }
             }
-            prop_assert_eq!(queue.usage(), usage(inside.len(), waiting.len()));
+            prop_assert_eq!(queue.usage(), usage(in_flight.len(), waiting.len()));
             prop_assert!(waiting.len() <= max_queued as usize);
         }
-        // When all that is in it ends, all that waits has its turn or is too late.
-        while let Some(tenant) = inside.pop() {
+        // Once all requests in flight have ended, each that waited was admitted or is too late.
+        while let Some(tenant) = in_flight.pop() {
             now += 2 * SECOND;
             let transitions = queue.complete(now, &tenant);
-            carry(transitions, &mut waiting, &mut inside);
+            apply(transitions, &mut waiting, &mut in_flight);
         }
-        prop_assert!(waiting.is_empty(), "{} are forgotten", waiting.len());
+        prop_assert!(waiting.is_empty(), "{} still wait", waiting.len());
     }
 }
--- a/crates/admission/tests/rate.rs
+++ b/crates/admission/tests/rate.rs
@@ -25,6 +25,6 @@
     }
     assert!((108..=111).contains(&acquired), "{acquired}");
     assert!(wait > 0 && wait <= 10 * MILLISECOND, "{wait}");
-    // A clock that stands or goes back takes nothing away.
+    // A clock that stands still or goes back has no effect.
     assert!(rate.try_acquire(0).is_err());
 }
--- a/crates/admission/tests/slots.rs
+++ b/crates/admission/tests/slots.rs
@@ -26,7 +26,7 @@
     }
     let rejected = slots.acquire(0, &owner("late")).unwrap_err();
     assert_eq!(rejected.reclaim_from.as_deref(), Some("early"));
-    // The slot that is freed is reserved for it, and not given back.
+    // The slot that is released is reserved for it, and not for its previous owner.
     slots.release(&owner("early"));
     let again = slots.acquire(SECOND, &owner("early")).unwrap_err();
     assert_eq!(again, SlotRejected { reason: SlotUnavailable::Full, reclaim_from: None });
@@ -39,7 +39,7 @@
     }
     let enough = slots.acquire(3 * SECOND, &owner("late")).unwrap_err();
     assert_eq!(enough.reclaim_from, None, "both have their halves");
-    // A claim that nobody comes for is let go.
+    // A claim that is not used expires.
     let mut slots = table(2);
     slots.acquire(0, &owner("a")).unwrap();
     slots.acquire(0, &owner("a")).unwrap();
@@ -73,8 +73,8 @@
 }
 
 proptest! {
-    /// Never more than there are; whoever keeps asking and is below its share gets there,
-    /// since those over theirs leave as they are asked; and what was taken is given back.
+    /// The capacity holds; a tenant below its share that keeps retrying gets its share, since
+    /// tenants over theirs close connections when told; and all slots are released.
     #[test]
     fn slots_are_bounded_and_come_to_be_shared(
         capacity in 4u32..40,
@@ -84,23 +84,23 @@
         let mut slots = table(capacity);
         let mut open = [0u32; 4];
         let mut now = 0;
-        for (who, what) in steps {
+        for (member, event) in steps {
             now += SECOND / 10;
-            if what == 0 && open[who] > 0 {
-                slots.release(&owner(names[who]));
-                open[who] -= 1;
-            } else if slots.acquire(now, &owner(names[who])).is_ok() {
-                open[who] += 1;
+            if event == 0 && open[member] > 0 {
+                slots.release(&owner(names[member]));
+                open[member] -= 1;
+            } else if slots.acquire(now, &owner(names[member])).is_ok() {
+                open[member] += 1;
             }
             prop_assert!(slots.occupied() <= capacity);
             prop_assert_eq!(slots.occupied(), open.iter().sum::<u32>());
         }
-        // All four want as many as they can get, and go when they are asked.
+        // All four want as many as they can get, and close connections when told.
         for _ in 0..200 {
-            for who in 0..4 {
+            for member in 0..4 {
                 now += SECOND / 10;
-                match slots.acquire(now, &owner(names[who])) {
-                    Ok(()) => open[who] += 1,
+                match slots.acquire(now, &owner(names[member])) {
+                    Ok(()) => open[member] += 1,
                     Err(SlotRejected { reclaim_from: Some(from), .. }) => {
                         let from = names.iter().position(|name| **name == *from).unwrap();
                         slots.release(&owner(names[from]));
@@ -112,8 +112,8 @@
         }
         let part = capacity / 4;
         prop_assert!(open.iter().all(|occupied| *occupied >= part.max(1)), "{open:?} of {capacity}");
-        for (who, occupied) in open.iter().enumerate() {
-            (0..*occupied).for_each(|_| slots.release(&owner(names[who])));
+        for (member, occupied) in open.iter().enumerate() {
+            (0..*occupied).for_each(|_| slots.release(&owner(names[member])));
         }
         prop_assert_eq!(slots.occupied(), 0);
     }
--- a/crates/proxy/src/gateway/admission.rs
+++ b/crates/proxy/src/gateway/admission.rs
@@ -6,7 +6,8 @@
 use crate::request_log::RequestLog;
 use mintshelf_admission::admission::{Admission, AdmissionConfig, LimitUsage};
 use mintshelf_admission::queue::{
-    QueueDecision, QueueEntry, QueueTicket, QueueTransitions, RejectReason, RejectedTicket,
+    Enqueued, QueueDecision, QueueEntry, QueueTicket, QueueTransitions, RejectReason,
+    RejectedTicket,
 };
 use mintshelf_time::Nanos;
 use std::cell::RefCell;
@@ -262,7 +263,7 @@
             expected_latency,
         };
         let offered = self.admission.borrow_mut().enqueue(started_at, cluster, entry);
-        let Some((decision, transitions)) = offered else {
+        let Some(Enqueued { decision, transitions }) = offered else {
             return Ok(AdmittedRequest { permit: None, remaining_timeout: client_timeout });
         };
         self.notify_waiters(cluster, transitions);
