--- a/crates/proxy/src/cluster/retry_trackers.rs
+++ b/crates/proxy/src/cluster/retry_trackers.rs
@@ -87,7 +87,8 @@
 
     /// The median latency of a class in nanoseconds; 0 while it is unknown.
     pub(crate) fn median_latency(&self, class: ClassId, now: Nanos) -> Nanos {
-        self.tracker(class).map_or(0, |tracker| tracker.borrow_mut().median_latency(now))
+        let tracker = self.tracker(class);
+        tracker.and_then(|tracker| tracker.borrow_mut().median_latency(now)).unwrap_or(0)
     }
 
     pub(crate) fn counts(&self) -> AttemptCounts {
--- a/crates/retry/src/attempts.rs
+++ b/crates/retry/src/attempts.rs
@@ -9,11 +9,13 @@
 
 /// An adaptive time-out is this multiple of the 99th percentile of the latencies seen.
 const ADAPTIVE_TIMEOUT_FACTOR: u64 = 3;
-/// An attempt that no other could follow is looked at again after this part of its time-out.
+/// An attempt that no retry could follow is checked again after its time-out divided by this.
 const RECHECK_DIVISOR: u64 = 4;
-/// Shortest time until such an attempt is looked at again.
+/// Shortest time until such an attempt is checked again.
 const MIN_RECHECK_DELAY: Nanos = MILLISECOND;
-/// Hedges that may be saved up while none are sent.
+/// Lower bounds of an adaptive time-out that it has until a latency is known.
+const INITIAL_TIMEOUT_FACTOR: u64 = 2;
+/// Hedges that the budget saves up at most while none are sent.
 const MAX_SAVED_HEDGES: f64 = 4.0;
 
 /// What to do with an attempt whose time-out has passed.
@@ -21,7 +23,7 @@
 pub enum TimeoutAction {
     /// Cancel it; a retry may follow.
     Cancel,
-    /// No retry could follow: go on waiting, and ask again after this time.
+    /// No retry could follow: let it run, and decide again after this time.
     RecheckAfter(Nanos),
 }
 
@@ -34,7 +36,7 @@
     pub has_other_endpoint: bool,
 }
 
-/// How many attempts were cut short and hedged.
+/// How many attempts were cancelled by a time-out, and how many hedges were started.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct AttemptCounts {
     /// Attempts cancelled by their own time-out.
@@ -43,8 +45,8 @@
     pub hedged: u64,
 }
 
-/// The time-outs and hedges of one class: its policy, with the latencies seen and the budget for
-/// hedges. Owned by the cluster's event loop; one for each class.
+/// The time-outs and hedges of one class: its policy, the latencies seen and the budget for
+/// hedges. Owned by the cluster's event loop, which has one for each class.
 #[derive(Debug)]
 pub struct AttemptTracker {
     policy: RetryPolicy,
@@ -54,7 +56,7 @@
 }
 
 impl AttemptTracker {
-    /// Starts with no latency seen.
+    /// A tracker that has seen no latency.
     pub fn new(policy: RetryPolicy, now: Nanos) -> Self {
         let max_share = policy.hedge.map_or(0.0, |hedge| hedge.max_share);
         AttemptTracker {
@@ -70,13 +72,13 @@
         &self.policy
     }
 
-    /// Notes a new request, which earns its part of the budget for hedges.
+    /// Records a new request, which adds its part to the budget for hedges.
     pub fn record_request(&mut self) {
         self.hedge_budget.earn();
     }
 
-    /// How long the attempt with this index, from 0, may take once it is connected; none where
-    /// only the request's deadline bounds it. The last attempt has all the time that is left.
+    /// How long the attempt with this index, from 0, may take once it is connected; `None` where
+    /// only the request's deadline bounds it. The last attempt has all remaining time.
     pub fn attempt_timeout(&mut self, now: Nanos, index: u32) -> Option<Nanos> {
         if self.policy.effect == Effect::Unsafe || index + 1 >= self.policy.max_attempts {
             return None;
@@ -92,8 +94,7 @@
         let TimeoutBounds { min, max } = self.policy.timeout_bounds;
         let timeout = match self.latencies.quantiles(now) {
             Some(quantiles) => quantiles.p99.saturating_mul(ADAPTIVE_TIMEOUT_FACTOR),
-            // Before any latency is known, twice the lower bound, which is the objective.
-            None => min.saturating_mul(2),
+            None => min.saturating_mul(INITIAL_TIMEOUT_FACTOR),
         };
         timeout.clamp(min, max)
     }
@@ -105,8 +106,8 @@
         timeout: Nanos,
         conditions: RetryConditions,
     ) -> TimeoutAction {
-        // Attempts of an idempotent request end when the schedule says, since the check against
-        // its deduplication window relies on that.
+        // An attempt of an idempotent request always ends on time: the check of the schedule
+        // against the deduplication window relies on that.
         let is_idempotent = self.policy.effect == Effect::Idempotent;
         let has_target = conditions.has_other_endpoint
             || self.policy.attempt_timeout != AttemptTimeout::Adaptive;
@@ -115,12 +116,12 @@
             return TimeoutAction::RecheckAfter((timeout / RECHECK_DIVISOR).max(MIN_RECHECK_DELAY));
         }
         self.counts.timed_out += 1;
-        // The response would have taken at least that long.
+        // A lower bound: the response would have taken at least that long.
         self.latencies.record(now, timeout);
         TimeoutAction::Cancel
     }
 
-    /// When a hedge of a request may start, counted from its first attempt; none where the class
+    /// When a hedge of a request may start, counted from its first attempt; `None` where the class
     /// is not hedged, or the delay is not known yet.
     pub fn hedge_delay(&mut self, now: Nanos) -> Option<Nanos> {
         let hedge = self.policy.hedge.filter(|_| self.policy.effect == Effect::Safe)?;
@@ -130,26 +131,28 @@
         }
     }
 
-    /// Takes the budget for one hedge; whether there was enough. The caller starts the hedge if
-    /// so.
-    #[must_use]
+    /// Pays for one hedge out of the budget, and returns whether that covered it. The caller then
+    /// starts the hedge.
+    #[must_use = "the hedge has been paid for"]
     pub fn try_hedge(&mut self) -> bool {
         let is_allowed = self.policy.hedge.is_some() && self.hedge_budget.pay(1.0);
-        self.counts.hedged += u64::from(is_allowed);
+        if is_allowed {
+            self.counts.hedged += 1;
+        }
         is_allowed
     }
 
-    /// Notes the latency of a server's response.
+    /// Records the latency of a server's response.
     pub fn record_response(&mut self, now: Nanos, latency: Nanos) {
         self.latencies.record(now, latency);
     }
 
-    /// The median latency; 0 while too few were seen.
-    pub fn median_latency(&mut self, now: Nanos) -> Nanos {
-        self.latencies.quantiles(now).map_or(0, |quantiles| quantiles.p50)
+    /// The median latency; `None` while too few were seen.
+    pub fn median_latency(&mut self, now: Nanos) -> Option<Nanos> {
+        self.latencies.quantiles(now).map(|quantiles| quantiles.p50)
     }
 
-    /// Attempts cut short and hedged since the start.
+    /// Time-outs and hedges since the start.
     pub fn counts(&self) -> AttemptCounts {
         self.counts
     }
--- a/crates/retry/src/checker.rs
+++ b/crates/retry/src/checker.rs
@@ -15,7 +15,7 @@
 }
 
 impl AttemptSchedule {
-    /// Everything that the settings break, in the order of the rules; empty for a sound schedule.
+    /// All violations of the safety rules, in the order of the rules; empty for a valid schedule.
     #[must_use]
     pub fn violations(&self) -> Vec<SafetyViolation> {
         let mut violations = Vec::new();
@@ -67,7 +67,7 @@
     fn window_violations(&self) -> Vec<SafetyViolation> {
         let window_end = self.dedup_window.saturating_sub(self.tick);
         if window_end == 0 {
-            // Without a window the request is not idempotent, which the file's reader reports.
+            // Without a window the class is not idempotent, which the file's parser reports.
             return Vec::new();
         }
         let own = self.retry_arrivals().into_iter().find(|arrival| arrival.at >= window_end);
@@ -79,8 +79,8 @@
         own.into_iter().chain(self.client_retry_violation(window_end)).collect()
     }
 
-    /// Each attempt of a client may last to the deadline, then the client waits as long as it is
-    /// given, and its last attempt reaches a server as late as a retry of ours.
+    /// Each request of a client may last to the deadline, then the client waits for its
+    /// `Retry-After`, and the attempts of its last request take as long as those of the first.
     fn client_retry_violation(&self, window_end: Nanos) -> Option<SafetyViolation> {
         if self.client_retries == 0 {
             return None;
@@ -122,7 +122,7 @@
         }
     }
 
-    /// What the latest arrival of an attempt adds up from, in words.
+    /// The terms of which the latest arrival of an attempt is the sum, for people.
     fn latest_start_sum(&self, number: u32) -> String {
         let previous = number.saturating_sub(1);
         if previous == 0 {
@@ -152,7 +152,7 @@
     }
 }
 
-/// A product in words, as in `2 x 5 s`.
+/// A product for people, as in `2 x 5 s`; without the factor if that is 1.
 fn multiple(count: u32, duration: Nanos) -> String {
     match count {
         1 => format_nanos(duration),
--- a/crates/retry/src/duration.rs
+++ b/crates/retry/src/duration.rs
@@ -1,20 +1,20 @@
-//! Durations as people write them.
+//! Durations for people.
 
-use mintshelf_time::{Nanos, MILLISECOND};
-use std::time::Duration;
+use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 
-/// A duration in seconds or milliseconds, rounded up to the millisecond, as in `1.2 s`.
+const MILLIS_PER_SECOND: u64 = SECOND / MILLISECOND;
+
+/// Formats a duration in seconds or milliseconds, rounded up to the millisecond, as in `1.2 s`.
+#[must_use]
 pub fn format_nanos(duration: Nanos) -> String {
-    let rounded = Duration::from_millis(duration.div_ceil(MILLISECOND));
-    if duration == 0 {
-        return "0 s".into();
-    }
-    match rounded.as_millis() {
-        millis if millis < 1000 => format!("{millis} ms"),
-        millis if millis % 1000 == 0 => format!("{} s", millis / 1000),
+    let all_millis = duration.div_ceil(MILLISECOND);
+    let seconds = all_millis / MILLIS_PER_SECOND;
+    match all_millis % MILLIS_PER_SECOND {
+        0 => format!("{seconds} s"),
+        millis if seconds == 0 => format!("{millis} ms"),
         millis => {
-            let seconds = format!("{:.3}", millis as f64 / 1000.0);
-            format!("{} s", seconds.trim_end_matches('0').trim_end_matches('.'))
+            let decimals = format!("{millis:03}");
+            format!("{seconds}.{} s", decimals.trim_end_matches('0'))
         }
     }
 }
--- a/crates/retry/src/latency_window.rs
+++ b/crates/retry/src/latency_window.rs
@@ -1,31 +1,32 @@
-//! Quantiles of the latencies seen lately, over a sliding window.
+//! Quantiles of recent latencies, over a sliding window.
 
 use hdrhistogram::Histogram;
 use mintshelf_time::{Nanos, MICROSECOND, MILLISECOND, SECOND};
 
-/// The window slides by half: what is older than twice this is forgotten.
+/// The window slides by half: latencies older than twice this are dropped.
 const HALF_WINDOW: Nanos = 10 * SECOND;
-/// Quantiles are computed anew after this time.
+/// Quantiles older than this are computed again.
 const MAX_QUANTILE_AGE: Nanos = 250 * MILLISECOND;
-/// Quantiles are computed anew after this many latencies, too.
+/// Quantiles are computed again after this many latencies, too.
 const MAX_PENDING_SAMPLES: u32 = 256;
 /// With fewer latencies in the window there are no quantiles.
 const MIN_SAMPLES: u64 = 20;
-/// Longest latency of the histogram, in microseconds: an hour. What is longer counts as this.
-pub const MAX_LATENCY_MICROS: u64 = 3_600_000_000;
+/// Longest latency of the histogram, in microseconds: an hour. A longer one counts as this.
+pub const MAX_LATENCY_MICROS: u64 = 3600 * SECOND / MICROSECOND;
 /// Precision of the histogram, in decimal digits.
 const SIGNIFICANT_DIGITS: u8 = 2;
 
-/// A sliding window of latencies: some 30 KiB, however many there are.
+/// A sliding window of latencies with a resolution of a microsecond: some 30 KiB, however many
+/// latencies it has.
 #[derive(Debug, Clone)]
 pub struct LatencyWindow {
     current: Histogram<u32>,
     previous: Histogram<u32>,
     rotated_at: Nanos,
-    /// As last computed; none while too few latencies were seen.
+    /// As last computed; `None` while too few latencies were seen.
     quantiles: Option<Quantiles>,
     computed_at: Nanos,
-    /// Latencies recorded since then.
+    /// Latencies recorded since the quantiles were computed.
     pending_samples: u32,
 }
 
@@ -59,14 +60,14 @@
         }
     }
 
-    /// Records a latency, or a lower bound of one where the response was not waited for.
+    /// Records a latency, or a lower bound of one if the attempt was cancelled.
     pub fn record(&mut self, now: Nanos, latency: Nanos) {
         self.rotate(now);
         self.current.saturating_record((latency / MICROSECOND).max(1));
         self.pending_samples = self.pending_samples.saturating_add(1);
     }
 
-    /// Drops the half of the window that is too old.
+    /// Drops the half of the window that has become too old.
     fn rotate(&mut self, now: Nanos) {
         let elapsed = now.saturating_sub(self.rotated_at);
         if elapsed < HALF_WINDOW {
@@ -80,8 +81,8 @@
         self.rotated_at = now;
     }
 
-    /// The quantiles of the window, at most 250 ms or 256 latencies old; none while fewer than 20
-    /// latencies are in it.
+    /// The quantiles of the window, at most 250 ms or 256 latencies old; `None` while fewer than
+    /// 20 latencies are in it.
     pub fn quantiles(&mut self, now: Nanos) -> Option<Quantiles> {
         self.rotate(now);
         let is_stale = now.saturating_sub(self.computed_at) >= MAX_QUANTILE_AGE
--- a/crates/retry/src/policy.rs
+++ b/crates/retry/src/policy.rs
@@ -22,7 +22,7 @@
     pub max_share: f64,
 }
 
-/// What one class of the decision module may do with its attempts.
+/// How requests of one class are retried and hedged, and how long their attempts may take.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RetryPolicy {
     /// The effect of its requests.
@@ -33,10 +33,10 @@
     pub timeout_bounds: TimeoutBounds,
     /// Upper bound of the attempts of one request, the first included.
     pub max_attempts: u32,
-    /// Hedging; none where it is off.
+    /// Hedging; `None` where it is disabled.
     pub hedge: Option<HedgePolicy>,
     /// Longest wait for a connection.
     pub connect_timeout: Nanos,
-    /// A connection that has been idle for longer is not reused.
+    /// Longest time for which a connection may have been idle and still be reused.
     pub idle_timeout: Nanos,
 }
--- a/crates/retry/src/schedule.rs
+++ b/crates/retry/src/schedule.rs
@@ -1,19 +1,19 @@
 //! The worst-case schedule of a request's attempts.
 //!
-//! Each attempt takes all the time that it may, each backoff is as long as it may be, and the
-//! first attempt may have run. [`AttemptSchedule::violations`] checks the deadline, the
-//! deduplication window and the deduplication group against this.
+//! In the worst case each attempt takes its longest time, each backoff is the longest, and the
+//! first attempt may have run. [`AttemptSchedule::violations`] checks this against the deadline,
+//! the deduplication window and the deduplication group.
 
 pub use mintshelf_balancer::api::Backoff;
 use mintshelf_balancer::api::Effect;
 use mintshelf_balancer::decide::attempts::{HOLD_SHARE, HOLD_STEP};
-use mintshelf_time::Nanos;
+use mintshelf_time::{as_float, from_float, Nanos};
 
-/// An adaptive time-out is no shorter than this part of the latency objective: a second attempt
-/// can then still be answered within the objective.
-const ADAPTIVE_FLOOR: f64 = 0.5;
+/// Shortest adaptive time-out, as a part of the latency objective: a second attempt can then still
+/// be answered within the objective.
+const MIN_ADAPTIVE_PART: f64 = 0.5;
 
-/// How long one attempt may take, from its connection on.
+/// How long one attempt may take once it is connected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptTimeout {
     /// Until the request's deadline.
@@ -27,18 +27,18 @@
 /// Which attempts a retry may follow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryOn {
-    /// Those that are known not to have run.
+    /// Attempts that are known not to have run.
     NeverRan,
-    /// Those that may have run, too.
+    /// Attempts that may have run, too.
     MayHaveRun,
 }
 
 /// Which endpoints deduplicate each other's requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DedupGroup {
-    /// All of the cluster.
+    /// All endpoints of the cluster.
     Cluster,
-    /// Those of one zone.
+    /// The endpoints of one zone.
     Zone,
 }
 
@@ -54,7 +54,7 @@
 /// The settings of one class, or of one route of it, at one cluster.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AttemptSchedule {
-    /// The gravest effect that a request of the class may have.
+    /// The most severe effect that a request of the class may have.
     pub effect: Effect,
     /// For how long servers deduplicate an idempotent request; 0 for other effects.
     pub dedup_window: Nanos,
@@ -72,7 +72,7 @@
     pub connect_timeout: Nanos,
     /// How long one attempt may take once it is connected.
     pub attempt_timeout: AttemptTimeout,
-    /// The pauses between attempts.
+    /// The backoff between attempts.
     pub backoff: Backoff,
     /// Which attempts a retry may follow.
     pub retry_on: RetryOn,
@@ -80,11 +80,11 @@
     pub is_hedged: bool,
     /// Whether the cluster allows two attempts of one request at a time.
     pub allows_parallel_attempts: bool,
-    /// Shortest time between two turns of the decision module: timers are late by up to this.
+    /// Resolution of the timers of the decision module, which are late by up to this.
     pub tick: Nanos,
     /// Longest `Retry-After` that a client is given.
     pub max_retry_after: Nanos,
-    /// How often clients send a request again by themselves, with the same key, after its
+    /// How often clients retry a request themselves, with the same idempotency key, after its
     /// deadline or the `Retry-After` that they were given.
     pub client_retries: u32,
 }
@@ -94,15 +94,15 @@
 pub struct ScheduledAttempt {
     /// From 1.
     pub number: u32,
-    /// When it starts if each earlier one takes all its time.
+    /// When it starts if each earlier one takes its longest time.
     pub latest_start: Nanos,
-    /// When it has ended in any case.
+    /// When it has ended at the latest.
     pub latest_end: Nanos,
 }
 
 impl AttemptSchedule {
-    /// How many attempts of one request could run: all of them where a retry may follow one that
-    /// may have run, else one.
+    /// How many attempts of one request could run at a server: all where a retry may follow an
+    /// attempt that may have run, otherwise one.
     pub(crate) fn max_effective_attempts(&self) -> u32 {
         match self.retry_on {
             RetryOn::MayHaveRun if self.effect != Effect::Unsafe => self.max_attempts,
@@ -110,30 +110,30 @@
         }
     }
 
-    /// Bounds of an adaptive time-out. The upper one leaves as much to each of the attempts, once
-    /// connections and pauses have taken their time.
+    /// Bounds of an adaptive time-out. The upper one divides the deadline equally between the
+    /// attempts, less the time for connections and backoff.
     pub fn adaptive_bounds(&self) -> TimeoutBounds {
         let attempts = u64::from(self.max_attempts.max(1));
         let connecting = self.connect_timeout.saturating_mul(attempts);
         let overhead = self.total_backoff(self.max_attempts).saturating_add(connecting);
         let equal_part = self.deadline.saturating_sub(overhead) / attempts;
-        // A response within the objective is not to be cut off, where two such attempts fit.
+        // Where two attempts fit, a response within the objective is not cut off.
         let max = equal_part.max(self.latency_objective.min(self.deadline / 2)).max(1);
-        let min = (self.latency_objective as f64 * ADAPTIVE_FLOOR) as Nanos;
+        let min = from_float(as_float(self.latency_objective) * MIN_ADAPTIVE_PART);
         TimeoutBounds { min: min.min(max), max }
     }
 
-    /// The longest pause after this many attempts.
+    /// The longest backoff after this many attempts.
     fn max_backoff(&self, attempts_made: u32) -> Nanos {
         self.backoff.bound(attempts_made as usize)
     }
 
-    /// The sum of the longest pauses before the attempt with this number.
+    /// The sum of the longest backoffs before the attempt with this number, from 1.
     pub(crate) fn total_backoff(&self, number: u32) -> Nanos {
         (1..number).map(|attempts_made| self.max_backoff(attempts_made)).sum()
     }
 
-    /// The longest time that one attempt before the last may take, its connection included.
+    /// The longest time that an attempt before the last one may take, its connection included.
     fn max_attempt_duration(&self) -> Nanos {
         let timeout = match self.attempt_timeout {
             AttemptTimeout::Deadline => return self.deadline,
@@ -151,31 +151,35 @@
             if number > 1 {
                 latest_start = self.next_latest_start(latest_start, number);
             }
-            let latest_end = match number == self.max_attempts {
-                true => self.deadline,
-                false => latest_start.saturating_add(self.max_attempt_duration()),
-            };
-            let latest_end = latest_end.min(self.deadline);
+            let latest_end = self.latest_end(number, latest_start);
             attempts.push(ScheduledAttempt { number, latest_start, latest_end });
         }
         attempts
     }
 
+    /// When attempt `number` has ended at the latest, if it starts at `latest_start`.
+    fn latest_end(&self, number: u32, latest_start: Nanos) -> Nanos {
+        if number == self.max_attempts {
+            return self.deadline;
+        }
+        latest_start.saturating_add(self.max_attempt_duration()).min(self.deadline)
+    }
+
     /// When attempt `number` starts at the latest, after one that started at `previous_start`.
     fn next_latest_start(&self, previous_start: Nanos, number: u32) -> Nanos {
-        let hold = (self.latency_objective as f64 * HOLD_SHARE) as Nanos;
+        let hold = from_float(as_float(self.latency_objective) * HOLD_SHARE);
         let mut latest_start = previous_start
             .saturating_add(self.max_attempt_duration())
             .saturating_add(self.max_backoff(number - 1));
         if latest_start < hold {
-            // Without a server to go to, the request may be held for that long.
+            // Without a server to send it to, the request may be held for that long.
             latest_start = hold + HOLD_STEP;
         }
         latest_start.min(self.deadline.saturating_sub(1))
     }
 
-    /// How many attempts can start before the deadline with a fixed time-out for each: what a
-    /// default number of attempts is lowered to.
+    /// How many attempts can start before the deadline, each with its fixed time-out. A default
+    /// number of attempts is lowered to this.
     pub fn fitting_attempts(&self) -> u32 {
         match self.attempt_timeout {
             AttemptTimeout::Fixed(timeout) if timeout > 0 => {
--- a/crates/retry/src/shutdown.rs
+++ b/crates/retry/src/shutdown.rs
@@ -1,16 +1,16 @@
 //! Deadlines of a graceful shutdown: how long requests that are still open may wait, and which
 //! response they get when that time is over.
 //!
-//! Between the signal that announces the end and the one that cannot be caught lies a time
-//! that the platform guarantees (PROTOCOL, "Figures"). A request without a response by then is
-//! lost, however long its client would wait.
+//! The platform guarantees a time between the signal that announces the shutdown and the one that
+//! kills the process (PROTOCOL, "Figures"). A request without a response by then is lost, however
+//! long its client would wait.
 
 use mintshelf_balancer::api::Effect;
 use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 
-/// The longest deadline of a class counts up to this.
+/// Longest deadline of a class for which the platform waits.
 const MAX_COUNTED_DEADLINE: Nanos = 3 * SECOND;
-/// The process has this much time on top of the longest deadline.
+/// Time that the platform grants the process on top of that deadline.
 const GRACE_PERIOD: Nanos = 700 * MILLISECOND;
 /// Final responses are written this long before the process is killed: for the writing itself,
 /// and for a machine that is busy because many processes end at once.
@@ -22,7 +22,7 @@
     final_response_at: Nanos,
 }
 
-/// The final response to a request that is given up.
+/// The final response to a request that is still open when the time is over.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FinalResponse {
     /// Rejected: a retry by the client is harmless.
@@ -45,7 +45,7 @@
     }
 
     /// How long a request that arrives now may wait, where its client waits for
-    /// `client_timeout`; none once no time is left to serve any.
+    /// `client_timeout`; `None` once no time is left.
     pub fn limit_timeout(&self, now: Nanos, client_timeout: Nanos) -> Option<Nanos> {
         let remaining = self.final_response_at.checked_sub(now).filter(|left| *left > 0)?;
         Some(client_timeout.min(remaining))
--- a/crates/retry/src/timeline.rs
+++ b/crates/retry/src/timeline.rs
@@ -1,4 +1,4 @@
-//! A schedule as a time line for people.
+//! Formats a schedule as a time line for people.
 
 use crate::duration::format_nanos;
 use crate::schedule::{AttemptSchedule, ScheduledAttempt};
@@ -6,9 +6,10 @@
 use mintshelf_time::Nanos;
 use std::fmt;
 
-/// Column of the deadline: a line has one column more.
-const WIDTH: usize = 48;
-/// Marks the latency objective, where no attempt is under way.
+/// Column of the deadline, which is the last one; the first is 0.
+const LAST_COLUMN: u8 = 48;
+const COLUMNS: usize = LAST_COLUMN as usize + 1;
+/// Marks the latency objective, unless an attempt is in flight then.
 const OBJECTIVE_MARK: char = 'a';
 
 /// The schedule as a time line, a line for each attempt.
@@ -40,7 +41,7 @@
     fn attempt_line(&self, attempt: &ScheduledAttempt) -> String {
         let start = self.column(attempt.latest_start);
         let end = self.column(attempt.latest_end);
-        let mut line = ['.'; WIDTH + 1];
+        let mut line = ['.'; COLUMNS];
         line[start..=end].fill('=');
         line[start] = '|';
         let objective = &mut line[self.column(self.latency_objective)];
@@ -50,9 +51,11 @@
         line.into_iter().collect()
     }
 
-    /// The column of a time, from 0 to [`WIDTH`].
+    /// The column of a time, from 0 to [`LAST_COLUMN`].
     fn column(&self, time: Nanos) -> usize {
+        let last_column = u128::from(LAST_COLUMN);
         let time = u128::from(time.min(self.deadline));
-        (time * WIDTH as u128 / u128::from(self.deadline.max(1))) as usize
+        let column = time * last_column / u128::from(self.deadline.max(1));
+        usize::try_from(column).unwrap_or(COLUMNS - 1)
     }
 }
--- a/crates/retry/src/violation.rs
+++ b/crates/retry/src/violation.rs
@@ -15,7 +15,7 @@
     /// The hedge of an idempotent request could go to a server outside of the first attempt's
     /// deduplication group.
     HedgeCrossesDedupGroup,
-    /// No retry may follow an attempt that may have run, and a hedge goes beside just that.
+    /// No retry may follow an attempt that may have run, and a hedge runs beside such an attempt.
     HedgeForbiddenByRetryOn,
     /// The cluster does not allow two attempts of one request at a time.
     HedgeNotAllowed,
@@ -25,14 +25,14 @@
         attempt: u32,
         /// When it could reach a server, counted from the start of the first attempt.
         at: Nanos,
-        /// What that adds up from, in words.
+        /// The terms of which that is the sum, for people.
         sum: String,
     },
     /// A retry by the client of an idempotent request could reach a server after the window.
     ClientRetryAfterWindow {
         /// When its last retry could reach a server, counted from the start of the first attempt.
         at: Nanos,
-        /// What that adds up from, in words.
+        /// The terms of which that is the sum, for people.
         sum: String,
     },
     /// The time-out of one attempt is longer than the deadline of the request.
@@ -44,7 +44,7 @@
         /// When it would start.
         start: Nanos,
     },
-    /// Attempts have a time-out of their own, and no retry may follow one that reached it.
+    /// Attempts have a time-out of their own, but no retry may follow one that exceeded it.
     UselessAttemptTimeout,
 }
 
@@ -112,42 +112,16 @@
 
     /// What is wrong, as one sentence without a full stop. `schedule` is the one that it is a
     /// violation of.
+    #[must_use]
     pub fn describe(&self, schedule: &AttemptSchedule) -> String {
-        match self {
-            SafetyViolation::RetryAfterWindow { attempt, at, sum } => format!(
-                "attempt {attempt} could reach a server at {} ({sum}); the window is {}",
-                format_nanos(*at),
-                format_nanos(schedule.dedup_window)
-            ),
-            SafetyViolation::ClientRetryAfterWindow { at, sum } => format!(
-                "a client's own retry could reach a server at {} ({sum}); the window is {}",
-                format_nanos(*at),
-                format_nanos(schedule.dedup_window)
-            ),
-            SafetyViolation::AttemptTimeoutOverDeadline => format!(
-                "one try may take longer than the whole request, {}",
-                format_nanos(schedule.deadline)
-            ),
-            SafetyViolation::AttemptCannotStart { attempt, start } => format!(
-                "attempt {attempt} cannot fit: {} x per-try-timeout is {}, and the deadline {}",
-                attempt - 1,
-                format_nanos(*start),
-                format_nanos(schedule.deadline)
-            ),
-            other => other.fixed_description().to_owned(),
-        }
-    }
-
-    /// The description of a violation that names no figures; empty for the others.
-    fn fixed_description(&self) -> &'static str {
-        match self {
+        let description = match self {
             SafetyViolation::UnsafeRetry => {
                 "an unsafe request would be sent again after an attempt that may have run"
             }
             SafetyViolation::HedgeNotSafe(Effect::Idempotent) => {
                 "a keyed request would have two attempts out at once"
             }
-            SafetyViolation::HedgeNotSafe(_) => {
+            SafetyViolation::HedgeNotSafe(Effect::Safe | Effect::Unsafe) => {
                 "an unsafe request would have a second copy beside one that may have run"
             }
             SafetyViolation::HedgeCrossesDedupGroup => {
@@ -159,13 +133,43 @@
             SafetyViolation::HedgeNotAllowed => {
                 "the cluster does not allow two attempts of one request at a time"
             }
+            SafetyViolation::RetryAfterWindow { attempt, at, sum } => {
+                let arrival = format_nanos(*at);
+                let window = format_nanos(schedule.dedup_window);
+                return format!(
+                    "attempt {attempt} could reach a server at {arrival} ({sum}); the window is \
+                     {window}"
+                );
+            }
+            SafetyViolation::ClientRetryAfterWindow { at, sum } => {
+                let arrival = format_nanos(*at);
+                let window = format_nanos(schedule.dedup_window);
+                return format!(
+                    "a client's own retry could reach a server at {arrival} ({sum}); the window is \
+                     {window}"
+                );
+            }
+            SafetyViolation::AttemptTimeoutOverDeadline => {
+                let deadline = format_nanos(schedule.deadline);
+                return format!("one try may take longer than the whole request, {deadline}");
+            }
+            SafetyViolation::AttemptCannotStart { attempt, start } => {
+                return describe_attempt_that_cannot_start(*attempt, *start, schedule.deadline);
+            }
             SafetyViolation::UselessAttemptTimeout => {
                 "no attempt may follow one that ran out of its own time"
             }
-            SafetyViolation::RetryAfterWindow { .. }
-            | SafetyViolation::ClientRetryAfterWindow { .. }
-            | SafetyViolation::AttemptTimeoutOverDeadline
-            | SafetyViolation::AttemptCannotStart { .. } => "",
-        }
+        };
+        description.to_owned()
     }
 }
+
+fn describe_attempt_that_cannot_start(attempt: u32, start: Nanos, deadline: Nanos) -> String {
+    let earlier_attempts = attempt - 1;
+    let start = format_nanos(start);
+    let deadline = format_nanos(deadline);
+    format!(
+        "attempt {attempt} cannot fit: {earlier_attempts} x per-try-timeout is {start}, and the \
+         deadline {deadline}"
+    )
+}
--- a/crates/retry/tests/schedule_model.rs
+++ b/crates/retry/tests/schedule_model.rs
@@ -1,5 +1,5 @@
-//! The checker against a model that knows nothing of it: every kind of failure at every point
-//! of a schedule, and all of the extremes one after the other.
+//! The checker against an independent model: every kind of failure at every point of a schedule,
+//! and all extremes one after the other.
 
 mod common;
 
@@ -16,11 +16,11 @@
 enum AttemptResult {
     /// No connection, after this part of the longest wait.
     NotConnected(f64),
-    /// Connected after such a part, broken off or silent after such a part of its own time.
+    /// Connected after this part, broken or without an answer after this part of its time-out.
     Broken(f64, f64),
 }
 
-/// What a request went through: when each attempt could have had its effect.
+/// The course of a request: when each attempt could have had its effect.
 #[derive(Debug)]
 struct SimulatedRequest {
     arrivals: Vec<Nanos>,
@@ -51,9 +51,9 @@
                 .initial
                 .saturating_mul(1 << (number - 1).min(20))
                 .min(schedule.backoff.max);
-            // A pause that could outlast the request is left out.
+            // A backoff that could outlast the request is omitted.
             now += if now + bound < deadline { part(bound, backoff_fractions[number]) } else { 0 };
-            // Held without a server, which ends at a part of the objective from the arrival.
+            // Held without a server, at most for a part of the objective from the arrival.
             let until = start + schedule.latency_objective / 2;
             now = now.max(start + part(until - start, hold_fraction));
         }
@@ -74,14 +74,14 @@
         };
         match *result {
             AttemptResult::NotConnected(wait) => now += part(schedule.connect_timeout, wait),
-            AttemptResult::Broken(wait, took) => {
+            AttemptResult::Broken(wait, elapsed) => {
                 let connected = now + part(schedule.connect_timeout, wait);
                 if connected >= deadline {
                     break;
                 }
                 arrivals.push(connected);
                 may_have_run = true;
-                now = (connected + part(timeout, took)).min(deadline);
+                now = (connected + part(timeout, elapsed)).min(deadline);
             }
         }
     }
--- a/crates/retry/tests/shutdown.rs
+++ b/crates/retry/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! The planned end: what it leaves of a request's time, and what is told when it is over.
+//! Deadlines of a graceful shutdown, and the final responses once they have passed.
 
 use mintshelf_balancer::api::Effect;
 use mintshelf_retry::shutdown::{FinalResponse, ShutdownDeadlines};
@@ -8,28 +8,28 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whoever is taken is told before the process can be killed, and never has more time
-    /// than its client gave it.
+    /// Every accepted request has its final response before the process can be killed, and never
+    /// more time than its client waits.
     #[test]
     fn no_timeout_outlives_the_process(
-        begun in 0..u64::MAX / 2,
-        longest in 0..10_000 * MILLISECOND,
-        late in 0..6_000 * MILLISECOND,
-        asked in 0..20_000 * MILLISECOND,
+        announced_at in 0..u64::MAX / 2,
+        longest_deadline in 0..10_000 * MILLISECOND,
+        elapsed in 0..6_000 * MILLISECOND,
+        client_timeout in 0..20_000 * MILLISECOND,
     ) {
-        let ending = ShutdownDeadlines::new(begun, longest);
-        let killed = begun + longest.min(3_000 * MILLISECOND) + 700 * MILLISECOND;
-        prop_assert!(ending.final_response_at() < killed);
-        prop_assert!(ending.final_response_at() + 300 * MILLISECOND > killed, "time is given away");
-        let now = begun + late;
-        match ending.limit_timeout(now, asked) {
-            Some(patience) => {
-                prop_assert!(patience <= asked);
-                prop_assert!(now + patience <= ending.final_response_at());
-                // Only as much is taken as must be.
-                prop_assert!(patience == asked || now + patience == ending.final_response_at());
+        let deadlines = ShutdownDeadlines::new(announced_at, longest_deadline);
+        let killed_at = announced_at + longest_deadline.min(3_000 * MILLISECOND) + 700 * MILLISECOND;
+        prop_assert!(deadlines.final_response_at() < killed_at);
+        prop_assert!(deadlines.final_response_at() + 300 * MILLISECOND > killed_at, "time is given away");
+        let now = announced_at + elapsed;
+        match deadlines.limit_timeout(now, client_timeout) {
+            Some(timeout) => {
+                prop_assert!(timeout <= client_timeout);
+                prop_assert!(now + timeout <= deadlines.final_response_at());
+                // The timeout is shortened by no more than necessary.
+                prop_assert!(timeout == client_timeout || now + timeout == deadlines.final_response_at());
             }
-            None => prop_assert!(now >= ending.final_response_at()),
+            None => prop_assert!(now >= deadlines.final_response_at()),
         }
     }
 }
@@ -37,10 +37,10 @@
 #[test]
 fn only_what_may_be_repeated_is_rejected() {
     use {Effect::*, FinalResponse::*};
-    let told = |effect| {
+    let final_responses = |effect| {
         [false, true].map(|may_have_run| ShutdownDeadlines::final_response(effect, may_have_run))
     };
-    assert_eq!(told(Safe), [Reject, Reject]);
-    assert_eq!(told(Idempotent), [Reject, Fail]);
-    assert_eq!(told(Unsafe), [Reject, Fail]);
+    assert_eq!(final_responses(Safe), [Reject, Reject]);
+    assert_eq!(final_responses(Idempotent), [Reject, Fail]);
+    assert_eq!(final_responses(Unsafe), [Reject, Fail]);
 }
