--- a/crates/recovery/src/baseline.rs
+++ b/crates/recovery/src/baseline.rs
@@ -1,13 +1,13 @@
 //! The normal rate of events, remembered through an outage.
 
-use mintshelf_time::SECOND;
+use mintshelf_time::{Nanos, SECOND};
 
 /// Weight of a second's own count in the baseline when the rate rises.
 const RISE_GAIN: f64 = 0.3;
 /// The same when it falls. It is far smaller because a baseline that follows an outage down
 /// forgets what the servers can do.
 const FALL_GAIN: f64 = 0.01;
-/// Seconds without an event after which a further one no longer changes the baseline.
+/// Seconds without an event after which the baseline no longer falls.
 const MAX_IDLE_SECONDS: u64 = 1_000;
 
 /// Counts events by the second and keeps the baseline of that rate, an exponentially weighted
@@ -22,9 +22,9 @@
 }
 
 impl RateBaseline {
-    /// Advances to `now` in nanoseconds and returns how many seconds began since the last call.
+    /// Advances to `now` and returns how many seconds began since the last call.
     /// A clock that goes back is treated as one that stands still.
-    pub(crate) fn advance(&mut self, now: u64) -> u64 {
+    pub(crate) fn advance(&mut self, now: Nanos) -> u64 {
         let second = now / SECOND;
         let passed = second.saturating_sub(self.second);
         for _ in 0..passed.min(MAX_IDLE_SECONDS) {
@@ -36,8 +36,8 @@
         passed
     }
 
-    /// Counts one event at `now` in nanoseconds.
-    pub(crate) fn count(&mut self, now: u64) {
+    /// Counts one event at `now`.
+    pub(crate) fn count(&mut self, now: Nanos) {
         self.advance(now);
         self.count = self.count.saturating_add(1);
     }
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -5,9 +5,10 @@
 //!
 //! ```
 //! use mintshelf_recovery::{OutageSignal, Recovery};
+//! use mintshelf_time::SECOND;
 //!
-//! let mut recovery = Recovery::new(7, 2_000_000_000, 60_000_000_000);
-//! let now = 1_000_000_000;
+//! let mut recovery = Recovery::new(7, 2 * SECOND, 60 * SECOND);
+//! let now = SECOND;
 //! if recovery.ramp.admit(now) {
 //!     recovery.ramp.record(now, OutageSignal::InTime);
 //!     recovery.retry_after.record_served(now);
@@ -19,9 +20,13 @@
 #![forbid(unsafe_code)]
 
 mod baseline;
+mod outage_detector;
 mod ramp;
 mod retry_after;
 mod signal;
+mod token_bucket;
+
+use mintshelf_time::Nanos;
 
 pub use ramp::{Phase, RecoveryRamp};
 pub use retry_after::{RetryAfterSchedule, DEDUP_WINDOW_DIVISOR, MAX_RETRY_AFTER_SECONDS};
@@ -37,13 +42,13 @@
 }
 
 impl Recovery {
-    /// Starts with a cluster that is presumed to be up. `ramp_ns` and `max_retry_after_ns` are
+    /// Starts with a cluster that is presumed to be up. `ramp_duration` and `max_retry_after` are
     /// as in [`RecoveryRamp::new`] and [`RetryAfterSchedule::new`].
     #[must_use]
-    pub fn new(seed: u64, ramp_ns: u64, max_retry_after_ns: u64) -> Self {
+    pub fn new(seed: u64, ramp_duration: Nanos, max_retry_after: Nanos) -> Self {
         Recovery {
-            ramp: RecoveryRamp::new(seed, ramp_ns),
-            retry_after: RetryAfterSchedule::new(seed, max_retry_after_ns),
+            ramp: RecoveryRamp::new(seed, ramp_duration),
+            retry_after: RetryAfterSchedule::new(seed, max_retry_after),
         }
     }
 }
--- a/crates/recovery/src/ramp.rs
+++ b/crates/recovery/src/ramp.rs
@@ -4,18 +4,13 @@
 //! follows the same ramp, however many there are and without any exchange between them.
 
 use crate::baseline::RateBaseline;
+use crate::outage_detector::OutageDetector;
 use crate::signal::OutageSignal;
-use mintshelf_balancer::decay::DecayingCounter;
-use mintshelf_time::SECOND;
+use crate::token_bucket::TokenBucket;
+use mintshelf_time::{as_float, from_float, Nanos, SECOND};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 
-/// Half-life of the counts of attempts, in nanoseconds.
-const ATTEMPTS_HALF_LIFE_NS: u64 = SECOND / 2;
-/// Attempts that must have ended of late before an outage is detected.
-const OUTAGE_MIN_ATTEMPTS: f64 = 16.0;
-/// Fraction of them that must have failed.
-const OUTAGE_FAILURE_SHARE: f64 = 0.8;
 /// Fraction of the baseline rate sent during an outage, to detect its end.
 const OUTAGE_SHARE: f64 = 0.1;
 /// Fraction of the baseline rate at which the ramp begins.
@@ -24,18 +19,20 @@
 const FINAL_SHARE: f64 = 1.2;
 /// Minimum rate at any time, since the baseline may be unknown or small.
 const MIN_RATE_PER_SECOND: f64 = 10.0;
-/// Interval between two steps of the ramp in nanoseconds, give or take a quarter.
-const STEP_NS: f64 = 0.25 * SECOND as f64;
+/// Mean interval between two steps of the ramp.
+const STEP_INTERVAL: Nanos = SECOND / 4;
+/// Shortest interval between two steps, as a multiple of the mean.
+const MIN_STEP_FACTOR: f64 = 0.75;
+/// Longest interval between two steps less the shortest, as a multiple of the mean.
+const STEP_FACTOR_RANGE: f64 = 0.5;
 /// Fraction of answers in time from which a step raises the rate.
 const RAISE_SHARE: f64 = 0.9;
 /// Fraction of answers in time below which a step lowers the rate.
 const LOWER_SHARE: f64 = 0.7;
 /// Factor by which a step lowers the rate.
 const LOWER_FACTOR: f64 = 0.7;
-/// Minimum number of attempts by which a step can judge.
+/// Minimum number of attempts on which a step is decided.
 const STEP_MIN_ATTEMPTS: u32 = 2;
-/// Seconds of the current rate that may be sent in one burst.
-const BURST_SECONDS: f64 = 0.1;
 
 /// Phase of a cluster.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -52,17 +49,15 @@
 #[derive(Debug)]
 pub struct RecoveryRamp {
     phase: Phase,
-    /// Shortest time in which the ramp gets from its start to the baseline; 0 disables it.
-    ramp_ns: u64,
+    /// Shortest time in which the ramp gets from its start to the baseline; `None` disables it.
+    duration: Option<Nanos>,
     answered: RateBaseline,
     /// Baseline rate when the phase was last [`Phase::Normal`].
     baseline_per_second: f64,
-    attempts: DecayingCounter,
-    failures: DecayingCounter,
+    outage: OutageDetector,
     rate_per_second: f64,
-    /// Requests that may be sent at once; the token bucket of `rate_per_second`.
-    credit: f64,
-    credit_updated_at: u64,
+    /// Limits the requests to `rate_per_second`.
+    bucket: TokenBucket,
     step: RampStep,
     rng: Pcg32,
 }
@@ -70,26 +65,43 @@
 /// Attempts that ended since the last step, and when the next one is due.
 #[derive(Debug, Default)]
 struct RampStep {
-    due_at: u64,
-    in_time: u32,
+    due_at: Nanos,
     attempts: u32,
+    /// Attempts that were answered in time.
+    in_time: u32,
+}
+
+impl RampStep {
+    fn record(&mut self, signal: OutageSignal) {
+        self.attempts += 1;
+        if signal == OutageSignal::InTime {
+            self.in_time += 1;
+        }
+    }
+
+    fn is_due(&self, now: Nanos) -> bool {
+        now >= self.due_at && self.attempts >= STEP_MIN_ATTEMPTS
+    }
+
+    /// Fraction of the attempts that were answered in time.
+    fn in_time_share(&self) -> f64 {
+        f64::from(self.in_time) / f64::from(self.attempts)
+    }
 }
 
 impl RecoveryRamp {
-    /// Starts with a cluster that is presumed to be up. `ramp_ns` is the shortest time in
-    /// which traffic returns to its baseline; 0 disables the ramp.
+    /// Starts with a cluster that is presumed to be up. `duration` is the shortest time in which
+    /// traffic returns to its baseline; 0 disables the ramp.
     #[must_use]
-    pub fn new(seed: u64, ramp_ns: u64) -> Self {
+    pub fn new(seed: u64, duration: Nanos) -> Self {
         RecoveryRamp {
             phase: Phase::Normal,
-            ramp_ns,
+            duration: (duration > 0).then_some(duration),
             answered: RateBaseline::default(),
             baseline_per_second: 0.0,
-            attempts: DecayingCounter::default(),
-            failures: DecayingCounter::default(),
+            outage: OutageDetector::default(),
             rate_per_second: 0.0,
-            credit: 0.0,
-            credit_updated_at: 0,
+            bucket: TokenBucket::default(),
             step: RampStep::default(),
             rng: Pcg32::seed_from_u64(seed),
         }
@@ -109,99 +121,78 @@
 
     /// Whether a request that arrives at `now` may be sent; uses up its credit if so.
     #[must_use = "an admitted request has used up its credit"]
-    pub fn admit(&mut self, now: u64) -> bool {
-        if self.phase == Phase::Normal {
-            return true;
-        }
-        let elapsed_seconds = now.saturating_sub(self.credit_updated_at) as f64 / SECOND as f64;
-        self.credit_updated_at = now.max(self.credit_updated_at);
-        let max_credit = (self.rate_per_second * BURST_SECONDS).max(1.0);
-        self.credit = (self.credit + elapsed_seconds * self.rate_per_second).min(max_credit);
-        let is_admitted = self.credit >= 1.0;
-        if is_admitted {
-            self.credit -= 1.0;
-        }
-        is_admitted
+    pub fn admit(&mut self, now: Nanos) -> bool {
+        self.phase == Phase::Normal || self.bucket.try_take(now, self.rate_per_second)
     }
 
     /// Records how an attempt ended at `now`.
-    pub fn record(&mut self, now: u64, signal: OutageSignal) {
-        if self.ramp_ns == 0 {
-            return;
-        }
-        let failed = signal == OutageSignal::Failure;
-        if !failed {
+    pub fn record(&mut self, now: Nanos, signal: OutageSignal) {
+        let Some(duration) = self.duration else { return };
+        let has_failed = signal == OutageSignal::Failure;
+        if !has_failed {
             self.answered.count(now);
         }
-        self.attempts.add(now, ATTEMPTS_HALF_LIFE_NS, 1.0);
-        self.failures.add(now, ATTEMPTS_HALF_LIFE_NS, f64::from(u8::from(failed)));
+        self.outage.record(now, has_failed);
         match self.phase {
-            Phase::Normal | Phase::Recovering if self.is_outage() => {
+            Phase::Normal | Phase::Recovering if self.outage.is_outage() => {
                 self.enter(now, Phase::Outage, OUTAGE_SHARE);
             }
-            Phase::Outage if !failed => self.begin_recovery(now),
-            Phase::Recovering => self.record_in_step(now, signal),
+            Phase::Outage if !has_failed => {
+                // Failures of the outage are no evidence of the present.
+                self.outage = OutageDetector::after_answer(now);
+                self.enter(now, Phase::Recovering, INITIAL_SHARE);
+            }
+            Phase::Recovering => {
+                self.step.record(signal);
+                if self.step.is_due(now) {
+                    self.take_step(now, duration);
+                }
+            }
             Phase::Normal | Phase::Outage => {}
         }
     }
 
-    fn is_outage(&self) -> bool {
-        let attempts = self.attempts.sum;
-        let failures = self.failures.sum;
-        attempts >= OUTAGE_MIN_ATTEMPTS && failures >= OUTAGE_FAILURE_SHARE * attempts
-    }
-
-    fn begin_recovery(&mut self, now: u64) {
-        // Failures of the outage are no evidence of the present.
-        self.attempts = DecayingCounter::default();
-        self.failures = DecayingCounter::default();
-        self.attempts.add(now, ATTEMPTS_HALF_LIFE_NS, 1.0);
-        self.enter(now, Phase::Recovering, INITIAL_SHARE);
-    }
-
     fn target_rate(&self) -> f64 {
         self.baseline_per_second.max(MIN_RATE_PER_SECOND)
     }
 
-    fn enter(&mut self, now: u64, phase: Phase, share: f64) {
+    fn enter(&mut self, now: Nanos, phase: Phase, share: f64) {
         if self.phase == Phase::Normal {
             self.baseline_per_second = self.answered.per_second();
         }
         self.phase = phase;
         self.rate_per_second = (self.target_rate() * share).max(MIN_RATE_PER_SECOND);
-        self.credit = 0.0;
-        self.credit_updated_at = now;
+        self.bucket = TokenBucket::empty(now);
         self.schedule_step(now);
     }
 
     /// Schedules the next step with jitter: sidecars that saw the end of the outage together
     /// would otherwise raise their rates together.
-    fn schedule_step(&mut self, now: u64) {
+    fn schedule_step(&mut self, now: Nanos) {
         let jitter = f64::from(self.rng.next_u32()) / f64::from(u32::MAX);
-        let due_at = now + (STEP_NS * (0.75 + 0.5 * jitter)) as u64;
+        let factor = MIN_STEP_FACTOR + STEP_FACTOR_RANGE * jitter;
+        let due_at = now + from_float(as_float(STEP_INTERVAL) * factor);
         self.step = RampStep { due_at, ..RampStep::default() };
     }
 
-    fn record_in_step(&mut self, now: u64, signal: OutageSignal) {
-        self.step.in_time += u32::from(signal == OutageSignal::InTime);
-        self.step.attempts += 1;
-        if now >= self.step.due_at && self.step.attempts >= STEP_MIN_ATTEMPTS {
-            self.take_step(now);
-        }
-    }
-
-    fn take_step(&mut self, now: u64) {
-        let in_time_share = f64::from(self.step.in_time) / f64::from(self.step.attempts);
+    fn take_step(&mut self, now: Nanos, duration: Nanos) {
+        let in_time_share = self.step.in_time_share();
         if in_time_share >= RAISE_SHARE {
             if self.rate_per_second >= FINAL_SHARE * self.target_rate() {
                 self.phase = Phase::Normal;
                 return;
             }
-            let steps = (self.ramp_ns as f64 / STEP_NS).max(1.0);
-            self.rate_per_second *= INITIAL_SHARE.recip().powf(1.0 / steps);
+            self.raise_rate(duration);
         } else if in_time_share < LOWER_SHARE {
             self.rate_per_second = (self.rate_per_second * LOWER_FACTOR).max(MIN_RATE_PER_SECOND);
         }
         self.schedule_step(now);
     }
+
+    /// Raises the rate by the same factor in every step, such that it gets from its start to the
+    /// baseline in `duration`.
+    fn raise_rate(&mut self, duration: Nanos) {
+        let steps = (as_float(duration) / as_float(STEP_INTERVAL)).max(1.0);
+        self.rate_per_second *= INITIAL_SHARE.recip().powf(1.0 / steps);
+    }
 }
--- a/crates/recovery/src/retry_after.rs
+++ b/crates/recovery/src/retry_after.rs
@@ -1,8 +1,8 @@
-//! Retry-after advice for rejected clients, spread so that they do not return together and
-//! over the longer, the more of them there are.
+//! Retry-after advice for rejected clients. It spreads their return, over a longer time the more
+//! of them there are.
 
 use crate::baseline::RateBaseline;
-use mintshelf_time::SECOND;
+use mintshelf_time::{Nanos, SECOND};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::collections::VecDeque;
@@ -26,18 +26,18 @@
     expected_by_second: VecDeque<u32>,
     /// Sum of `expected_by_second`.
     expected: u64,
-    max_seconds: u64,
+    max_seconds: u32,
     /// Requests served; `expected_by_second` begins with its current second.
     served: RateBaseline,
     rng: Pcg32,
 }
 
 impl RetryAfterSchedule {
-    /// Creates an empty schedule. Advice is at most `max_ns` nanoseconds, but at least one
-    /// second and at most [`MAX_RETRY_AFTER_SECONDS`].
+    /// Creates an empty schedule. Advice is at most `max_retry_after`, but at least one second and
+    /// at most [`MAX_RETRY_AFTER_SECONDS`].
     #[must_use]
-    pub fn new(seed: u64, max_ns: u64) -> Self {
-        let max_seconds = (max_ns / SECOND).clamp(1, MAX_RETRY_AFTER_SECONDS);
+    pub fn new(seed: u64, max_retry_after: Nanos) -> Self {
+        let max_seconds = whole_seconds(max_retry_after, MAX_RETRY_AFTER_SECONDS);
         RetryAfterSchedule {
             expected_by_second: VecDeque::from(vec![0; max_seconds as usize + 1]),
             expected: 0,
@@ -47,27 +47,27 @@
         }
     }
 
-    /// Records that a request was served at `now` in nanoseconds.
-    pub fn record_served(&mut self, now: u64) {
+    /// Records that a request was served at `now`.
+    pub fn record_served(&mut self, now: Nanos) {
         self.advance(now);
         self.served.count(now);
     }
 
     /// Returns how many seconds a client that is rejected at `now` should wait, and schedules
-    /// its return. `dedup_window_ns` is for how long servers discard repeats of the request,
-    /// if it is idempotent.
+    /// its return. `dedup_window` is the time for which servers discard repeats of the request;
+    /// `None` if it is not idempotent.
     #[must_use = "the client is scheduled as one that got the advice"]
-    pub fn advise_seconds(&mut self, now: u64, dedup_window_ns: Option<u64>) -> u64 {
+    pub fn advise_seconds(&mut self, now: Nanos, dedup_window: Option<Nanos>) -> u64 {
         self.advance(now);
-        let max_seconds = match dedup_window_ns {
-            Some(window) => (window / DEDUP_WINDOW_DIVISOR / SECOND).clamp(1, self.max_seconds),
+        let max_seconds = match dedup_window {
+            Some(window) => {
+                whole_seconds(window / DEDUP_WINDOW_DIVISOR, u64::from(self.max_seconds))
+            }
             None => self.max_seconds,
         };
-        let needed = (self.expected + 1) as f64 / self.returning_per_second();
-        let spread = needed.ceil().min(max_seconds as f64) as u64;
-        let second = self.least_expected_second(spread);
+        let second = self.least_expected_second(self.spread_seconds(max_seconds));
         self.schedule(second);
-        second
+        u64::from(second)
     }
 
     /// How many clients are expected to return in the future.
@@ -82,9 +82,20 @@
         self.served.per_second()
     }
 
-    /// How many clients may return in a second. A sidecar without a baseline counts on one a
-    /// second and no fewer; one with a small baseline on less than that, since there may be
-    /// many such sidecars.
+    /// Number of seconds over which the clients are to return, from 1 to `max_seconds`.
+    #[expect(
+        clippy::cast_precision_loss,
+        clippy::cast_possible_truncation,
+        clippy::cast_sign_loss,
+        reason = "the number of clients is far below 2^53, the quotient is positive and bounded"
+    )]
+    fn spread_seconds(&self, max_seconds: u32) -> u32 {
+        let needed = (self.expected + 1) as f64 / self.returning_per_second();
+        needed.ceil().min(f64::from(max_seconds)) as u32
+    }
+
+    /// How many clients may return in a second. A sidecar without a baseline assumes one a second;
+    /// one with a small baseline assumes less than that, since there may be many such sidecars.
     fn returning_per_second(&self) -> f64 {
         let baseline = self.baseline_per_second();
         if baseline > 0.0 {
@@ -96,13 +107,13 @@
 
     /// Picks, of two random seconds and the last one, that with the fewest clients: this fills
     /// the seconds evenly, and sidecars differ.
-    fn least_expected_second(&mut self, spread: u64) -> u64 {
+    fn least_expected_second(&mut self, spread: u32) -> u32 {
         let candidates = [1 + self.below(spread), 1 + self.below(spread), spread];
-        let expected = |second: &u64| self.expected_by_second[*second as usize];
+        let expected = |second: &u32| self.expected_by_second[*second as usize];
         candidates.into_iter().min_by_key(expected).unwrap_or(spread)
     }
 
-    fn schedule(&mut self, second: u64) {
+    fn schedule(&mut self, second: u32) {
         let expected = &mut self.expected_by_second[second as usize];
         if let Some(increased) = expected.checked_add(1) {
             *expected = increased;
@@ -111,18 +122,24 @@
     }
 
     /// A uniform number below `bound`, which is not 0.
-    fn below(&mut self, bound: u64) -> u64 {
-        (u64::from(self.rng.next_u32()) * bound) >> 32
+    fn below(&mut self, bound: u32) -> u32 {
+        ((u64::from(self.rng.next_u32()) * u64::from(bound)) >> 32) as u32
     }
 
     /// Drops the seconds that have passed.
-    fn advance(&mut self, now: u64) {
+    fn advance(&mut self, now: Nanos) {
         let passed = self.served.advance(now);
         // After the length of the schedule nothing of it is left.
-        for _ in 0..passed.min(self.max_seconds + 1) {
+        for _ in 0..passed.min(u64::from(self.max_seconds) + 1) {
             let returned = self.expected_by_second.pop_front().unwrap_or(0);
             self.expected -= u64::from(returned);
             self.expected_by_second.push_back(0);
         }
     }
 }
+
+/// A duration in seconds, rounded down; at least one and at most `max`.
+fn whole_seconds(duration: Nanos, max: u64) -> u32 {
+    let seconds = (duration / SECOND).clamp(1, max);
+    u32::try_from(seconds).unwrap_or(u32::MAX)
+}
--- a/crates/recovery/src/signal.rs
+++ b/crates/recovery/src/signal.rs
@@ -15,8 +15,8 @@
 }
 
 impl OutageSignal {
-    /// Classifies an attempt's outcome; `None` if this side ended it. `in_time` says whether
-    /// it took no longer than the latency objective of its class.
+    /// Classifies an attempt's outcome; `None` if the proxy ended it. `in_time` tells whether it
+    /// took no longer than the latency objective of its class.
     #[must_use]
     pub fn from_outcome(outcome: Outcome, in_time: bool) -> Option<OutageSignal> {
         match outcome {
--- a/crates/recovery/tests/ramp.rs
+++ b/crates/recovery/tests/ramp.rs
@@ -77,7 +77,7 @@
     );
     assert_eq!(ramp.phase(), Phase::Recovering);
     play(&mut ramp, 340, 60, 70, |_, _| OutageSignal::InTime);
-    assert_eq!(ramp.phase(), Phase::Normal, "warm, they take all");
+    assert_eq!(ramp.phase(), Phase::Normal, "warm, they serve all");
 }
 
 #[test]
@@ -88,7 +88,7 @@
     play(&mut ramp, 340, 41, 45, |_, _| OutageSignal::Failure);
     assert_eq!(ramp.phase(), Phase::Outage);
     let admitted = play(&mut ramp, 340, 45, 46, |_, _| OutageSignal::InTime);
-    assert!(admitted[..5].iter().sum::<f64>() / 5.0 < 0.45, "the ramp begins anew");
+    assert!(admitted[..5].iter().sum::<f64>() / 5.0 < 0.45, "the ramp begins again");
 }
 
 #[test]
@@ -144,8 +144,8 @@
     ) {
         let mut ramp = RecoveryRamp::new(seed, ramp_ns);
         let mut now = SECOND;
-        for (passed, end) in steps {
-            now += passed;
+        for (elapsed, end) in steps {
+            now += elapsed;
             let end = [OutageSignal::InTime, OutageSignal::Late, OutageSignal::Failure][end as usize];
             if ramp.admit(now) {
                 ramp.record(now, end);
--- a/crates/recovery/tests/retry_after.rs
+++ b/crates/recovery/tests/retry_after.rs
@@ -83,8 +83,8 @@
 }
 
 proptest! {
-    /// Whatever comes in whatever order: advice is whole seconds within its bounds, and the
-    /// schedule has just those whose time is still ahead.
+    /// For any sequence of events the advice is in seconds within its bounds, and the schedule has
+    /// exactly the clients whose time is still ahead.
     #[test]
     fn advice_is_bounded_and_the_schedule_adds_up(
         seed: u64,
@@ -95,12 +95,12 @@
         let max_seconds = max_seconds.clamp(1, MAX_RETRY_AFTER_SECONDS);
         let mut now = 0;
         let mut due = Vec::new();
-        for (passed, what) in steps {
-            now += passed;
-            match what {
+        for (elapsed, event) in steps {
+            now += elapsed;
+            match event {
                 0 => schedule.record_served(now),
                 // The clock stands still, or jumps.
-                1 => now += passed * 500,
+                1 => now += elapsed * 500,
                 _ => {
                     let advised = schedule.advise_seconds(now, None);
                     prop_assert!((1..=max_seconds).contains(&advised));
