--- a/crates/routing/src/host.rs
+++ b/crates/routing/src/host.rs
@@ -13,10 +13,10 @@
     Exact(String),
 }
 
-/// Why a text is no host that a route can serve.
+/// Why a text is not a host that a route can serve.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum HostError {
-    /// A wildcard elsewhere than in place of the first labels.
+    /// A wildcard that does not replace the first labels.
     #[error("a wildcard stands for whole labels at the start only, as in '*.a'")]
     MisplacedWildcard,
     /// A port or a scheme beside the host.
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,8 +1,8 @@
-//! Which route a request takes, and which cluster of that route. No I/O.
+//! Matches a request to a route, and divides the requests of a route between clusters. No I/O.
 //!
 //! Precedence is that of the Gateway API's `HTTPRoute` (see [`rank`]). [`RouteTable`] finds the
-//! route by look-ups, so that the cost depends on the request's own parts and not on the number
-//! of routes.
+//! route by look-ups, so that the cost depends on the parts of the request and not on the number of
+//! routes.
 //!
 //! ```
 //! use http::{HeaderMap, Method};
@@ -22,7 +22,6 @@
 //! ```
 
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub mod host;
 pub mod path;
--- a/crates/routing/src/path.rs
+++ b/crates/routing/src/path.rs
@@ -7,7 +7,7 @@
 pub enum PathMatch {
     /// This path only.
     Exact(String),
-    /// The expression matches the whole path.
+    /// The expression matches the complete path.
     Regex(Pattern),
     /// These elements come first: `/a` matches `/a` and `/a/b`, never `/ab`. A slash at the end
     /// does not count.
@@ -25,15 +25,15 @@
     }
 }
 
-/// What follows a prefix of whole elements in a path; it is empty or begins with a slash. None if
-/// the path does not begin with the prefix.
+/// The rest of a path behind a prefix, which is empty or begins with a slash. `None` if the path
+/// does not begin with the elements of the prefix.
 pub fn after_prefix<'path>(prefix: &str, path: &'path str) -> Option<&'path str> {
     let suffix = path.strip_prefix(prefix.trim_end_matches('/'))?;
     (suffix.is_empty() || suffix.starts_with('/')).then_some(suffix)
 }
 
-/// Whether a path has an element `.` or `..`, plain or escaped. A server could resolve it, and
-/// serve another path than the one that was routed.
+/// Whether a path has an element `.` or `..`, plain or escaped. A server could resolve it and serve
+/// a path other than the one that was routed.
 pub fn has_dot_segments(path: &str) -> bool {
     path.split('/').any(|element| {
         let unescaped = element.replace("%2e", ".").replace("%2E", ".");
--- a/crates/routing/src/pattern.rs
+++ b/crates/routing/src/pattern.rs
@@ -4,16 +4,16 @@
 
 /// Upper bound of the bytes of one compiled expression.
 const MAX_COMPILED_BYTES: usize = 1 << 20;
-/// What makes an expression match whole texts only.
+/// Stand before and behind an expression so that it matches only a complete text.
 const ANCHORS: [&str; 2] = ["^(?:", ")$"];
 
-/// An expression that matches whole texts only.
+/// Makes an expression match only a complete text.
 pub(crate) fn anchored(expression: &str) -> String {
     let [start, end] = ANCHORS;
     format!("{start}{expression}{end}")
 }
 
-/// A regular expression that matches whole texts, in linear time.
+/// A regular expression that matches complete texts, in linear time.
 #[derive(Debug, Clone)]
 pub struct Pattern(Regex);
 
@@ -34,12 +34,12 @@
     ///
     /// The error of the expression, or that it is too large when compiled.
     pub fn new(expression: &str) -> Result<Self, PatternError> {
-        // Compiled without anchors first, so that a stray bracket can't escape them.
+        // Compiled without anchors first: an unmatched bracket could otherwise close their group.
         compile(expression)?;
         compile(&anchored(expression)).map(Pattern)
     }
 
-    /// Whether it matches the whole text.
+    /// Whether it matches the complete text.
     pub fn matches(&self, text: &str) -> bool {
         self.0.is_match(text)
     }
--- a/crates/routing/src/rank.rs
+++ b/crates/routing/src/rank.rs
@@ -3,8 +3,8 @@
 //! As the Gateway API states it for `HTTPRoute`: the more specific host (exact before wildcard,
 //! the longer suffix first, then any), then the path (exact, then the prefix with the most
 //! characters), then a method match, then the most header matches, then the most query
-//! matches, then the route that was written first. The API leaves regular expressions open:
-//! here they stand between exact paths and prefixes, the longer text first.
+//! matches, then the route that was written first. The API leaves the rank of regular expressions
+//! open: here it is between those of exact paths and prefixes, the longer text first.
 
 use crate::host::HostMatch;
 use crate::path::PathMatch;
@@ -33,8 +33,8 @@
     Exact,
 }
 
-/// How specific the other conditions are, and the place in the file; the greater takes
-/// precedence. The order of the fields is that of the rules.
+/// How specific the other conditions are, and the position in the file; the greater takes
+/// precedence. The fields are compared in their order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct DetailRank {
     has_methods: bool,
@@ -61,7 +61,7 @@
     }
 }
 
-/// The rank of the other conditions of a rule, which has this place in the file.
+/// The rank of the other conditions of a rule, which has this position in the file, from 0.
 pub fn details(rule: &RouteRule, index: usize) -> DetailRank {
     DetailRank {
         has_methods: !rule.methods.is_empty(),
--- a/crates/routing/src/request.rs
+++ b/crates/routing/src/request.rs
@@ -1,11 +1,11 @@
-//! A request as routing sees it, and how it meets a rule.
+//! The parts of a request that routing uses, and which condition of a rule they do not meet.
 
 use crate::rule::{FieldMatch, RouteRule};
 use http::{HeaderMap, Method};
 use std::borrow::Cow;
 use std::fmt;
 
-/// A request as routing sees it.
+/// The parts of a request that routing uses.
 #[derive(Debug, Clone)]
 pub struct RequestView<'request> {
     /// Its host in lower case, without a port; empty if it names none.
@@ -24,7 +24,7 @@
 fn host_name(host: &str) -> &str {
     let is_port = |text: &str| text.bytes().all(|byte| byte.is_ascii_digit());
     let name = match host.rsplit_once(':') {
-        // Colons are in an IPv6 address, too, which has brackets where there is a port.
+        // An IPv6 address has colons of its own; in front of a port it is in brackets.
         Some((name, port)) if is_port(port) && (!name.contains(':') || name.ends_with(']')) => name,
         _ => host,
     };
@@ -40,9 +40,10 @@
         headers: &'request HeaderMap,
     ) -> Self {
         let name = host_name(host);
-        let host = match name.bytes().any(|byte| byte.is_ascii_uppercase()) {
-            true => Cow::Owned(name.to_ascii_lowercase()),
-            false => Cow::Borrowed(name),
+        let host = if name.bytes().any(|byte| byte.is_ascii_uppercase()) {
+            Cow::Owned(name.to_ascii_lowercase())
+        } else {
+            Cow::Borrowed(name)
         };
         let (path, query) = path_and_query.split_once('?').unwrap_or((path_and_query, ""));
         RequestView { host, path, query, method, headers }
@@ -58,8 +59,8 @@
         pairs.filter(move |(key, _)| *key == name).map(|(_, value)| value)
     }
 
-    /// The first condition of a rule that the request does not meet; none if it meets all. Host
-    /// and path come first, since they decide most often.
+    /// The first condition of a rule that the request does not meet; `None` if it meets all. Host
+    /// and path are checked first, since they decide most often.
     pub fn mismatch<'rule>(&self, rule: &'rule RouteRule) -> Option<Mismatch<'rule>> {
         if !rule.hosts().iter().any(|host| host.matches(&self.host)) {
             return Some(Mismatch::Host);
@@ -70,7 +71,7 @@
         self.detail_mismatch(rule)
     }
 
-    /// The same without host and path.
+    /// The first condition other than host and path that the request does not meet.
     pub fn detail_mismatch<'rule>(&self, rule: &'rule RouteRule) -> Option<Mismatch<'rule>> {
         if !rule.methods.is_empty() && !rule.methods.contains(self.method) {
             return Some(Mismatch::Method);
@@ -82,7 +83,7 @@
         Some(Mismatch::Query(&parameter.name))
     }
 
-    /// Of several values one has to match: the Gateway API leaves that open.
+    /// If the header has several values, one has to match: the Gateway API leaves that open.
     fn matches_header(&self, header: &FieldMatch) -> bool {
         let mut values = self.headers.get_all(header.name.as_str()).iter();
         values.any(|value| value.to_str().is_ok_and(|value| header.value.matches(value)))
--- a/crates/routing/src/rule.rs
+++ b/crates/routing/src/rule.rs
@@ -5,14 +5,14 @@
 use crate::pattern::Pattern;
 use http::Method;
 
-/// What a header or a query parameter has to contain.
+/// The value that a header or a query parameter has to have.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ValueMatch {
-    /// Anything: it only has to be there.
+    /// Any value: it only has to be present.
     Present,
     /// This value.
     Exact(String),
-    /// The expression matches the whole value.
+    /// The expression matches the complete value.
     Regex(Pattern),
 }
 
@@ -32,7 +32,7 @@
 pub struct FieldMatch {
     /// Its name; that of a header in lower case.
     pub name: String,
-    /// What it has to contain.
+    /// The value that it has to have.
     pub value: ValueMatch,
 }
 
@@ -67,9 +67,10 @@
 impl RouteRule {
     /// The hosts; any host where none is named.
     pub(crate) fn hosts(&self) -> &[HostMatch] {
-        match self.hosts.is_empty() {
-            true => &[HostMatch::Any],
-            false => &self.hosts,
+        if self.hosts.is_empty() {
+            &[HostMatch::Any]
+        } else {
+            &self.hosts
         }
     }
 }
--- a/crates/routing/src/split.rs
+++ b/crates/routing/src/split.rs
@@ -1,10 +1,10 @@
-//! Which of a route's clusters a request goes to.
+//! Divides the requests of a route between clusters by weight.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Clusters with weights. The same key goes to the same cluster, at every sidecar, for as
-/// long as the weights stay; when one weight changes only the keys that must move do
-/// (weighted rendezvous hashing).
+/// Clusters with weights, divided by weighted rendezvous hashing. While the weights are unchanged,
+/// every sidecar assigns the same key to the same cluster; when one weight changes, as few keys as
+/// possible are assigned to another cluster.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ClusterSplit {
     clusters: Vec<WeightedCluster>,
@@ -18,10 +18,10 @@
 }
 
 impl WeightedCluster {
-    /// The time at which the cluster's clock rings for a key: exponentially distributed, with the
-    /// weight as its rate. The first clock to ring decides, which is each with the probability
-    /// of its share of the weights.
-    fn arrival(&self, key: &[u8]) -> f64 {
+    /// The score of the cluster for a key: exponentially distributed, with the weight as its rate.
+    /// The lowest score of several clusters is that of each with the probability of its share of the
+    /// weights.
+    fn score(&self, key: &[u8]) -> f64 {
         const MANTISSA_BITS: u32 = f64::MANTISSA_DIGITS;
         let hash = xxh3_64_with_seed(key, xxh3_64_with_seed(self.name.as_bytes(), 0));
         // Uniform in (0, 1].
@@ -32,8 +32,8 @@
 }
 
 impl ClusterSplit {
-    /// Clusters by name with their weights; those with weight 0 are left out. None if that leaves
-    /// no cluster.
+    /// Clusters by name with their weights, without those of weight 0. `None` if no cluster has a
+    /// weight.
     pub fn new(weights: impl IntoIterator<Item = (String, u32)>) -> Option<Self> {
         let weights = weights.into_iter().filter(|(_, weight)| *weight > 0);
         let clusters: Vec<WeightedCluster> = weights
@@ -42,22 +42,20 @@
         (!clusters.is_empty()).then_some(ClusterSplit { clusters })
     }
 
-    /// One cluster only.
+    /// A single cluster.
     pub fn only(name: &str) -> Self {
         let cluster = WeightedCluster { name: name.to_string(), weight: 1.0 };
         ClusterSplit { clusters: vec![cluster] }
     }
 
-    /// The cluster for a key. For a request without one the caller passes any bytes, best random.
+    /// The cluster for a key. For a request without a key the caller passes random bytes.
     pub fn pick(&self, key: &[u8]) -> &str {
         if let [only] = &self.clusters[..] {
             return &only.name;
         }
-        let first = self
-            .clusters
-            .iter()
-            .min_by(|one, other| one.arrival(key).total_cmp(&other.arrival(key)));
-        first.map_or("", |cluster| &cluster.name)
+        let lowest =
+            self.clusters.iter().min_by(|one, other| one.score(key).total_cmp(&other.score(key)));
+        lowest.map_or("", |cluster| &cluster.name)
     }
 
     /// The clusters that may be picked.
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -1,4 +1,4 @@
-//! Finds the route of a request by look-ups.
+//! Finds the route of a request by hash table look-ups.
 
 use crate::host::HostMatch;
 use crate::path::PathMatch;
@@ -14,7 +14,7 @@
 /// Upper bound of the bytes of all compiled expressions of one host.
 const MAX_SET_BYTES: usize = 64 << 20;
 
-/// The places of rules with the same host and path, in the order of their precedence.
+/// The indices of rules with the same host and path, in the order of their precedence.
 type RankedRules = Vec<usize>;
 
 /// The rules of one host by their paths.
@@ -26,7 +26,7 @@
     regex_set: Option<RegexSet>,
     /// By prefix, without a slash at its end.
     prefixes: HashMap<String, RankedRules>,
-    /// The length of the longest prefix: longer ones need no look-up.
+    /// Length of the longest prefix, which bounds the look-ups.
     max_prefix_len: usize,
 }
 
@@ -37,8 +37,8 @@
     rules: RankedRules,
 }
 
-/// All routes of one listener. A look-up costs by the request's labels and path elements
-/// and the routes that share one host and path, not by how many routes there are.
+/// All routes of one listener. The cost of a look-up depends on the labels and path elements of the
+/// request and on the routes that share one host and path, not on the number of routes.
 #[derive(Debug, Default)]
 pub struct RouteTable {
     rules: Vec<Arc<RouteRule>>,
@@ -48,7 +48,7 @@
     any_host: PathTable,
 }
 
-/// Why there is no table for some rules.
+/// Why rules can't be compiled into a table.
 #[derive(Debug, Clone, thiserror::Error)]
 pub enum TableError {
     /// The expressions of one host are too large together.
@@ -85,7 +85,7 @@
         }
     }
 
-    /// The place of the rule that takes precedence, from 0 in the order of the file; none if no
+    /// The index of the rule that takes precedence, from 0 in the order of the file; `None` if no
     /// rule matches.
     pub fn find(&self, request: &RequestView) -> Option<usize> {
         let exact = self.exact_hosts.get(request.host.as_ref());
@@ -95,7 +95,7 @@
             .or_else(|| self.any_host.find(&self.rules, request))
     }
 
-    /// Tries the suffixes of the host, from the longest to the shortest.
+    /// Looks up the suffixes of the host, from the longest to the shortest.
     fn find_by_wildcard(&self, request: &RequestView) -> Option<usize> {
         if self.wildcard_hosts.is_empty() {
             return None;
@@ -149,7 +149,7 @@
         &mut self.regexes[position].rules
     }
 
-    /// Puts everything in the order of precedence, once all rules are added.
+    /// Sorts all entries by precedence, once all rules are added.
     fn finish(&mut self, rules: &[Arc<RouteRule>]) -> Result<(), TableError> {
         self.regexes.sort_by_key(|entry| Reverse(entry.text.len()));
         let by_text = self.exact.values_mut().chain(self.prefixes.values_mut());
@@ -174,8 +174,8 @@
             .or_else(|| self.find_by_prefix(rules, request))
     }
 
-    /// The longest expressions that match come first; those of one length take precedence by the
-    /// other conditions, as all ties do.
+    /// Finds a rule by the longest expression that matches; between expressions of one length the
+    /// other conditions decide.
     fn find_by_regex(&self, rules: &[Arc<RouteRule>], request: &RequestView) -> Option<usize> {
         let set = self.regex_set.as_ref()?;
         let mut best: Option<usize> = None;
@@ -195,7 +195,7 @@
         best
     }
 
-    /// Tries the path itself, then cut at every slash from the end.
+    /// Looks up the path itself, then truncated at every slash from the end.
     fn find_by_prefix(&self, rules: &[Arc<RouteRule>], request: &RequestView) -> Option<usize> {
         if self.prefixes.is_empty() {
             return None;
@@ -209,7 +209,7 @@
     }
 }
 
-/// The first of the rules that matches a request, whose host and path match.
+/// The first rule whose other conditions match a request, where host and path already match.
 fn first_match(
     ranked: &RankedRules,
     rules: &[Arc<RouteRule>],
