--- a/crates/websocket/src/close.rs
+++ b/crates/websocket/src/close.rs
@@ -51,7 +51,8 @@
     }
 }
 
-/// The reason for a client that may come back after so many seconds; 0 for no such hint.
+/// The close reason, with a hint that the client may reconnect after `retry_after_s` seconds; 0
+/// adds no hint.
 pub fn reason_with_retry(reason: &str, retry_after_s: u64) -> String {
     match retry_after_s {
         0 => reason.to_string(),
--- a/crates/websocket/src/control.rs
+++ b/crates/websocket/src/control.rs
@@ -1,9 +1,12 @@
-//! Writes control frames of the proxy's own (RFC 6455 5.5), and masks payloads (5.3).
+//! Writes the proxy's own control frames (RFC 6455 5.5), and masks payloads (5.3).
 
+use crate::header::{FINAL_BIT, MASK_BIT, OPCODE_BITS};
 use crate::peer::Peer;
 
+/// Longest payload of a control frame, as its header states it.
+const MAX_CONTROL_LENGTH: u8 = 125;
 /// Longest payload of a control frame, in bytes (RFC 6455 5.5).
-pub const MAX_CONTROL_PAYLOAD_BYTES: usize = 125;
+pub const MAX_CONTROL_PAYLOAD_BYTES: usize = MAX_CONTROL_LENGTH as usize;
 
 /// Opcode of a close frame (RFC 6455 5.2).
 pub const OPCODE_CLOSE: u8 = 8;
@@ -21,10 +24,11 @@
     mask_key: [u8; 4],
     out: &mut Vec<u8>,
 ) {
-    let payload = &payload[..payload.len().min(MAX_CONTROL_PAYLOAD_BYTES)];
+    let length = u8::try_from(payload.len()).unwrap_or(u8::MAX).min(MAX_CONTROL_LENGTH);
+    let payload = &payload[..usize::from(length)];
     let is_masked = sender == Peer::Client;
-    out.push(0x80 | opcode & 0x0f);
-    out.push(payload.len() as u8 | if is_masked { 0x80 } else { 0 });
+    out.push(FINAL_BIT | opcode & OPCODE_BITS);
+    out.push(length | if is_masked { MASK_BIT } else { 0 });
     if is_masked {
         out.extend_from_slice(&mask_key);
     }
--- /dev/null
+++ b/crates/websocket/src/frame/control_frame.rs
@@ -0,0 +1,46 @@
+//! Control frames that a peer sends.
+
+use crate::close::CloseFrame;
+use crate::control::{apply_mask, MAX_CONTROL_PAYLOAD_BYTES, OPCODE_CLOSE, OPCODE_PING};
+use crate::header::{header_bytes, is_masked, opcode};
+use crate::violation::Violation;
+
+/// A complete control frame.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum ControlFrame<'a> {
+    /// A ping with its payload, unmasked.
+    Ping(&'a [u8]),
+    /// A pong with its payload, unmasked.
+    Pong(&'a [u8]),
+    /// A close frame.
+    Close(CloseFrame<'a>),
+}
+
+/// What the proxy does with a control frame.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum ControlAction {
+    /// It is forwarded as it came.
+    Forward,
+    /// It is dropped.
+    Discard,
+}
+
+impl<'a> ControlFrame<'a> {
+    /// Parses a complete frame with a control opcode. The unmasked payload is written to `payload`.
+    pub(super) fn parse(
+        frame: &[u8],
+        payload: &'a mut [u8; MAX_CONTROL_PAYLOAD_BYTES],
+    ) -> Result<Self, Violation> {
+        let (header, masked_payload) = frame.split_at(header_bytes(frame));
+        let payload = &mut payload[..masked_payload.len()];
+        payload.copy_from_slice(masked_payload);
+        if is_masked(header) {
+            apply_mask(payload, [header[2], header[3], header[4], header[5]]);
+        }
+        Ok(match opcode(header) {
+            OPCODE_CLOSE => ControlFrame::Close(CloseFrame::parse(payload)?),
+            OPCODE_PING => ControlFrame::Ping(payload),
+            _ => ControlFrame::Pong(payload),
+        })
+    }
+}
--- /dev/null
+++ b/crates/websocket/src/handshake/server.rs
@@ -0,0 +1,90 @@
+//! A handshake towards a server, and its response.
+
+use super::error::HandshakeResponseError;
+use super::fields::{is_deflate, is_upgrade_request, list_elements, single_value};
+use http::header::{self, HeaderMap};
+
+/// A handshake that was sent to a server.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct HandshakeRequest {
+    /// The accept value that the server has to return.
+    pub(super) accept: String,
+    /// The subprotocols that were offered.
+    pub(super) subprotocols: Vec<String>,
+    pub(super) offers_compression: bool,
+}
+
+/// What both ends agreed on.
+#[derive(Debug, Clone, Default, PartialEq, Eq)]
+pub struct NegotiatedTerms {
+    /// The subprotocol, if any.
+    pub subprotocol: Option<String>,
+    /// The compression with its parameters, if any.
+    pub extension: Option<String>,
+}
+
+impl HandshakeRequest {
+    /// Checks a server's 101 (RFC 6455 4.1).
+    ///
+    /// # Errors
+    ///
+    /// The first header that does not answer this request.
+    pub fn verify_response(
+        &self,
+        headers: &HeaderMap,
+    ) -> Result<NegotiatedTerms, HandshakeResponseError> {
+        if !is_upgrade_request(headers) {
+            return Err(HandshakeResponseError::Upgrade);
+        }
+        self.verify_accept(headers)?;
+        let subprotocol = self.verify_subprotocol(headers)?;
+        let extension = self.verify_extension(headers)?;
+        Ok(NegotiatedTerms { subprotocol, extension })
+    }
+
+    fn verify_accept(&self, headers: &HeaderMap) -> Result<(), HandshakeResponseError> {
+        let accept = single_value(headers, &header::SEC_WEBSOCKET_ACCEPT)
+            .ok_or(HandshakeResponseError::Accept)?;
+        if accept.as_bytes().trim_ascii() != self.accept.as_bytes() {
+            return Err(HandshakeResponseError::Accept);
+        }
+        Ok(())
+    }
+
+    /// The subprotocol that the server selected, if any.
+    fn verify_subprotocol(
+        &self,
+        headers: &HeaderMap,
+    ) -> Result<Option<String>, HandshakeResponseError> {
+        let mut names = list_elements(headers, &header::SEC_WEBSOCKET_PROTOCOL);
+        let subprotocol = names.next().map(str::to_string);
+        let was_offered = subprotocol.as_ref().is_none_or(|name| self.subprotocols.contains(name));
+        if !was_offered || names.next().is_some() {
+            return Err(HandshakeResponseError::Subprotocol);
+        }
+        Ok(subprotocol)
+    }
+
+    /// The extension that the server selected, if any.
+    fn verify_extension(
+        &self,
+        headers: &HeaderMap,
+    ) -> Result<Option<String>, HandshakeResponseError> {
+        let mut elements = list_elements(headers, &header::SEC_WEBSOCKET_EXTENSIONS);
+        let extension = elements.next().map(str::to_string);
+        let was_offered =
+            extension.as_ref().is_none_or(|element| self.offers_compression && is_deflate(element));
+        if !was_offered || elements.next().is_some() {
+            return Err(HandshakeResponseError::Extension);
+        }
+        Ok(extension)
+    }
+}
+
+impl NegotiatedTerms {
+    /// Whether messages may be compressed.
+    #[must_use]
+    pub fn uses_compression(&self) -> bool {
+        self.extension.is_some()
+    }
+}
--- a/crates/websocket/src/header.rs
+++ b/crates/websocket/src/header.rs
@@ -5,22 +5,24 @@
 
 /// Longest header: two bytes, eight of the length, four of the mask.
 pub(crate) const MAX_HEADER_BYTES: usize = 14;
-/// Bytes that tell how long the header is.
+/// Bytes at the start of a header that tell its length.
 const PREFIX_BYTES: usize = 2;
-/// Length field of a payload whose length follows in two bytes.
+/// Bytes of the mask key of a client's frame.
+const MASK_KEY_BYTES: usize = 4;
+/// Value of the length field if the length follows in two bytes.
 const LENGTH_16: u8 = 126;
-/// Length field of a payload whose length follows in eight bytes.
+/// Value of the length field if the length follows in eight bytes.
 const LENGTH_64: u8 = 127;
 
-const FINAL_BIT: u8 = 0x80;
+pub(crate) const FINAL_BIT: u8 = 0x80;
 const RESERVED_BITS: u8 = 0x70;
 /// The first reserved bit, which marks a compressed message (RFC 7692 6).
 const COMPRESSED_BIT: u8 = 0x40;
-const OPCODE_BITS: u8 = 0x0f;
-const MASK_BIT: u8 = 0x80;
+pub(crate) const OPCODE_BITS: u8 = 0x0f;
+pub(crate) const MASK_BIT: u8 = 0x80;
 const LENGTH_BITS: u8 = 0x7f;
 
-/// What a header states.
+/// The contents of a frame header.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct FrameHeader {
     pub(crate) is_final: bool,
@@ -40,7 +42,7 @@
         sender: Peer,
         allows_compression: bool,
     ) -> Result<Self, Violation> {
-        let opcode = bytes[0] & OPCODE_BITS;
+        let opcode = opcode(bytes);
         let may_be_compressed = allows_compression && starts_message(opcode);
         let allowed_bits = if may_be_compressed { COMPRESSED_BIT } else { 0 };
         if bytes[0] & RESERVED_BITS & !allowed_bits != 0 {
@@ -58,12 +60,17 @@
     matches!(opcode, 1 | 2)
 }
 
+/// The opcode of a frame.
+pub(crate) fn opcode(header: &[u8]) -> u8 {
+    header[0] & OPCODE_BITS
+}
+
 /// Whether the payload is masked.
 pub(crate) fn is_masked(header: &[u8]) -> bool {
     header[1] & MASK_BIT != 0
 }
 
-/// Length of a header in bytes, as far as its first bytes tell.
+/// Length of a header in bytes: that of the prefix until the prefix is complete.
 pub(crate) fn header_bytes(prefix: &[u8]) -> usize {
     if prefix.len() < PREFIX_BYTES {
         return PREFIX_BYTES;
@@ -73,7 +80,8 @@
         LENGTH_64 => 8,
         _ => 0,
     };
-    PREFIX_BYTES + length_bytes + if is_masked(prefix) { 4 } else { 0 }
+    let mask_bytes = if is_masked(prefix) { MASK_KEY_BYTES } else { 0 };
+    PREFIX_BYTES + length_bytes + mask_bytes
 }
 
 /// The length of the payload, which must be in the fewest bytes.
--- a/crates/websocket/src/lib.rs
+++ b/crates/websocket/src/lib.rs
@@ -1,8 +1,8 @@
-//! WebSocket (RFC 6455) as a proxy sees it: handshakes, frames that pass from one end to the
-//! other, timeouts, the closing handshake, and the migration of sockets between servers.
+//! WebSocket (RFC 6455) as a proxy sees it: handshakes, frames that are forwarded from one end to
+//! the other, timeouts, the closing handshake, and the migration of sockets between servers.
 //!
-//! No I/O and no clock: bytes and times go in, bytes and actions come out. All times are
-//! nanoseconds of one clock, which the caller reads.
+//! No I/O and no clock: the input are bytes and times, the output are bytes and actions. All times
+//! are nanoseconds of one clock, which the caller reads.
 //!
 //! ```
 //! use mintshelf_websocket::peer::Peer;
--- a/crates/websocket/src/migration.rs
+++ b/crates/websocket/src/migration.rs
@@ -1,11 +1,10 @@
 //! Spreads the migrations of sockets over time: all sockets of a server that is lost or removed
-//! leave it within a window, and never in one burst at the remaining servers.
+//! leave it within a window, and do not reach the other servers in one burst.
 
 use mintshelf_time::{Nanos, MILLISECOND};
 use std::collections::BTreeMap;
 
-/// Longest time between the migrations of two sockets of a server. Few sockets need no more, so
-/// a single one leaves at once.
+/// Longest time between the migrations of two sockets of a server.
 pub const MAX_STEP_NS: Nanos = 20 * MILLISECOND;
 
 /// The migrations from one server.
--- a/crates/websocket/src/session/closing.rs
+++ b/crates/websocket/src/session/closing.rs
@@ -7,19 +7,18 @@
 use crate::violation::Violation;
 use mintshelf_time::Nanos;
 
-/// What a peer is sent that needs no reason.
+/// The close frame for a peer that needs no reason.
 pub(super) const GOING_AWAY: CloseFrame<'static> =
     CloseFrame { code: close_code::GOING_AWAY, reason: "" };
 
 impl Session {
-    /// Closes the socket for the violation of one peer. That peer is sent the violation, the
-    /// other that the socket is closed.
+    /// Closes the socket because one peer violated the protocol. That peer is sent the violation,
+    /// the other one that the socket is closed.
     pub(super) fn close_for_violation(&mut self, peer: Peer, violation: Violation, now: Nanos) {
         let reason = violation.reason();
         let (by, other) = match peer {
             Peer::Client => (ClosedBy::Client, GOING_AWAY),
-            // 1014 is the code of a gateway for a bad response, but some clients take it for a
-            // violation.
+            // Not 1014, the code of a gateway for a bad response: some clients reject it.
             Peer::Server => (ClosedBy::Server, CloseFrame { code: close_code::UNEXPECTED, reason }),
         };
         // Nothing more of the peer can be decoded, so its answer to a close frame is not seen.
@@ -29,8 +28,8 @@
         self.begin_closing(by, violation.close_code(), now);
     }
 
-    /// Sends a peer a close frame if it was sent none. Within a frame there is no place for it:
-    /// the peer is disconnected then.
+    /// Sends a peer a close frame unless it was sent one. Within a frame of the other peer none
+    /// can be inserted: then the peer is disconnected.
     pub(super) fn send_close(&mut self, peer: Peer, close: CloseFrame<'_>) {
         let mask_key = self.next_mask_key();
         let is_between_frames = self.side(peer.other()).decoder.is_between_frames();
@@ -46,7 +45,8 @@
         }
     }
 
-    /// Records who ended the socket, and waits for what is pending or unanswered.
+    /// Records who ended the socket, and waits until pending output is written and close frames
+    /// are answered.
     pub(super) fn begin_closing(&mut self, by: ClosedBy, code: u16, now: Nanos) {
         self.end.get_or_insert(SessionEnd { by, code });
         if !matches!(self.state, State::Closing { .. }) {
--- a/crates/websocket/src/session/forwarding.rs
+++ b/crates/websocket/src/session/forwarding.rs
@@ -6,7 +6,7 @@
 use crate::violation::Violation;
 use mintshelf_time::Nanos;
 
-/// What became of bytes that a peer sent.
+/// The result of forwarding bytes that a peer sent.
 struct Forwarded {
     /// How many bytes were taken.
     result: Result<usize, Violation>,
@@ -18,7 +18,7 @@
 }
 
 impl Session {
-    /// Takes bytes that a peer sent.
+    /// Receives bytes that a peer sent.
     pub fn receive(&mut self, peer: Peer, bytes: &[u8], now: Nanos) {
         if self.side(peer).is_disconnected || self.end().is_some() {
             return;
@@ -36,7 +36,7 @@
     /// Forwards bytes of a peer; while the socket is evicted only up to the end of a message.
     pub(super) fn forward(&mut self, peer: Peer, bytes: &[u8], now: Nanos) {
         if self.side(peer).close_received {
-            // Nothing counts behind a close frame (RFC 6455 5.5.1).
+            // Whatever follows a close frame is ignored (RFC 6455 5.5.1).
             return;
         }
         let other_close_sent = self.side(peer.other()).close_sent;
@@ -102,7 +102,7 @@
         }
         if let Some(output_start) = forwarded.output_grown_from {
             if peer == Peer::Client {
-                self.keep_first_message(output_start);
+                self.store_first_message(output_start);
             }
             self.timers.record_queued(peer.other(), now);
         }
@@ -121,10 +121,10 @@
     }
 }
 
-/// What is done with a control frame of a peer. `close_sent`: the other peer was sent a close
-/// frame.
+/// What to do with a control frame of a peer. `close_sent` tells whether the other peer was sent a
+/// close frame.
 fn control_action(frame: ControlFrame<'_>, ping_token: [u8; 8], close_sent: bool) -> ControlAction {
-    // The answers to pings and close frames of the proxy end here.
+    // Answers to the proxy's own pings and close frames are not forwarded.
     let answers_proxy = match frame {
         ControlFrame::Pong(payload) => payload == ping_token,
         ControlFrame::Close(_) => close_sent,
--- a/crates/websocket/src/session/migration.rs
+++ b/crates/websocket/src/session/migration.rs
@@ -1,4 +1,4 @@
-//! Leaves a server that is lost or evicted from, and goes on at another where that is allowed.
+//! Leaves a server that is lost or drained, and continues at another one where that is allowed.
 
 use super::closing::GOING_AWAY;
 use super::side::{client_decoder, Side};
@@ -10,9 +10,9 @@
 use mintshelf_time::Nanos;
 
 impl Session {
-    /// Keeps the client's first message, from the server's output behind `output_start`. A
-    /// socket whose first message is too long for that does not migrate.
-    pub(super) fn keep_first_message(&mut self, output_start: usize) {
+    /// Stores the client's first message, from the server's output behind `output_start`. A
+    /// socket whose first message is too long does not migrate.
+    pub(super) fn store_first_message(&mut self, output_start: usize) {
         let Some(first_message) = &mut self.first_message else { return };
         if !first_message.append(&self.server.output.bytes[output_start..]) {
             self.first_message = None;
@@ -33,7 +33,7 @@
 
     /// Records that the server has disconnected. The socket waits for its migration slot.
     pub(super) fn lose_server(&mut self, reason: &str, now: Nanos) {
-        // In the other states the server is lost already, or left anyway.
+        // In the other states the server is lost already, or is about to be left.
         if !matches!(self.state, State::Open | State::Evicting { .. }) {
             return;
         }
@@ -83,8 +83,8 @@
         self.action = Some(SessionAction::Migrate);
     }
 
-    /// Goes on after [`SessionAction::ServerLost`] once the migration slot has come: migrates if
-    /// that is possible, else closes the socket. `retry_after_s`: seconds after which the client
+    /// Continues after [`SessionAction::ServerLost`] once the migration slot has come: migrates if
+    /// that is possible, otherwise closes the socket. `retry_after_s`: seconds after which the client
     /// may come back.
     pub fn migrate_or_close(&mut self, retry_after_s: u64, now: Nanos) {
         let State::ServerLost { reason } = &self.state else { return };
@@ -96,14 +96,14 @@
         }
     }
 
-    /// Goes on at another server after [`SessionAction::Migrate`]. Returns what the old server
-    /// is to be sent; nothing if it has disconnected.
+    /// Continues at another server after [`SessionAction::Migrate`]. Returns what the old server
+    /// is to be sent, which is empty if it has disconnected.
     pub fn complete_migration(&mut self, now: Nanos) -> Vec<u8> {
-        let mut farewell = Vec::new();
-        let State::Migrating { .. } = self.state else { return farewell };
+        let mut close_frame = Vec::new();
+        let State::Migrating { .. } = self.state else { return close_frame };
         let mask_key = self.next_mask_key();
         if !self.server.is_disconnected && !self.server.close_sent {
-            GOING_AWAY.write(Peer::Client, mask_key, &mut farewell);
+            GOING_AWAY.write(Peer::Client, mask_key, &mut close_frame);
         }
         self.replace_server();
         self.state = State::Open;
@@ -116,7 +116,7 @@
         if !unforwarded.is_empty() {
             self.forward(Peer::Client, &unforwarded, now);
         }
-        farewell
+        close_frame
     }
 
     /// Replaces the server's side by a new one, with the first message if the old server had
--- a/crates/websocket/src/session/mod.rs
+++ b/crates/websocket/src/session/mod.rs
@@ -1,8 +1,8 @@
-//! One socket from its 101 to its end: bytes and times go in, bytes for both peers and actions
-//! come out.
+//! One socket from its 101 to its end: its input are bytes and times, its output are bytes for both
+//! peers and actions.
 //!
-//! Frames are forwarded as they come. A frame of the proxy's own goes between two of them or not
-//! at all, and each peer is sent at most one close frame.
+//! Frames are forwarded as they come. The proxy inserts frames of its own only between two of them,
+//! and sends each peer at most one close frame.
 
 mod closing;
 mod first_message;
@@ -12,7 +12,6 @@
 mod timeouts;
 mod types;
 
-use mintshelf_time::Nanos;
 pub use types::{
     ClosedBy, EvictionRequest, Resume, SessionAction, SessionConfig, SessionEnd, Traffic,
 };
@@ -21,14 +20,16 @@
 use crate::peer::Peer;
 use crate::timers::SocketTimers;
 use first_message::FirstMessage;
+use mintshelf_time::Nanos;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use side::{client_decoder, Side};
 use std::rc::Rc;
 
+/// The phase of a socket.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum State {
-    /// Messages pass.
+    /// Messages are forwarded.
     Open,
     /// Leaves its server once no message is in progress, at the latest at the deadline.
     Evicting { deadline_ns: Nanos, request: EvictionRequest },
@@ -62,8 +63,8 @@
 }
 
 impl Session {
-    /// A socket that opens now. `is_compressed`: its ends negotiated compression; `seed` for
-    /// mask keys and the jitter of its lifetime.
+    /// A socket that opens now. `is_compressed` tells whether its ends negotiated compression;
+    /// `seed` determines the mask keys and the jitter of its lifetime.
     pub fn new(config: Rc<SessionConfig>, is_compressed: bool, seed: u64, now: Nanos) -> Self {
         let mut random = Pcg32::seed_from_u64(seed);
         let mut ping_token = [0; 8];
@@ -117,7 +118,7 @@
         Traffic { messages: side.decoder.completed_messages(), bytes: side.received_bytes }
     }
 
-    /// Whether a peer is to be read now: not while the other does not take its output.
+    /// Whether a peer is to be read now; it is not while the other one does not take its output.
     pub fn wants_read(&self, peer: Peer) -> bool {
         let side = self.side(peer);
         if side.is_disconnected || self.end().is_some() {
@@ -144,7 +145,7 @@
         }
     }
 
-    /// Whether messages pass, and the socket is not about to leave its server.
+    /// Whether messages are forwarded, and the socket is not about to leave its server.
     pub fn is_open(&self) -> bool {
         self.state == State::Open
     }
@@ -154,7 +155,7 @@
         self.action.take()
     }
 
-    /// How the socket ended, once nothing more has to pass.
+    /// How the socket ended, once nothing more has to be forwarded.
     pub fn end(&self) -> Option<SessionEnd> {
         let is_finished = self.client.is_finished() && self.server.is_finished();
         self.end.filter(|_| is_finished)
--- a/crates/websocket/src/session/side.rs
+++ b/crates/websocket/src/session/side.rs
@@ -1,9 +1,9 @@
-//! The state of one peer within a session: what it sends, and what waits for it.
+//! The state of one peer within a session: the frames that it sends, and its pending output.
 
 use crate::frame::FrameDecoder;
 use crate::peer::Peer;
 
-/// An empty queue keeps no more memory than this.
+/// Bytes of memory that an empty queue retains at most.
 const RETAINED_BYTES: usize = 1 << 10;
 
 /// Bytes that wait to be written to a peer.
@@ -18,7 +18,7 @@
         &self.bytes[self.written..]
     }
 
-    /// Drops `count` written bytes; whether none are pending any more.
+    /// Drops `count` written bytes, and returns whether none are pending any more.
     pub(super) fn advance(&mut self, count: usize) -> bool {
         self.written = (self.written + count).min(self.bytes.len());
         let is_drained = self.written == self.bytes.len();
@@ -66,14 +66,14 @@
         self.output.pending().len() + self.unforwarded.len()
     }
 
-    /// Whether nothing more has to pass to or from the peer.
+    /// Whether nothing more has to be sent to the peer or received from it.
     pub(super) fn is_finished(&self) -> bool {
         let handshake_done =
             self.close_received && self.close_sent && self.output.pending().is_empty();
         self.is_disconnected || handshake_done
     }
 
-    /// Drops what waits for the peer: nothing more passes to or from it.
+    /// Drops the peer's pending output: nothing more is sent to it or received from it.
     pub(super) fn disconnect(&mut self) {
         self.is_disconnected = true;
         self.output = OutputQueue::default();
@@ -81,7 +81,7 @@
     }
 }
 
-/// A decoder for a client's frames that were checked before, so without a limit of its own.
+/// A decoder for a client's frames that have been checked before, without a limit of its own.
 pub(super) fn client_decoder(is_compressed: bool) -> FrameDecoder {
     FrameDecoder::new(Peer::Client, is_compressed, u64::MAX)
 }
--- a/crates/websocket/src/session/types.rs
+++ b/crates/websocket/src/session/types.rs
@@ -2,7 +2,7 @@
 
 use crate::timers::TimerConfig;
 
-/// What is sent again to another server for a socket to go on there.
+/// What is replayed to another server so that a socket can continue there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Resume {
     /// The handshake.
@@ -64,7 +64,7 @@
     pub may_migrate: bool,
 }
 
-/// What the caller has to do beside reading and writing.
+/// What the caller has to do besides reading and writing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SessionAction {
     /// The server has disconnected: call [`Session::migrate_or_close`] when the socket's
--- a/crates/websocket/src/violation.rs
+++ b/crates/websocket/src/violation.rs
@@ -12,13 +12,13 @@
     Opcode,
     /// A client that does not mask, or a server that does.
     Masking,
-    /// A length that is not in the fewest bytes, or over 2^63 - 1.
+    /// A length that is not encoded in the fewest bytes, or is over 2^63 - 1.
     Length,
     /// A control frame that is fragmented or has over 125 bytes.
     Control,
     /// A continuation without a message, or a message within a message.
     Sequence,
-    /// A close frame with half a code, or a code that must not be sent.
+    /// A close frame with a truncated code, or a code that must not be sent.
     CloseCode,
     /// A close reason that is not UTF-8.
     CloseText,
