--- a/crates/config/src/admission.rs
+++ b/crates/config/src/admission.rs
@@ -1,5 +1,6 @@
 //! The limits of an operator's file in the form of admission control.
 
+use crate::convert::{truncate_to_u32, truncate_to_u64};
 use crate::model::{OperatorConfig, BODY_SHARE};
 use mintshelf_admission::admission::AdmissionConfig;
 use mintshelf_admission::limit::LimitConfig;
@@ -9,10 +10,11 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Part of the file descriptors that the requests of all tenants may take, where the file states
-/// no concurrency: most of what is left for clients.
+/// Part of the file descriptors that the requests of all tenants may occupy where the file states
+/// no concurrency: most of those that remain for clients.
 const CLIENT_SHARE: f64 = 0.5;
-/// A tenant may always have one body in memory of the largest kind that is buffered.
+/// A tenant may always have this many bytes of bodies in memory: the largest body that is
+/// buffered.
 const MIN_BODY_BYTES: u64 = 64 << 10;
 /// Share of the requests that belong to no tenant.
 const OTHERS_SHARE: f64 = 1.0;
@@ -27,7 +29,7 @@
     }
 }
 
-/// The limits of tenants. What a tenant does not state is its share of the process's.
+/// The limits of tenants. Where a tenant states none, it has its share of the process's limit.
 fn tenant_limits(config: &OperatorConfig) -> BTreeMap<Rc<str>, LimitConfig> {
     if config.tenants.is_empty() {
         return BTreeMap::new();
@@ -36,11 +38,13 @@
     let total_share = OTHERS_SHARE + shares;
     let limits = |share: f64, stated: LimitConfig| {
         let part = share / total_share;
-        let concurrency = (config.limits.file_descriptors as f64 * CLIENT_SHARE * part) as u32;
-        let body_bytes = (config.limits.memory_bytes as f64 * BODY_SHARE * part) as u64;
+        let concurrency = config.limits.file_descriptors as f64 * CLIENT_SHARE * part;
+        let body_bytes = config.limits.memory_bytes as f64 * BODY_SHARE * part;
+        let default_concurrency = truncate_to_u32(concurrency).max(1);
+        let default_body_bytes = truncate_to_u64(body_bytes).max(MIN_BODY_BYTES);
         LimitConfig {
-            max_concurrency: stated.max_concurrency.or(Some(concurrency.max(1))),
-            max_body_bytes: stated.max_body_bytes.or(Some(body_bytes.max(MIN_BODY_BYTES))),
+            max_concurrency: stated.max_concurrency.or(Some(default_concurrency)),
+            max_body_bytes: stated.max_body_bytes.or(Some(default_body_bytes)),
             ..stated
         }
     };
@@ -93,7 +97,7 @@
     }
 }
 
-/// What identifies the tenants; none if the file has no tenants.
+/// The resolver of the file's tenants; `None` if it has no tenants.
 pub fn tenant_resolver(config: &OperatorConfig) -> Option<TenantResolver> {
     if config.tenants.is_empty() {
         return None;
--- /dev/null
+++ b/crates/config/src/balancer/class.rs
@@ -0,0 +1,132 @@
+//! The classes of a cluster as the decision module has them.
+
+use super::schedule::{attempt_schedule, effective_timeout, module_effect};
+use super::severity::{severity, EFFECTS};
+use crate::model::{Class, Cluster, OperatorConfig, Route, RouteAction};
+use mintshelf_balancer::api::{Class as BalancerClassSettings, ClassId, Effect, Group};
+use mintshelf_retry::policy::RetryPolicy;
+use mintshelf_retry::schedule::{AttemptSchedule, DedupGroup};
+use mintshelf_time::{from_duration, Nanos};
+use std::collections::BTreeMap;
+
+/// A class of the file in the decision module, which has a class of its own for each effect that
+/// the requests can turn out to have.
+#[derive(Debug, Clone, PartialEq)]
+pub struct BalancerClass {
+    /// The mildest effect that its requests may have.
+    pub effect: Effect,
+    /// The module's number of the class for each effect, by [`severity`].
+    class_numbers: [Option<ClassId>; EFFECTS.len()],
+    /// The time-out of a request.
+    pub deadline: Nanos,
+    /// The priority weight of its requests.
+    pub priority_weight: f64,
+}
+
+impl BalancerClass {
+    /// The module's number of the class for requests of this effect; `None` if they can't have it.
+    #[must_use]
+    pub fn class_number(&self, effect: Effect) -> Option<ClassId> {
+        self.class_numbers[severity(effect)]
+    }
+}
+
+/// The classes of one cluster.
+#[derive(Default)]
+pub(super) struct ClusterClasses {
+    pub(super) by_name: BTreeMap<String, BalancerClass>,
+    /// By the module's numbers.
+    pub(super) settings: Vec<BalancerClassSettings>,
+    /// By the module's numbers.
+    pub(super) retry_policies: Vec<RetryPolicy>,
+}
+
+/// The classes of the routes that lead to a cluster, which has this name in the file.
+pub(super) fn cluster_classes(
+    config: &OperatorConfig,
+    cluster_name: &str,
+    cluster: &Cluster,
+) -> ClusterClasses {
+    let mut classes = ClusterClasses::default();
+    for (name, class) in &config.classes {
+        let routes: Vec<&Route> = config
+            .routes
+            .iter()
+            .filter(|route| route.policy == *name && leads_to(route, cluster_name))
+            .collect();
+        if !routes.is_empty() {
+            classes.add(name, class, &routes, cluster);
+        }
+    }
+    classes
+}
+
+fn leads_to(route: &Route, cluster_name: &str) -> bool {
+    match &route.action {
+        RouteAction::Forward(forward) => forward.split.clusters().any(|name| name == cluster_name),
+        RouteAction::Redirect(_) | RouteAction::Respond(_) => false,
+    }
+}
+
+impl ClusterClasses {
+    /// Adds a class for each effect that its requests can turn out to have: its own, unsafe by
+    /// its method or without an idempotency key, and those that routes state.
+    fn add(&mut self, name: &str, class: &Class, routes: &[&Route], cluster: &Cluster) {
+        let is_possible = |effect: Effect| {
+            effect == class.effect
+                || effect == Effect::Unsafe
+                || routes.iter().any(|route| route.effect == Some(effect))
+        };
+        let mut class_numbers = [None; EFFECTS.len()];
+        for effect in EFFECTS.into_iter().filter(|effect| is_possible(*effect)) {
+            class_numbers[severity(effect)] = Some(ClassId::from_index(self.settings.len()));
+            let schedule = attempt_schedule(class, effect, cluster);
+            self.retry_policies.push(retry_policy(class, effect, cluster, &schedule));
+            self.settings.push(class_settings(class, &schedule));
+        }
+        let class = BalancerClass {
+            effect: class.effect,
+            class_numbers,
+            deadline: from_duration(class.deadline),
+            priority_weight: class.priority_weight,
+        };
+        self.by_name.insert(name.to_string(), class);
+    }
+}
+
+fn retry_policy(
+    class: &Class,
+    effect: Effect,
+    cluster: &Cluster,
+    schedule: &AttemptSchedule,
+) -> RetryPolicy {
+    // A request that turns out unsafe by its method is never hedged.
+    let is_hedged = effect == Effect::Safe && cluster.allows_parallel_attempts;
+    let idle_timeout = effective_timeout(class.attempts.idle_timeout, cluster.idle_timeout);
+    RetryPolicy {
+        effect: module_effect(schedule),
+        attempt_timeout: schedule.attempt_timeout,
+        timeout_bounds: schedule.adaptive_bounds(),
+        max_attempts: schedule.max_attempts,
+        hedge: class.attempts.hedge_policy().filter(|_| is_hedged),
+        connect_timeout: schedule.connect_timeout,
+        idle_timeout: from_duration(idle_timeout),
+    }
+}
+
+fn class_settings(class: &Class, schedule: &AttemptSchedule) -> BalancerClassSettings {
+    BalancerClassSettings {
+        effect: module_effect(schedule),
+        group: match schedule.dedup_group {
+            DedupGroup::Cluster => Group::All,
+            DedupGroup::Zone => Group::Zone,
+        },
+        dedup_window: from_duration(class.dedup_window),
+        latency_objective: from_duration(class.latency_objective),
+        deadline: from_duration(class.deadline),
+        priority_weight: class.priority_weight,
+        late_weight: class.late_weight,
+        max_attempts: schedule.max_attempts,
+        backoff: schedule.backoff,
+    }
+}
--- /dev/null
+++ b/crates/config/src/balancer/mod.rs
@@ -0,0 +1,70 @@
+//! A cluster of the operator's file in the form of the decision module.
+
+mod class;
+mod schedule;
+mod servers;
+mod settings;
+mod severity;
+
+pub use class::BalancerClass;
+pub use schedule::{attempt_schedule, effective_timeout};
+pub use servers::ClusterServer;
+pub use severity::severity;
+
+use crate::model::{Cluster, ConnectionLimits, OperatorConfig};
+use class::cluster_classes;
+use mintshelf_balancer::api::Settings;
+use mintshelf_retry::policy::RetryPolicy;
+use mintshelf_time::{from_duration, Nanos};
+use servers::{cluster_servers, Zones};
+use settings::module_settings;
+use std::collections::BTreeMap;
+
+/// The configuration with which a cluster's instance of the decision module is started.
+#[derive(Debug, Clone, PartialEq)]
+pub struct BalancerConfig {
+    /// The module's settings.
+    pub settings: Settings,
+    /// The classes of the routes that lead to the cluster, by name.
+    pub classes: BTreeMap<String, BalancerClass>,
+    /// The cluster's servers that have a weight.
+    pub servers: Vec<ClusterServer>,
+    /// Upper bounds of the connections.
+    pub connections: ConnectionLimits,
+    /// Upper bounds of the WebSocket connections.
+    pub sockets: ConnectionLimits,
+    /// The load of an open WebSocket, where that of a request is 1.
+    pub socket_weight: f64,
+    /// The time over which WebSocket connections leave an endpoint that has gone.
+    pub socket_spread: Nanos,
+    /// The time over which traffic returns after an outage of the whole cluster.
+    pub recovery_ramp: Nanos,
+    /// The retry policy of each class in the settings, in their order.
+    pub retry_policies: Vec<RetryPolicy>,
+}
+
+impl BalancerConfig {
+    /// Whether only the servers differ, which a running instance applies like any endpoint list.
+    #[must_use]
+    pub fn differs_in_servers_only(&self, other: &BalancerConfig) -> bool {
+        *other == BalancerConfig { servers: other.servers.clone(), ..self.clone() }
+    }
+}
+
+/// The configuration of one cluster, which has the name `name` in the file.
+#[must_use]
+pub fn balancer_config(config: &OperatorConfig, name: &str, cluster: &Cluster) -> BalancerConfig {
+    let classes = cluster_classes(config, name, cluster);
+    let zones = Zones::of(cluster);
+    BalancerConfig {
+        settings: module_settings(cluster, &zones, classes.settings),
+        classes: classes.by_name,
+        servers: cluster_servers(cluster, &zones),
+        connections: cluster.connections,
+        sockets: cluster.sockets,
+        socket_weight: cluster.socket_weight,
+        socket_spread: from_duration(cluster.socket_spread),
+        recovery_ramp: from_duration(cluster.recovery_ramp),
+        retry_policies: classes.retry_policies,
+    }
+}
--- /dev/null
+++ b/crates/config/src/balancer/servers.rs
@@ -0,0 +1,60 @@
+//! The servers of a cluster and their zones.
+
+use crate::model::{Cluster, Endpoint};
+use mintshelf_balancer::api::{ListedServer, ServerId};
+use std::collections::BTreeSet;
+use std::net::SocketAddr;
+use xxhash_rust::xxh3::xxh3_64;
+
+/// The zones of a cluster, in the order of the module's numbers.
+pub(super) struct Zones<'config>(Vec<&'config str>);
+
+impl<'config> Zones<'config> {
+    pub(super) fn of(cluster: &'config Cluster) -> Self {
+        let endpoints = cluster.endpoints.iter().map(|endpoint| endpoint.zone.as_str());
+        let zones: BTreeSet<&str> =
+            std::iter::once(cluster.zone.as_str()).chain(endpoints).collect();
+        Zones(zones.into_iter().collect())
+    }
+
+    /// The module's number of a zone.
+    pub(super) fn number(&self, name: &str) -> u32 {
+        let number = self.0.iter().position(|zone| *zone == name).unwrap_or(0);
+        u32::try_from(number).unwrap_or(u32::MAX)
+    }
+
+    pub(super) fn count(&self) -> u32 {
+        u32::try_from(self.0.len()).unwrap_or(u32::MAX)
+    }
+}
+
+/// A server of a cluster.
+#[derive(Debug, Clone, PartialEq)]
+pub struct ClusterServer {
+    /// The server as the decision module knows it.
+    pub listed: ListedServer,
+    /// Where it listens.
+    pub address: SocketAddr,
+}
+
+/// The servers of a cluster that have a weight.
+pub(super) fn cluster_servers(cluster: &Cluster, zones: &Zones) -> Vec<ClusterServer> {
+    let weighted = cluster.endpoints.iter().filter(|endpoint| endpoint.weight > 0);
+    let servers = weighted.map(|endpoint| ClusterServer {
+        listed: ListedServer {
+            id: server_id(endpoint),
+            zone: zones.number(&endpoint.zone),
+            size: f64::from(endpoint.weight),
+            ..ListedServer::default()
+        },
+        address: endpoint.address,
+    });
+    servers.collect()
+}
+
+/// A number made of name and address: the same name with another address is another server.
+fn server_id(endpoint: &Endpoint) -> ServerId {
+    let hash = xxh3_64(format!("{} {}", endpoint.name, endpoint.address).as_bytes());
+    let folded = hash ^ (hash >> u32::BITS);
+    (folded & u64::from(u32::MAX)) as u32
+}
--- /dev/null
+++ b/crates/config/src/balancer/settings.rs
@@ -0,0 +1,60 @@
+//! The settings of the decision module for a cluster.
+
+use super::servers::Zones;
+use crate::model::Cluster;
+use mintshelf_balancer::api::{Class, Objective, Prices, Settings, SizeKind};
+use mintshelf_time::{from_duration, Nanos, MILLISECOND, SECOND};
+
+/// Resolution of the decision module's timers.
+pub(super) const TICK: Nanos = 5 * MILLISECOND;
+/// How long after the deadline a final response still counts.
+const ANSWER_SLACK: Nanos = 4 * TICK;
+/// How long requests may still go to a server after the notification that it drains.
+const DRAIN_GRACE: Nanos = 250 * MILLISECOND;
+/// Multiple of its present capacity at which a server that warms up is overloaded.
+const OVERLOAD_MULTIPLE: f64 = 3.0;
+/// How long that multiple must last.
+const OVERLOAD_DURATION: Nanos = 2 * SECOND;
+/// Price of crossing zones, in points a request, where a cluster names a zone.
+const CROSS_ZONE_PRICE: f64 = 0.02;
+/// Weights of what the module optimizes.
+const OBJECTIVE: Objective =
+    Objective { overall: 0.5, worst_window: 0.3, worst_class: 0.2, worst_tenant: 0.0 };
+
+/// The module's settings for a cluster with these classes.
+pub(super) fn module_settings(cluster: &Cluster, zones: &Zones, classes: Vec<Class>) -> Settings {
+    let max_attempts = classes.iter().map(|class| class.max_attempts).max().unwrap_or(1);
+    Settings {
+        instances: 1,
+        zone: zones.number(&cluster.zone),
+        zones: zones.count(),
+        kinds: 1,
+        classes,
+        size_kind: SizeKind::Nominal,
+        tick: TICK,
+        answer_slack: ANSWER_SLACK,
+        drain_grace: DRAIN_GRACE,
+        initial_capacity: cluster.warm_up_start,
+        warm_up: from_duration(cluster.warm_up),
+        overload_multiple: OVERLOAD_MULTIPLE,
+        overload_duration: OVERLOAD_DURATION,
+        can_cancel: true,
+        retry_after: true,
+        max_retry_after: from_duration(cluster.max_retry_after),
+        max_attempts,
+        allows_parallel_attempts: cluster.allows_parallel_attempts,
+        retry_ratio: cluster.retry_budget.ratio,
+        retry_budget_max: f64::from(cluster.retry_budget.burst),
+        is_silence_local: true,
+        connect_timeout: from_duration(cluster.connect_timeout),
+        idle_timeout: from_duration(cluster.idle_timeout),
+        objective: OBJECTIVE,
+        prices: prices(cluster),
+        ..Settings::default()
+    }
+}
+
+fn prices(cluster: &Cluster) -> Prices {
+    let cross_zone = if cluster.zone.is_empty() { 0.0 } else { CROSS_ZONE_PRICE };
+    Prices { cross_zone, ..Prices::default() }
+}
--- a/crates/config/src/file/actions.rs
+++ b/crates/config/src/file/actions.rs
@@ -43,7 +43,7 @@
     ParsedAction { action, clusters }
 }
 
-/// A route has one action.
+/// Checks that a route has exactly one action.
 fn check_single(table: &Table) {
     let stated: Vec<&str> = ACTIONS.into_iter().filter(|key| table.has(key)).collect();
     let remedy = "write one of cluster, clusters, redirect and respond";
@@ -134,7 +134,8 @@
     Some(replacement.value)
 }
 
-/// Headers that say where a message ends or concern one connection: not for a file to change.
+/// Headers that determine the length of a message or concern one connection, which a file must not
+/// change.
 const CONNECTION_HEADERS: [&str; 9] = [
     "connection",
     "content-length",
@@ -149,7 +150,7 @@
 
 fn header_edits(table: &Table, key: &'static str) -> HeaderEdits {
     let Some(inner) = table.table(key) else { return HeaderEdits::default() };
-    // The host of a request is the one that a route may change.
+    // Of these headers a route may change only the host of a request.
     let allows_host = key == "request-headers";
     let removed = inner.texts("remove").into_iter();
     let edits = HeaderEdits {
@@ -224,7 +225,11 @@
         let message = format!("{} sends nobody anywhere", status.value);
         table.reader.report(&status.place, message, "write 301, 302, 303, 307 or 308");
     }
-    StatusCode::from_u16(status.value as u16).unwrap_or(StatusCode::FOUND)
+    status_code(status.value).unwrap_or(StatusCode::FOUND)
+}
+
+fn status_code(status: u32) -> Option<StatusCode> {
+    StatusCode::from_u16(u16::try_from(status).ok()?).ok()
 }
 
 fn parse_redirect_host(text: &str) -> Result<String, FieldError> {
@@ -250,7 +255,7 @@
     table.finish();
     let plain_text = HeaderValue::from_static("text/plain; charset=utf-8");
     Respond {
-        status: StatusCode::from_u16(status.value as u16).unwrap_or(StatusCode::OK),
+        status: status_code(status.value).unwrap_or(StatusCode::OK),
         body,
         content_type: content_type.map_or(plain_text, |media_type| media_type.value),
     }
--- a/crates/config/src/file/attempt_checks.rs
+++ b/crates/config/src/file/attempt_checks.rs
@@ -40,13 +40,14 @@
 
 struct Checker<'reader, 'text> {
     reader: &'reader Reader<'text>,
-    /// Settings that a problem has been reported of, by their offset and key: one is enough for
-    /// a setting that several routes or clusters share.
+    /// Settings that were reported, by their offset and key: a setting that several routes or
+    /// clusters share is reported once.
     reported: BTreeSet<(usize, &'static str)>,
 }
 
 impl Checker<'_, '_> {
-    /// A cluster's classes share its connections: a class can only lower the cluster's times.
+    /// Checks that a class only lowers the times of the cluster, whose connections all its classes
+    /// share.
     fn check_timeouts(&mut self, class: &ParsedClass, cluster_name: &str, cluster: &Cluster) {
         let attempts = &class.class.attempts;
         let connect = (attempts.connect_timeout, cluster.connect_timeout);
@@ -88,7 +89,7 @@
         let schedule = attempt_schedule(&class.class, route.effect(&class.class), cluster);
         for violation in schedule.violations() {
             let setting = violation.setting();
-            // A time-out that is inherited and has no effect here does no harm.
+            // An inherited time-out that has no effect here is harmless.
             let is_inherited = class.places.get_own(setting).is_none();
             if violation == SafetyViolation::UselessAttemptTimeout && is_inherited {
                 continue;
@@ -113,7 +114,7 @@
     }
 }
 
-/// A route must not give requests a milder effect than their class: they would be sent again.
+/// Checks that a route gives requests no milder effect than their class: they would be retried.
 fn check_route_effect(top: &Table, route: &ParsedRoute, class: &Class) {
     let Some(effect) = route.route.effect else { return };
     if severity(effect) >= severity(class.effect) {
@@ -130,8 +131,8 @@
     top.reader.report_violation(&route.place.child("effect"), message, remedy, rule);
 }
 
-/// An idempotent request that is rejected must not come back to a cluster that does not know its
-/// key.
+/// Checks that a client's retry of an idempotent request goes to the same cluster: another one does
+/// not know its key.
 fn check_idempotent_split(top: &Table, route: &ParsedRoute, forward: &Forward, effect: Effect) {
     let has_several_clusters = forward.split.clusters().count() > 1;
     let is_split_by_key = forward.sticky == Some(Sticky::Header(IDEMPOTENCY_KEY));
--- a/crates/config/src/file/attempts.rs
+++ b/crates/config/src/file/attempts.rs
@@ -6,10 +6,10 @@
 use super::reader::Located;
 use super::table::Table;
 use super::value::{ms, parse_duration, MAX_DURATION};
-use crate::balancer::to_nanos;
 use crate::model::{AttemptSettings, HedgeSetting};
 use mintshelf_retry::policy::{HedgeDelay, HedgePolicy};
 use mintshelf_retry::schedule::{AttemptTimeout, Backoff, DedupGroup, RetryOn};
+use mintshelf_time::from_duration;
 
 /// Upper bound of the hedges, as a fraction of the requests: they never double the load.
 const MAX_HEDGE_SHARE: f64 = 0.5;
@@ -53,7 +53,7 @@
         "none" => Ok(AttemptTimeout::Deadline),
         _ => {
             let timeout = parse_duration(text, &(ms(1)..=MAX_DURATION))?;
-            Ok::<_, FieldError>(AttemptTimeout::Fixed(to_nanos(timeout)))
+            Ok::<_, FieldError>(AttemptTimeout::Fixed(from_duration(timeout)))
         }
     })
 }
@@ -87,7 +87,7 @@
     }
     let place = table.place.clone();
     table.finish();
-    let value = Backoff { initial: to_nanos(initial.value), max: to_nanos(max.value) };
+    let value = Backoff { initial: from_duration(initial.value), max: from_duration(max.value) };
     Some(Located { value, place })
 }
 
@@ -106,7 +106,7 @@
         "p95" => Ok(HedgeDelay::P95),
         _ => {
             let delay = parse_duration(text, &(ms(1)..=MAX_DURATION))?;
-            Ok::<_, FieldError>(HedgeDelay::Fixed(to_nanos(delay)))
+            Ok::<_, FieldError>(HedgeDelay::Fixed(from_duration(delay)))
         }
     });
     if !table.has("after") {
--- a/crates/config/src/file/clusters.rs
+++ b/crates/config/src/file/clusters.rs
@@ -13,23 +13,22 @@
 use std::time::Duration;
 use toml::de::DeValue;
 
-/// Statuses that count as a failure of the endpoint, unless the file states others: what a
-/// server says of itself, and not of a request.
+/// Statuses that count as a failure of the endpoint, unless the file states others: those that
+/// concern the server and not the request.
 const DEFAULT_FAILURE_STATUSES: [u16; 4] = [500, 502, 503, 504];
 /// Upper bound of the attempts of one request, by safety rule 2.
 pub const MAX_ATTEMPTS: u32 = 6;
 const DEFAULT_ATTEMPTS: u32 = 3;
 /// Longest wait for a connection that a file may state.
 pub const MAX_CONNECT_TIMEOUT: Duration = Duration::from_secs(60);
-/// The longest time over which traffic returns or WebSocket connections leave.
+/// Longest recovery ramp, and longest time over which WebSocket connections migrate.
 const MAX_RAMP: Duration = Duration::from_secs(600);
-/// The load of an open WebSocket: it keeps a server busy for a small part of the time that a
-/// request does.
+/// The load of an open WebSocket relative to a request, which keeps a server busier.
 const DEFAULT_SOCKET_WEIGHT: f64 = 0.05;
 /// The fraction of its capacity at which a server that warms up starts.
 const DEFAULT_WARM_UP_START: f64 = 0.3;
-/// The default retry budget may save up as many attempts as are in flight at one endpoint when
-/// it stops.
+/// The default retry budget, whose burst covers the attempts in flight at one endpoint when that
+/// fails.
 const DEFAULT_RETRY_BUDGET: RetryBudgetConfig = RetryBudgetConfig { ratio: 0.2, burst: 100 };
 
 /// Parses `[clusters]`.
--- a/crates/config/src/file/conflicts.rs
+++ b/crates/config/src/file/conflicts.rs
@@ -1,5 +1,5 @@
-//! Checks routes against each other: those that no request reaches, and those that make requests
-//! of another one milder.
+//! Checks routes against each other: unreachable routes, and routes that give requests of another
+//! route a milder effect.
 
 use super::fields::effect_word;
 use super::parsed::{ParsedClasses, ParsedRoute};
@@ -13,7 +13,7 @@
 use mintshelf_routing::{rank, HostMatch};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Routes, by their places in the file, with the same host and the same paths.
+/// Indices of the routes with the same host and the same paths.
 type RouteGroups = BTreeMap<(HostMatch, String), Vec<usize>>;
 
 fn group_by_host_and_path(routes: &[ParsedRoute]) -> RouteGroups {
@@ -35,7 +35,7 @@
             let mut others = group.iter().copied().filter(|other| *other != index);
             others.find(|other| covers(routes, listeners, *other, index))
         };
-        // One for each of its hosts; the first of them is reported.
+        // One covering route for each of its hosts, of which the first is reported.
         let covering: Option<Vec<usize>> = route.hosts().into_iter().map(covering).collect();
         let Some(first) = covering.and_then(|covering| covering.first().copied()) else {
             continue;
@@ -49,7 +49,7 @@
     }
 }
 
-/// Whether one route takes all requests of a host and a path that another one would take.
+/// Whether one route matches all requests of a host and a path that another one would match.
 fn covers(
     routes: &[ParsedRoute],
     listeners: &[Located<Listener>],
@@ -73,23 +73,24 @@
     route: &'names Route,
     listeners: &'names [Located<Listener>],
 ) -> BTreeSet<&'names str> {
-    match route.listeners.is_empty() {
-        true => listeners.iter().map(|listener| listener.value.name.as_str()).collect(),
-        false => route.listeners.iter().map(String::as_str).collect(),
+    if route.listeners.is_empty() {
+        listeners.iter().map(|listener| listener.value.name.as_str()).collect()
+    } else {
+        route.listeners.iter().map(String::as_str).collect()
     }
 }
 
-/// Of two routes with the same host and path, one that requires more takes requests out of the
-/// other. Its effect must not be milder than what they were said to have.
+/// Checks routes with the same host and path. The route with more conditions takes precedence for
+/// some requests of the other one, and must not give them a milder effect.
 pub fn check_milder_routes(top: &Table, routes: &[ParsedRoute], classes: &ParsedClasses) {
     let mut reported = BTreeSet::new();
     for group in group_by_host_and_path(routes).values() {
         let pairs =
-            group.iter().flat_map(|graver| group.iter().map(move |milder| (*graver, *milder)));
-        for (graver, milder) in pairs {
-            let Some(effects) = milder_effects(routes, classes, graver, milder) else { continue };
+            group.iter().flat_map(|severe| group.iter().map(move |milder| (*severe, *milder)));
+        for (severe, milder) in pairs {
+            let Some(effects) = milder_effects(routes, classes, severe, milder) else { continue };
             if reported.insert(milder) {
-                report_milder(top, &routes[graver], &routes[milder], effects);
+                report_milder(top, &routes[severe], &routes[milder], effects);
             }
         }
     }
@@ -98,40 +99,41 @@
 /// The effects of two routes.
 #[derive(Clone, Copy)]
 struct EffectPair {
-    graver: Effect,
+    severe: Effect,
     milder: Effect,
 }
 
-/// The effects of two routes, if the second is milder and takes requests out of the first.
+/// The effects of two routes, if the second is milder and takes precedence for requests of the
+/// first.
 fn milder_effects(
     routes: &[ParsedRoute],
     classes: &ParsedClasses,
-    graver: usize,
+    severe: usize,
     milder: usize,
 ) -> Option<EffectPair> {
     let effect = |route: &ParsedRoute| {
         let class = classes.get(&route.route.class)?;
         Some(route.effect(&class.class))
     };
-    let (graver_route, milder_route) = (&routes[graver], &routes[milder]);
-    let effects = EffectPair { graver: effect(graver_route)?, milder: effect(milder_route)? };
-    let is_milder = severity(effects.graver) > severity(effects.milder);
+    let (severe_route, milder_route) = (&routes[severe], &routes[milder]);
+    let effects = EffectPair { severe: effect(severe_route)?, milder: effect(milder_route)? };
+    let is_milder = severity(effects.severe) > severity(effects.milder);
     let wins = rank::details(&milder_route.route.rule, milder)
-        > rank::details(&graver_route.route.rule, graver);
-    let are_forwarded = graver_route.forward().is_some() && milder_route.forward().is_some();
+        > rank::details(&severe_route.route.rule, severe);
+    let are_forwarded = severe_route.forward().is_some() && milder_route.forward().is_some();
     let is_conflict = is_milder
         && wins
         && are_forwarded
-        && share_milder_method(&graver_route.route, &milder_route.route, effects.milder);
+        && share_milder_method(&severe_route.route, &milder_route.route, effects.milder);
     is_conflict.then_some(effects)
 }
 
-fn report_milder(top: &Table, graver: &ParsedRoute, milder: &ParsedRoute, effects: EffectPair) {
+fn report_milder(top: &Table, severe: &ParsedRoute, milder: &ParsedRoute, effects: EffectPair) {
     let message = format!(
         "requests that route '{}' in line {} says are {} would be {} here",
-        graver.route.name,
-        graver.route.line,
-        effect_word(effects.graver),
+        severe.route.name,
+        severe.route.line,
+        effect_word(effects.severe),
         effect_word(effects.milder)
     );
     let remedy = "let the two ask for different methods, or give both the same class";
@@ -139,21 +141,21 @@
     top.reader.report_violation(&milder.place, message, remedy, rule);
 }
 
-/// Whether requests with some method that both routes take would be milder at the second, which
-/// has this effect.
-fn share_milder_method(graver: &Route, milder: &Route, milder_effect: Effect) -> bool {
-    let (graver_methods, milder_methods) = (&graver.rule.methods, &milder.rule.methods);
+/// Whether requests with some method that both routes match would have a milder effect at the
+/// second, which has this effect.
+fn share_milder_method(severe: &Route, milder: &Route, milder_effect: Effect) -> bool {
+    let (severe_methods, milder_methods) = (&severe.rule.methods, &milder.rule.methods);
     let takes =
         |methods: &[Method], method: &Method| methods.is_empty() || methods.contains(method);
     let is_shared =
-        |method: &&Method| takes(graver_methods, method) && takes(milder_methods, method);
-    // By its method a request is unsafe again in a safe class, unless the route says otherwise.
+        |method: &&Method| takes(severe_methods, method) && takes(milder_methods, method);
+    // In a safe class a request with an unsafe method is unsafe, unless the route states otherwise.
     let is_unsafe_anyway = |method: &Method| {
         milder_effect == Effect::Safe && milder.effect.is_none() && !method.is_safe()
     };
-    let named = graver_methods.iter().chain(milder_methods);
-    // Where neither route names methods, one of each kind stands for all.
-    let is_any = graver_methods.is_empty() && milder_methods.is_empty();
+    let named = severe_methods.iter().chain(milder_methods);
+    // Where neither route names methods, one safe and one unsafe method represent all.
+    let is_any = severe_methods.is_empty() && milder_methods.is_empty();
     let representatives = [Method::GET, Method::POST];
     let unnamed = representatives.iter().filter(|_| is_any);
     named.chain(unnamed).filter(is_shared).any(|method| !is_unsafe_anyway(method))
--- a/crates/config/src/file/endpoints.rs
+++ b/crates/config/src/file/endpoints.rs
@@ -54,7 +54,7 @@
 }
 
 fn full_endpoint(table: &Table, cluster_zone: &str) -> Option<Endpoint> {
-    // All fields are read before an absent address ends it, so that all problems are found.
+    // All fields are parsed before an absent address returns, so that all problems are found.
     let address = address(table, "address");
     let name = table.text("name");
     let zone = table.text("zone");
@@ -68,7 +68,8 @@
     })
 }
 
-/// Endpoints differ in name and address. `first_lines` has the lines of those before.
+/// Checks that an endpoint has a name and an address of its own. `first_lines` has the lines of the
+/// names and addresses before it.
 fn check_unique(
     cluster: &Table,
     endpoint: &Endpoint,
@@ -86,7 +87,7 @@
     }
 }
 
-/// A cluster has an endpoint with a weight. Endpoints with errors may have had one.
+/// Checks that a cluster has an endpoint with a weight; endpoints with errors may have had one.
 fn check_usable(cluster: &Table, endpoints: &[Endpoint], is_empty: bool) {
     let (message, remedy) = if is_empty {
         ("there are no endpoints", "list them, as in endpoints = [\"127.0.0.1:9001\"]")
--- a/crates/config/src/file/error.rs
+++ b/crates/config/src/file/error.rs
@@ -1,4 +1,4 @@
-//! Why the text of one field has no value.
+//! Errors in the text of one field.
 
 /// An error in the text of a field. Its message continues the field's text, as in
 /// `'x': is not an address`.
@@ -28,7 +28,7 @@
     /// Not a size with its unit. The library gives no error type.
     #[error("{0}")]
     Size(String),
-    /// Under the lower or over the upper bound, which are given as people write them.
+    /// Under the lower or over the upper bound, which are formatted for people.
     #[error("is not between {min} and {max}")]
     OutOfBounds {
         /// The lower bound.
@@ -39,7 +39,7 @@
     /// A path that is not absolute.
     #[error("does not begin with a slash")]
     RelativePath,
-    /// A path with a character or an element that no path of a request has.
+    /// A path with a character or an element that no request path can have.
     #[error("holds what no path does: a space, '?', '#', or an element '.' or '..'")]
     InvalidPath,
     /// A rate of 0.
--- a/crates/config/src/file/fields.rs
+++ b/crates/config/src/file/fields.rs
@@ -1,4 +1,4 @@
-//! Fields that stand in several tables: addresses, header names, paths and effects.
+//! Fields that several tables have: addresses, header names, paths and effects.
 
 use super::error::FieldError;
 use super::reader::Located;
@@ -27,7 +27,7 @@
     Ok(address)
 }
 
-/// A field with an address, which has to be there.
+/// Parses a mandatory field with an address.
 pub fn address(table: &Table, key: &'static str) -> Option<Located<SocketAddr>> {
     let address = table.parsed(key, ADDRESS_REMEDY, parse_address);
     if address.is_none() && !table.has(key) {
--- a/crates/config/src/file/fleet.rs
+++ b/crates/config/src/file/fleet.rs
@@ -5,11 +5,10 @@
 use super::reader::{Located, Place};
 use super::table::Table;
 use super::value::{ms, MAX_DURATION};
-use crate::balancer::to_nanos;
 use crate::model::{FleetConfig, FleetVoter};
 use mintshelf_lease::command::{is_valid_name, NAME_MAX};
 use mintshelf_lease::timing::{ClockError, Timing, TimingError};
-use mintshelf_time::Nanos;
+use mintshelf_time::{from_duration, Nanos};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -199,10 +198,10 @@
     let lease = duration("lease", defaults.lease_duration);
     let clock_error = table.integer("clock-error-ppm", defaults.clock_error.ppm, 0..=100_000);
     let timing = Timing {
-        election_timeout: to_nanos(election.value),
-        heartbeat_interval: to_nanos(heartbeat.value),
-        session_timeout: to_nanos(session.value),
-        lease_duration: to_nanos(lease.value),
+        election_timeout: from_duration(election.value),
+        heartbeat_interval: from_duration(heartbeat.value),
+        session_timeout: from_duration(session.value),
+        lease_duration: from_duration(lease.value),
         clock_error: ClockError { ppm: clock_error.value },
     };
     let Err(error) = timing.check() else { return Some(timing) };
--- a/crates/config/src/file/limits.rs
+++ b/crates/config/src/file/limits.rs
@@ -13,7 +13,7 @@
 const MAX_LIMIT: u32 = 1_000_000;
 /// Upper bound of the requests that wait for a cluster.
 const MAX_QUEUED: u32 = 100_000;
-/// Of limited connections one in this many is left to requests.
+/// Where connections are limited, one in this many is reserved for requests.
 const REQUEST_DIVISOR: u32 = 4;
 
 const RATE_REMEDY: &str = "write a rate as in \"100/s\", \"30/m\" or \"5/h\"";
@@ -67,7 +67,7 @@
     Some(config)
 }
 
-/// Parses how many requests a cluster takes; none if it is not limited.
+/// Parses the concurrency limit of a cluster; `None` if it has none.
 pub fn concurrency(table: &Table) -> Option<ConcurrencyLimit> {
     let max_concurrency = table.integer("concurrency", 1, 1..=MAX_LIMIT);
     let default_queue = max_concurrency.value.min(MAX_LIMIT);
@@ -100,8 +100,8 @@
     }
 }
 
-/// The upper bound of WebSocket connections under one key. Where connections are limited, a
-/// quarter of them is left to requests.
+/// The upper bound of WebSocket connections under one key. Where connections are limited, a quarter
+/// of them is reserved for requests.
 fn max_sockets(table: &Table, key: &'static str, connections_key: &'static str) -> Option<u32> {
     let connections = table.optional_integer(connections_key, 1, 1..=MAX_LIMIT);
     let available = connections.map(|max| max.value - max.value.div_ceil(REQUEST_DIVISOR));
--- a/crates/config/src/file/mod.rs
+++ b/crates/config/src/file/mod.rs
@@ -1,7 +1,8 @@
 //! The operator's file: TOML text to a checked [`OperatorConfig`], with all problems in one run.
 //!
-//! Every part reads its table by `table`, which reports to a `reader`; what later checks need is
-//! in `parsed`. The checks across several tables come last.
+//! Each module parses one part of the file through `table`, which reports problems to `reader`.
+//! `parsed` has the results that later checks need. Checks across several tables (`references`,
+//! `conflicts`, `attempt_checks`) come last.
 
 mod actions;
 mod attempt_checks;
@@ -36,7 +37,7 @@
 
 pub use parsed::DEFAULT_CLASS;
 
-/// Parses a file's bytes and checks what they say. `name` is the file's name in the problems.
+/// Parses a file's bytes and checks the settings. `name` is the file's name in the problems.
 ///
 /// # Errors
 ///
@@ -50,9 +51,10 @@
     top.finish();
     let Findings { problems, stated_lines } = reader.finish();
     let problems = syntax::merge_errors(name, text, &syntax_errors, problems);
-    match problems.is_empty() {
-        true => Ok(OperatorConfig { stated_lines, ..config }),
-        false => Err(problems.into_iter().map(|located| located.problem).collect()),
+    if problems.is_empty() {
+        Ok(OperatorConfig { stated_lines, ..config })
+    } else {
+        Err(problems.into_iter().map(|located| located.problem).collect())
     }
 }
 
--- a/crates/config/src/file/parsed.rs
+++ b/crates/config/src/file/parsed.rs
@@ -1,4 +1,4 @@
-//! What was read of classes, routes and clusters, with the places that later checks name.
+//! Classes, routes and clusters as parsed, with the places that later checks report.
 
 use super::reader::{Located, Place};
 use crate::model::{AttemptSettings, Class, Cluster, Forward, Route, RouteAction};
@@ -15,31 +15,31 @@
 /// Clusters by name.
 pub type ParsedClusters = BTreeMap<String, Located<Cluster>>;
 
-/// Where the settings stand that a class states or inherits, by their keys.
+/// The places of the settings that a class states or inherits, by their keys.
 #[derive(Debug, Clone, Default)]
 pub struct SettingPlaces(BTreeMap<&'static str, Place>);
 
 impl SettingPlaces {
-    /// Notes the place of a setting that is stated, and gives its value.
+    /// Records the place of a setting that is stated, and returns its value.
     pub fn record<T>(&mut self, key: &'static str, setting: Option<Located<T>>) -> Option<T> {
         let Located { value, place } = setting?;
         self.0.insert(key, place);
         Some(value)
     }
 
-    /// Where a setting stands; none if it is neither stated nor inherited.
+    /// The place of a setting; `None` if it is neither stated nor inherited.
     pub fn get(&self, key: &str) -> Option<&Place> {
         self.0.get(key)
     }
 
-    /// Where a setting stands in a class or a route; none if it is not stated there, though it
-    /// may be inherited from the file's defaults.
+    /// The place of a setting in a class or a route; `None` if it is not stated there, even if it
+    /// is inherited from the file's defaults.
     pub fn get_own(&self, key: &str) -> Option<&Place> {
         self.get(key).filter(|place| !place.field.starts_with("defaults."))
     }
 }
 
-/// The settings of attempts, with what is inherited.
+/// The settings of attempts, with those that are inherited.
 #[derive(Debug, Clone, Default)]
 pub struct ParsedAttempts {
     pub settings: AttemptSettings,
@@ -52,12 +52,12 @@
     pub class: Class,
     /// The places of its settings.
     pub places: SettingPlaces,
-    /// Where it stands; not stated for the default class.
+    /// Its own place, which is not stated for the default class.
     pub place: Place,
 }
 
 impl ParsedClass {
-    /// Its settings of attempts, for what inherits them.
+    /// Its settings of attempts, for a route that inherits them.
     pub fn attempts(&self) -> ParsedAttempts {
         ParsedAttempts { settings: self.class.attempts.clone(), places: self.places.clone() }
     }
@@ -73,12 +73,12 @@
     pub listeners: Vec<Located<String>>,
     /// The clusters that it names.
     pub clusters: Vec<Located<String>>,
-    /// Where `websocket` stands.
+    /// The place of `websocket`.
     pub websocket: Option<Place>,
 }
 
 impl ParsedRoute {
-    /// How it forwards requests; none if it responds by itself.
+    /// How it forwards requests; `None` if it responds itself.
     pub fn forward(&self) -> Option<&Forward> {
         match &self.route.action {
             RouteAction::Forward(forward) => Some(forward),
@@ -86,20 +86,21 @@
         }
     }
 
-    /// The effect of its requests, where those of its class have this one.
+    /// The effect of its requests, if its class is this one.
     pub fn effect(&self, class: &Class) -> Effect {
         self.route.effect.unwrap_or(class.effect)
     }
 
-    /// Its hosts; any host where it names none.
+    /// Its hosts; any host if it names none.
     pub fn hosts(&self) -> Vec<HostMatch> {
-        match self.route.rule.hosts.is_empty() {
-            true => vec![HostMatch::Any],
-            false => self.route.rule.hosts.clone(),
+        if self.route.rule.hosts.is_empty() {
+            vec![HostMatch::Any]
+        } else {
+            self.route.rule.hosts.clone()
         }
     }
 
-    /// What it requires of a path, as a key: routes with the same key match the same paths.
+    /// A key for its path condition: routes with the same key match the same paths.
     pub fn path_key(&self) -> String {
         match &self.route.rule.path {
             PathMatch::Exact(path) => format!("={path}"),
--- a/crates/config/src/file/process.rs
+++ b/crates/config/src/file/process.rs
@@ -10,8 +10,8 @@
 use http::HeaderName;
 use std::net::SocketAddr;
 
-/// File descriptors, unless the file states a number.
-const DEFAULT_FILE_DESCRIPTORS: usize = 1024;
+/// File descriptors that the process may use, unless the file states a number.
+const DEFAULT_FILE_DESCRIPTORS: u32 = 1024;
 
 /// The address of the admin listener.
 pub fn admin(top: &Table) -> Option<Located<SocketAddr>> {
@@ -54,38 +54,37 @@
 fn default_limits() -> ProcessLimits {
     ProcessLimits {
         memory_bytes: 64 << 20,
-        file_descriptors: DEFAULT_FILE_DESCRIPTORS,
+        file_descriptors: DEFAULT_FILE_DESCRIPTORS as usize,
         head_timeout: ms(2_500),
         idle_timeout: ms(20_000),
         stream_timeout: ms(30_000),
         abort_on_close: false,
-        max_websockets: sockets::default_max_websockets(DEFAULT_FILE_DESCRIPTORS),
+        max_websockets: sockets::default_max_websockets(DEFAULT_FILE_DESCRIPTORS as usize),
         websocket_drain: sockets::DEFAULT_DRAIN,
     }
 }
 
-/// What the process may use.
+/// The limits of the process.
 pub fn limits(top: &Table) -> ProcessLimits {
     let defaults = default_limits();
     let Some(table) = top.table("limits") else { return defaults };
     let duration = |key, default| table.duration(key, default, ms(100)..=MAX_DURATION).value;
-    let file_descriptors =
-        table.integer("sockets", DEFAULT_FILE_DESCRIPTORS as u32, 64..=1 << 20).value as usize;
+    let file_descriptors = table.integer("sockets", DEFAULT_FILE_DESCRIPTORS, 64..=1 << 20);
     let limits = ProcessLimits {
         memory_bytes: table.size("memory", defaults.memory_bytes, 16 << 20..=64 << 30).value,
-        file_descriptors,
+        file_descriptors: file_descriptors.value as usize,
         head_timeout: duration("head-timeout", defaults.head_timeout),
         idle_timeout: duration("idle-timeout", defaults.idle_timeout),
         stream_timeout: duration("stream-timeout", defaults.stream_timeout),
         abort_on_close: table.flag("abort-on-close", defaults.abort_on_close),
-        max_websockets: sockets::max_websockets(&table, file_descriptors),
+        max_websockets: sockets::max_websockets(&table, file_descriptors.value as usize),
         websocket_drain: sockets::drain(&table),
     };
     table.finish();
     limits
 }
 
-/// What is disclosed of this hop.
+/// What is disclosed of this hop to the next one.
 pub fn forwarding(top: &Table) -> Forwarding {
     let Some(table) = top.table("forwarding") else { return Forwarding::default() };
     let pseudonym = |text: &str| match parse_header_name(text) {
--- a/crates/config/src/file/reader.rs
+++ b/crates/config/src/file/reader.rs
@@ -1,4 +1,4 @@
-//! Collects the problems of a file that is being read, and where each of its fields stands.
+//! Collects the problems of a file while it is parsed, and the places of its fields.
 
 use crate::problem::{LineColumn, LineIndex, Problem, SafetyRule};
 use std::cell::RefCell;
@@ -6,17 +6,17 @@
 use std::fmt::Display;
 use std::ops::Range;
 
-/// Where something stands in the file.
+/// A place in the file.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Place {
-    /// The bytes of the text; empty for what the file does not state.
+    /// The range of bytes in the text; empty for a field that the file does not state.
     pub span: Range<usize>,
     /// The path of the field, as in `clusters.web.endpoints[1]`; empty for the file.
     pub field: String,
 }
 
 impl Place {
-    /// The same bytes, for a field of the table that stands here.
+    /// The same bytes, for a field of the table at this place.
     pub fn child(&self, key: &str) -> Place {
         Place { span: self.span.clone(), field: format!("{}.{key}", self.field) }
     }
@@ -27,7 +27,7 @@
     }
 }
 
-/// Something that was read, and where it stands.
+/// A parsed value with its place.
 #[derive(Debug, Clone)]
 pub struct Located<T> {
     pub value: T,
@@ -40,10 +40,10 @@
     }
 }
 
-/// A problem, with what later steps need to know of it.
+/// A problem with its offset, for the merge with syntax errors.
 #[derive(Debug)]
 pub struct LocatedProblem {
-    /// The byte of the text at which it stands.
+    /// Its offset in the text, in bytes.
     pub offset: usize,
     /// Whether a name refers to nothing or is referred to by nothing, which a syntax error
     /// elsewhere can cause.
@@ -54,7 +54,7 @@
 /// Keys by the path of their table.
 pub type KnownKeys = BTreeMap<String, BTreeSet<&'static str>>;
 
-/// All that was found in a file.
+/// The findings about a file.
 pub struct Findings {
     /// In the order of the text.
     pub problems: Vec<LocatedProblem>,
@@ -62,13 +62,13 @@
     pub stated_lines: BTreeMap<String, usize>,
 }
 
-/// A file that is being read.
+/// A file that is being parsed.
 pub struct Reader<'text> {
     file_name: &'text str,
     lines: LineIndex<'text>,
     problems: RefCell<Vec<LocatedProblem>>,
     stated: RefCell<BTreeMap<String, Range<usize>>>,
-    /// The keys that were requested in each table, where they are collected.
+    /// The keys that were requested in each table; `None` if they are not collected.
     known_keys: Option<RefCell<KnownKeys>>,
 }
 
@@ -136,19 +136,19 @@
         self.lines.place(place.span.start).line
     }
 
-    /// Notes that the file states a field.
-    pub fn note_stated(&self, place: &Place) {
+    /// Records that the file states a field.
+    pub fn record_stated(&self, place: &Place) {
         self.stated.borrow_mut().insert(place.field.clone(), place.span.clone());
     }
 
-    /// Where a field stands that the file states; else the file's beginning.
+    /// The place of a field that the file states, otherwise the beginning of the file.
     pub fn place_of_field(&self, field: String) -> Place {
         let span = self.stated.borrow().get(&field).cloned().unwrap_or(0..0);
         Place { span, field }
     }
 
-    /// Notes the keys that were requested in a table, where they are collected.
-    pub fn note_known_keys(&self, table: &str, keys: &BTreeSet<&'static str>) {
+    /// Records the keys that were requested in a table, if they are collected.
+    pub fn record_known_keys(&self, table: &str, keys: &BTreeSet<&'static str>) {
         if let Some(known_keys) = &self.known_keys {
             known_keys.borrow_mut().insert(table.to_string(), keys.clone());
         }
@@ -159,7 +159,7 @@
         self.known_keys.map(RefCell::into_inner).unwrap_or_default()
     }
 
-    /// All that was found.
+    /// Ends the parsing and returns the findings.
     pub fn finish(self) -> Findings {
         let mut problems = self.problems.into_inner();
         problems.sort_by_key(|located| (located.offset, located.problem.message.clone()));
--- a/crates/config/src/file/references.rs
+++ b/crates/config/src/file/references.rs
@@ -1,4 +1,4 @@
-//! Checks names and addresses across tables: what clashes, and what refers to nothing.
+//! Checks names and addresses across tables: conflicts, and names that refer to nothing.
 
 use super::fields::NOT_FORWARDED;
 use super::parsed::{ParsedClasses, ParsedClusters, ParsedRoute, DEFAULT_CLASS};
@@ -11,13 +11,13 @@
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
 
-/// Whether two addresses can't both be listened on.
+/// Whether two listeners can't have these addresses at the same time.
 fn clash(one: &SocketAddr, other: &SocketAddr) -> bool {
     let is_any = one.ip().is_unspecified() || other.ip().is_unspecified();
     one.port() == other.port() && (one.ip() == other.ip() || is_any)
 }
 
-/// Checks that all listeners can listen, and have names of their own.
+/// Checks that all listeners have different names and addresses that do not conflict.
 pub fn check_listeners(
     top: &Table,
     listeners: &[Located<Listener>],
@@ -136,7 +136,7 @@
     }
 }
 
-/// Routes with limits are told apart by their names.
+/// Checks that routes with limits have different names: their limits count by name.
 pub fn check_limited_routes(top: &Table, routes: &[ParsedRoute]) {
     let mut lines: HashMap<&str, usize> = HashMap::new();
     for ParsedRoute { route, place, .. } in routes {
--- a/crates/config/src/file/routes.rs
+++ b/crates/config/src/file/routes.rs
@@ -69,7 +69,7 @@
     ParsedRoute { route, place, class, listeners, clusters, websocket }
 }
 
-/// Adds what the route states of handshakes to its action; the place where that stands.
+/// Adds the handshakes that the route forwards to its action, and returns their place.
 fn websocket(table: &Table, rule: &RouteRule, action: &mut RouteAction) -> Option<Place> {
     let Located { value, place } = sockets::route(table, &rule.methods)?;
     match action {
@@ -88,8 +88,8 @@
     limit
 }
 
-/// Adds the class with the overrides of the route, if there are any; the name of the class that
-/// the route uses.
+/// Adds the class with the overrides of the route, if there are any. Returns the name of the class
+/// that the route uses.
 fn policy(
     table: &Table,
     class: &str,
@@ -102,7 +102,7 @@
         table.reader.report(&table.place, NOT_FORWARDED, "remove it");
     }
     let policy = format!("{class}@{index}");
-    // A class that is not there is reported by the check of names.
+    // An undefined class is reported by the check of names.
     if let Some(base) = policies.get(class).or(policies.get(DEFAULT_CLASS)) {
         let overridden = with_overrides(base, &table);
         policies.insert(policy.clone(), overridden);
--- a/crates/config/src/file/sockets.rs
+++ b/crates/config/src/file/sockets.rs
@@ -5,12 +5,13 @@
 use super::reader::{Located, Place};
 use super::table::Table;
 use super::value::{ms, MAX_DURATION};
-use crate::balancer::to_nanos;
+use crate::convert::truncate_to_u32;
 use crate::model::{RouteAction, SocketSettings, WebSocket, UPSTREAM_SHARE};
 use crate::problem::SafetyRule;
 use http::uri::Authority;
 use http::{HeaderName, Method};
 use mintshelf_balancer::api::Effect;
+use mintshelf_time::from_duration;
 use mintshelf_websocket::handshake::HandshakePolicy;
 use mintshelf_websocket::session::{Resume, SessionConfig};
 use mintshelf_websocket::timers::TimerConfig;
@@ -28,7 +29,7 @@
 
 /// The limits of a class that states none.
 pub fn default_settings() -> SocketSettings {
-    let seconds = |seconds| to_nanos(Duration::from_secs(seconds));
+    let seconds = |seconds| from_duration(Duration::from_secs(seconds));
     SocketSettings {
         timers: TimerConfig {
             idle_timeout_ns: seconds(3600),
@@ -49,10 +50,10 @@
     let defaults = default_settings();
     let Some(table) = class.table("sockets") else { return defaults };
     let duration = |key, default, min| {
-        to_nanos(table.duration(key, Duration::from_nanos(default), min..=MAX_DURATION).value)
+        from_duration(table.duration(key, Duration::from_nanos(default), min..=MAX_DURATION).value)
     };
     let timers = defaults.timers;
-    let max_message = defaults.max_message_bytes as usize;
+    let max_message = usize::try_from(defaults.max_message_bytes).unwrap_or(usize::MAX);
     let settings = SocketSettings {
         timers: TimerConfig {
             idle_timeout_ns: duration("idle-timeout", timers.idle_timeout_ns, ms(100)),
@@ -199,14 +200,14 @@
 
 /// Upper bound of the WebSocket connections of a process that states none.
 pub fn default_max_websockets(file_descriptors: usize) -> u32 {
-    (file_descriptors as f64 * DEFAULT_SHARE) as u32
+    truncate_to_u32(file_descriptors as f64 * DEFAULT_SHARE)
 }
 
 /// Parses the upper bound of the WebSocket connections of a process.
 pub fn max_websockets(limits: &Table, file_descriptors: usize) -> u32 {
     let default = default_max_websockets(file_descriptors);
     let stated = limits.integer("websockets", default, 0..=1 << 20);
-    let max = (file_descriptors as f64 * UPSTREAM_SHARE * MAX_UPSTREAM_SHARE) as u32;
+    let max = truncate_to_u32(file_descriptors as f64 * UPSTREAM_SHARE * MAX_UPSTREAM_SHARE);
     if stated.value > max {
         let message = format!(
             "{} sockets would leave requests too few connections: of {file_descriptors} \
--- a/crates/config/src/file/syntax.rs
+++ b/crates/config/src/file/syntax.rs
@@ -40,8 +40,8 @@
 }
 
 /// Adds syntax errors, the first of each line, to the problems of a file, which are in the order
-/// of the text. Problems that a syntax error may have caused are left out: what stands behind
-/// the first one may have been misread, and what refers to it may not have been read at all.
+/// of the text. Problems that a syntax error may have caused are omitted: text behind the first one
+/// may have been misread, and names may refer to text that was not read at all.
 pub fn merge_errors(
     file_name: &str,
     text: &str,
--- /dev/null
+++ b/crates/config/src/file/table/lists.rs
@@ -0,0 +1,70 @@
+//! Lists and tables.
+
+use super::Table;
+use crate::file::reader::{Located, Place};
+use toml::de::DeValue;
+use toml::Spanned;
+
+impl<'reader, 'text> Table<'reader, 'text> {
+    /// The members of a list.
+    pub fn list(&self, key: &'static str) -> Vec<Located<&'reader DeValue<'text>>> {
+        let Some(at) = self.value(key) else { return Vec::new() };
+        elements(&at).unwrap_or_else(|| {
+            self.report_mismatch(&at, "a list", &format!("{key} = [...]"));
+            Vec::new()
+        })
+    }
+
+    /// The members of a list, or a lone value as the only one.
+    pub fn one_or_many(&self, key: &'static str) -> Vec<Located<&'reader DeValue<'text>>> {
+        let Some(at) = self.value(key) else { return Vec::new() };
+        elements(&at).unwrap_or_else(|| vec![at])
+    }
+
+    /// A text, or a list of texts.
+    pub fn texts(&self, key: &'static str) -> Vec<Located<&'reader str>> {
+        let example = format!("{key} = [\"...\"]");
+        let values = self.one_or_many(key).into_iter();
+        values.filter_map(|at| self.as_text(at, &example)).collect()
+    }
+
+    /// A table under a key.
+    pub fn table(&self, key: &'static str) -> Option<Table<'reader, 'text>> {
+        let at = self.value(key)?;
+        self.as_table(at, &format!("[{}]", self.path(key)))
+    }
+
+    /// A value as a table.
+    pub fn as_table(
+        &self,
+        at: Located<&'reader DeValue<'text>>,
+        example: &str,
+    ) -> Option<Table<'reader, 'text>> {
+        match at.value {
+            DeValue::Table(table) => Some(Table::new(self.reader, at.place, table)),
+            _ => {
+                self.report_mismatch(&at, "a table", example);
+                None
+            }
+        }
+    }
+
+    /// A table, or a list of tables.
+    pub fn tables(&self, key: &'static str) -> Vec<Table<'reader, 'text>> {
+        let example = format!("[[{}]]", self.path(key));
+        let values = self.one_or_many(key).into_iter();
+        values.filter_map(|at| self.as_table(at, &example)).collect()
+    }
+}
+
+/// The elements of a list; none for a value of another type.
+fn elements<'reader, 'text>(
+    at: &Located<&'reader DeValue<'text>>,
+) -> Option<Vec<Located<&'reader DeValue<'text>>>> {
+    let DeValue::Array(list) = at.value else { return None };
+    let element = |(index, value): (usize, &'reader Spanned<DeValue<'text>>)| Located {
+        value: value.get_ref(),
+        place: Place { span: value.span(), field: format!("{}[{index}]", at.place.field) },
+    };
+    Some(list.iter().enumerate().map(element).collect())
+}
--- /dev/null
+++ b/crates/config/src/file/table/mod.rs
@@ -0,0 +1,133 @@
+//! Typed access to the fields of a TOML table. A field with the wrong type or value is reported.
+
+mod lists;
+mod scalars;
+
+use super::reader::{Located, Place, Reader};
+use super::value::most_similar;
+use std::borrow::Cow;
+use std::cell::RefCell;
+use std::collections::BTreeSet;
+use toml::de::{DeTable, DeValue};
+use toml::Spanned;
+
+/// How similar an unknown key and a known one must be for the known one to be proposed.
+const MIN_SIMILARITY: f64 = 0.7;
+
+/// A table, with the keys that have been requested.
+pub struct Table<'reader, 'text> {
+    pub reader: &'reader Reader<'text>,
+    pub place: Place,
+    table: &'reader DeTable<'text>,
+    requested: RefCell<BTreeSet<&'static str>>,
+}
+
+/// A member of a table whose keys are names. Both places are that of the key.
+pub struct Member<'reader, 'text> {
+    pub name: Located<&'reader str>,
+    pub value: Located<&'reader DeValue<'text>>,
+}
+
+/// The type of a value, for people.
+fn type_name(value: &DeValue) -> &'static str {
+    match value {
+        DeValue::String(_) => "a text",
+        DeValue::Integer(_) => "a whole number",
+        DeValue::Float(_) => "a number",
+        DeValue::Boolean(_) => "true or false",
+        DeValue::Datetime(_) => "a date",
+        DeValue::Array(_) => "a list",
+        DeValue::Table(_) => "a table",
+    }
+}
+
+impl<'reader, 'text> Table<'reader, 'text> {
+    /// The table of the whole file.
+    pub fn top(reader: &'reader Reader<'text>, table: &'reader DeTable<'text>) -> Self {
+        Self::new(reader, Place::default(), table)
+    }
+
+    fn new(reader: &'reader Reader<'text>, place: Place, table: &'reader DeTable<'text>) -> Self {
+        Table { reader, place, table, requested: RefCell::default() }
+    }
+
+    /// The path of a field.
+    pub fn path(&self, key: &str) -> String {
+        if self.place.field.is_empty() {
+            key.to_string()
+        } else {
+            format!("{}.{key}", self.place.field)
+        }
+    }
+
+    /// The place of a field that is absent: that of the table.
+    pub fn place_of(&self, key: &str) -> Place {
+        Place { span: self.place.span.clone(), field: self.path(key) }
+    }
+
+    fn request(&self, key: &'static str) -> Option<&'reader Spanned<DeValue<'text>>> {
+        self.requested.borrow_mut().insert(key);
+        self.table.get(key)
+    }
+
+    fn value(&self, key: &'static str) -> Option<Located<&'reader DeValue<'text>>> {
+        let value = self.request(key)?;
+        let place = Place { span: value.span(), field: self.path(key) };
+        self.reader.record_stated(&place);
+        Some(Located { value: value.get_ref(), place })
+    }
+
+    /// Whether the table has a key.
+    pub fn has(&self, key: &'static str) -> bool {
+        self.request(key).is_some()
+    }
+
+    fn report_mismatch(&self, at: &Located<&DeValue>, expected: &str, example: &str) {
+        let message = format!("is {}, not {expected}", type_name(at.value));
+        self.reader.report(&at.place, message, format!("write it as in {example}"));
+    }
+
+    /// The value of a field, or the default with the place of the table.
+    fn or_default<T>(&self, key: &str, value: Option<Located<T>>, default: T) -> Located<T> {
+        value.unwrap_or_else(|| Located { value: default, place: self.place_of(key) })
+    }
+
+    /// All members, for a table whose keys are names.
+    pub fn members(&self) -> Vec<Member<'reader, 'text>> {
+        let member = |(key, value): (&'reader Spanned<_>, &'reader Spanned<DeValue<'text>>)| {
+            let name: &'reader Cow<'text, str> = key.get_ref();
+            let place = Place { span: key.span(), field: self.path(name) };
+            self.reader.record_stated(&place);
+            Member {
+                name: Located { value: name.as_ref(), place: place.clone() },
+                value: Located { value: value.get_ref(), place },
+            }
+        };
+        self.table.iter().map(member).collect()
+    }
+
+    /// Reports every key that was never requested, with the known one that is most similar.
+    pub fn finish(self) {
+        let known = self.requested.borrow();
+        self.reader.record_known_keys(&self.place.field, &known);
+        for (key, _) in self.table.iter() {
+            let name: &str = key.get_ref();
+            if !known.contains(name) {
+                let place = Place { span: key.span(), field: self.path(name) };
+                self.reader.report(&place, "is not a known key", unknown_key_remedy(name, &known));
+            }
+        }
+    }
+}
+
+/// Proposes the known key that is most similar to an unknown one, or all of them.
+fn unknown_key_remedy(name: &str, known: &BTreeSet<&'static str>) -> String {
+    let similar = most_similar(name, known.iter().copied());
+    match similar.filter(|known| known.similarity >= MIN_SIMILARITY) {
+        Some(known) => format!("did you mean '{}'?", known.name),
+        None => {
+            let known: Vec<&str> = known.iter().copied().collect();
+            format!("known here: {}", known.join(", "))
+        }
+    }
+}
--- a/crates/config/src/file/value.rs
+++ b/crates/config/src/file/value.rs
@@ -1,4 +1,4 @@
-//! Values of fields: durations and sizes with their units, and names that are nearly right.
+//! Values of fields: durations and sizes with their units, and the similarity of names.
 
 use super::error::FieldError;
 use bytesize::ByteSize;
@@ -47,7 +47,7 @@
     pub similarity: f64,
 }
 
-/// The known name that resembles this one most; none if nothing is known.
+/// The known name that resembles this one most; `None` if there are no known names.
 pub fn most_similar<'known>(
     name: &str,
     known: impl Iterator<Item = &'known str>,
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,8 +1,9 @@
-//! Configuration: text to checked models, every problem with its place. No sockets.
+//! Configuration: parses texts to checked models, and reports every problem with its place. No
+//! sockets.
 //!
-//! [`mod@file`] reads the operator's file into a [`model::OperatorConfig`], from which
+//! [`mod@file`] parses the operator's file into a [`model::OperatorConfig`], from which
 //! [`balancer`] and [`admission`] derive the settings of the decision module and of admission
-//! control. [`platform`] reads the sidecar's configuration on the platform. [`schema`] is the
+//! control. [`platform`] parses the sidecar's configuration on the platform. [`schema`] is the
 //! JSON schema of the operator's file.
 //!
 //! ```
@@ -24,6 +25,7 @@
 
 pub mod admission;
 pub mod balancer;
+mod convert;
 pub mod file;
 pub mod model;
 pub mod platform;
--- a/crates/config/src/model/class.rs
+++ b/crates/config/src/model/class.rs
@@ -18,43 +18,43 @@
     pub latency_objective: Duration,
     /// How long a request may wait for the head of its response.
     pub deadline: Duration,
-    /// What a response is worth against those of other classes.
+    /// The priority weight of a response, relative to those of other classes.
     pub priority_weight: f64,
     /// The fraction of the priority weight that a late response earns.
     pub late_weight: f64,
-    /// What its attempts may do.
+    /// The settings of its attempts.
     pub attempts: AttemptSettings,
     /// The limits of its WebSocket connections.
     pub sockets: SocketSettings,
 }
 
-/// What the attempts of a class's requests may do; absent is what neither the class nor the
-/// file's defaults state.
+/// The settings of attempts of a class's requests; a setting is absent if neither the class nor the
+/// file's defaults state it.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct AttemptSettings {
     /// How long one attempt may take once it is connected.
     pub attempt_timeout: Option<AttemptTimeout>,
-    /// Upper bound of the attempts, the first included; else the cluster's.
+    /// Upper bound of the attempts, the first included; if absent, that of the cluster applies.
     pub max_attempts: Option<u32>,
-    /// The pauses between attempts.
+    /// The backoff between attempts.
     pub backoff: Option<Backoff>,
     /// Which attempts a retry may follow.
     pub retry_on: Option<RetryOn>,
     /// Whether and how requests are hedged.
     pub hedge: Option<HedgeSetting>,
-    /// How often clients send a request again by themselves.
+    /// How often clients retry a request themselves.
     pub client_retries: Option<u32>,
     /// Which endpoints deduplicate each other's requests.
     pub dedup_group: Option<DedupGroup>,
     /// Longest wait for a connection, where that is less than the cluster's.
     pub connect_timeout: Option<Duration>,
-    /// A connection that has been idle for longer is not reused, where that is less than the
-    /// cluster's.
+    /// Longest time for which a connection may have been idle and still be reused, where that is
+    /// less than the cluster's.
     pub idle_timeout: Option<Duration>,
 }
 
 impl AttemptSettings {
-    /// How requests are hedged; none if they are not.
+    /// How requests are hedged; `None` if they are not.
     pub fn hedge_policy(&self) -> Option<HedgePolicy> {
         match self.hedge {
             Some(HedgeSetting::On(policy)) => Some(policy),
@@ -66,9 +66,9 @@
 /// What a file states about hedging.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum HedgeSetting {
-    /// There is none, whatever is inherited.
+    /// Requests are not hedged, whatever is inherited.
     Off,
-    /// There is, by this policy.
+    /// Requests are hedged by this policy.
     On(HedgePolicy),
 }
 
--- a/crates/config/src/model/cluster.rs
+++ b/crates/config/src/model/cluster.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Servers that do the same.
+/// A group of servers with the same function.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Cluster {
     /// Its servers.
@@ -29,7 +29,7 @@
     pub warm_up: Duration,
     /// The fraction of its capacity at which it starts.
     pub warm_up_start: f64,
-    /// The concurrency limit; none if absent.
+    /// The concurrency limit; unlimited if absent.
     pub concurrency: Option<ConcurrencyLimit>,
     /// Upper bounds of the connections.
     pub connections: ConnectionLimits,
@@ -37,12 +37,12 @@
     pub sockets: ConnectionLimits,
     /// The load of an open WebSocket, where that of a request is 1.
     pub socket_weight: f64,
-    /// The time over which WebSocket connections leave an endpoint that has gone.
+    /// The time over which WebSocket connections leave a removed endpoint.
     pub socket_spread: Duration,
     /// Longest `Retry-After` that a client is given.
     pub max_retry_after: Duration,
-    /// Shortest time over which traffic returns after an outage of the whole cluster; 0 for all
-    /// at once.
+    /// Shortest time over which traffic returns after an outage of the complete cluster; 0 disables
+    /// the ramp.
     pub recovery_ramp: Duration,
 }
 
@@ -55,7 +55,7 @@
     pub burst: u32,
 }
 
-/// How many requests a cluster takes.
+/// The concurrency limit of a cluster.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ConcurrencyLimit {
     /// Upper bound of the requests in flight.
@@ -80,7 +80,7 @@
     pub name: String,
     /// Where it listens.
     pub address: SocketAddr,
-    /// Its capacity against the others'; 0 for none of the traffic.
+    /// Its capacity relative to the others; 0 for no traffic.
     pub weight: u32,
     /// Its zone; empty if it has none.
     pub zone: String,
--- a/crates/config/src/model/fleet.rs
+++ b/crates/config/src/model/fleet.rs
@@ -1,10 +1,10 @@
-//! The fleet that agrees on leases, and this process's place in it.
+//! The fleet that agrees on leases, and the role of this process in it.
 
 use mintshelf_lease::timing::Timing;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The fleet, and who this process is in it.
+/// The fleet, and the role of this process in it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FleetConfig {
     /// The fleet's name: processes of other fleets are rejected.
--- a/crates/config/src/model/mod.rs
+++ b/crates/config/src/model/mod.rs
@@ -1,4 +1,4 @@
-//! The operator's file after all checks: nothing in it is text that still has to be parsed.
+//! The operator's file after all checks, without text that still has to be parsed.
 
 mod class;
 mod cluster;
@@ -21,7 +21,7 @@
 /// An operator's file.
 #[derive(Debug, Clone, PartialEq)]
 pub struct OperatorConfig {
-    /// The addresses that take clients.
+    /// The addresses that accept clients.
     pub listeners: Vec<Listener>,
     /// The routes, in the order of the file.
     pub routes: Vec<Route>,
@@ -30,7 +30,7 @@
     pub classes: BTreeMap<String, Class>,
     /// The clusters by name.
     pub clusters: BTreeMap<String, Cluster>,
-    /// What the process may use.
+    /// The limits of the process.
     pub limits: ProcessLimits,
     /// The tenants that share the installation, in the order of the file.
     pub tenants: Vec<Tenant>,
@@ -42,7 +42,7 @@
     pub forwarding: Forwarding,
     /// The address of the admin listener; off if absent.
     pub admin: Option<SocketAddr>,
-    /// The fleet that this process belongs to; none if absent.
+    /// The fleet that this process belongs to, if any.
     pub fleet: Option<FleetConfig>,
     /// A hash of the text: the same file has the same hash.
     pub hash: u64,
--- a/crates/config/src/model/process.rs
+++ b/crates/config/src/model/process.rs
@@ -1,4 +1,4 @@
-//! The process: its listeners, what it may use, who shares it, and what it discloses.
+//! The process: its listeners, limits and tenants, and what it discloses to the next hop.
 
 use http::HeaderName;
 use ipnet::IpNet;
@@ -6,8 +6,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Part of the file descriptors that is reserved for connections to servers. A client being
-/// served takes one of each; most clients are idle.
+/// Part of the file descriptors that is reserved for connections to servers. A request needs one of
+/// each kind, but most client connections are idle.
 pub const UPSTREAM_SHARE: f64 = 0.4;
 /// Part of the memory limit that the queues of WebSocket connections may fill.
 pub const SOCKET_QUEUE_SHARE: f64 = 0.2;
@@ -15,7 +15,7 @@
 /// libraries' buffers (32 KiB each way a connection at most) and for responses.
 pub const BODY_SHARE: f64 = 0.3;
 
-/// An address that takes clients.
+/// An address that accepts clients.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Listener {
     /// The name by which routes and tenants refer to it.
@@ -29,7 +29,7 @@
 pub struct Tenant {
     /// Its name.
     pub name: String,
-    /// Its share against the others'.
+    /// Its share, relative to the others.
     pub share: f64,
     /// The networks of its clients.
     pub networks: Vec<IpNet>,
@@ -41,7 +41,7 @@
     pub limit: LimitConfig,
 }
 
-/// What the process may use.
+/// The limits of the process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ProcessLimits {
     /// Memory; the budgets are parts of it.
@@ -52,9 +52,9 @@
     pub head_timeout: Duration,
     /// An idle client's connection is closed after this.
     pub idle_timeout: Duration,
-    /// A body that makes no progress for this long, either way, is given up.
+    /// A body that makes no progress for this long, either way, is aborted.
     pub stream_timeout: Duration,
-    /// Whether a client that ends its sending before it has its response counts as gone.
+    /// Whether a client that closes its sending direction before its response counts as disconnected.
     pub abort_on_close: bool,
     /// Upper bound of the open WebSocket connections.
     pub max_websockets: u32,
@@ -69,6 +69,6 @@
     pub via: Option<String>,
     /// Whether `Forwarded` (RFC 7239) names the client.
     pub adds_forwarded: bool,
-    /// The header with a request's id; one is made where none came.
+    /// The header with a request's id; a request without one is given one.
     pub request_id: Option<HeaderName>,
 }
--- a/crates/config/src/model/route.rs
+++ b/crates/config/src/model/route.rs
@@ -1,4 +1,4 @@
-//! Routes: which requests they match, and what is done with those.
+//! Routes: which requests they match, and their action.
 
 use http::{HeaderName, HeaderValue, StatusCode};
 use mintshelf_admission::limit::LimitConfig;
@@ -25,22 +25,22 @@
     /// The name in [`OperatorConfig::classes`](super::OperatorConfig::classes) of its class with
     /// the overrides of the route; the class's own where there are none.
     pub policy: String,
-    /// The effect of all its requests, where the operator knows better than their methods.
+    /// The effect of all its requests, where the operator states it in place of their methods.
     pub effect: Option<Effect>,
     /// What it is limited to.
     pub limit: LimitConfig,
-    /// What is done with requests that match.
+    /// The action for requests that match.
     pub action: RouteAction,
 }
 
-/// What is done with a request that a route matches.
+/// The action for a request that a route matches.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RouteAction {
     /// It is forwarded to a server.
     Forward(Forward),
     /// Its client is redirected.
     Redirect(Redirect),
-    /// It gets a response of the route's own.
+    /// The route responds itself.
     Respond(Respond),
 }
 
@@ -49,7 +49,7 @@
 pub struct Forward {
     /// The clusters, with their weights.
     pub split: ClusterSplit,
-    /// What makes a client stay at one cluster.
+    /// The key by which a client stays at one cluster.
     pub sticky: Option<Sticky>,
     /// What replaces the route's path prefix.
     pub rewrite_prefix: Option<String>,
@@ -64,7 +64,7 @@
 /// A route that forwards WebSocket handshakes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WebSocket {
-    /// What of a handshake is forwarded.
+    /// Which handshakes are forwarded.
     pub terms: HandshakePolicy,
     /// The limits of its WebSocket connections.
     pub session: Rc<SessionConfig>,
@@ -103,13 +103,13 @@
     pub scheme: Option<String>,
     /// Another host, maybe with a port.
     pub host: Option<String>,
-    /// Another path, all of it.
+    /// Another path in place of the complete one.
     pub path: Option<String>,
     /// What replaces the route's path prefix.
     pub prefix: Option<String>,
 }
 
-/// A response of the route's own.
+/// A fixed response of a route.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Respond {
     /// Its status.
--- a/crates/config/src/platform.rs
+++ b/crates/config/src/platform.rs
@@ -37,7 +37,7 @@
     Seed { text: String, error: ParseIntError },
     #[error("{0} is under {MIN_FILE_DESCRIPTORS}")]
     FewFileDescriptors(usize),
-    /// The decision module does not take its settings.
+    /// The decision module rejects its settings.
     #[error(transparent)]
     Settings(#[from] SettingsError),
     #[error("'{name}' is there twice")]
@@ -72,7 +72,7 @@
     pub listen: SocketAddr,
     /// Where discovery answers.
     pub discovery: SocketAddr,
-    /// The seed of random numbers; another one with each start.
+    /// The seed of random numbers, which differs between starts.
     pub seed: u64,
     /// Upper bound of the process's file descriptors.
     pub file_descriptors: usize,
@@ -88,7 +88,7 @@
     pub cached_list: Option<String>,
     /// The settings of the decision module.
     pub settings: Settings,
-    /// The names that the settings give to what the module numbers.
+    /// The names of the classes, tenants and other items that the module numbers.
     pub names: Names,
 }
 
@@ -102,7 +102,7 @@
     pub tenants: Vec<String>,
     /// Zones.
     pub zones: Vec<String>,
-    /// Kinds of machine.
+    /// Hardware models.
     pub kinds: Vec<String>,
     /// Fields of a load report.
     pub report_fields: Vec<String>,
@@ -158,7 +158,7 @@
     #[serde(default)]
     peers: Vec<SocketAddr>,
     peers_all: Option<SocketAddr>,
-    /// As long as the fleet is large: it is parsed where it is used, and not at each reload.
+    /// Large in a large fleet, so it is parsed only where it is used and not at each reload.
     #[serde(default, borrow)]
     known: Option<&'a RawValue>,
     settings: Value,
@@ -175,7 +175,7 @@
     ///
     /// # Errors
     ///
-    /// If the file can't be read, or a field is missing or has no sound value.
+    /// If the file can't be read, or a field is missing or has an invalid value.
     pub fn read(file: &Path) -> Result<Self, ConfigError> {
         Self::read_content(file).map_err(|error| ConfigError { file: file.to_path_buf(), error })
     }
@@ -190,7 +190,7 @@
         let settings_text = raw.settings.to_string();
         let settings = parse_settings(&settings_text)?;
         let names: Names = parse_json(&settings_text, "settings.")?;
-        // Requests of one class or tenant would get the effect or the share of the other.
+        // Of two classes or tenants with one name, one would get the effect or share of the other.
         check_unique("classes", &names.classes)?;
         check_unique("tenants", &names.tenants)?;
         if settings.max_attempts == 0 {
--- a/crates/config/src/problem.rs
+++ b/crates/config/src/problem.rs
@@ -1,5 +1,5 @@
-//! What is wrong with an operator's file: where, which safety rule it would break, and the
-//! remedy.
+//! Problems of an operator's file: the place, the message, the remedy, and the safety rule that
+//! would be broken.
 
 use std::fmt;
 
@@ -111,7 +111,7 @@
         LineIndex { text, line_starts: std::iter::once(0).chain(later_lines).collect() }
     }
 
-    /// The place of the byte with this offset; of the end of the text for one behind it.
+    /// The place of the byte with this offset, or the end of the text for an offset behind it.
     pub fn place(&self, offset: usize) -> LineColumn {
         let offset = offset.min(self.text.len());
         let line = self.line_starts.partition_point(|start| *start <= offset);
--- a/crates/mintshelf/src/daemon/clusters.rs
+++ b/crates/mintshelf/src/daemon/clusters.rs
@@ -88,7 +88,7 @@
         if running.config.servers != config.servers {
             let runtime = running.runtime();
             runtime.set_endpoints(config.servers.clone());
-            let servers = config.servers.iter().map(|(server, _)| server.id).collect();
+            let servers = config.servers.iter().map(|server| server.listed.id).collect();
             let reason = "its server leaves the cluster";
             self.sockets.retain_servers(runtime.number(), &servers, reason);
             running.config = config;
--- a/crates/mintshelf/src/daemon/listeners.rs
+++ b/crates/mintshelf/src/daemon/listeners.rs
@@ -1,12 +1,12 @@
 //! Listeners: accepting clients, and closing listeners that a configuration no longer has.
 
 use super::{Daemon, ReloadError, State, LISTENER_LINGER};
-use mintshelf_config::balancer::to_nanos;
 use mintshelf_config::model::{Listener, OperatorConfig};
 use mintshelf_proxy::client::handler::RequestHandler;
 use mintshelf_proxy::client::listener::{listen, ClientListener};
 use mintshelf_proxy::gateway::config::ServingConfig;
 use mintshelf_proxy::gateway::handler::GatewayHandler;
+use mintshelf_time::from_duration;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -121,6 +121,6 @@
 
     /// Time within which WebSocket connections are closed at a shutdown, in nanoseconds.
     pub(super) fn socket_drain_ns(&self) -> u64 {
-        to_nanos(self.startup.limits.websocket_drain)
+        from_duration(self.startup.limits.websocket_drain)
     }
 }
--- a/crates/mintshelf/src/daemon/status.rs
+++ b/crates/mintshelf/src/daemon/status.rs
@@ -1,12 +1,12 @@
 //! What the admin listener shows of the daemon.
 
 use super::{Daemon, State};
-use mintshelf_balancer::api::{ListedServer, ServerId};
+use mintshelf_balancer::api::ServerId;
+use mintshelf_config::balancer::ClusterServer;
 use mintshelf_config::model::{OperatorConfig, Route, RouteAction};
 use mintshelf_recovery::Phase;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
-use std::net::SocketAddr;
 use std::time::UNIX_EPOCH;
 
 /// Levels of one cluster.
@@ -137,6 +137,6 @@
     shown.collect()
 }
 
-fn endpoint((server, address): &(ListedServer, SocketAddr)) -> Value {
-    json!({"address": address.to_string(), "weight": server.size})
+fn endpoint(server: &ClusterServer) -> Value {
+    json!({"address": server.address.to_string(), "weight": server.listed.size})
 }
--- a/crates/proxy/src/cluster/runtime.rs
+++ b/crates/proxy/src/cluster/runtime.rs
@@ -21,6 +21,7 @@
     ReportMode, RequestId, ServerId, Settings,
 };
 use mintshelf_balancer::decide::Balancer;
+use mintshelf_config::balancer::ClusterServer;
 use mintshelf_retry::attempts::AttemptCounts;
 use mintshelf_time::Nanos;
 use std::cell::RefCell;
@@ -127,14 +128,14 @@
     }
 
     /// Sets the complete list of servers, from elsewhere than discovery.
-    pub fn set_endpoints(self: &Rc<Self>, servers: Vec<(ListedServer, SocketAddr)>) {
+    pub fn set_endpoints(self: &Rc<Self>, servers: Vec<ClusterServer>) {
         let endpoints = &self.source.endpoints;
         endpoints.clear();
-        for (server, address) in &servers {
-            let takes_requests = server.state == EndpointState::Live;
-            endpoints.insert(server.id, Endpoint { address: *address, takes_requests });
+        for ClusterServer { listed, address } in &servers {
+            let takes_requests = listed.state == EndpointState::Live;
+            endpoints.insert(listed.id, Endpoint { address: *address, takes_requests });
         }
-        let servers = servers.into_iter().map(|(server, _)| server).collect();
+        let servers = servers.into_iter().map(|server| server.listed).collect();
         self.listed(ListKind::Full, 0, servers);
     }
 
