--- a/crates/config/src/balancer/settings.rs
+++ b/crates/config/src/balancer/settings.rs
@@ -28,7 +28,7 @@
         instances: 1,
         zone: zones.number(&cluster.zone),
         zones: zones.count(),
-        kinds: 1,
+        hardware_models: 1,
         classes,
         size_kind: SizeKind::Nominal,
         tick: TICK,
