--- /dev/null
+++ b/crates/balancer/src/balancer/attempts.rs
@@ -0,0 +1,166 @@
+//! Requests from arrival to each send, and how they end.
+
+use super::Balancer;
+use crate::api::{Action, Effect, EndReason, RequestId, TenantId};
+use crate::decide::candidates::SelectionContext;
+use crate::decide::hold::{hold_until, HOLD_RETRY_INTERVAL};
+use crate::decide::load_reports;
+use crate::decide::overdue::overdue_after;
+use crate::decide::retry_group::RetryGroup;
+use crate::decide::retry_safety::SendPermission;
+use crate::server_order::{AdjacentPair, Candidates};
+use crate::state::{Request, Timer};
+use mintshelf_time::Nanos;
+
+/// What a request counts as in the traffic.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct Arrival {
+    pub(super) tenant: TenantId,
+    /// Whether the client has sent the request before.
+    pub(super) is_client_retry: bool,
+}
+
+impl Balancer {
+    pub(super) fn on_request(&mut self, id: RequestId, request: Request, arrival: Arrival) {
+        let class = request.class;
+        if class.index() >= self.settings.classes.len() || self.requests.contains_key(&id) {
+            return;
+        }
+        self.count_arrival(&request, arrival);
+        self.send_gossip();
+        let latency = &self.estimators.latency;
+        self.admission.decay(self.now, &self.settings, latency);
+        let is_futile = self.admission.is_futile(self.now, &request, &self.settings, latency);
+        self.requests.insert(id.clone(), request);
+        if is_futile {
+            self.end(&id, EndReason::Futile);
+            return;
+        }
+        let over_quota = || self.tenants.over_quota_share(&self.settings, self.now, arrival.tenant);
+        let probability = self.admission.reject_probability(class, over_quota);
+        if self.rng.draw() < probability {
+            self.end(&id, EndReason::Overload);
+        } else {
+            self.advance(&id);
+        }
+    }
+
+    fn count_arrival(&mut self, request: &Request, arrival: Arrival) {
+        if !arrival.is_client_retry {
+            self.estimators.traffic.count_arrival(self.now);
+        }
+        self.retry_budget.earn();
+        self.admission.count_request(request.class);
+        self.tenants.count(self.now, arrival.tenant);
+    }
+
+    /// Sends a request if a server can take it, else holds or ends it.
+    pub(super) fn advance(&mut self, id: &RequestId) {
+        let Some(request) = self.requests.get(id) else { return };
+        if !request.needs_attempt() || self.try_send(id) {
+            return;
+        }
+        let request = &self.requests[id];
+        let class = &self.settings.classes[request.class.index()];
+        let may_send = self.permitted_actions(request, self.now).send != SendPermission::Forbidden;
+        if may_send && self.now < hold_until(class, request.arrived_at, request.deadline) {
+            self.set_request_timer(HOLD_RETRY_INTERVAL, id, Timer::HoldExpired(id.clone()));
+        } else {
+            self.end(id, EndReason::NoServer);
+        }
+    }
+
+    /// Sends a request, or probes its pair first; returns whether either was done.
+    pub(super) fn try_send(&mut self, id: &RequestId) -> bool {
+        let chosen = match self.draw_candidates(id) {
+            None => return false,
+            Some(Candidates::One(index)) => index,
+            Some(Candidates::AdjacentPair(pair)) => {
+                if self.load_reports.probes_before_send(&self.settings) {
+                    self.probe_pair(id, pair);
+                    return true;
+                }
+                let queues = load_reports::queues(&self.servers, &pair, self.now);
+                pair.join(|| self.rng.draw(), queues)
+            }
+        };
+        self.send(id, chosen);
+        true
+    }
+
+    /// Draws the candidates for the next attempt of a request; `None` if none is permitted or no
+    /// server is eligible.
+    fn draw_candidates(&mut self, id: &RequestId) -> Option<Candidates> {
+        let request = self.requests.get(id)?;
+        let permission = self.permitted_actions(request, self.now).send;
+        let group = self.settings.classes[request.class.index()].group;
+        let group = RetryGroup::new(permission, group, &self.servers)?;
+        let context = SelectionContext {
+            now: self.now,
+            settings: &self.settings,
+            estimators: &self.estimators,
+        };
+        self.orders.draw(context, &mut self.servers, &mut self.rng, request, group)
+    }
+
+    /// Probes both servers of a pair and has the request wait for their reports.
+    fn probe_pair(&mut self, id: &RequestId, pair: AdjacentPair) {
+        let Some(request) = self.requests.get_mut(id) else { return };
+        request.awaited_pair = Some(pair);
+        let remaining = request.deadline.saturating_sub(self.now);
+        for index in pair.servers {
+            self.probe(index);
+        }
+        let wait = load_reports::report_wait(&self.settings, remaining);
+        self.set_request_timer(wait, id, Timer::ReportsDue(id.clone()));
+        self.choose_by_reports(id);
+    }
+
+    /// Sends an attempt of a request to a server.
+    pub(super) fn send(&mut self, id: &RequestId, index: usize) {
+        let Some(request) = self.requests.get_mut(id) else { return };
+        let server = self.servers[index].listed.id;
+        let attempt = request.record_send(server, self.now);
+        let timeout_at = request.deadline;
+        self.servers[index].record_send();
+        self.actions.push(Action::Send { id: id.clone(), server, timeout_at });
+        let after = self.overdue_after(&self.requests[id], index);
+        if self.now + after < timeout_at {
+            let timer = Timer::AttemptOverdue { id: id.clone(), attempt };
+            self.set_request_timer(after, id, timer);
+        }
+    }
+
+    fn overdue_after(&self, request: &Request, index: usize) -> Nanos {
+        let model = self.estimators.hardware_model(&self.servers[index]);
+        let class = &self.settings.classes[request.class.index()];
+        overdue_after(&self.estimators.latency, class, request, model)
+    }
+
+    /// Sends a hedge beside a slow first attempt, if the class and the retry budget allow it.
+    pub(super) fn on_hedge_requested(&mut self, id: &RequestId) {
+        let Some(request) = self.requests.get(id) else { return };
+        let is_safe = self.settings.classes[request.class.index()].effect == Effect::Safe;
+        let may_hedge = is_safe && request.has_one_in_flight() && self.retry_budget.covers(1.0);
+        if may_hedge && self.try_send(id) {
+            self.retry_budget.pay(1.0);
+        }
+    }
+
+    /// Ends a request that has not been answered yet.
+    pub(super) fn end(&mut self, id: &RequestId, reason: EndReason) {
+        let open = self.requests.get(id).filter(|request| !request.is_finished());
+        let Some(request) = open else { return };
+        // In overload a client that retries at once meets the same queue.
+        let gives_advice = self.settings.retry_after && self.admission.is_overloaded();
+        let retry_after = if gives_advice { self.settings.max_retry_after } else { 0 };
+        // A client that returns after the deduplication window would have the request run twice.
+        let may_reject = self.permitted_actions(request, self.now + retry_after).may_reject;
+        let id = id.clone();
+        self.actions.push(match may_reject {
+            true => Action::Reject { id: id.clone(), retry_after, reason },
+            false => Action::Fail { id: id.clone(), reason },
+        });
+        self.close(&id);
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/balancer/mod.rs
@@ -0,0 +1,268 @@
+//! The balancer of one instance: it holds the state of each concern, hands events to them and
+//! collects the actions that follow.
+
+mod attempt_results;
+mod attempts;
+mod reports;
+
+use crate::api::{Action, Event, ListKind, ListedServer, RequestId, ServerId, Settings};
+use crate::budget::RetryBudget;
+use crate::decide::admission::AdmissionControl;
+use crate::decide::candidates::ClassOrders;
+use crate::decide::discovery_schedule::{self, DiscoveryCall};
+use crate::decide::endpoint_lists::EndpointLists;
+use crate::decide::estimators::Estimators;
+use crate::decide::gossip_exchange::{self, GossipExchange};
+use crate::decide::load_reports::LoadReports;
+use crate::decide::outlier_ejection::FailureBaseline;
+use crate::decide::retry_safety::{permitted_actions, AttemptLimits, PermittedActions};
+use crate::decide::tenant_traffic::TenantTraffic;
+use crate::gossip::GossipMessage;
+use crate::rng::Rng;
+use crate::state::{Request, ServerTable, Timer, TimerTable};
+use attempt_results::AttemptEnd;
+use attempts::Arrival;
+use mintshelf_time::Nanos;
+use std::collections::HashMap;
+use std::mem;
+
+/// What is in service, as one instance knows it.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct ServiceSummary {
+    /// Number of servers.
+    pub servers: usize,
+    /// Their capacity in units of listed size, less what those that are warming up lack.
+    pub capacity: f64,
+}
+
+/// The balancer of one instance.
+///
+/// # Examples
+///
+/// ```
+/// use mintshelf_balancer::api::{Action, Event, ListKind, ListedServer, Settings};
+/// use mintshelf_balancer::decide::Balancer;
+///
+/// let mut actions = Vec::new();
+/// let settings = Settings { instances: 10, ..Settings::default() };
+/// let mut balancer = Balancer::new(settings, 7, 0, &mut actions);
+/// let entries = vec![ListedServer { id: 11, size: 1.0, ..ListedServer::default() }].into();
+/// balancer.handle(0, Event::Servers { kind: ListKind::Full, version: 1, entries }, &mut actions);
+/// for action in actions.drain(..) {
+///     println!("{action:?}");
+/// }
+/// ```
+#[derive(Debug)]
+pub struct Balancer {
+    settings: Settings,
+    rng: Rng,
+    /// Time of the event that is being handled.
+    now: Nanos,
+    /// Actions of the event that is being handled.
+    actions: Vec<Action>,
+    timers: TimerTable,
+    requests: HashMap<RequestId, Request>,
+    servers: ServerTable,
+    orders: ClassOrders,
+    estimators: Estimators,
+    tenants: TenantTraffic,
+    admission: AdmissionControl,
+    retry_budget: RetryBudget,
+    failure_baseline: FailureBaseline,
+    load_reports: LoadReports,
+    gossip: GossipExchange,
+    discovery: DiscoveryCall,
+    endpoint_lists: EndpointLists,
+}
+
+impl Balancer {
+    /// Creates an instance that has its settings and knows no servers. `seed` determines its
+    /// random numbers; the first actions are appended to `actions`.
+    pub fn new(settings: Settings, seed: u64, now: Nanos, actions: &mut Vec<Action>) -> Self {
+        let mut balancer = Balancer {
+            rng: Rng::new(seed),
+            now,
+            actions: Vec::new(),
+            timers: TimerTable::default(),
+            requests: HashMap::new(),
+            servers: ServerTable::new(&settings, now),
+            orders: ClassOrders::new(),
+            estimators: Estimators::new(&settings, now),
+            tenants: TenantTraffic::new(&settings, now),
+            admission: AdmissionControl::new(&settings, now),
+            retry_budget: RetryBudget::new(settings.retry_ratio, settings.retry_budget_max),
+            failure_baseline: FailureBaseline::default(),
+            load_reports: LoadReports::default(),
+            gossip: GossipExchange::new(now),
+            discovery: DiscoveryCall::default(),
+            endpoint_lists: EndpointLists::new(&settings),
+            settings,
+        };
+        if balancer.settings.must_poll {
+            let poll_within = balancer.settings.poll_within;
+            let delay = discovery_schedule::first_call_delay(poll_within, &mut balancer.rng);
+            balancer.set_timer(delay, Timer::DiscoveryDue);
+        }
+        actions.append(&mut balancer.actions);
+        balancer
+    }
+
+    /// Handles one event and appends the actions that follow from it. Times must not decrease
+    /// from call to call.
+    pub fn handle(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>) {
+        self.now = now;
+        self.servers.advance(now);
+        mem::swap(&mut self.actions, actions);
+        self.dispatch(event);
+        mem::swap(&mut self.actions, actions);
+    }
+
+    /// Whether the retry budget covers an attempt after one that may have run.
+    #[must_use]
+    pub fn can_retry(&self) -> bool {
+        self.retry_budget.covers(1.0)
+    }
+
+    /// The servers in service and their capacity.
+    #[must_use]
+    pub fn service_summary(&self) -> ServiceSummary {
+        ServiceSummary {
+            servers: self.servers.in_service().len(),
+            capacity: self.estimators.total_capacity(self.now, &self.servers),
+        }
+    }
+
+    /// Attempts in flight at a server; none if it is not listed.
+    #[must_use]
+    pub fn in_flight(&self, server: ServerId) -> Option<u32> {
+        let index = self.servers.index_of(server)?;
+        let state = &self.servers[index];
+        (!state.is_removed()).then_some(state.in_flight)
+    }
+
+    fn dispatch(&mut self, event: Event) {
+        match event {
+            Event::Servers { kind, entries, .. } => self.on_list(kind, &entries),
+            Event::DiscoveryAddressChanged => self.on_discovery_address_changed(),
+            Event::Request {
+                id,
+                class,
+                tenant,
+                client_timeout,
+                is_client_retry,
+                cost_estimate,
+                ..
+            } => {
+                let request = Request::new(class, cost_estimate, self.now, client_timeout);
+                self.on_request(id, request, Arrival { tenant, is_client_retry });
+            }
+            Event::StreamStarted { id, .. } => {
+                if let Some(request) = self.requests.get_mut(&id) {
+                    request.record_stream();
+                }
+            }
+            Event::AttemptEnded { id, attempt, outcome, is_request_finished, elapsed, .. } => {
+                let end = AttemptEnd { outcome, is_request_finished, elapsed };
+                self.on_attempt_ended(&id, attempt, end);
+            }
+            Event::HedgeRequested { id } => self.on_hedge_requested(&id),
+            Event::ClientDisconnected { id } => self.close(&id),
+            Event::Timer { token } => self.on_timer(token),
+            Event::Probed { server, outcome, report, .. } => {
+                self.on_probed(server, outcome, report.as_deref());
+            }
+            Event::Gossip { payload, .. } => self.on_gossip(&payload),
+        }
+    }
+
+    fn on_timer(&mut self, token: u64) {
+        match self.timers.take(token) {
+            Some(Timer::AttemptOverdue { id, attempt }) => self.on_overdue(&id, attempt),
+            Some(Timer::HoldExpired(id)) => self.advance(&id),
+            Some(Timer::ReportsDue(id)) => self.choose_without_waiting(&id),
+            Some(Timer::DiscoveryDue) => self.call_discovery(),
+            None => {}
+        }
+    }
+
+    fn on_list(&mut self, kind: ListKind, entries: &[ListedServer]) {
+        if kind == ListKind::Failed {
+            self.discovery.on_failure();
+            let delay = discovery_schedule::retry_delay(&mut self.rng);
+            self.set_timer(delay, Timer::DiscoveryDue);
+            return;
+        }
+        if kind != ListKind::Cached {
+            self.discovery.on_answer();
+        }
+        let lists = &mut self.endpoint_lists;
+        let closed = lists.apply(self.now, kind, entries, &mut self.servers, &mut self.rng);
+        // Idle connections to these are of no use, and cost both sides file descriptors.
+        self.actions.extend(closed.into_iter().map(|server| Action::CloseIdle { server }));
+        self.orders.invalidate();
+    }
+
+    fn on_discovery_address_changed(&mut self) {
+        self.discovery.on_failure();
+        if self.settings.must_poll {
+            let delay = discovery_schedule::address_change_delay(&mut self.rng);
+            self.set_timer(delay, Timer::DiscoveryDue);
+        }
+    }
+
+    fn call_discovery(&mut self) {
+        if self.discovery.begin() {
+            self.actions.push(Action::StartWatch);
+        }
+    }
+
+    fn on_gossip(&mut self, payload: &[u8]) {
+        let Some(message) = GossipMessage::decode(payload) else { return };
+        let latency = &self.estimators.latency;
+        gossip_exchange::add(self.now, message, &mut self.servers, latency, &mut self.tenants);
+    }
+
+    /// Hands half of the observations to a random peer, if it is time.
+    fn send_gossip(&mut self) {
+        if !self.gossip.begin(self.now, &self.settings) {
+            return;
+        }
+        let message = gossip_exchange::take_half(
+            self.now,
+            &mut self.servers,
+            &self.estimators.latency,
+            &mut self.tenants,
+            &mut self.rng,
+        );
+        let peer = Some(gossip_exchange::draw_peer(&self.settings, &mut self.rng));
+        self.actions.push(Action::SendGossip { peer, payload: message.encode() });
+    }
+
+    /// What the safety rules permit for a request at the time `at`.
+    fn permitted_actions(&self, request: &Request, at: Nanos) -> PermittedActions {
+        let class = &self.settings.classes[request.class.index()];
+        permitted_actions(class, AttemptLimits::new(&self.settings), &request.progress(), at)
+    }
+
+    /// Sets a timer that belongs to no request.
+    fn set_timer(&mut self, after: Nanos, timer: Timer) -> u64 {
+        self.timers.set(after, timer, &mut self.actions)
+    }
+
+    /// Sets a timer that is dropped when the request is closed.
+    fn set_request_timer(&mut self, after: Nanos, id: &RequestId, timer: Timer) {
+        let token = self.set_timer(after, timer);
+        if let Some(request) = self.requests.get_mut(id) {
+            request.add_timer(token);
+        }
+    }
+
+    /// Marks a request finished; its record remains while attempts are in flight.
+    fn close(&mut self, id: &RequestId) {
+        let Some(tokens) = self.requests.get_mut(id).and_then(Request::finish) else { return };
+        for token in tokens {
+            self.timers.drop(token, &mut self.actions);
+        }
+        self.requests.remove(id);
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/balancer/reports.rs
@@ -0,0 +1,102 @@
+//! Probes and load reports, and how a server of a pair is chosen by them.
+
+use super::Balancer;
+use crate::api::{Action, EndReason, Outcome, RequestId, ServerId};
+use crate::decide::load_reports;
+use crate::decide::retry_safety::SendPermission;
+use crate::server_order::AdjacentPair;
+
+/// Weight of a failed probe, as a failure of its server.
+const PROBE_FAILURE_WEIGHT: f64 = 0.5;
+
+impl Balancer {
+    /// Probes a server for its load, unless that was done just now.
+    pub(super) fn probe(&mut self, index: usize) {
+        let server = &mut self.servers[index];
+        if server.is_live() && server.report.begin_probe(self.now) {
+            self.actions.push(Action::Probe { server: server.listed.id });
+        }
+    }
+
+    pub(super) fn on_probed(&mut self, id: ServerId, outcome: Outcome, report: Option<&[f64]>) {
+        let is_ok = outcome == Outcome::Ok;
+        match (report, self.servers.index_of(id)) {
+            (Some(report), Some(index)) if is_ok => self.on_report(index, report),
+            (_, Some(index)) if !is_ok => self.record_failure(index, PROBE_FAILURE_WEIGHT),
+            _ => {}
+        }
+        for request in self.load_reports.take_awaiting() {
+            self.choose_by_reports(&request);
+        }
+    }
+
+    fn on_report(&mut self, index: usize, values: &[f64]) {
+        let reports = &mut self.load_reports;
+        let estimators = &self.estimators;
+        let settings = &self.settings;
+        let is_fault =
+            reports.record(self.now, settings, estimators, &mut self.servers, index, values);
+        if is_fault {
+            self.record_fault(index);
+        }
+    }
+
+    /// Chooses a server of a request's pair if both have reported.
+    pub(super) fn choose_by_reports(&mut self, id: &RequestId) {
+        let Some(pair) = self.awaited_pair(id) else { return };
+        if load_reports::have_reports(&self.servers, &pair, self.now) {
+            self.choose_of_pair(id, &pair);
+        } else {
+            self.load_reports.await_report(id);
+        }
+    }
+
+    /// Chooses a server of a request's pair, though reports are lacking.
+    pub(super) fn choose_without_waiting(&mut self, id: &RequestId) {
+        if let Some(pair) = self.awaited_pair(id) {
+            self.choose_of_pair(id, &pair);
+        }
+    }
+
+    /// The pair whose reports an open request waits for.
+    fn awaited_pair(&self, id: &RequestId) -> Option<AdjacentPair> {
+        let open = self.requests.get(id).filter(|request| !request.is_finished())?;
+        open.awaited_pair
+    }
+
+    fn choose_of_pair(&mut self, id: &RequestId, pair: &AdjacentPair) {
+        let Some(request) = self.requests.get_mut(id) else { return };
+        request.awaited_pair = None;
+        let is_first = request.attempts().is_empty();
+        let permission = self.permitted_actions(&self.requests[id], self.now).send;
+        let Some(index) = self.join_eligible(pair) else { return self.advance(id) };
+        // A request that would wait past its objective is rejected: served, it would be waste.
+        if is_first && self.is_queue_too_long(index) {
+            self.end(id, EndReason::LongQueue);
+        } else if permission == SendPermission::Forbidden {
+            self.advance(id);
+        } else {
+            self.send(id, index);
+        }
+    }
+
+    /// Whether the expected wait at a server is longer than any class can afford.
+    fn is_queue_too_long(&self, index: usize) -> bool {
+        let mean_speed = self.orders.mean_speed();
+        let server = &self.servers[index];
+        let wait = load_reports::expected_wait(&self.estimators, server, mean_speed, self.now);
+        wait > load_reports::max_wait(&self.settings, &self.estimators)
+    }
+
+    /// The better server of a pair if it is eligible, else the other one if that is.
+    fn join_eligible(&mut self, pair: &AdjacentPair) -> Option<usize> {
+        let queues = load_reports::queues(&self.servers, pair, self.now);
+        let first = pair.join(|| self.rng.draw(), queues);
+        let other = if pair.servers[0] == first { pair.servers[1] } else { pair.servers[0] };
+        let now = self.now;
+        [first, other].into_iter().find(|index| {
+            self.estimators.may_send(now, &mut self.servers, *index)
+                && !self.servers[*index].health.is_ejected(now)
+        })
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/decide/gossip_exchange.rs
@@ -0,0 +1,100 @@
+//! Gossip: exchange of observations with other instances.
+
+use super::latency_model::{LatencyModel, LatencySamples};
+use super::tenant_traffic::{TenantTraffic, TenantTrafficHalf};
+use crate::api::Settings;
+use crate::gossip::{GossipMessage, ServerObservation};
+use crate::rng::Rng;
+use crate::state::ServerTable;
+use mintshelf_time::{Nanos, SECOND};
+
+/// Interval at which an instance with traffic hands half of its observations to one peer.
+const GOSSIP_INTERVAL: Nanos = SECOND;
+/// Number of samples of a server from which they are handed over.
+const MIN_HANDED_OVER_SAMPLES: f64 = 0.05;
+
+/// When this instance hands observations over, and to whom.
+///
+/// It hands over half of them, since one instance has too few to show which server is slow:
+/// halving counts none twice, and all instances come to hold the mean.
+#[derive(Debug)]
+pub(crate) struct GossipExchange {
+    last_sent_at: Nanos,
+}
+
+impl GossipExchange {
+    /// The exchange of an instance that starts at `now`.
+    pub(crate) fn new(now: Nanos) -> Self {
+        GossipExchange { last_sent_at: now }
+    }
+
+    /// Whether to hand observations over now; if so, the next time is counted from now.
+    #[must_use]
+    pub(crate) fn begin(&mut self, now: Nanos, settings: &Settings) -> bool {
+        let elapsed = now.saturating_sub(self.last_sent_at);
+        let has_others = settings.instances > 1;
+        let is_due = settings.has_peers && has_others && elapsed >= GOSSIP_INTERVAL;
+        if is_due {
+            self.last_sent_at = now;
+        }
+        is_due
+    }
+}
+
+/// A random peer of this instance, of which there must be at least one.
+pub(crate) fn draw_peer(settings: &Settings, rng: &mut Rng) -> u32 {
+    let others = settings.instances - 1;
+    let drawn = rng.draw_below(others);
+    // The numbers of all instances but this one.
+    if drawn >= settings.self_index {
+        drawn + 1
+    } else {
+        drawn
+    }
+}
+
+/// Takes half of the observations away, into a message: those of servers from a random one on, as
+/// far as they fit.
+pub(crate) fn take_half(
+    now: Nanos,
+    servers: &mut ServerTable,
+    latency: &LatencyModel,
+    tenants: &mut TenantTraffic,
+    rng: &mut Rng,
+) -> GossipMessage {
+    let count_in_service = servers.in_service().len();
+    let first = rng.draw_index(count_in_service);
+    let half = tenants.take_half(now);
+    let mut message =
+        GossipMessage { weight: half.weight, tenants: half.by_tenant, servers: Vec::new() };
+    let max_servers = GossipMessage::max_servers(message.tenants.len());
+    for offset in 0..count_in_service {
+        if message.servers.len() >= max_servers {
+            break;
+        }
+        let index = servers.in_service().at((first + offset) % count_in_service);
+        let server = &mut servers[index];
+        let half = latency.take_half(now, &mut server.latency, MIN_HANDED_OVER_SAMPLES);
+        if let Some(LatencySamples { sum, count }) = half {
+            message.servers.push(ServerObservation { server: server.listed.id, sum, count });
+        }
+    }
+    message
+}
+
+/// Adds the observations of a peer's message.
+pub(crate) fn add(
+    now: Nanos,
+    message: GossipMessage,
+    servers: &mut ServerTable,
+    latency: &LatencyModel,
+    tenants: &mut TenantTraffic,
+) {
+    tenants.add(now, &TenantTrafficHalf { weight: message.weight, by_tenant: message.tenants });
+    for ServerObservation { server, sum, count } in message.servers {
+        if let Some(index) = servers.index_of(server) {
+            let samples = LatencySamples { sum, count };
+            latency.add_samples(now, &mut servers[index].latency, samples);
+        }
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/decide/latency_model.rs
@@ -0,0 +1,248 @@
+//! Latency estimation: what is typical of each class and hardware model, learned from the
+//! latencies of responses.
+
+use crate::api::{ClassId, Settings};
+use crate::decay::DecayingMean;
+use mintshelf_time::{as_float, Nanos, MILLISECOND, SECOND};
+
+/// Weight of one new sample in a class's typical latency.
+const TYPICAL_GAIN: f64 = 0.05;
+/// Largest weight of one new sample in the offset of a hardware model.
+const MAX_MODEL_GAIN: f64 = 2.0 * TYPICAL_GAIN;
+/// Typical latency as a fraction of the latency objective, until one was observed.
+const PRESUMED_OBJECTIVE_FRACTION: f64 = 0.3;
+/// Bound of one sample, the log of a latency ratio: work is heavy-tailed.
+const MAX_LOG_RATIO: f64 = 2.5;
+/// Memory of a server's samples where each instance has only its own.
+const OWN_MEMORY: SampleMemory = SampleMemory { prior_samples: 3.0, half_life: 12 * SECOND };
+/// Memory of a server's samples where instances exchange theirs.
+const SHARED_MEMORY: SampleMemory = SampleMemory { prior_samples: 0.5, half_life: 6 * SECOND };
+/// Half-life of the recent latency ratio over all servers.
+const RECENT_RATIO_HALF_LIFE: Nanos = 700 * MILLISECOND;
+/// Samples that it takes to outweigh a recent latency ratio of 1.
+const RECENT_RATIO_PRIOR_SAMPLES: f64 = 3.0;
+
+/// How a server's latency samples are remembered.
+#[derive(Debug, Clone, Copy)]
+struct SampleMemory {
+    /// Samples that it takes to outweigh the prior of an ordinary server.
+    prior_samples: f64,
+    /// Time in which samples lose half their weight.
+    half_life: Nanos,
+}
+
+/// Whether an attempt was served, and so its latency is known.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) enum LatencyBound {
+    /// The attempt was served in this time.
+    Exact,
+    /// The attempt was given up: to serve it takes this time at least.
+    AtLeast,
+}
+
+/// The latency of one attempt.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct LatencySample {
+    pub(crate) class: ClassId,
+    /// Log of the expected work in core nanoseconds, if known.
+    pub(crate) log_work: Option<f64>,
+    pub(crate) elapsed: Nanos,
+    pub(crate) bound: LatencyBound,
+}
+
+/// Log ratios of one server's latencies to the typical ones: a sum and a count of samples.
+#[derive(Debug, Clone, Copy, Default)]
+pub(crate) struct ServerLatency {
+    log_ratio: DecayingMean,
+}
+
+/// Samples of one server.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub(crate) struct LatencySamples {
+    /// Sum of the log ratios.
+    pub(crate) sum: f64,
+    /// Number of samples.
+    pub(crate) count: f64,
+}
+
+/// What is known of one class. Latencies are natural logs of nanoseconds.
+#[derive(Debug)]
+struct ClassLatency {
+    /// Typical latency in nanoseconds (no log) until one was observed.
+    presumed: f64,
+    /// Typical latency, once observed.
+    typical: Option<f64>,
+    /// Typical latency over expected work, once observed.
+    typical_per_work: Option<f64>,
+    /// Number of served attempts that were observed.
+    samples: f64,
+    /// What each hardware model adds to the typical latency.
+    model_offsets: Vec<f64>,
+}
+
+/// Estimates of latency by class and hardware model.
+#[derive(Debug)]
+pub(crate) struct LatencyModel {
+    classes: Vec<ClassLatency>,
+    /// Recent log ratios of latencies to the typical ones, over all servers.
+    recent_ratio: DecayingMean,
+    memory: SampleMemory,
+}
+
+impl LatencyModel {
+    /// A model of an instance that has observed nothing.
+    pub(crate) fn new(settings: &Settings) -> Self {
+        let models = settings.hardware_models.max(1) as usize;
+        let classes = settings.classes.iter().map(|class| ClassLatency {
+            presumed: as_float(class.latency_objective) * PRESUMED_OBJECTIVE_FRACTION,
+            typical: None,
+            typical_per_work: None,
+            samples: 0.0,
+            model_offsets: vec![0.0; models],
+        });
+        LatencyModel {
+            classes: classes.collect(),
+            recent_ratio: DecayingMean::default(),
+            memory: if settings.has_peers { SHARED_MEMORY } else { OWN_MEMORY },
+        }
+    }
+
+    /// Learns from the latency of an attempt at a server of a hardware model. A served attempt
+    /// shows what is typical and a given-up one is a lower bound; an error is no sample, since a
+    /// quick one would look like speed.
+    pub(crate) fn learn(
+        &mut self,
+        now: Nanos,
+        server: &mut ServerLatency,
+        model: usize,
+        sample: LatencySample,
+    ) {
+        let is_served = sample.bound == LatencyBound::Exact;
+        let ratio = self.classes[sample.class.index()].update(sample, model);
+        if is_served || ratio >= 0.0 {
+            self.recent_ratio.add(now, RECENT_RATIO_HALF_LIFE, ratio, 1.0);
+            self.add_samples(now, server, LatencySamples { sum: ratio, count: 1.0 });
+        }
+    }
+
+    /// Adds samples to those of a server.
+    pub(crate) fn add_samples(
+        &self,
+        now: Nanos,
+        server: &mut ServerLatency,
+        samples: LatencySamples,
+    ) {
+        server.log_ratio.add(now, self.memory.half_life, samples.sum, samples.count);
+    }
+
+    /// Takes half of the samples of a server away, unless fewer than `min_count` would be taken.
+    pub(crate) fn take_half(
+        &self,
+        now: Nanos,
+        server: &mut ServerLatency,
+        min_count: f64,
+    ) -> Option<LatencySamples> {
+        let half_life = self.memory.half_life;
+        let sum = server.log_ratio.sum.get(now, half_life) / 2.0;
+        let count = server.log_ratio.count.get(now, half_life) / 2.0;
+        if count <= min_count {
+            return None;
+        }
+        self.add_samples(now, server, LatencySamples { sum: -sum, count: -count });
+        Some(LatencySamples { sum, count })
+    }
+
+    /// Mean log latency ratio of a server's samples, drawn to 0 by the prior.
+    pub(crate) fn slowness(&self, now: Nanos, server: &ServerLatency) -> f64 {
+        server.log_ratio.get(now, self.memory.half_life, self.memory.prior_samples)
+    }
+
+    /// Typical latency of a class in nanoseconds; a part of its objective until one was observed.
+    pub(crate) fn typical(&self, class: usize) -> f64 {
+        let class = &self.classes[class];
+        class.typical.map_or(class.presumed, f64::exp)
+    }
+
+    /// Mean over the classes of their typical latencies, in nanoseconds.
+    pub(crate) fn mean_typical(&self) -> f64 {
+        let sum: f64 = (0..self.classes.len()).map(|class| self.typical(class)).sum();
+        sum / self.classes.len() as f64
+    }
+
+    /// Typical latency of a class on a hardware model, in nanoseconds.
+    pub(crate) fn typical_on(&self, class: usize, model: usize) -> f64 {
+        self.typical(class) * self.classes[class].model_offsets[model].exp()
+    }
+
+    /// Present latency of a class in nanoseconds: its typical one times the recent ratio of all.
+    pub(crate) fn present(&self, now: Nanos, class: usize) -> f64 {
+        let ratio = self.recent_ratio.get(now, RECENT_RATIO_HALF_LIFE, RECENT_RATIO_PRIOR_SAMPLES);
+        self.typical(class) * ratio.exp()
+    }
+
+    /// Typical latency in nanoseconds of a request of known work on a hardware model; 0 if that
+    /// is unknown.
+    pub(crate) fn for_work(&self, class: ClassId, log_work: Option<f64>, model: usize) -> f64 {
+        let class = &self.classes[class.index()];
+        let offset = class.model_offsets[model];
+        let known = log_work.zip(class.typical_per_work);
+        known.map_or(0.0, |(log_work, per_work)| (log_work + per_work + offset).exp())
+    }
+
+    /// Typical latency in nanoseconds of a request of known work on the fastest hardware model;
+    /// `None` if that is unknown.
+    pub(crate) fn for_work_on_fastest(&self, class: ClassId, log_work: Option<f64>) -> Option<f64> {
+        let class = &self.classes[class.index()];
+        let fastest = class.model_offsets.iter().copied().fold(f64::INFINITY, f64::min);
+        let (log_work, per_work) = log_work.zip(class.typical_per_work)?;
+        Some((log_work + per_work + fastest).exp())
+    }
+
+    /// Number of served attempts of a class that were observed.
+    pub(crate) fn samples(&self, class: usize) -> f64 {
+        self.classes[class].samples
+    }
+
+    /// What a hardware model adds to the log latency of a class.
+    pub(crate) fn model_offset(&self, class: usize, model: usize) -> f64 {
+        self.classes[class].model_offsets[model]
+    }
+
+    /// Mean over the classes of what a hardware model adds to their log latencies.
+    pub(crate) fn mean_model_offset(&self, model: usize) -> f64 {
+        let sum: f64 = self.classes.iter().map(|class| class.model_offsets[model]).sum();
+        sum / self.classes.len() as f64
+    }
+}
+
+impl ClassLatency {
+    /// Moves the typical latencies and the offset of the hardware model towards a sample; returns
+    /// the sample's bounded log ratio to the typical latency. With the work known, that ratio is
+    /// of the latency over work: the rest of the time is due to the server.
+    fn update(&mut self, sample: LatencySample, model: usize) -> f64 {
+        let gain = match sample.bound {
+            // The first samples are averaged: a single first one would dominate for long.
+            LatencyBound::Exact => TYPICAL_GAIN.max(1.0 / (self.samples + 1.0)),
+            LatencyBound::AtLeast => 0.0,
+        };
+        if sample.bound == LatencyBound::Exact {
+            self.samples += 1.0;
+        }
+        let log_latency = as_float(sample.elapsed.max(1)).ln();
+        let offset = self.model_offsets[model];
+        let typical = self.typical.get_or_insert(log_latency);
+        let mut ratio = bounded_ratio(log_latency - *typical - offset);
+        *typical += gain * ratio;
+        if let Some(log_work) = sample.log_work {
+            let typical = self.typical_per_work.get_or_insert(log_latency - log_work);
+            ratio = bounded_ratio(log_latency - log_work - *typical - offset);
+            *typical += gain * ratio;
+        }
+        self.model_offsets[model] += gain.min(MAX_MODEL_GAIN) * ratio;
+        ratio
+    }
+}
+
+fn bounded_ratio(log_ratio: f64) -> f64 {
+    log_ratio.clamp(-MAX_LOG_RATIO, MAX_LOG_RATIO)
+}
--- /dev/null
+++ b/crates/balancer/src/decide/panic_thresholds.rs
@@ -0,0 +1,48 @@
+//! Panic thresholds: unhealthy servers are used if too few healthy ones are left.
+
+use crate::state::ServerState;
+use mintshelf_time::Nanos;
+
+/// Overdue attempts are ignored if servers without any have less than this share of the size.
+const OVERDUE_PANIC_SHARE: f64 = 0.5;
+/// Ejections are ignored if servers that are not ejected have less than this share of the size.
+const EJECTION_PANIC_SHARE: f64 = 0.3;
+
+/// Which servers are healthy enough to use. If that leaves too few, the fault is elsewhere:
+/// servers with overdue attempts are used first, then the ejected ones (panic thresholds).
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct HealthFilter {
+    now: Nanos,
+    ignores_overdue: bool,
+    ignores_ejections: bool,
+}
+
+impl HealthFilter {
+    /// A filter at `now` for servers of a total size, of which these are unhealthy.
+    pub(crate) fn new<'a>(
+        total_size: f64,
+        unhealthy: impl Iterator<Item = &'a ServerState>,
+        now: Nanos,
+    ) -> Self {
+        let mut unhealthy_size = 0.0;
+        let mut ejected_size = 0.0;
+        for server in unhealthy {
+            unhealthy_size += server.listed.size;
+            if server.health.is_ejected(now) {
+                ejected_size += server.listed.size;
+            }
+        }
+        HealthFilter {
+            now,
+            ignores_overdue: total_size - unhealthy_size < OVERDUE_PANIC_SHARE * total_size,
+            ignores_ejections: total_size - ejected_size < EJECTION_PANIC_SHARE * total_size,
+        }
+    }
+
+    /// Whether a server may be used.
+    pub(crate) fn allows(&self, server: &ServerState) -> bool {
+        self.ignores_ejections
+            || server.is_healthy(self.now)
+            || self.ignores_overdue && !server.health.is_ejected(self.now)
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/decide/tenant_traffic.rs
@@ -0,0 +1,90 @@
+//! Traffic of tenants over all instances, and how much of it is past their quotas.
+
+use super::traffic::{RATE_HALF_LIFE, RATE_MEMORY_SECONDS};
+use crate::api::{Settings, TenantId};
+use crate::decay::DecayingCounter;
+use mintshelf_time::Nanos;
+
+/// Weight of the tenants' traffic that is presumed at least, in instances.
+const MIN_WEIGHT: f64 = 1e-3;
+/// Rates below this count as it, in requests a second.
+const MIN_RATE: f64 = 1e-9;
+
+/// Recent requests of each tenant, own and received from peers.
+#[derive(Debug, Default)]
+pub(crate) struct TenantTraffic {
+    by_tenant: Vec<DecayingCounter>,
+    /// How many instances' traffic `by_tenant` is of.
+    weight: DecayingCounter,
+}
+
+/// Half of what one instance knows of the tenants' traffic.
+#[derive(Debug, PartialEq)]
+pub(crate) struct TenantTrafficHalf {
+    /// How many instances' traffic it is of.
+    pub(crate) weight: f64,
+    /// Requests of each tenant.
+    pub(crate) by_tenant: Vec<f64>,
+}
+
+impl TenantTraffic {
+    /// The traffic of an instance that starts at `now`.
+    pub(crate) fn new(settings: &Settings, now: Nanos) -> Self {
+        let mut weight = DecayingCounter::default();
+        weight.add(now, RATE_HALF_LIFE, 1.0 / RATE_MEMORY_SECONDS);
+        let by_tenant = vec![DecayingCounter::default(); settings.tenants.len()];
+        TenantTraffic { by_tenant, weight }
+    }
+
+    /// Counts a request of a tenant, if there are tenants. The weight moves to that of one
+    /// instance: one that only halved, while messages were lost, would inflate the traffic.
+    pub(crate) fn count(&mut self, now: Nanos, tenant: TenantId) {
+        self.weight.fill(now, RATE_HALF_LIFE);
+        if let Some(counter) = self.by_tenant.get_mut(tenant.index()) {
+            counter.add(now, RATE_HALF_LIFE, 1.0);
+        }
+    }
+
+    /// Takes half of the traffic away, to hand it to a peer.
+    pub(crate) fn take_half(&mut self, now: Nanos) -> TenantTrafficHalf {
+        let halve = |counter: &mut DecayingCounter| {
+            counter.sum /= 2.0;
+            counter.get(now, RATE_HALF_LIFE)
+        };
+        let weight = halve(&mut self.weight);
+        TenantTrafficHalf { weight, by_tenant: self.by_tenant.iter_mut().map(halve).collect() }
+    }
+
+    /// Adds traffic that a peer has handed over.
+    pub(crate) fn add(&mut self, now: Nanos, half: &TenantTrafficHalf) {
+        self.weight.fill(now, RATE_HALF_LIFE);
+        self.weight.add(now, RATE_HALF_LIFE, half.weight);
+        for (counter, sum) in self.by_tenant.iter_mut().zip(&half.by_tenant) {
+            counter.add(now, RATE_HALF_LIFE, *sum);
+        }
+    }
+
+    /// Share of a tenant's traffic that is past its quota; 0 or less if none is. Without peers a
+    /// busy instance would take its own rate for that of all; there only the mix of tenants
+    /// counts.
+    pub(crate) fn over_quota_share(
+        &self,
+        settings: &Settings,
+        now: Nanos,
+        tenant: TenantId,
+    ) -> f64 {
+        let tenant = tenant.index();
+        let Some(quota) = settings.tenants.get(tenant) else { return 0.0 };
+        let weight = self.weight.get(now, RATE_HALF_LIFE).max(MIN_WEIGHT);
+        let scale = f64::from(settings.instances) / RATE_MEMORY_SECONDS / weight;
+        let fleet_rate = |counter: &DecayingCounter| counter.get(now, RATE_HALF_LIFE) * scale;
+        let mut rate = fleet_rate(&self.by_tenant[tenant]);
+        if !settings.has_peers {
+            let total_quota: f64 =
+                settings.tenants.iter().map(|other| other.quota_per_second).sum();
+            let total_rate: f64 = self.by_tenant.iter().map(fleet_rate).sum();
+            rate *= (total_quota / total_rate.max(MIN_RATE)).min(1.0);
+        }
+        1.0 - quota.quota_per_second / rate.max(MIN_RATE)
+    }
+}
--- a/crates/balancer/src/rng.rs
+++ b/crates/balancer/src/rng.rs
@@ -17,11 +17,15 @@
     pub fn draw(&mut self) -> f64 {
         (self.0.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
-}
 
-impl Default for Rng {
-    fn default() -> Self {
-        Rng::new(0)
+    /// A uniform position in a list of `length` items; 0 if there are none.
+    pub fn draw_index(&mut self, length: usize) -> usize {
+        (self.draw() * length as f64) as usize
+    }
+
+    /// A uniform whole number below `bound`; 0 if that is 0.
+    pub fn draw_below(&mut self, bound: u32) -> u32 {
+        (self.draw() * f64::from(bound)) as u32
     }
 }
 
--- a/crates/balancer/src/state/timers.rs
+++ b/crates/balancer/src/state/timers.rs
@@ -1,6 +1,6 @@
 //! Timers by token, with the purpose of each.
 
-use crate::api::{Action, RequestId};
+use crate::api::{Action, AttemptNumber, RequestId};
 use mintshelf_time::Nanos;
 use std::collections::HashMap;
 
@@ -8,11 +8,7 @@
 #[derive(Debug, Clone)]
 pub(crate) enum Timer {
     /// An attempt counts as overdue if it has not ended.
-    AttemptOverdue {
-        id: RequestId,
-        /// The attempt's number, from 0.
-        attempt: usize,
-    },
+    AttemptOverdue { id: RequestId, attempt: AttemptNumber },
     /// A held request is attempted again.
     HoldExpired(RequestId),
     /// A request no longer waits for load reports.
@@ -43,7 +39,7 @@
     }
 
     /// Drops a timer that is no longer needed. Timers of ended requests that were left to fire
-    /// would hold memory in proportion to the request rate times the latency objective.
+    /// would occupy memory in proportion to the request rate times the latency objective.
     pub(crate) fn drop(&mut self, token: u64, actions: &mut Vec<Action>) {
         if self.by_token.remove(&token).is_some() {
             actions.push(Action::DropTimer { token });
