--- a/crates/admission/benches/cost.rs
+++ b/crates/admission/benches/cost.rs
@@ -12,7 +12,9 @@
 use mintshelf_retry::attempts::AttemptTracker;
 use mintshelf_retry::policy::{HedgeDelay, HedgePolicy, RetryPolicy};
 use mintshelf_retry::schedule::{AttemptTimeout, TimeoutBounds};
-use mintshelf_time::{Nanos, MILLISECOND, SECOND};
+use mintshelf_time::{
+    as_float, as_milliseconds, as_seconds, from_float, Nanos, MILLISECOND, SECOND,
+};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::cmp::Reverse;
@@ -22,11 +24,11 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-const ROUNDS: u64 = 400_000;
+const ROUNDS: usize = 400_000;
 
 /// Nanoseconds a call: the minimum of five rounds.
-fn cost(mut call: impl FnMut(u64)) -> f64 {
-    let round = |call: &mut dyn FnMut(u64)| {
+fn cost(mut call: impl FnMut(usize)) -> f64 {
+    let round = |call: &mut dyn FnMut(usize)| {
         let begun = Instant::now();
         (0..ROUNDS).for_each(call);
         begun.elapsed().as_nanos() as f64 / ROUNDS as f64
@@ -49,8 +51,8 @@
     let mut admission = Admission::default();
     let tenants = names.iter().map(|name| (name.clone(), limit)).collect();
     let routes = [("r".into(), limit)].into();
-    let _ = admission
-        .configure(0, &AdmissionConfig { tenants, routes, clusters: [("c".into(), queue)].into() });
+    let config = AdmissionConfig { tenants, routes, clusters: [("c".into(), queue)].into() };
+    drop(admission.configure(0, &config));
     (admission, names)
 }
 
@@ -60,8 +62,9 @@
         let (mut admission, names) = admission(tenants);
         // Every tenant is active, as under load.
         let nanos = cost(|n| {
-            let (now, tenant) = (n * 10_000, &names[n as usize % tenants]);
-            let _ = black_box(admission.begin_request(now, tenant, "r"));
+            let now = n as Nanos * 10_000;
+            let tenant = &names[n % tenants];
+            black_box(admission.begin_request(now, tenant, "r")).ok();
             let entry = QueueEntry {
                 tenant: tenant.clone(),
                 is_repeat: false,
@@ -101,11 +104,11 @@
     println!(
         "{:>9.0}  attempt time-out, hedge delay, response recorded",
         cost(|n| {
-            let now = n * 10_000;
+            let now = n as Nanos * 10_000;
             tracker.record_request();
             black_box(tracker.attempt_timeout(now, 0));
             black_box(tracker.hedge_delay(now));
-            tracker.record_response(now, (n % 7 + 1) * MILLISECOND);
+            tracker.record_response(now, (n as Nanos % 7 + 1) * MILLISECOND);
         })
     );
 }
@@ -190,7 +193,7 @@
     }
 
     fn schedule_arrival(&mut self, now: Nanos, number: u64, member: usize) {
-        let at = now + (self.draw() / self.rates[member] * SECOND as f64) as Nanos;
+        let at = now + from_float(self.draw() / self.rates[member] * as_float(SECOND));
         self.events.push(Reverse(Event { at, number, member, is_arrival: true }));
     }
 
@@ -206,7 +209,7 @@
             self.step(event);
         }
         self.waits.sort_unstable();
-        let seconds = DURATION as f64 / SECOND as f64;
+        let seconds = as_seconds(DURATION);
         let p99 = self.waits.get(self.waits.len() * 99 / 100).copied().unwrap_or(0);
         Outcome { served: self.served.map(|served| served as f64 / seconds), p99 }
     }
@@ -252,7 +255,7 @@
 
     fn admit(&mut self, now: Nanos, request: &Waiting) {
         self.last_number += 1;
-        let at = now + (self.draw() * SERVICE as f64) as Nanos;
+        let at = now + from_float(self.draw() * as_float(SERVICE));
         let number = self.last_number;
         let member = request.member;
         self.events.push(Reverse(Event { at, number, member, is_arrival: false }));
@@ -286,7 +289,7 @@
             let claims = [first, 0.9 * share, 0.9 * share, 0.9 * share];
             let others = outcome.served[1..].iter().sum::<f64>() / 3.0;
             let index = jain(&outcome.served, &claims);
-            let p99 = outcome.p99 as f64 / MILLISECOND as f64;
+            let p99 = as_milliseconds(outcome.p99);
             format!("{index:>6.3} {:>7.0} {others:>7.0} {p99:>7.1}", outcome.served[0])
         };
         println!("{multiple:>9} | {} | {}", half(false), half(true));
--- a/crates/admission/src/admission.rs
+++ b/crates/admission/src/admission.rs
@@ -23,6 +23,7 @@
 
 impl AdmissionConfig {
     /// Whether nothing is limited.
+    #[must_use]
     pub fn is_empty(&self) -> bool {
         self.tenants.is_empty() && self.routes.is_empty() && self.clusters.is_empty()
     }
@@ -216,6 +217,7 @@
     }
 
     /// How much of the limits is in use.
+    #[must_use]
     pub fn usage(&self) -> LimitUsage {
         let tenants = self.tenants.iter().map(|(name, limit)| TenantUsage {
             tenant: name.to_string(),
--- a/crates/admission/src/limit.rs
+++ b/crates/admission/src/limit.rs
@@ -18,6 +18,7 @@
 
 impl LimitConfig {
     /// Whether it limits nothing.
+    #[must_use]
     pub fn is_unlimited(&self) -> bool {
         *self == LimitConfig::default()
     }
--- a/crates/admission/src/rate.rs
+++ b/crates/admission/src/rate.rs
@@ -31,6 +31,7 @@
     }
 
     /// Whether the rate can be enforced: at most one request a nanosecond.
+    #[must_use]
     pub fn is_enforceable(&self) -> bool {
         self.quota().is_some()
     }
@@ -73,6 +74,7 @@
 
 impl RateLimit {
     /// Starts with the whole burst.
+    #[must_use]
     pub fn new(config: RateConfig, now: Nanos) -> Self {
         let clock = ManualClock(Rc::new(Cell::new(now)));
         let limiter = config.quota().map(|quota| Limiter::direct_with_clock(quota, clock.clone()));
--- a/crates/admission/src/slots.rs
+++ b/crates/admission/src/slots.rs
@@ -102,6 +102,7 @@
     }
 
     /// How many slots are occupied.
+    #[must_use]
     pub fn occupied(&self) -> u32 {
         self.occupied
     }
--- a/crates/admission/src/tenants.rs
+++ b/crates/admission/src/tenants.rs
@@ -43,6 +43,7 @@
 
 impl TenantResolver {
     /// Starts without tenants.
+    #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
@@ -93,6 +94,7 @@
 }
 
 /// Whether two networks have an address in common.
+#[must_use]
 pub fn networks_overlap(one: &IpNet, other: &IpNet) -> bool {
     one.contains(other) || other.contains(one)
 }
--- a/crates/admission/tests/queue.rs
+++ b/crates/admission/tests/queue.rs
@@ -118,10 +118,10 @@
     assert_eq!(queue.usage(), usage(16, 36));
     // Nothing is reserved for a tenant that has long been inactive.
     for _ in 0..8 {
-        let _ = queue.complete(3 * MILLISECOND, &calm);
+        drop(queue.complete(3 * MILLISECOND, &calm));
     }
-    let _ = queue.complete(5 * SECOND, &greedy);
-    let _ = queue.complete(5 * SECOND, &greedy);
+    drop(queue.complete(5 * SECOND, &greedy));
+    drop(queue.complete(5 * SECOND, &greedy));
     assert_eq!(queue.usage().in_flight, 16);
 }
 
@@ -136,7 +136,7 @@
         }
     };
     let mut admission = Admission::default();
-    let _ = admission.configure(0, &limit(2));
+    drop(admission.configure(0, &limit(2)));
     for _ in 0..2 {
         assert_eq!(admission.begin_request(0, "a", "r"), Ok(()));
         assert_eq!(admission.enqueue(0, "c", entry("a")).unwrap().decision, QueueDecision::Admit);
@@ -154,9 +154,9 @@
     );
     assert_eq!(admission.usage().tenants, [TenantUsage { tenant: "a".to_string(), in_flight: 2 }]);
     // Without a limit and then with one again, the two requests still count.
-    let _ = admission.configure(0, &AdmissionConfig::default());
+    drop(admission.configure(0, &AdmissionConfig::default()));
     assert_eq!(admission.begin_request(0, "a", "r"), Ok(()));
-    let _ = admission.configure(0, &limit(3));
+    drop(admission.configure(0, &limit(3)));
     assert_eq!(admission.begin_request(0, "a", "r"), Err(LimitExceeded::TenantConcurrency));
     for _ in 0..3 {
         admission.end_request("a", "r");
--- a/crates/config/src/balancer/schedule.rs
+++ b/crates/config/src/balancer/schedule.rs
@@ -12,6 +12,7 @@
 const RETRY_AFTER_DIVISOR: u64 = 4;
 
 /// The time-out of a class, which is at most that of its cluster.
+#[must_use]
 pub fn effective_timeout(class: Option<Duration>, cluster: Duration) -> Duration {
     class.map_or(cluster, |class| class.min(cluster))
 }
--- a/crates/config/src/balancer/servers.rs
+++ b/crates/config/src/balancer/servers.rs
@@ -55,6 +55,6 @@
 /// A number made of name and address: the same name with another address is another server.
 fn server_id(endpoint: &Endpoint) -> ServerId {
     let hash = xxh3_64(format!("{} {}", endpoint.name, endpoint.address).as_bytes());
-    let folded = hash ^ (hash >> u32::BITS);
-    (folded & u64::from(u32::MAX)) as u32
+    let folded = (hash ^ (hash >> u32::BITS)) & u64::from(u32::MAX);
+    u32::try_from(folded).unwrap_or(u32::MAX)
 }
--- a/crates/config/src/file/attempts.rs
+++ b/crates/config/src/file/attempts.rs
@@ -48,14 +48,18 @@
 
 fn attempt_timeout(table: &Table) -> Option<Located<AttemptTimeout>> {
     let remedy = "write a span as in \"400ms\", \"adaptive\" or \"none\"";
-    table.parsed("per-try-timeout", remedy, |text| match text {
+    table.parsed("per-try-timeout", remedy, parse_attempt_timeout)
+}
+
+fn parse_attempt_timeout(text: &str) -> Result<AttemptTimeout, FieldError> {
+    match text {
         "adaptive" => Ok(AttemptTimeout::Adaptive),
         "none" => Ok(AttemptTimeout::Deadline),
-        _ => {
-            let timeout = parse_duration(text, &(ms(1)..=MAX_DURATION))?;
-            Ok::<_, FieldError>(AttemptTimeout::Fixed(from_duration(timeout)))
+        duration => {
+            let timeout = parse_duration(duration, &(ms(1)..=MAX_DURATION))?;
+            Ok(AttemptTimeout::Fixed(from_duration(timeout)))
         }
-    })
+    }
 }
 
 fn retry_on(table: &Table) -> Option<Located<RetryOn>> {
@@ -91,6 +95,14 @@
     Some(Located { value, place })
 }
 
+fn parse_hedge_delay(text: &str) -> Result<HedgeDelay, FieldError> {
+    if text == "p95" {
+        return Ok(HedgeDelay::P95);
+    }
+    let delay = parse_duration(text, &(ms(1)..=MAX_DURATION))?;
+    Ok(HedgeDelay::Fixed(from_duration(delay)))
+}
+
 fn hedge(table: &Table) -> Option<Located<HedgeSetting>> {
     const NO_DELAY: &str = "does not say when a copy goes";
     if let Some(flag) = table.flag_if_boolean("hedge") {
@@ -102,13 +114,7 @@
     }
     let table = table.table("hedge")?;
     let remedy = "write a span as in \"30ms\", or \"p95\"";
-    let delay = table.parsed("after", remedy, |text| match text {
-        "p95" => Ok(HedgeDelay::P95),
-        _ => {
-            let delay = parse_duration(text, &(ms(1)..=MAX_DURATION))?;
-            Ok::<_, FieldError>(HedgeDelay::Fixed(from_duration(delay)))
-        }
-    });
+    let delay = table.parsed("after", remedy, parse_hedge_delay);
     if !table.has("after") {
         table.reader.report(&table.place, NO_DELAY, remedy);
     }
--- a/crates/config/src/file/mod.rs
+++ b/crates/config/src/file/mod.rs
@@ -60,6 +60,7 @@
 
 /// The keys that the parser knows in each table of a file, by the table's path. A schema has to
 /// have the same.
+#[must_use]
 pub fn known_keys(text: &str) -> KnownKeys {
     let (table, _) = DeTable::parse_recoverable(text);
     let reader = Reader::new("", text).collecting_keys();
--- a/crates/config/src/file/table/lists.rs
+++ b/crates/config/src/file/table/lists.rs
@@ -40,13 +40,11 @@
         at: Located<&'reader DeValue<'text>>,
         example: &str,
     ) -> Option<Table<'reader, 'text>> {
-        match at.value {
-            DeValue::Table(table) => Some(Table::new(self.reader, at.place, table)),
-            _ => {
-                self.report_mismatch(&at, "a table", example);
-                None
-            }
+        if let DeValue::Table(table) = at.value {
+            return Some(Table::new(self.reader, at.place, table));
         }
+        self.report_mismatch(&at, "a table", example);
+        None
     }
 
     /// A table, or a list of tables.
--- a/crates/config/src/file/table/mod.rs
+++ b/crates/config/src/file/table/mod.rs
@@ -110,7 +110,7 @@
     pub fn finish(self) {
         let known = self.requested.borrow();
         self.reader.record_known_keys(&self.place.field, &known);
-        for (key, _) in self.table.iter() {
+        for (key, _) in self.table {
             let name: &str = key.get_ref();
             if !known.contains(name) {
                 let place = Place { span: key.span(), field: self.path(name) };
@@ -123,11 +123,9 @@
 /// Proposes the known key that is most similar to an unknown one, or all of them.
 fn unknown_key_remedy(name: &str, known: &BTreeSet<&'static str>) -> String {
     let similar = most_similar(name, known.iter().copied());
-    match similar.filter(|known| known.similarity >= MIN_SIMILARITY) {
-        Some(known) => format!("did you mean '{}'?", known.name),
-        None => {
-            let known: Vec<&str> = known.iter().copied().collect();
-            format!("known here: {}", known.join(", "))
-        }
+    if let Some(similar) = similar.filter(|similar| similar.similarity >= MIN_SIMILARITY) {
+        return format!("did you mean '{}'?", similar.name);
     }
+    let known: Vec<&str> = known.iter().copied().collect();
+    format!("known here: {}", known.join(", "))
 }
--- a/crates/config/src/file/table/scalars.rs
+++ b/crates/config/src/file/table/scalars.rs
@@ -20,13 +20,11 @@
         at: Located<&'reader DeValue<'text>>,
         example: &str,
     ) -> Option<Located<&'reader str>> {
-        match at.value {
-            DeValue::String(text) => Some(Located { value: text.as_ref(), place: at.place }),
-            _ => {
-                self.report_mismatch(&at, "a text", example);
-                None
-            }
+        if let DeValue::String(text) = at.value {
+            return Some(Located { value: text.as_ref(), place: at.place });
         }
+        self.report_mismatch(&at, "a text", example);
+        None
     }
 
     /// A text that is parsed into something else.
@@ -160,13 +158,11 @@
     /// True or false.
     pub fn flag(&self, key: &'static str, default: bool) -> bool {
         let Some(at) = self.value(key) else { return default };
-        match at.value {
-            DeValue::Boolean(flag) => *flag,
-            _ => {
-                self.report_mismatch(&at, "true or false", &format!("{key} = true"));
-                default
-            }
+        if let DeValue::Boolean(flag) = at.value {
+            return *flag;
         }
+        self.report_mismatch(&at, "true or false", &format!("{key} = true"));
+        default
     }
 
     /// True or false, where the key may have a value of another type, too.
--- a/crates/config/src/model/class.rs
+++ b/crates/config/src/model/class.rs
@@ -55,6 +55,7 @@
 
 impl AttemptSettings {
     /// How requests are hedged; `None` if they are not.
+    #[must_use]
     pub fn hedge_policy(&self) -> Option<HedgePolicy> {
         match self.hedge {
             Some(HedgeSetting::On(policy)) => Some(policy),
--- a/crates/config/src/problem.rs
+++ b/crates/config/src/problem.rs
@@ -16,6 +16,7 @@
 
 impl SafetyRule {
     /// Its number in the README.
+    #[must_use]
     pub fn number(self) -> u8 {
         match self {
             SafetyRule::NoLostRequest => 1,
@@ -105,6 +106,7 @@
 
 impl<'text> LineIndex<'text> {
     /// Finds the lines of a text.
+    #[must_use]
     pub fn new(text: &'text str) -> Self {
         let line_feeds = text.bytes().enumerate().filter(|(_, byte)| *byte == b'\n');
         let later_lines = line_feeds.map(|(offset, _)| offset + 1);
@@ -112,6 +114,7 @@
     }
 
     /// The place of the byte with this offset, or the end of the text for an offset behind it.
+    #[must_use]
     pub fn place(&self, offset: usize) -> LineColumn {
         let offset = offset.min(self.text.len());
         let line = self.line_starts.partition_point(|start| *start <= offset);
--- a/crates/config/src/schema/cluster.rs
+++ b/crates/config/src/schema/cluster.rs
@@ -33,22 +33,22 @@
     #[schemars(range(min = 0.01, max = 1.0))]
     pub warm_from: Option<f64>,
     /// Requests at one time; no limit.
-    #[schemars(range(min = 1, max = 1000000))]
+    #[schemars(range(min = 1, max = 1_000_000))]
     pub concurrency: Option<u32>,
     /// Requests that wait for a place; as many as have one.
-    #[schemars(range(min = 0, max = 100000))]
+    #[schemars(range(min = 0, max = 100_000))]
     pub queue: Option<u32>,
     /// Connections to all its endpoints; no limit.
-    #[schemars(range(min = 1, max = 1000000))]
+    #[schemars(range(min = 1, max = 1_000_000))]
     pub connections: Option<u32>,
     /// Connections to each of them; no limit.
-    #[schemars(range(min = 1, max = 1000000))]
+    #[schemars(range(min = 1, max = 1_000_000))]
     pub endpoint_connections: Option<u32>,
     /// Sockets to all its endpoints; three quarters of connections.
-    #[schemars(range(min = 0, max = 1000000))]
+    #[schemars(range(min = 0, max = 1_000_000))]
     pub sockets: Option<u32>,
     /// Sockets to each of them; three quarters of endpoint-connections.
-    #[schemars(range(min = 0, max = 1000000))]
+    #[schemars(range(min = 0, max = 1_000_000))]
     pub endpoint_sockets: Option<u32>,
     /// What an open socket counts for beside a request; 0.05.
     #[schemars(range(min = 0.0, max = 1.0))]
@@ -73,7 +73,7 @@
     #[schemars(range(min = 0.0, max = 1.0))]
     pub ratio: Option<f64>,
     /// The most saved up; 100.
-    #[schemars(range(min = 1, max = 100000))]
+    #[schemars(range(min = 1, max = 100_000))]
     pub burst: Option<u32>,
 }
 
@@ -96,7 +96,7 @@
     /// Unique in its cluster.
     pub name: Option<String>,
     /// Its size against the others'; 0 for nothing.
-    #[schemars(range(min = 0, max = 1000000))]
+    #[schemars(range(min = 0, max = 1_000_000))]
     pub weight: Option<u32>,
     /// Its zone.
     pub zone: Option<String>,
--- a/crates/config/src/schema/mod.rs
+++ b/crates/config/src/schema/mod.rs
@@ -18,6 +18,7 @@
 use text::{Address, Header};
 
 /// The schema of a whole file (JSON Schema 2020-12).
+#[must_use]
 pub fn schema() -> serde_json::Value {
     schemars::schema_for!(File).to_value()
 }
--- a/crates/config/src/schema/process.rs
+++ b/crates/config/src/schema/process.rs
@@ -21,7 +21,7 @@
     /// Memory; 64MiB unless stated.
     pub memory: Option<Size>,
     /// File descriptors; 1024 unless stated.
-    #[schemars(range(min = 64, max = 1048576))]
+    #[schemars(range(min = 64, max = 1_048_576))]
     pub sockets: Option<u32>,
     /// From a request's first byte to the end of its head; 2.5s.
     pub head_timeout: Option<FormattedDuration>,
@@ -33,7 +33,7 @@
     pub abort_on_close: Option<bool>,
     #[allow(clippy::doc_markdown, reason = "the description in the schema is plain text")]
     /// Most WebSockets; a fifth of the descriptors.
-    #[schemars(range(min = 0, max = 1048576))]
+    #[schemars(range(min = 0, max = 1_048_576))]
     pub websockets: Option<u32>,
     /// In how long they are closed when the process or their listener ends; 5s.
     pub websocket_drain: Option<FormattedDuration>,
@@ -87,7 +87,7 @@
     /// How long a lease counts that names no span of its own (10s).
     pub lease: Option<FormattedDuration>,
     /// How far any clock's rate may be off, in parts per million (1000).
-    #[schemars(range(min = 0, max = 100000))]
+    #[schemars(range(min = 0, max = 100_000))]
     pub clock_error_ppm: Option<u32>,
 }
 
@@ -129,12 +129,12 @@
     /// Requests in a time.
     pub rate: Option<Rate>,
     /// Requests at once after a pause; as many as the rate's number.
-    #[schemars(range(min = 1, max = 1000000))]
+    #[schemars(range(min = 1, max = 1_000_000))]
     pub burst: Option<u32>,
     /// Requests at one time.
-    #[schemars(range(min = 1, max = 1000000))]
+    #[schemars(range(min = 1, max = 1_000_000))]
     pub concurrency: Option<u32>,
     /// Open sockets.
-    #[schemars(range(min = 0, max = 1000000))]
+    #[schemars(range(min = 0, max = 1_000_000))]
     pub sockets: Option<u32>,
 }
--- a/crates/config/src/schema/route.rs
+++ b/crates/config/src/schema/route.rs
@@ -79,7 +79,7 @@
 
 /// A cluster's weight in a split.
 #[derive(Debug, JsonSchema)]
-pub struct Weight(#[schemars(range(min = 0, max = 1000000))] pub u32);
+pub struct Weight(#[schemars(range(min = 0, max = 1_000_000))] pub u32);
 
 /// Where clients are sent.
 #[derive(Debug, JsonSchema)]
--- a/crates/retry/src/attempts.rs
+++ b/crates/retry/src/attempts.rs
@@ -57,6 +57,7 @@
 
 impl AttemptTracker {
     /// A tracker that has seen no latency.
+    #[must_use]
     pub fn new(policy: RetryPolicy, now: Nanos) -> Self {
         let max_share = policy.hedge.map_or(0.0, |hedge| hedge.max_share);
         AttemptTracker {
@@ -68,6 +69,7 @@
     }
 
     /// The policy that it applies.
+    #[must_use]
     pub fn policy(&self) -> &RetryPolicy {
         &self.policy
     }
@@ -153,6 +155,7 @@
     }
 
     /// Time-outs and hedges since the start.
+    #[must_use]
     pub fn counts(&self) -> AttemptCounts {
         self.counts
     }
--- a/crates/retry/src/latency_window.rs
+++ b/crates/retry/src/latency_window.rs
@@ -49,6 +49,7 @@
 
 impl LatencyWindow {
     /// Starts empty.
+    #[must_use]
     pub fn new(now: Nanos) -> Self {
         LatencyWindow {
             current: empty_histogram(),
--- a/crates/retry/src/schedule.rs
+++ b/crates/retry/src/schedule.rs
@@ -112,6 +112,7 @@
 
     /// Bounds of an adaptive time-out. The upper one divides the deadline equally between the
     /// attempts, less the time for connections and backoff.
+    #[must_use]
     pub fn adaptive_bounds(&self) -> TimeoutBounds {
         let attempts = u64::from(self.max_attempts.max(1));
         let connecting = self.connect_timeout.saturating_mul(attempts);
@@ -144,6 +145,7 @@
     }
 
     /// All attempts in the worst case, the first at 0.
+    #[must_use]
     pub fn worst_case(&self) -> Vec<ScheduledAttempt> {
         let mut latest_start: Nanos = 0;
         let mut attempts = Vec::new();
@@ -180,6 +182,7 @@
 
     /// How many attempts can start before the deadline, each with its fixed time-out. A default
     /// number of attempts is lowered to this.
+    #[must_use]
     pub fn fitting_attempts(&self) -> u32 {
         match self.attempt_timeout {
             AttemptTimeout::Fixed(timeout) if timeout > 0 => {
--- a/crates/retry/src/shutdown.rs
+++ b/crates/retry/src/shutdown.rs
@@ -34,18 +34,21 @@
 impl ShutdownDeadlines {
     /// For a shutdown announced at `announced_at`, where `longest_deadline` is the longest of any
     /// class.
+    #[must_use]
     pub fn new(announced_at: Nanos, longest_deadline: Nanos) -> Self {
         let remaining = longest_deadline.min(MAX_COUNTED_DEADLINE) + GRACE_PERIOD - WRITE_MARGIN;
         ShutdownDeadlines { final_response_at: announced_at.saturating_add(remaining) }
     }
 
     /// When everything that is still open gets its final response.
+    #[must_use]
     pub fn final_response_at(&self) -> Nanos {
         self.final_response_at
     }
 
     /// How long a request that arrives now may wait, where its client waits for
     /// `client_timeout`; `None` once no time is left.
+    #[must_use]
     pub fn limit_timeout(&self, now: Nanos, client_timeout: Nanos) -> Option<Nanos> {
         let remaining = self.final_response_at.checked_sub(now).filter(|left| *left > 0)?;
         Some(client_timeout.min(remaining))
@@ -54,6 +57,7 @@
     /// The final response to a request with this effect. A safe one may always be repeated. An
     /// idempotent one may be repeated only within its deduplication window, and how long its
     /// client will take is not known here.
+    #[must_use]
     pub fn final_response(effect: Effect, may_have_run: bool) -> FinalResponse {
         match (effect, may_have_run) {
             (Effect::Safe, _) | (_, false) => FinalResponse::Reject,
--- a/crates/retry/src/violation.rs
+++ b/crates/retry/src/violation.rs
@@ -50,6 +50,7 @@
 
 impl SafetyViolation {
     /// Whether a request's effect could happen twice.
+    #[must_use]
     pub fn duplicates_effect(&self) -> bool {
         !matches!(
             self,
@@ -62,6 +63,7 @@
     }
 
     /// The key of the setting at fault, as in the operator's file.
+    #[must_use]
     pub fn setting(&self) -> &'static str {
         match self {
             SafetyViolation::UnsafeRetry => "retry-on",
@@ -78,6 +80,7 @@
     }
 
     /// What the operator can do about it.
+    #[must_use]
     pub fn remedy(&self) -> &'static str {
         match self {
             SafetyViolation::UnsafeRetry => "write retry-on = \"never-ran\", or leave it out",
--- a/crates/retry/tests/schedule_model.rs
+++ b/crates/retry/tests/schedule_model.rs
@@ -6,7 +6,7 @@
 use common::idempotent;
 use mintshelf_balancer::api::Effect;
 use mintshelf_retry::schedule::{AttemptSchedule, AttemptTimeout, Backoff, RetryOn};
-use mintshelf_time::{Nanos, MILLISECOND};
+use mintshelf_time::{as_float, from_float, Nanos, MILLISECOND};
 use proptest::prelude::*;
 use proptest::strategy::ValueTree;
 use proptest::test_runner::{RngSeed, TestRunner};
@@ -29,7 +29,7 @@
 }
 
 fn part(duration: Nanos, fraction: f64) -> Nanos {
-    (duration as f64 * fraction) as Nanos
+    from_float(as_float(duration) * fraction)
 }
 
 /// Simulates a request by a schedule, with the results of its attempts given.
@@ -101,7 +101,7 @@
     for _ in 0..=schedule.client_retries {
         let simulated = simulate(schedule, start, results, backoff_fractions, hold_fraction);
         arrivals.extend(simulated.arrivals);
-        start = simulated.ended_at + (schedule.max_retry_after as f64 * wait_fraction) as Nanos;
+        start = simulated.ended_at + from_float(as_float(schedule.max_retry_after) * wait_fraction);
     }
     arrivals
 }
--- a/crates/routing/src/host.rs
+++ b/crates/routing/src/host.rs
@@ -57,6 +57,7 @@
     }
 
     /// Whether it matches a host, which is in lower case and without a port.
+    #[must_use]
     pub fn matches(&self, host: &str) -> bool {
         match self {
             HostMatch::Any => true,
--- a/crates/routing/src/path.rs
+++ b/crates/routing/src/path.rs
@@ -16,6 +16,7 @@
 
 impl PathMatch {
     /// Whether it matches a path, which is as sent.
+    #[must_use]
     pub fn matches(&self, path: &str) -> bool {
         match self {
             PathMatch::Exact(exact) => exact == path,
@@ -27,6 +28,7 @@
 
 /// The rest of a path behind a prefix, which is empty or begins with a slash. `None` if the path
 /// does not begin with the elements of the prefix.
+#[must_use]
 pub fn after_prefix<'path>(prefix: &str, path: &'path str) -> Option<&'path str> {
     let suffix = path.strip_prefix(prefix.trim_end_matches('/'))?;
     (suffix.is_empty() || suffix.starts_with('/')).then_some(suffix)
@@ -34,6 +36,7 @@
 
 /// Whether a path has an element `.` or `..`, plain or escaped. A server could resolve it and serve
 /// a path other than the one that was routed.
+#[must_use]
 pub fn has_dot_segments(path: &str) -> bool {
     path.split('/').any(|element| {
         let unescaped = element.replace("%2e", ".").replace("%2E", ".");
--- a/crates/routing/src/pattern.rs
+++ b/crates/routing/src/pattern.rs
@@ -40,11 +40,13 @@
     }
 
     /// Whether it matches the complete text.
+    #[must_use]
     pub fn matches(&self, text: &str) -> bool {
         self.0.is_match(text)
     }
 
     /// The expression as it was written.
+    #[must_use]
     pub fn text(&self) -> &str {
         let [start, end] = ANCHORS;
         let anchored = self.0.as_str();
--- a/crates/routing/src/rank.rs
+++ b/crates/routing/src/rank.rs
@@ -44,6 +44,7 @@
 }
 
 /// The rank of a host.
+#[must_use]
 pub fn host(host: &HostMatch) -> HostRank {
     match host {
         HostMatch::Exact(_) => HostRank::Exact,
@@ -53,6 +54,7 @@
 }
 
 /// The rank of a path.
+#[must_use]
 pub fn path(path: &PathMatch) -> PathRank {
     match path {
         PathMatch::Exact(_) => PathRank::Exact,
@@ -62,6 +64,7 @@
 }
 
 /// The rank of the other conditions of a rule, which has this position in the file, from 0.
+#[must_use]
 pub fn details(rule: &RouteRule, index: usize) -> DetailRank {
     DetailRank {
         has_methods: !rule.methods.is_empty(),
--- a/crates/routing/src/request.rs
+++ b/crates/routing/src/request.rs
@@ -33,6 +33,7 @@
 
 impl<'request> RequestView<'request> {
     /// A request by its parts; `host` may have a port and capitals.
+    #[must_use]
     pub fn new(
         host: &'request str,
         path_and_query: &'request str,
@@ -61,6 +62,7 @@
 
     /// The first condition of a rule that the request does not meet; `None` if it meets all. Host
     /// and path are checked first, since they decide most often.
+    #[must_use]
     pub fn mismatch<'rule>(&self, rule: &'rule RouteRule) -> Option<Mismatch<'rule>> {
         if !rule.hosts().iter().any(|host| host.matches(&self.host)) {
             return Some(Mismatch::Host);
@@ -72,6 +74,7 @@
     }
 
     /// The first condition other than host and path that the request does not meet.
+    #[must_use]
     pub fn detail_mismatch<'rule>(&self, rule: &'rule RouteRule) -> Option<Mismatch<'rule>> {
         if !rule.methods.is_empty() && !rule.methods.contains(self.method) {
             return Some(Mismatch::Method);
--- a/crates/routing/src/rule.rs
+++ b/crates/routing/src/rule.rs
@@ -18,6 +18,7 @@
 
 impl ValueMatch {
     /// Whether it matches a value.
+    #[must_use]
     pub fn matches(&self, value: &str) -> bool {
         match self {
             ValueMatch::Present => true,
--- a/crates/routing/src/split.rs
+++ b/crates/routing/src/split.rs
@@ -43,12 +43,14 @@
     }
 
     /// A single cluster.
+    #[must_use]
     pub fn only(name: &str) -> Self {
         let cluster = WeightedCluster { name: name.to_string(), weight: 1.0 };
         ClusterSplit { clusters: vec![cluster] }
     }
 
     /// The cluster for a key. For a request without a key the caller passes random bytes.
+    #[must_use]
     pub fn pick(&self, key: &[u8]) -> &str {
         if let [only] = &self.clusters[..] {
             return &only.name;
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -87,6 +87,7 @@
 
     /// The index of the rule that takes precedence, from 0 in the order of the file; `None` if no
     /// rule matches.
+    #[must_use]
     pub fn find(&self, request: &RequestView) -> Option<usize> {
         let exact = self.exact_hosts.get(request.host.as_ref());
         exact
@@ -107,11 +108,13 @@
     }
 
     /// The rules, in the order of the file.
+    #[must_use]
     pub fn rules(&self) -> &[Arc<RouteRule>] {
         &self.rules
     }
 
     /// The same as [`RouteTable::find`] by a scan of all rules, for tests and benchmarks.
+    #[must_use]
     pub fn find_by_scan(&self, request: &RequestView) -> Option<usize> {
         let rules = self.rules.iter().enumerate();
         let matching = rules.filter(|(_, rule)| request.mismatch(rule).is_none());
--- a/crates/websocket/src/close.rs
+++ b/crates/websocket/src/close.rs
@@ -53,6 +53,7 @@
 
 /// The close reason, with a hint that the client may reconnect after `retry_after_s` seconds; 0
 /// adds no hint.
+#[must_use]
 pub fn reason_with_retry(reason: &str, retry_after_s: u64) -> String {
     match retry_after_s {
         0 => reason.to_string(),
--- a/crates/websocket/src/frame/mod.rs
+++ b/crates/websocket/src/frame/mod.rs
@@ -46,6 +46,7 @@
 impl FrameDecoder {
     /// A decoder at the start of the stream of `sender`. `allows_compression` tells whether
     /// compression was negotiated; `max_message_bytes` is the longest message, as on the wire.
+    #[must_use]
     pub fn new(sender: Peer, allows_compression: bool, max_message_bytes: u64) -> Self {
         FrameDecoder {
             sender,
@@ -60,21 +61,25 @@
     }
 
     /// Whether the forwarded bytes end with a frame, so that a frame of the proxy may follow.
+    #[must_use]
     pub fn is_between_frames(&self) -> bool {
         !matches!(self.state, State::Payload { .. })
     }
 
     /// Whether the forwarded bytes end with a message.
+    #[must_use]
     pub fn is_between_messages(&self) -> bool {
         self.is_between_frames() && self.message.is_none()
     }
 
     /// Whether the received bytes end with a message, and no part of a frame is buffered.
+    #[must_use]
     pub fn is_at_message_boundary(&self) -> bool {
         self.is_between_messages() && self.buffer.is_empty()
     }
 
     /// How many complete messages were forwarded.
+    #[must_use]
     pub fn completed_messages(&self) -> u64 {
         self.completed_messages
     }
--- a/crates/websocket/src/migration.rs
+++ b/crates/websocket/src/migration.rs
@@ -24,6 +24,7 @@
 
 impl MigrationSchedule {
     /// A schedule by which the sockets of a server leave it within `window_ns`.
+    #[must_use]
     pub fn new(window_ns: Nanos) -> Self {
         MigrationSchedule { window_ns, servers: BTreeMap::new() }
     }
@@ -45,6 +46,7 @@
     }
 
     /// How many servers are being left, as of the last call to [`Self::next_slot`].
+    #[must_use]
     pub fn migrating_servers(&self) -> usize {
         self.servers.len()
     }
--- a/crates/websocket/src/peer.rs
+++ b/crates/websocket/src/peer.rs
@@ -11,6 +11,7 @@
 
 impl Peer {
     /// The other end.
+    #[must_use]
     pub fn other(self) -> Peer {
         match self {
             Peer::Client => Peer::Server,
--- a/crates/websocket/src/session/mod.rs
+++ b/crates/websocket/src/session/mod.rs
@@ -65,6 +65,7 @@
 impl Session {
     /// A socket that opens now. `is_compressed` tells whether its ends negotiated compression;
     /// `seed` determines the mask keys and the jitter of its lifetime.
+    #[must_use]
     pub fn new(config: Rc<SessionConfig>, is_compressed: bool, seed: u64, now: Nanos) -> Self {
         let mut random = Pcg32::seed_from_u64(seed);
         let mut ping_token = [0; 8];
@@ -103,6 +104,7 @@
     }
 
     /// Bytes that wait to be written to a peer.
+    #[must_use]
     pub fn pending_output(&self, peer: Peer) -> &[u8] {
         self.side(peer).output.pending()
     }
@@ -113,12 +115,14 @@
     }
 
     /// What a peer has sent.
+    #[must_use]
     pub fn traffic(&self, peer: Peer) -> Traffic {
         let side = self.side(peer);
         Traffic { messages: side.decoder.completed_messages(), bytes: side.received_bytes }
     }
 
     /// Whether a peer is to be read now; it is not while the other one does not take its output.
+    #[must_use]
     pub fn wants_read(&self, peer: Peer) -> bool {
         let side = self.side(peer);
         if side.is_disconnected || self.end().is_some() {
@@ -136,6 +140,7 @@
     }
 
     /// When [`Session::handle_timers`] is due.
+    #[must_use]
     pub fn next_deadline(&self) -> Nanos {
         match &self.state {
             State::Open => self.timers.next_deadline(),
@@ -146,6 +151,7 @@
     }
 
     /// Whether messages are forwarded, and the socket is not about to leave its server.
+    #[must_use]
     pub fn is_open(&self) -> bool {
         self.state == State::Open
     }
@@ -156,6 +162,7 @@
     }
 
     /// How the socket ended, once nothing more has to be forwarded.
+    #[must_use]
     pub fn end(&self) -> Option<SessionEnd> {
         let is_finished = self.client.is_finished() && self.server.is_finished();
         self.end.filter(|_| is_finished)
@@ -163,12 +170,14 @@
 
     /// Whether a peer has sent and received its close frame, so that its connection can be
     /// closed gently.
+    #[must_use]
     pub fn closed_cleanly(&self, peer: Peer) -> bool {
         let side = self.side(peer);
         side.close_received && side.close_sent && !side.is_disconnected
     }
 
     /// Whether no message is in progress either way.
+    #[must_use]
     pub fn is_between_messages(&self) -> bool {
         [&self.client, &self.server]
             .into_iter()
--- a/crates/websocket/src/timers/mod.rs
+++ b/crates/websocket/src/timers/mod.rs
@@ -26,6 +26,7 @@
 impl SocketTimers {
     /// Timers of a socket that opens now. `jitter`, from 0 to 1, shortens its lifetime by up to
     /// a tenth, so that sockets that open together do not close together.
+    #[must_use]
     pub fn new(config: TimerConfig, now: Nanos, jitter: f64) -> Self {
         let max_lifetime = as_float(config.max_lifetime_ns);
         let shortened_by = from_float(max_lifetime * MAX_LIFETIME_JITTER * jitter.clamp(0.0, 1.0));
@@ -84,6 +85,7 @@
     }
 
     /// Whether a peer has a ping to answer.
+    #[must_use]
     pub fn awaits_pong(&self, peer: Peer) -> bool {
         self.peer(peer).awaits_pong()
     }
@@ -124,12 +126,14 @@
     }
 
     /// The event that is due now; of several, that with the earliest deadline.
+    #[must_use]
     pub fn due_event(&self, now: Nanos) -> Option<TimerEvent> {
         let due = self.deadlines().filter(|deadline| deadline.at_ns <= now);
         due.min_by_key(|deadline| deadline.at_ns).map(|deadline| deadline.event)
     }
 
     /// When the next event is due.
+    #[must_use]
     pub fn next_deadline(&self) -> Nanos {
         self.deadlines().map(|deadline| deadline.at_ns).min().unwrap_or(Nanos::MAX)
     }
--- a/crates/websocket/src/violation.rs
+++ b/crates/websocket/src/violation.rs
@@ -30,6 +30,7 @@
 
 impl Violation {
     /// The close code that the violating peer is sent (RFC 6455 7.4.1).
+    #[must_use]
     pub fn close_code(self) -> u16 {
         match self {
             Violation::CloseText => close_code::NOT_TEXT,
@@ -40,6 +41,7 @@
     }
 
     /// The close reason that it is sent.
+    #[must_use]
     pub fn reason(self) -> &'static str {
         match self {
             Violation::ReservedBits => "reserved bits are set",
