--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,5 +1,6 @@
 //! Hosts balancers: takes lines of input and writes one reply for each batch.
 
+use crate::wire::vocabulary::{message, reply, INSTANCE_PREFIX};
 use crate::wire::{write_action, Message, Problem, Reader, WireError};
 use mintshelf_balancer::api::{Action, Event, Settings};
 use mintshelf_balancer::decide::Balancer;
@@ -37,7 +38,8 @@
             }
             Some(Message::Event(event)) => self.handle(event)?,
             Some(Message::YourTurn) => {
-                self.reply.push_str("done\n");
+                self.reply.push_str(reply::END);
+                self.reply.push('\n');
                 return Ok(true);
             }
         }
@@ -67,7 +69,7 @@
 
     fn begin_batch(&mut self, now: Nanos) -> Result<(), WireError> {
         if now < self.now {
-            return Err(self.error("clock", Problem::ClockBackwards));
+            return Err(self.error(message::BATCH_BEGIN, Problem::ClockBackwards));
         }
         self.now = now;
         self.reply_instance = None;
@@ -82,7 +84,7 @@
 
     fn handle(&mut self, event: Event) -> Result<(), WireError> {
         let Some(instance) = self.instances.get_mut(&self.target) else {
-            return Err(self.error("target_instance", Problem::NotAttached));
+            return Err(self.error(message::TARGET, Problem::NotAttached));
         };
         instance.handle(self.now, event, &mut self.actions);
         self.write_actions();
@@ -98,9 +100,7 @@
         // The simulator's wire cannot drop a timer; it fires and has no effect.
         self.actions.retain(|action| !matches!(action, Action::DropTimer { .. }));
         if !self.actions.is_empty() && self.reply_instance != Some(self.target) {
-            self.reply.push_str("from sidecar_");
-            self.reply.push_str(&self.target.to_string());
-            self.reply.push('\n');
+            self.reply.push_str(&instance_line(self.target));
             self.reply_instance = Some(self.target);
         }
         for action in self.actions.drain(..) {
@@ -108,3 +108,8 @@
         }
     }
 }
+
+/// The line that names the instance of the actions after it.
+fn instance_line(number: u64) -> String {
+    format!("{} {INSTANCE_PREFIX}{number}\n", reply::INSTANCE)
+}
--- a/crates/simulator-adapter/src/wire/action.rs
+++ b/crates/simulator-adapter/src/wire/action.rs
@@ -1,45 +1,56 @@
 //! Writes actions as lines of a reply.
 
+use super::vocabulary::{action as name, ALL_PEERS, NO_PAYLOAD};
 use mintshelf_balancer::api::Action;
-use std::fmt::{self, Write};
+use std::fmt::{self, Display, Formatter};
 
 /// Appends one action to a reply, as a line of its own. [`Action::DropTimer`] has no message
 /// and adds nothing.
 pub fn write_action(reply: &mut String, action: &Action) {
-    // Writing to a String cannot fail.
-    let _ = try_write_action(reply, action);
+    reply.push_str(&ActionLine(action).to_string());
 }
 
-fn try_write_action(reply: &mut String, action: &Action) -> fmt::Result {
-    match action {
-        Action::Send { id, server, timeout_at } => {
-            writeln!(reply, "forward {id} {server} {timeout_at}")
+/// An action as it stands in a reply.
+struct ActionLine<'a>(&'a Action);
+
+impl Display for ActionLine<'_> {
+    fn fmt(&self, line: &mut Formatter<'_>) -> fmt::Result {
+        match self.0 {
+            Action::Send { id, server, timeout_at } => {
+                writeln!(line, "{} {id} {server} {timeout_at}", name::SEND)
+            }
+            Action::Cancel { id, attempt } => writeln!(line, "{} {id} {attempt}", name::CANCEL),
+            Action::Reject { id, retry_after, .. } => {
+                writeln!(line, "{} {id} {retry_after}", name::REJECT)
+            }
+            Action::Fail { id, .. } => writeln!(line, "{} {id}", name::FAIL),
+            Action::SetTimer { after, token } => {
+                writeln!(line, "{} {after} {token}", name::SET_TIMER)
+            }
+            Action::DropTimer { .. } => Ok(()),
+            Action::Probe { server } => writeln!(line, "{} {server}", name::PROBE),
+            Action::CloseIdle { server } => writeln!(line, "{} {server}", name::CLOSE_IDLE),
+            Action::SendGossip { peer, payload } => write_gossip(line, *peer, payload),
+            Action::StartWatch => writeln!(line, "{} 1", name::WATCH),
+            Action::StopWatch => writeln!(line, "{} 0", name::WATCH),
+            Action::FetchServers => writeln!(line, "{}", name::FETCH_SERVERS),
+            Action::Log { text } => {
+                writeln!(line, "{} {}", name::LOG, text.replace(['\n', '\r'], " "))
+            }
         }
-        Action::Cancel { id, attempt } => writeln!(reply, "retract {id} {attempt}"),
-        Action::Reject { id, retry_after, .. } => writeln!(reply, "shed {id} {retry_after}"),
-        Action::Fail { id, .. } => writeln!(reply, "drop_request {id}"),
-        Action::SetTimer { after, token } => writeln!(reply, "set_timer {after} {token}"),
-        Action::DropTimer { .. } => Ok(()),
-        Action::Probe { server } => writeln!(reply, "probe {server}"),
-        Action::CloseIdle { server } => writeln!(reply, "drop_conns {server}"),
-        Action::SendGossip { peer, payload } => write_gossip(reply, *peer, payload),
-        Action::StartWatch => writeln!(reply, "stream_changes 1"),
-        Action::StopWatch => writeln!(reply, "stream_changes 0"),
-        Action::FetchServers => writeln!(reply, "pull"),
-        Action::Log { text } => writeln!(reply, "debug {}", text.replace(['\n', '\r'], " ")),
     }
 }
 
-fn write_gossip(reply: &mut String, peer: Option<u32>, payload: &[u8]) -> fmt::Result {
+fn write_gossip(line: &mut Formatter<'_>, peer: Option<u32>, payload: &[u8]) -> fmt::Result {
     match peer {
-        Some(peer) => write!(reply, "signal {peer} ")?,
-        None => write!(reply, "signal all ")?,
+        Some(peer) => write!(line, "{} {peer} ", name::SEND_GOSSIP)?,
+        None => write!(line, "{} {ALL_PEERS} ", name::SEND_GOSSIP)?,
     }
     if payload.is_empty() {
-        reply.push('-');
+        write!(line, "{NO_PAYLOAD}")?;
     }
     for byte in payload {
-        write!(reply, "{byte:02x}")?;
+        write!(line, "{byte:02x}")?;
     }
-    writeln!(reply)
+    writeln!(line)
 }
--- a/crates/simulator-adapter/src/wire/event.rs
+++ b/crates/simulator-adapter/src/wire/event.rs
@@ -1,89 +1,76 @@
 //! Parses the messages that are events of a balancer.
 
 use super::fields::Fields;
+use super::vocabulary::{field, message, BOOLEANS, HAS_COST_ESTIMATE, IS_CLIENT_RETRY, OUTCOMES};
 use super::{Problem, WireError};
-use mintshelf_balancer::api::{
-    AttemptNumber, ClassId, EndpointState, Event, ListKind, Outcome, ServerId, TenantId,
-};
+use mintshelf_balancer::api::{AttemptNumber, ClassId, Event, ServerId, TenantId};
 use mintshelf_time::Nanos;
 
-const OUTCOMES: &[(&str, Outcome)] = &[
-    ("delivered", Outcome::Ok),
-    ("app_error", Outcome::Error),
-    ("shed", Outcome::Full),
-    ("expired", Outcome::TimedOut),
-    ("dial_failed", Outcome::ConnectFailed),
-    ("dropped", Outcome::Reset),
-    ("revoked", Outcome::Cancelled),
-    ("unused", Outcome::Unused),
-];
-pub(super) const ENDPOINT_STATES: &[(&str, EndpointState)] = &[
-    ("live", EndpointState::Live),
-    ("quiescing", EndpointState::Draining),
-    ("dead", EndpointState::Removed),
-];
-pub(super) const LIST_KINDS: &[(&str, ListKind)] = &[
-    ("diff", ListKind::Changes),
-    ("snapshot", ListKind::Full),
-    ("disk", ListKind::Cached),
-    ("error", ListKind::Failed),
-];
-const BOOLEANS: &[(&str, bool)] = &[("1", true), ("0", false)];
-/// Bit of a request's attributes that marks its cost as known.
-const HAS_COST: u32 = 1;
-/// Bit of a request's attributes that marks it as a repeat.
-const IS_REPEAT: u32 = 2;
-
 /// Reads the event of the message `name`. Fields are read in the order of the wire.
 pub(super) fn read_event(name: &str, fields: &mut Fields) -> Result<Event, WireError> {
-    Ok(match name {
-        "submit" => read_request(fields)?,
-        "under_way" => read_stream_started(fields)?,
-        "resolved" => Event::AttemptEnded {
-            id: fields.word("op-id")?.into(),
-            outcome: fields.choice("verdict", OUTCOMES)?,
-            attempt: AttemptNumber::new(fields.number("leg")?),
-            is_request_finished: fields.choice("complete", BOOLEANS)?,
-            elapsed: fields.number_or("took", 0)?,
-            server: fields.number("server")?,
-            report: fields.load_report("metrics")?,
-        },
-        "abandoned" => Event::ClientDisconnected { id: fields.word("op-id")?.into() },
-        "timer" => Event::Timer { token: fields.number("label")? },
-        "health" => Event::Probed {
-            outcome: fields.choice("verdict", OUTCOMES)?,
-            server: fields.number("server")?,
-            elapsed: fields.number_or("took", 0)?,
-            report: fields.load_report("metrics")?,
-        },
-        "peer_data" => {
-            Event::Gossip { from: fields.number("src-peer")?, payload: fields.bytes("octets")? }
+    match name {
+        message::REQUEST => read_request(fields),
+        message::STREAM_STARTED => read_stream_started(fields),
+        message::ATTEMPT_ENDED => read_attempt_end(fields),
+        message::CLIENT_DISCONNECTED => {
+            Ok(Event::ClientDisconnected { id: fields.word(field::REQUEST)?.into() })
         }
-        _ => return Err(fields.error(name, Problem::UnknownMessage)),
-    })
+        message::TIMER => Ok(Event::Timer { token: fields.number(field::TIMER_TOKEN)? }),
+        message::PROBED => read_probe_end(fields),
+        message::GOSSIP => Ok(Event::Gossip {
+            from: fields.number(field::PEER)?,
+            payload: fields.bytes(field::PAYLOAD)?,
+        }),
+        _ => Err(fields.error(name, Problem::UnknownMessage)),
+    }
 }
 
 fn read_request(fields: &mut Fields) -> Result<Event, WireError> {
-    let id = fields.word("op-id")?.into();
-    let class = ClassId::new(fields.number("grade")?);
-    let key = fields.key("subject")?;
-    let cost: Nanos = fields.number_or("cost", 0)?;
-    let tenant = TenantId::new(fields.number_or("org", 0)?);
-    let attributes: u32 = fields.number_or("attrs", 0)?;
+    let id = fields.word(field::REQUEST)?.into();
+    let class = ClassId::new(fields.number(field::CLASS)?);
+    let key = fields.key(field::KEY)?;
+    let cost: Nanos = fields.number_or(field::COST_ESTIMATE, 0)?;
+    let tenant = TenantId::new(fields.number_or(field::TENANT, 0)?);
+    let attributes: u32 = fields.number_or(field::ATTRIBUTES, 0)?;
     Ok(Event::Request {
         id,
         class,
         tenant,
         key,
-        cost_estimate: (attributes & HAS_COST != 0 && cost > 0).then_some(cost),
-        is_client_retry: attributes & IS_REPEAT != 0,
-        client_timeout: fields.number("grace")?,
+        cost_estimate: (attributes & HAS_COST_ESTIMATE != 0 && cost > 0).then_some(cost),
+        is_client_retry: attributes & IS_CLIENT_RETRY != 0,
+        client_timeout: fields.number(field::CLIENT_TIMEOUT)?,
     })
 }
 
 fn read_stream_started(fields: &mut Fields) -> Result<Event, WireError> {
-    let id = fields.word("op-id")?.into();
-    let _server: ServerId = fields.number("server")?;
-    let _took: Nanos = fields.number("took")?;
-    Ok(Event::StreamStarted { id, attempt: AttemptNumber::new(fields.number("leg")?) })
+    let id = fields.word(field::REQUEST)?.into();
+    let _server: ServerId = fields.number(field::SERVER)?;
+    let _elapsed: Nanos = fields.number(field::ELAPSED)?;
+    Ok(Event::StreamStarted { id, attempt: read_attempt_number(fields)? })
+}
+
+fn read_attempt_end(fields: &mut Fields) -> Result<Event, WireError> {
+    Ok(Event::AttemptEnded {
+        id: fields.word(field::REQUEST)?.into(),
+        outcome: fields.choice(field::OUTCOME, OUTCOMES)?,
+        attempt: read_attempt_number(fields)?,
+        is_request_finished: fields.choice(field::IS_REQUEST_FINISHED, BOOLEANS)?,
+        elapsed: fields.number_or(field::ELAPSED, 0)?,
+        server: fields.number(field::SERVER)?,
+        report: fields.load_report(field::LOAD_REPORT)?,
+    })
+}
+
+fn read_probe_end(fields: &mut Fields) -> Result<Event, WireError> {
+    Ok(Event::Probed {
+        outcome: fields.choice(field::OUTCOME, OUTCOMES)?,
+        server: fields.number(field::SERVER)?,
+        elapsed: fields.number_or(field::ELAPSED, 0)?,
+        report: fields.load_report(field::LOAD_REPORT)?,
+    })
+}
+
+fn read_attempt_number(fields: &mut Fields) -> Result<AttemptNumber, WireError> {
+    fields.number(field::ATTEMPT).map(AttemptNumber::new)
 }
--- a/crates/simulator-adapter/src/wire/fields.rs
+++ b/crates/simulator-adapter/src/wire/fields.rs
@@ -1,5 +1,6 @@
 //! A cursor over the fields of one line.
 
+use super::vocabulary::ABSENT;
 use super::{Problem, WireError};
 use std::str::FromStr;
 
@@ -37,9 +38,9 @@
         Ok(word)
     }
 
-    /// Takes one field, where `-` marks an absent value.
+    /// Takes one field, where [`ABSENT`] stands for an absent value.
     pub(super) fn optional(&mut self, field: &str) -> Result<Option<&'a str>, WireError> {
-        self.word(field).map(|word| (word != "-").then_some(word))
+        self.word(field).map(|word| (word != ABSENT).then_some(word))
     }
 
     pub(super) fn parse<T: FromStr>(&self, field: &str, word: &str) -> Result<T, WireError> {
--- a/crates/simulator-adapter/src/wire/mod.rs
+++ b/crates/simulator-adapter/src/wire/mod.rs
@@ -5,6 +5,7 @@
 mod event;
 mod fields;
 mod reader;
+pub(crate) mod vocabulary;
 
 pub use action::write_action;
 pub use error::{Problem, WireError};
--- a/crates/simulator-adapter/src/wire/reader.rs
+++ b/crates/simulator-adapter/src/wire/reader.rs
@@ -1,7 +1,8 @@
 //! Reads the messages of batches line by line, and keeps the endpoint lists given so far.
 
-use super::event::{read_event, ENDPOINT_STATES, LIST_KINDS};
+use super::event::read_event;
 use super::fields::Fields;
+use super::vocabulary::{field, message, ENDPOINT_STATES, INSTANCE_PREFIX, LIST_KINDS};
 use super::{Problem, WireError};
 use mintshelf_balancer::api::{Event, ListKind, ListedServer, Settings};
 use mintshelf_balancer::settings::parse_settings;
@@ -11,19 +12,6 @@
 
 /// Endpoint lists have numbers below this.
 const LIST_NUMBERS: u32 = 16;
-/// Messages that concern the target instance.
-const TARGET_MESSAGES: [&str; 10] = [
-    "attach",
-    "killed",
-    "update",
-    "submit",
-    "under_way",
-    "resolved",
-    "abandoned",
-    "timer",
-    "health",
-    "peer_data",
-];
 
 /// One message of a batch.
 #[derive(Debug, Clone, PartialEq)]
@@ -80,7 +68,7 @@
     pub fn read_line(&mut self, text: &str) -> Result<Option<Message>, WireError> {
         self.line += 1;
         let mut fields = Fields::new(self.line, text);
-        let name = fields.word("message name")?;
+        let name = fields.word(field::MESSAGE)?;
         self.check_order(name, &fields)?;
         let message = self.read_message(name, &mut fields)?;
         fields.end(name)?;
@@ -95,20 +83,24 @@
     pub fn finish(&self) -> Result<(), WireError> {
         if self.is_in_batch {
             let problem = Problem::UnfinishedBatch;
-            return Err(WireError { line: self.line + 1, field: "your_turn".into(), problem });
+            return Err(WireError {
+                line: self.line + 1,
+                field: message::BATCH_END.into(),
+                problem,
+            });
         }
         Ok(())
     }
 
     /// Checks that a message may come at this point.
     fn check_order(&self, name: &str, fields: &Fields) -> Result<(), WireError> {
-        if self.incomplete_list.is_some() && name != "server" {
+        if self.incomplete_list.is_some() && name != message::LIST_ENTRY {
             return Err(fields.error(name, Problem::ListIncomplete));
         }
-        if !self.is_in_batch && name != "clock" {
+        if !self.is_in_batch && name != message::BATCH_BEGIN {
             return Err(fields.error(name, Problem::BeforeClock));
         }
-        if TARGET_MESSAGES.contains(&name) && !self.has_target {
+        if message::OF_TARGET.contains(&name) && !self.has_target {
             return Err(fields.error(name, Problem::BeforeTarget));
         }
         Ok(())
@@ -120,46 +112,47 @@
         fields: &mut Fields,
     ) -> Result<Option<Message>, WireError> {
         Ok(Some(match name {
-            "clock" => self.read_clock(fields)?,
-            "your_turn" => {
+            message::BATCH_BEGIN => self.read_clock(fields)?,
+            message::BATCH_END => {
                 self.is_in_batch = false;
                 Message::YourTurn
             }
-            "target_instance" => self.read_target(fields)?,
-            "attach" => read_attach(fields)?,
-            "killed" => Message::Killed,
-            "census" => return self.read_list_header(fields).map(|()| None),
-            "server" => return self.read_server(fields).map(|()| None),
-            "update" => Message::Event(self.read_update(fields)?),
+            message::TARGET => self.read_target(fields)?,
+            message::START => read_attach(fields)?,
+            message::KILLED => Message::Killed,
+            message::LIST_BEGIN => return self.read_list_header(fields).map(|()| None),
+            message::LIST_ENTRY => return self.read_server(fields).map(|()| None),
+            message::LIST_ARRIVED => Message::Event(self.read_update(fields)?),
             _ => Message::Event(read_event(name, fields)?),
         }))
     }
 
     fn read_clock(&mut self, fields: &mut Fields) -> Result<Message, WireError> {
         if self.is_in_batch {
-            return Err(fields.error("clock", Problem::InsideBatch));
+            return Err(fields.error(message::BATCH_BEGIN, Problem::InsideBatch));
         }
-        let now = fields.number("clock")?;
+        let now = fields.number(field::TIME)?;
         self.is_in_batch = true;
         self.has_target = false;
         Ok(Message::Clock(now))
     }
 
     fn read_target(&mut self, fields: &mut Fields) -> Result<Message, WireError> {
-        let word = fields.word("i")?;
-        let number = word.strip_prefix("sidecar_").and_then(|number| number.parse().ok());
-        let number =
-            number.ok_or_else(|| fields.error("i", Problem::NotAnInstance(word.to_string())))?;
+        let word = fields.word(field::INSTANCE)?;
+        let number = word.strip_prefix(INSTANCE_PREFIX).and_then(|number| number.parse().ok());
+        let number = number.ok_or_else(|| {
+            fields.error(field::INSTANCE, Problem::NotAnInstance(word.to_string()))
+        })?;
         self.has_target = true;
         Ok(Message::Target(number))
     }
 
     fn read_list_header(&mut self, fields: &mut Fields) -> Result<(), WireError> {
-        let number: u32 = fields.number("set-id")?;
+        let number: u32 = fields.number(field::LIST_NUMBER)?;
         if number >= LIST_NUMBERS {
-            return Err(fields.error("set-id", Problem::ListNumberTooLarge(number)));
+            return Err(fields.error(field::LIST_NUMBER, Problem::ListNumberTooLarge(number)));
         }
-        let length: usize = fields.number("hosts")?;
+        let length: usize = fields.number(field::LIST_LENGTH)?;
         if length == 0 {
             self.endpoint_lists.insert(number, Arc::from(Vec::new()));
         } else {
@@ -171,16 +164,16 @@
 
     fn read_server(&mut self, fields: &mut Fields) -> Result<(), WireError> {
         let Some(mut list) = self.incomplete_list.take() else {
-            return Err(fields.error("server", Problem::OutsideList));
+            return Err(fields.error(message::LIST_ENTRY, Problem::OutsideList));
         };
         list.entries.push(ListedServer {
-            id: fields.number("server")?,
-            zone: fields.number_or("rack-zone", 0)?,
-            hardware_model: fields.number_or("shape", 0)?,
-            failure_domain: fields.number_or("stripe", 0)?,
-            state: fields.choice("condition", ENDPOINT_STATES)?,
-            size: fields.finite("size")?,
-            started_at: fields.number_or("boot-time", 0)?,
+            id: fields.number(field::SERVER)?,
+            zone: fields.number_or(field::ZONE, 0)?,
+            hardware_model: fields.number_or(field::HARDWARE_MODEL, 0)?,
+            failure_domain: fields.number_or(field::FAILURE_DOMAIN, 0)?,
+            state: fields.choice(field::ENDPOINT_STATE, ENDPOINT_STATES)?,
+            size: fields.finite(field::SIZE)?,
+            started_at: fields.number_or(field::STARTED_AT, 0)?,
         });
         if list.entries.len() == list.length {
             self.endpoint_lists.insert(list.number, list.entries.into());
@@ -191,9 +184,9 @@
     }
 
     fn read_update(&self, fields: &mut Fields) -> Result<Event, WireError> {
-        let kind = fields.choice("how", LIST_KINDS)?;
-        let version = fields.number_or("index", 0)?;
-        let list = fields.optional("set-id")?;
+        let kind = fields.choice(field::LIST_KIND, LIST_KINDS)?;
+        let version = fields.number_or(field::LIST_VERSION, 0)?;
+        let list = fields.optional(field::LIST_NUMBER)?;
         let entries = match kind {
             ListKind::Failed => Arc::from(Vec::new()),
             _ => self.list(fields, list)?,
@@ -202,16 +195,16 @@
     }
 
     fn list(&self, fields: &Fields, word: Option<&str>) -> Result<Arc<[ListedServer]>, WireError> {
-        let word = word.ok_or_else(|| fields.error("set-id", Problem::Missing))?;
-        let number: u32 = fields.parse("set-id", word)?;
+        let word = word.ok_or_else(|| fields.error(field::LIST_NUMBER, Problem::Missing))?;
+        let number: u32 = fields.parse(field::LIST_NUMBER, word)?;
         let list = self.endpoint_lists.get(&number).cloned();
-        list.ok_or_else(|| fields.error("set-id", Problem::UnknownList(number)))
+        list.ok_or_else(|| fields.error(field::LIST_NUMBER, Problem::UnknownList(number)))
     }
 }
 
 fn read_attach(fields: &mut Fields) -> Result<Message, WireError> {
-    let seed = fields.number("prng")?;
-    let settings = parse_settings(fields.text("profile-data")?)
-        .map_err(|cause| fields.error("profile-data", cause.into()))?;
+    let seed = fields.number(field::SEED)?;
+    let settings = parse_settings(fields.text(field::SETTINGS)?)
+        .map_err(|cause| fields.error(field::SETTINGS, cause.into()))?;
     Ok(Message::Attach { seed, settings: Box::new(settings) })
 }
