--- a/crates/mintshelf/tests/conformance/main.rs
+++ b/crates/mintshelf/tests/conformance/main.rs
@@ -1,309 +1,131 @@
-//! Sentences of the design pages as rows of tables, each played where it applies: on the decision
+//! Sentences of the design pages as rows of tables, each checked where it applies: on the decision
 //! module, on the simulator's wire, at the real sidecar. One test a row.
 
-mod module;
+mod decision_module;
+mod harness;
+mod rows;
 mod sidecar;
-mod stage;
-mod wire;
+mod simulator_wire;
 
+use decision_module::DecisionModule;
 use libtest_mimic::{Arguments, Failed, Trial};
-use serde::Deserialize;
+use rows::{
+    Design, EligibilityRow, Notifications, OutcomeRow, Outcomes, RequestOutcome, Shutdowns, Target,
+    Untested, ALL_TARGETS,
+};
+use simulator_wire::SimulatorWire;
 use std::collections::HashSet;
 
-/// Where a row can be played.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Deserialize)]
-#[serde(rename_all = "lowercase")]
-pub(crate) enum On {
-    Module,
-    Wire,
-    Sidecar,
-}
-
-const EVERYWHERE: [On; 3] = [On::Module, On::Wire, On::Sidecar];
-
-/// What an attempt comes to.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
-#[serde(rename_all = "kebab-case")]
-pub(crate) enum Met {
-    Error,
-    TurnedAway,
-    NoConnection,
-    Reset,
-    Silence,
-    Spoilt,
-}
-
-/// What a client is told.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
-#[serde(rename_all = "lowercase")]
-pub(crate) enum End {
-    Served,
-    Refused,
-    Failed,
-    /// Refused or failed.
-    Unserved,
-}
-
-/// What a request ended as, and how many attempts went out.
+/// How a request ended, and after how many attempts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Seen {
-    pub(crate) end: End,
-    pub(crate) sent: usize,
-}
-
-#[derive(Debug, Clone, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub(crate) struct Given {
-    /// `safe`, `keyed` or `unsafe`, in this order in all settings.
-    pub(crate) class: String,
-    pub(crate) met: Vec<Met>,
-    /// How long each of these takes.
-    #[serde(default = "soon")]
-    pub(crate) took_ms: u64,
-}
-
-fn soon() -> u64 {
-    20
-}
-
-impl Given {
-    /// The class's number.
-    pub(crate) fn class(&self) -> usize {
-        ["safe", "keyed", "unsafe"].iter().position(|name| *name == self.class).unwrap()
-    }
-}
-
-#[derive(Debug, Clone, Deserialize)]
-#[serde(deny_unknown_fields)]
-struct Expect {
-    end: End,
-    sent: Option<usize>,
-    sent_at_most: Option<usize>,
-}
-
-#[derive(Debug, Clone, Deserialize)]
-#[serde(deny_unknown_fields)]
-struct OutcomeRow {
-    id: String,
-    source: String,
-    given: Given,
-    expect: Expect,
-    #[serde(default = "everywhere")]
-    on: Vec<On>,
-    /// Why it is not played everywhere.
-    why: Option<String>,
-}
-
-fn everywhere() -> Vec<On> {
-    EVERYWHERE.to_vec()
-}
-
-#[derive(Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-struct Outcomes {
-    row: Vec<OutcomeRow>,
-}
-
-/// A line of servers by their speeds.
-#[derive(Debug, Clone, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub(crate) struct LineRow {
-    id: String,
-    source: String,
-    pub(crate) speeds: Vec<f64>,
-    /// The bound of (4.1), a hair above where it has no short form.
-    pub(crate) epsilon_below: Option<f64>,
-    /// Of all requests when waits are equal, and of the dedicated ones.
-    pub(crate) shares: Vec<f64>,
-}
-
-/// How a server is listed.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
-#[serde(rename_all = "lowercase")]
-pub(crate) enum State {
-    Ready,
-    Draining,
-    Gone,
-    /// Has just started.
-    Cold,
-}
-
-/// Servers, and who of them gets requests.
-#[derive(Debug, Clone, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub(crate) struct MembersRow {
-    id: String,
-    source: String,
-    pub(crate) servers: Vec<State>,
-    /// These get some.
-    gets: Vec<usize>,
-    /// These get less than half of what any of those gets; all others nothing.
-    #[serde(default)]
-    less: Vec<usize>,
-}
-
-#[derive(Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-struct Design {
-    line: Vec<LineRow>,
-    members: Vec<MembersRow>,
-}
-
-/// What happens to discovery.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
-#[serde(rename_all = "kebab-case")]
-pub(crate) enum Trouble {
-    None,
-    Reset,
-    Silent,
-    Fails,
-    Sighup,
-    AgentOutage,
+pub(crate) struct Observed {
+    pub(crate) outcome: RequestOutcome,
+    pub(crate) attempts: usize,
 }
 
-#[derive(Debug, Clone, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub(crate) struct ClockRow {
-    id: String,
-    source: String,
-    pub(crate) trouble: Trouble,
-    pub(crate) told_ms: u64,
-}
-
-#[derive(Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-struct Clocks {
-    row: Vec<ClockRow>,
-}
-
-#[derive(Debug, Clone, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub(crate) struct EndingRow {
-    id: String,
-    source: String,
-    pub(crate) class: String,
-    pub(crate) sent_ms: i64,
-    pub(crate) served_ms: Option<u64>,
-    pub(crate) status: u16,
-    /// No server has seen it.
-    #[serde(default)]
-    pub(crate) untried: bool,
-    pub(crate) by_ms: u64,
-}
-
-#[derive(Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-struct Endings {
-    row: Vec<EndingRow>,
-}
-
-#[derive(Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-struct Sentence {
-    source: String,
-    says: String,
-    why: String,
-}
-
-#[derive(Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-struct Unplayed {
-    sentence: Vec<Sentence>,
-}
-
-fn held(holds: bool, what: impl FnOnce() -> String) -> Result<(), Failed> {
-    match holds {
+fn check(is_met: bool, failure: impl FnOnce() -> String) -> Result<(), Failed> {
+    match is_met {
         true => Ok(()),
-        false => Err(what().into()),
+        false => Err(failure().into()),
     }
 }
 
-fn outcome(row: &OutcomeRow, on: On) -> Result<(), Failed> {
-    let seen = match on {
-        On::Module => stage::outcome::<module::Module>(&row.given),
-        On::Wire => stage::outcome::<wire::Wire>(&row.given),
-        On::Sidecar => sidecar::outcome(&row.given),
+fn check_outcome(row: &OutcomeRow, target: Target) -> Result<(), Failed> {
+    let observed = match target {
+        Target::Module => harness::outcome::<DecisionModule>(&row.given),
+        Target::Wire => harness::outcome::<SimulatorWire>(&row.given),
+        Target::Sidecar => sidecar::outcome(&row.given),
     };
     let expect = &row.expect;
-    let end = match expect.end {
-        End::Unserved => seen.end != End::Served,
-        end => seen.end == end,
+    let has_outcome = match expect.outcome {
+        RequestOutcome::NotServed => observed.outcome != RequestOutcome::Served,
+        outcome => observed.outcome == outcome,
     };
-    let sent = expect.sent.is_none_or(|sent| sent == seen.sent)
-        && expect.sent_at_most.is_none_or(|most| seen.sent <= most);
-    held(end && sent, || format!("{}: {expect:?}, seen {seen:?}", row.source))
-}
-
-fn members(row: &MembersRow, on: On) -> Result<(), Failed> {
-    let counts = match on {
-        On::Module => stage::members::<module::Module>(row),
-        On::Wire => stage::members::<wire::Wire>(row),
-        On::Sidecar => sidecar::members(row),
+    let has_attempts = expect.attempts.is_none_or(|attempts| attempts == observed.attempts)
+        && expect.max_attempts.is_none_or(|max| observed.attempts <= max);
+    check(has_outcome && has_attempts, || {
+        format!("{}: {expect:?}, observed {observed:?}", row.source)
+    })
+}
+
+fn check_eligibility(row: &EligibilityRow, target: Target) -> Result<(), Failed> {
+    let counts = match target {
+        Target::Module => harness::request_counts::<DecisionModule>(row),
+        Target::Wire => harness::request_counts::<SimulatorWire>(row),
+        Target::Sidecar => sidecar::request_counts(row),
     };
-    let least = row.gets.iter().map(|server| counts[*server]).min().unwrap_or(0);
-    held(least > 0, || format!("{}: one of {:?} got none: {counts:?}", row.source, row.gets))?;
+    let min = row.served.iter().map(|server| counts[*server]).min().unwrap_or(0);
+    check(min > 0, || format!("{}: one of {:?} got none: {counts:?}", row.source, row.served))?;
     for (server, count) in counts.iter().enumerate() {
-        let most = match (row.gets.contains(&server), row.less.contains(&server)) {
+        let max = match (row.served.contains(&server), row.reduced.contains(&server)) {
             (true, _) => usize::MAX,
-            (_, true) => least / 2,
+            (_, true) => min / 2,
             _ => 0,
         };
-        held(*count <= most, || format!("{}: server {server}: {counts:?}", row.source))?;
+        check(*count <= max, || format!("{}: server {server}: {counts:?}", row.source))?;
     }
     Ok(())
 }
 
-fn trial(
-    kind: &str,
+fn test_case(
+    table: &str,
     id: &str,
-    on: On,
+    target: Target,
     run: impl FnOnce() -> Result<(), Failed> + Send + 'static,
 ) -> Trial {
-    Trial::test(format!("{kind}::{id}::{on:?}").to_lowercase(), run)
+    Trial::test(format!("{table}::{id}::{target:?}").to_lowercase(), run)
 }
 
 fn main() {
     let outcomes: Outcomes = toml::from_str(include_str!("outcomes.toml")).unwrap();
     let design: Design = toml::from_str(include_str!("design.toml")).unwrap();
-    let clocks: Clocks = toml::from_str(include_str!("clocks.toml")).unwrap();
-    let endings: Endings = toml::from_str(include_str!("ending.toml")).unwrap();
-    let unplayed: Unplayed = toml::from_str(include_str!("unplayed.toml")).unwrap();
-    for sentence in &unplayed.sentence {
-        assert!(![&sentence.source, &sentence.says, &sentence.why]
-            .iter()
-            .any(|text| text.is_empty()));
+    let notifications: Notifications = toml::from_str(include_str!("notification.toml")).unwrap();
+    let shutdowns: Shutdowns = toml::from_str(include_str!("shutdown.toml")).unwrap();
+    let untested: Untested = toml::from_str(include_str!("untested.toml")).unwrap();
+    for row in &untested.untested {
+        assert!(![&row.source, &row.sentence, &row.reason].iter().any(|text| text.is_empty()));
     }
-    let mut trials = Vec::new();
+    let mut tests = Vec::new();
     for row in outcomes.row {
-        assert!(row.on.len() == EVERYWHERE.len() || row.why.is_some(), "{}: why not?", row.id);
-        for on in row.on.clone() {
+        assert!(
+            row.targets.len() == ALL_TARGETS.len() || row.reason.is_some(),
+            "{}: why not?",
+            row.id
+        );
+        for target in row.targets.clone() {
             let row = row.clone();
-            trials.push(trial("outcome", &row.id.clone(), on, move || outcome(&row, on)));
+            tests.push(test_case("outcome", &row.id.clone(), target, move || {
+                check_outcome(&row, target)
+            }));
         }
     }
-    for row in design.line {
-        trials.push(trial("line", &row.id.clone(), On::Module, move || {
-            module::line(&row).map_err(|what| format!("{}: {what}", row.source).into())
+    for row in design.order {
+        tests.push(test_case("order", &row.id.clone(), Target::Module, move || {
+            decision_module::check_order(&row)
+                .map_err(|failure| format!("{}: {failure}", row.source).into())
         }));
     }
-    for row in design.members {
-        for on in EVERYWHERE {
+    for row in design.eligibility {
+        for target in ALL_TARGETS {
             let row = row.clone();
-            trials.push(trial("members", &row.id.clone(), on, move || members(&row, on)));
+            tests.push(test_case("eligibility", &row.id.clone(), target, move || {
+                check_eligibility(&row, target)
+            }));
         }
     }
-    for row in clocks.row {
-        trials.push(trial("clocks", &row.id.clone(), On::Sidecar, move || {
+    for row in notifications.row {
+        tests.push(test_case("notification", &row.id.clone(), Target::Sidecar, move || {
             let late = sidecar::count_late_requests(&row);
-            held(late == 0, || format!("{}: {late} requests went on to it", row.source))
+            check(late == 0, || format!("{}: {late} requests were sent to it", row.source))
         }));
     }
-    for row in endings.row {
-        trials.push(trial("ending", &row.id.clone(), On::Sidecar, move || {
-            sidecar::ending(&row).map_err(|what| format!("{}: {what}", row.source).into())
+    for row in shutdowns.row {
+        tests.push(test_case("shutdown", &row.id.clone(), Target::Sidecar, move || {
+            sidecar::check_shutdown(&row)
+                .map_err(|failure| format!("{}: {failure}", row.source).into())
         }));
     }
-    let names: HashSet<_> = trials.iter().map(|trial| trial.name().to_string()).collect();
-    assert_eq!(names.len(), trials.len(), "a row's name stands twice");
-    libtest_mimic::run(&Arguments::from_args(), trials).exit();
+    let names: HashSet<_> = tests.iter().map(|test| test.name().to_string()).collect();
+    assert_eq!(names.len(), tests.len(), "two rows have the same name");
+    libtest_mimic::run(&Arguments::from_args(), tests).exit();
 }
