--- a/crates/test-support/src/message.rs
+++ b/crates/test-support/src/message.rs
@@ -46,7 +46,7 @@
         Some(value.split('&').next().unwrap().parse().unwrap())
     }
 
-    /// How long a call to discovery asks to wait for a newer list; zero if it does not say.
+    /// How long a call to discovery may wait for a newer list; zero if it does not state it.
     ///
     /// # Panics
     /// The parameter is not a number.
--- a/crates/test-support/src/soak/clients.rs
+++ b/crates/test-support/src/soak/clients.rs
@@ -1,8 +1,8 @@
-//! Clients of a soak: they send at random times on connections that they keep, some leave before
+//! Clients of a soak: they send at random times on connections that they reuse, some disconnect before
 //! their response, and they go on with open connections until the process is killed.
 
-use super::records::{Ending, Records, RequestRecord};
-use super::scenario::{Class, Draw, DrawPart, Scenario};
+use super::records::{Records, RequestEnd, RequestRecord};
+use super::scenario::{Class, RandomStream, Scenario, SeededRandom};
 use super::stream::{MessageStream, Received};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -14,19 +14,19 @@
 
 /// A response that comes later than this after its client's time is lost.
 pub(super) const LATE_MAX: Duration = Duration::from_millis(500);
-/// Part of the clients that leave before their response.
+/// Share of the clients that disconnect before their response.
 const DISCONNECTING: f64 = 0.03;
-/// Part of the requests that are written in two parts, where there are slow clients.
+/// Share of the requests that are written in two parts, where there are slow clients.
 const SLOW: f64 = 0.1;
 /// The delay between these, in milliseconds.
 const SLOW_DELAY_MS: (u64, u64) = (5, 200);
-/// Clients that begin a request and stop, for each that sends one completely.
+/// Clients that stop within a request, for each one that sends it completely.
 const STOPPING: f64 = 0.03;
-/// An incomplete request has its response or its connection's end by then: 3 s, and half a second
-/// in which a slow process may be late.
+/// An incomplete request has a response or a closed connection within this time: 3 s, and 0.5 s for a
+/// slow process.
 const INCOMPLETE_MAX: Duration = Duration::from_millis(3_500);
-/// Shortest wait of a client, as a part of its class's deadline.
-const LEAST_WAIT: f64 = 0.4;
+/// Shortest client timeout, as a share of the deadline.
+const MIN_TIMEOUT_SHARE: f64 = 0.4;
 
 /// An idle connection, and whether it has carried a request.
 struct PooledConnection {
@@ -39,12 +39,12 @@
     address: SocketAddr,
     deadline: Duration,
     records: Rc<RefCell<Records>>,
-    draw: RefCell<Draw>,
+    random: RefCell<SeededRandom>,
     has_slow: bool,
-    /// For slow clients alone: the others do the same with and without them.
-    slow_draw: RefCell<Draw>,
+    /// For slow clients alone, so that the others behave the same with and without them.
+    slow_random: RefCell<SeededRandom>,
     pooled: RefCell<Vec<PooledConnection>>,
-    crowd: RefCell<Vec<TcpStream>>,
+    idle_clients: RefCell<Vec<TcpStream>>,
     may_connect: Cell<bool>,
     last_transaction: Cell<u64>,
     open: Cell<usize>,
@@ -61,33 +61,33 @@
             deadline: scenario.deadline,
             has_slow: scenario.has_slow_clients,
             records,
-            draw: RefCell::new(scenario.draw(DrawPart::Clients)),
-            slow_draw: RefCell::new(scenario.draw(DrawPart::SlowClients)),
+            random: RefCell::new(scenario.random(RandomStream::Clients)),
+            slow_random: RefCell::new(scenario.random(RandomStream::SlowClients)),
             pooled: RefCell::default(),
-            crowd: RefCell::default(),
+            idle_clients: RefCell::default(),
             may_connect: Cell::new(true),
             last_transaction: Cell::new(0),
             open: Cell::new(0),
         })
     }
 
-    /// Sends requests at random times, never ending.
+    /// Sends requests at random times, without end.
     pub(super) async fn send_requests(self: Rc<Self>, rate: f64) {
         loop {
-            let wait = -(1.0 - self.draw.borrow_mut().uniform()).ln() / rate;
+            let wait = -(1.0 - self.random.borrow_mut().uniform()).ln() / rate;
             sleep(Duration::from_secs_f64(wait)).await;
             spawn_local(self.clone().send_request());
-            if self.has_slow && self.slow_draw.borrow_mut().is_chosen(STOPPING) {
+            if self.has_slow && self.slow_random.borrow_mut().is_chosen(STOPPING) {
                 spawn_local(self.clone().send_part());
             }
         }
     }
 
     /// Connects idle clients that send nothing.
-    pub(super) async fn gather_crowd(&self, count: usize) {
+    pub(super) async fn open_idle_connections(&self, count: usize) {
         for _ in 0..count {
             if let Ok(stream) = TcpStream::connect(self.address).await {
-                self.crowd.borrow_mut().push(stream);
+                self.idle_clients.borrow_mut().push(stream);
             }
         }
     }
@@ -97,10 +97,10 @@
         self.may_connect.set(may_connect);
     }
 
-    /// Drops all idle connections, as when the process is gone.
+    /// Drops all idle connections, as after the end of the process.
     pub(super) fn forget_connections(&self) {
         self.pooled.borrow_mut().clear();
-        self.crowd.borrow_mut().clear();
+        self.idle_clients.borrow_mut().clear();
     }
 
     /// Waits until no request is open.
@@ -133,32 +133,32 @@
         self.open.set(self.open.get() - 1);
     }
 
-    /// Makes one request; none where no connection was to be had.
+    /// Sends one request; none where there is no connection.
     async fn request(&self) -> Option<RequestRecord> {
-        let (class, timeout, leaves_after) = self.draw_request();
+        let (class, timeout, disconnects_after) = self.random_request();
         let transaction = self.next_transaction();
         let mut pooled = self.connection().await?;
         let mut sent_at = self.write(&mut pooled, class, &transaction, timeout).await?;
-        let mut ending = self.ending(&mut pooled, timeout, leaves_after).await;
-        if ending == (Ending::Closed { is_reused: true }) {
-            // The end of the idle connection may have crossed the request: it is sent once more.
+        let mut end = self.end(&mut pooled, timeout, disconnects_after).await;
+        if end == (RequestEnd::Closed { is_reused: true }) {
+            // The close of the idle connection may have crossed the request: it is sent once more.
             pooled = self.new_connection().await?;
             sent_at = self.write(&mut pooled, class, &transaction, timeout).await?;
-            ending = self.ending(&mut pooled, timeout, leaves_after).await;
+            end = self.end(&mut pooled, timeout, disconnects_after).await;
         }
         let ended_at = Instant::now();
-        self.keep(pooled, &ending);
-        Some(RequestRecord { transaction, class, sent_at, timeout, ending, ended_at })
+        self.keep(pooled, &end);
+        Some(RequestRecord { transaction, class, sent_at, timeout, end, ended_at })
     }
 
-    fn draw_request(&self) -> (Class, Duration, Option<Duration>) {
-        let mut draw = self.draw.borrow_mut();
-        let class = Class::ALL[draw.between(0, Class::ALL.len() - 1)];
-        let part = LEAST_WAIT + (1.0 - LEAST_WAIT) * draw.uniform();
+    fn random_request(&self) -> (Class, Duration, Option<Duration>) {
+        let mut random = self.random.borrow_mut();
+        let class = Class::ALL[random.between(0, Class::ALL.len() - 1)];
+        let part = MIN_TIMEOUT_SHARE + (1.0 - MIN_TIMEOUT_SHARE) * random.uniform();
         let timeout = self.deadline.mul_f64(part);
-        let leaves = draw.is_chosen(DISCONNECTING);
-        let leaves_after = leaves.then(|| timeout.mul_f64(draw.uniform()));
-        (class, timeout, leaves_after)
+        let disconnects = random.is_chosen(DISCONNECTING);
+        let disconnects_after = disconnects.then(|| timeout.mul_f64(random.uniform()));
+        (class, timeout, disconnects_after)
     }
 
     fn next_transaction(&self) -> String {
@@ -167,7 +167,7 @@
         format!("t{number:06}")
     }
 
-    /// Writes a request; when its last byte was written, or none if the connection took none.
+    /// Writes a request; when its last byte was written.
     async fn write(
         &self,
         pooled: &mut PooledConnection,
@@ -193,22 +193,22 @@
 
     /// Writes a request, in two parts where its client is slow.
     async fn write_parts(&self, stream: &mut MessageStream, request: &[u8]) {
-        let is_slow = self.has_slow && self.slow_draw.borrow_mut().is_chosen(SLOW);
+        let is_slow = self.has_slow && self.slow_random.borrow_mut().is_chosen(SLOW);
         let first_length = match is_slow {
-            true => self.slow_draw.borrow_mut().between(1, request.len() - 1),
+            true => self.slow_random.borrow_mut().between(1, request.len() - 1),
             false => request.len(),
         };
         let (first, rest) = request.split_at(first_length);
-        // A connection that takes no more has ended; its reading shows how.
+        // A connection that accepts no more bytes has ended; reading it shows how.
         let _ = stream.write(first).await;
         if is_slow {
-            let delay = self.slow_draw.borrow_mut().millis(SLOW_DELAY_MS.0, SLOW_DELAY_MS.1);
+            let delay = self.slow_random.borrow_mut().millis(SLOW_DELAY_MS.0, SLOW_DELAY_MS.1);
             sleep(delay).await;
             let _ = stream.write(rest).await;
         }
     }
 
-    /// Begins a request, stops in its midst and stays: the process has to respond or to close.
+    /// Begins a request, stops within it and stays: the process has to respond or to close.
     async fn send_part(self: Rc<Self>) {
         let Some(mut connection) = self.new_connection().await else { return };
         let _ = connection.stream.write(b"GET /api HTTP/1.1\r\nHost: a\r\nX-Tx").await;
@@ -220,30 +220,30 @@
         }
     }
 
-    async fn ending(
+    async fn end(
         &self,
         pooled: &mut PooledConnection,
         client_timeout: Duration,
-        leaves_after: Option<Duration>,
-    ) -> Ending {
-        let wait = leaves_after.unwrap_or(client_timeout + LATE_MAX);
+        disconnects_after: Option<Duration>,
+    ) -> RequestEnd {
+        let wait = disconnects_after.unwrap_or(client_timeout + LATE_MAX);
         match timeout(wait, pooled.stream.read()).await {
-            Err(_) if leaves_after.is_some() => Ending::Left,
-            Err(_) => Ending::Silence,
-            Ok(Received::Nothing) => Ending::Closed { is_reused: pooled.is_reused },
-            Ok(Received::Part) => Ending::Broken,
+            Err(_) if disconnects_after.is_some() => RequestEnd::Disconnected,
+            Err(_) => RequestEnd::Silence,
+            Ok(Received::Nothing) => RequestEnd::Closed { is_reused: pooled.is_reused },
+            Ok(Received::Part) => RequestEnd::Broken,
             Ok(Received::Message(response, _)) => {
                 let body = String::from_utf8_lossy(&response.body).into_owned();
                 let closes = response.header("connection").is_some_and(|value| value == "close");
                 pooled.is_reused = !closes;
-                Ending::Response(response.status(), body)
+                RequestEnd::Response(response.status(), body)
             }
         }
     }
 
-    /// Keeps a connection for the next request, unless it ends.
-    fn keep(&self, pooled: PooledConnection, ending: &Ending) {
-        if matches!(ending, Ending::Response(..)) && pooled.is_reused {
+    /// Pools a connection for the next request, unless it ends.
+    fn keep(&self, pooled: PooledConnection, end: &RequestEnd) {
+        if matches!(end, RequestEnd::Response(..)) && pooled.is_reused {
             self.pooled.borrow_mut().push(pooled);
         }
     }
--- a/crates/test-support/src/soak/cpu_limit.rs
+++ b/crates/test-support/src/soak/cpu_limit.rs
@@ -1,5 +1,5 @@
-//! A process with a part of a core: it is stopped and continued so that its CPU time does not
-//! run ahead of its share.
+//! Limits a process to a share of a core: it is stopped and continued so that its CPU time stays within
+//! the share.
 
 use rustix::process::{kill_process, Pid, Signal};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -10,7 +10,7 @@
 /// How long the process may run at a time. Longer slices give long stops, in the midst of anything,
 /// where a small share of a core would only make everything slower.
 const SLICE: Duration = Duration::from_micros(100);
-/// CPU time that an idle process saves up at most.
+/// CPU time that an idle process may save up.
 const BURST: Duration = Duration::from_millis(1);
 const NANOS_PER_THOUSANDTH: u64 = 1_000;
 
--- a/crates/test-support/src/soak/discovery.rs
+++ b/crates/test-support/src/soak/discovery.rs
@@ -1,8 +1,8 @@
-//! Discovery of a soak: it logs its changes, answers long polls with them or with complete lists,
+//! Discovery of a soak: it logs its changes, responds to long polls with them or with complete lists,
 //! and records when it has written that a server is out of service.
 
 use super::records::{Outage, Records};
-use super::scenario::{Draw, ListDelivery};
+use super::scenario::{ListDelivery, SeededRandom};
 use super::stream::{MessageStream, Received};
 use crate::addresses::free_address;
 use crate::message::{ok_response, Message};
@@ -18,7 +18,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// Into how many pieces a list is cut where it comes slowly.
+/// Number of pieces of a list that is delivered slowly.
 const PIECES: usize = 8;
 const PIECE_DELAY: Duration = Duration::from_millis(20);
 
@@ -48,14 +48,14 @@
     /// How often open calls have fallen silent.
     silences: watch::Sender<u64>,
     delivery: Cell<ListDelivery>,
-    draw: RefCell<Draw>,
+    random: RefCell<SeededRandom>,
     answers_completely: Cell<bool>,
     /// Servers out of service of which no one has been notified.
     unnotified: RefCell<HashSet<usize>>,
 }
 
 impl Discovery {
-    pub(super) fn new(records: Rc<RefCell<Records>>, draw: Draw) -> Rc<Self> {
+    pub(super) fn new(records: Rc<RefCell<Records>>, random: SeededRandom) -> Rc<Self> {
         Rc::new(Discovery {
             records,
             listed: RefCell::default(),
@@ -64,7 +64,7 @@
             is_down: watch::Sender::new(false),
             silences: watch::Sender::new(0),
             delivery: Cell::new(ListDelivery::Complete),
-            draw: RefCell::new(draw),
+            random: RefCell::new(random),
             answers_completely: Cell::new(false),
             unnotified: RefCell::default(),
         })
@@ -83,7 +83,7 @@
         address
     }
 
-    /// Changes servers and tells the watches.
+    /// Changes servers and notifies the watches.
     pub(super) fn change(&self, changed: Vec<(usize, Listed)>) {
         if changed.is_empty() {
             return;
@@ -108,13 +108,13 @@
         servers.map(|(server, _)| *server).collect()
     }
 
-    /// Gives complete lists to calls until that is called off.
+    /// Sets whether calls get complete lists.
     pub(super) fn answer_completely(&self, gives: bool) {
         self.answers_completely.set(gives);
     }
 
-    /// Takes no calls for a while.
-    pub(super) async fn go_down(&self, lasts: Duration) {
+    /// Accepts no calls for a while.
+    pub(super) async fn go_down(&self, duration: Duration) {
         self.is_down.send_replace(true);
         let outage = Outage { began_at: Instant::now(), ended_at: None };
         let number = {
@@ -122,20 +122,20 @@
             records.outages.push(outage);
             records.outages.len() - 1
         };
-        sleep(lasts).await;
+        sleep(duration).await;
         self.is_down.send_replace(false);
         self.records.borrow_mut().outages[number].ended_at = Some(Instant::now());
     }
 
-    /// Never answers the calls that are open.
+    /// Never responds to the calls that are open.
     pub(super) fn silence_watches(&self) {
         self.silences.send_modify(|silences| *silences += 1);
     }
 
     /// Delivers lists in another way for a while.
-    pub(super) async fn deliver(&self, delivery: ListDelivery, lasts: Duration) {
+    pub(super) async fn deliver(&self, delivery: ListDelivery, duration: Duration) {
         self.delivery.set(delivery);
-        sleep(lasts).await;
+        sleep(duration).await;
         self.delivery.set(ListDelivery::Complete);
     }
 
@@ -190,13 +190,13 @@
         true
     }
 
-    /// Sends a response as lists are delivered now; whether it was sent completely.
+    /// Sends a response in the current way of delivery; whether it was sent completely.
     async fn write(&self, response: &[u8], stream: &mut MessageStream) -> bool {
         let result = match self.delivery.get() {
             ListDelivery::Complete => stream.write(response).await,
             ListDelivery::Slow => write_slowly(response, stream).await,
             ListDelivery::CutOff => {
-                let length = self.draw.borrow_mut().between(1, response.len() - 1);
+                let length = self.random.borrow_mut().between(1, response.len() - 1);
                 // The connection ends within the response in any case.
                 let _ = stream.write(&response[..length]).await;
                 return false;
--- a/crates/test-support/src/soak/stage.rs
+++ b/crates/test-support/src/soak/environment.rs
@@ -1,10 +1,10 @@
-//! Everything around the process of a run, and the process: its starts, ends and signals.
+//! The environment of a run: servers, discovery, clients, and the process with its signals.
 
 use super::clients::Clients;
 use super::cpu_limit::CpuLimit;
 use super::discovery::{Discovery, Listed, ListedState};
 use super::records::Records;
-use super::scenario::{Behavior, Class, Draw, Event, Scenario};
+use super::scenario::{Behavior, Class, Event, Scenario, SeededRandom};
 use super::servers::Servers;
 use super::stream::{MessageStream, Received};
 use crate::message::get;
@@ -29,49 +29,49 @@
 const LATE_CONNECTS: Duration = Duration::from_millis(300);
 /// How long a run goes on after its last restart.
 const AFTER_RESTART: Duration = Duration::from_secs(2);
-/// Environment variable with a folder for the processes' logs; `MINTSHELF_LOG` says what they have.
+/// Environment variable with a folder for the processes' logs; `MINTSHELF_LOG` sets their levels.
 const LOGS_VARIABLE: &str = "MINTSHELF_SOAK_LOGS";
-/// Time between two looks at what the process uses.
+/// Time between two records of what the process uses.
 const USAGE_INTERVAL: Duration = Duration::from_millis(200);
-/// Connections for which the configuration has room.
+/// Limit of descriptors in the configuration.
 const SOCKETS: usize = 256;
 const MEMORY_MB: usize = 48;
 
-/// Everything around the process, and the process.
-pub(super) struct Stage {
+/// A process, and everything that it is connected to.
+pub(super) struct Environment {
     pub(super) program: String,
     pub(super) scenario: Scenario,
-    pub(super) draw: Draw,
+    pub(super) random: SeededRandom,
     pub(super) listen: SocketAddr,
     pub(super) discovery_address: SocketAddr,
     pub(super) records: Rc<RefCell<Records>>,
     pub(super) servers: Rc<Servers>,
     pub(super) discovery: Rc<Discovery>,
     pub(super) clients: Rc<Clients>,
-    pub(super) child: Option<Running>,
+    pub(super) child: Option<RunningProcess>,
     pub(super) cpu_limit: Option<CpuLimit>,
 }
 
 /// A process, killed when this is dropped.
-pub(super) struct Running(Child);
+pub(super) struct RunningProcess(Child);
 
-impl Process for Running {
+impl Process for RunningProcess {
     fn pid(&self) -> u32 {
         self.0.id()
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningProcess {
     fn drop(&mut self) {
         crate::process::kill(&mut self.0);
     }
 }
 
-impl Stage {
-    /// Waits, and notes meanwhile what the process uses.
+impl Environment {
+    /// Waits, and records meanwhile what the process uses.
     pub(super) async fn wait_until(&self, at: tokio::time::Instant) {
         while tokio::time::Instant::now() < at {
-            self.note_usage();
+            self.record_usage();
             sleep_until(at.min(tokio::time::Instant::now() + USAGE_INTERVAL)).await;
         }
     }
@@ -81,19 +81,19 @@
             Event::Join(count) => self.join(*count).await,
             Event::Drain(count) => self.drain(*count),
             Event::Remove => self.remove(),
-            Event::Misbehave { thousandths, behavior, lasts } => {
-                self.misbehave(*thousandths, *behavior, *lasts);
+            Event::Misbehave { thousandths, behavior, duration } => {
+                self.misbehave(*thousandths, *behavior, *duration);
             }
-            Event::Outage(lasts) => {
+            Event::Outage(duration) => {
                 let discovery = self.discovery.clone();
-                let lasts = *lasts;
-                spawn_local(async move { discovery.go_down(lasts).await });
+                let duration = *duration;
+                spawn_local(async move { discovery.go_down(duration).await });
             }
             Event::SilentWatches => self.discovery.silence_watches(),
-            Event::Deliver { delivery, lasts } => {
+            Event::Deliver { delivery, duration } => {
                 let discovery = self.discovery.clone();
-                let (delivery, lasts) = (*delivery, *lasts);
-                spawn_local(async move { discovery.deliver(delivery, lasts).await });
+                let (delivery, duration) = (*delivery, *duration);
+                spawn_local(async move { discovery.deliver(delivery, duration).await });
             }
             Event::CompleteLists => self.discovery.answer_completely(true),
             Event::Reload => self.reload().await,
@@ -119,7 +119,7 @@
         let mut serving = self.discovery.with_state(ListedState::Serving);
         let mut drained = Vec::new();
         while drained.len() < count && serving.len() > 2 {
-            let server = serving.swap_remove(self.draw.between(0, serving.len() - 1));
+            let server = serving.swap_remove(self.random.between(0, serving.len() - 1));
             drained.push((server, Listed { state: ListedState::Draining, boot_ms: 0 }));
         }
         self.discovery.change(drained);
@@ -132,14 +132,14 @@
         self.discovery.answer_completely(false);
     }
 
-    fn misbehave(&mut self, thousandths: usize, behavior: Behavior, lasts: Duration) {
+    fn misbehave(&mut self, thousandths: usize, behavior: Behavior, duration: Duration) {
         let count = self.records.borrow().servers.len();
         let affected: Vec<usize> =
-            (0..count).filter(|_| self.draw.between(0, 999) < thousandths).collect();
+            (0..count).filter(|_| self.random.between(0, 999) < thousandths).collect();
         affected.iter().for_each(|server| self.servers.set_behavior(*server, behavior));
         let servers = self.servers.clone();
         spawn_local(async move {
-            sleep(lasts).await;
+            sleep(duration).await;
             affected.iter().for_each(|server| servers.set_behavior(*server, Behavior::Serve));
         });
     }
@@ -199,7 +199,7 @@
         self.discovery.record_known();
         let mut command = Command::new(&self.program);
         command.env("RELAY_CONFIG", self.file()).stdout(Stdio::null()).stderr(self.log());
-        let child = Running(command.spawn().expect("the program starts"));
+        let child = RunningProcess(command.spawn().expect("the program starts"));
         let thousandths = self.scenario.cpu_thousandths;
         self.cpu_limit = thousandths.map(|thousandths| CpuLimit::start(child.pid(), thousandths));
         self.child = Some(child);
@@ -237,7 +237,7 @@
         self.clients.set_may_connect(false);
         let kill_after = self.scenario.deadline.min(KILL_DEADLINE_MAX) + KILL_EXTRA;
         while signalled_at.elapsed() < kill_after && self.is_running() {
-            self.note_usage();
+            self.record_usage();
             sleep(Duration::from_millis(10)).await;
         }
         self.cpu_limit = None;
@@ -256,9 +256,9 @@
         self.child.as_mut().is_some_and(|child| matches!(child.0.try_wait(), Ok(None)))
     }
 
-    /// Notes what the process has used; it may end meanwhile.
-    fn note_usage(&self) {
-        let Some(pid) = self.child.as_ref().map(Running::pid) else { return };
+    /// Records what the process has used; it may end meanwhile.
+    fn record_usage(&self) {
+        let Some(pid) = self.child.as_ref().map(RunningProcess::pid) else { return };
         let Ok(schedstat) = std::fs::read_to_string(format!("/proc/{pid}/schedstat")) else {
             return;
         };
@@ -278,7 +278,7 @@
     }
 }
 
-impl Drop for Stage {
+impl Drop for Environment {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(self.file());
     }
--- a/crates/test-support/src/soak/mod.rs
+++ b/crates/test-support/src/soak/mod.rs
@@ -1,14 +1,16 @@
-//! A soak of the real sidecar between stand-ins, determined by a seed: releases in fleets of up to
-//! thousands of servers, drains, hanging servers, an outage of discovery, clients that leave, a
-//! crowd of idle ones, signals in series, and a process with a small share of a core.
+//! A soak of the real sidecar between test servers, clients and discovery, determined by a seed:
+//! releases in fleets of up to thousands of servers, drains, hanging servers, an outage of discovery,
+//! clients that disconnect, many idle ones, signals in series, and a process with a small share of a
+//! core.
 //!
-//! The stand-ins record what they see. [`oracle`] judges by these records alone, without any code
+//! All parts record what they observe. [`oracle`] judges by these records alone, without any code
 //! of the program.
 
 mod clients;
 pub mod costs;
 mod cpu_limit;
 mod discovery;
+mod environment;
 pub mod oracle;
 pub mod receive_time;
 pub mod records;
@@ -16,7 +18,6 @@
 mod run;
 mod scenario;
 mod servers;
-mod stage;
 mod stream;
 
 pub use report::SoakReport;
--- a/crates/test-support/src/soak/oracle.rs
+++ b/crates/test-support/src/soak/oracle.rs
@@ -1,7 +1,9 @@
-//! Judges a run by the stand-ins' records alone.
+//! Judges a run by its records alone.
 
 use super::clients::LATE_MAX;
-use super::records::{AttemptRecord, Ending, Fate, Records, RequestRecord, ServerRecord};
+use super::records::{
+    AttemptOutcome, AttemptRecord, Records, RequestEnd, RequestRecord, ServerRecord,
+};
 use super::scenario::Class;
 use std::fmt;
 use std::time::{Duration, Instant};
@@ -13,9 +15,9 @@
 const NOTIFIED_AFTER: Duration = Duration::from_secs(6);
 /// What discovery has at a SIGHUP with its new address counts as notified so long after that.
 const NOTIFIED_AFTER_RELOAD: Duration = Duration::from_secs(4);
-/// Time after a client has left in which an attempt may still begin.
-const LEFT_GRACE: Duration = Duration::from_millis(100);
-/// Slack of the time that an attempt tells its server.
+/// Time after a client has disconnected in which an attempt may still begin.
+const DISCONNECT_GRACE: Duration = Duration::from_millis(100);
+/// Slack of the remaining time that an attempt states to its server.
 const REMAINING_SLACK: Duration = Duration::from_millis(150);
 /// Two attempts that overlap by less may have been seen in the wrong order.
 const OVERLAP_SLACK: Duration = Duration::from_millis(100);
@@ -34,12 +36,12 @@
     Process,
 }
 
-/// One break of a rule.
+/// A violation of a rule.
 #[derive(Debug, Clone)]
 pub struct Violation {
     /// The rule.
     pub rule: Rule,
-    /// Which request or process, and what was seen.
+    /// Which request or process, and what was observed.
     pub text: String,
 }
 
@@ -49,7 +51,7 @@
     }
 }
 
-/// All breaks of rules in a run.
+/// All violations of rules in a run.
 pub fn judge(records: &Records) -> Vec<Violation> {
     let by_request = records.attempts_by_request();
     let mut violations = Vec::new();
@@ -77,16 +79,16 @@
 ) -> Option<Violation> {
     let count = attempts.len();
     let is_on_time = request.ended_at <= request.sent_at + request.timeout + LATE_MAX;
-    let text = match &request.ending {
-        Ending::Left => return None,
-        // A client's resend is refused while nobody listens; where descriptors have run out,
-        // connections may be closed unread.
-        Ending::Closed { .. } if records.has_crowd && count == 0 => return None,
-        Ending::Response(200, body) if !has_made(attempts, &request.transaction, body) => {
+    let text = match &request.end {
+        RequestEnd::Disconnected => return None,
+        // Nothing listens while the process restarts, and a request that is sent again gets no
+        // connection; without free descriptors connections may be closed unread.
+        RequestEnd::Closed { .. } if records.has_idle_clients && count == 0 => return None,
+        RequestEnd::Response(200, body) if !has_made(attempts, &request.transaction, body) => {
             format!("a response that no server made: {body:?}")
         }
-        Ending::Response(..) if is_on_time => return None,
-        ending => format!("{ending:?} with {count} attempts"),
+        RequestEnd::Response(..) if is_on_time => return None,
+        end => format!("{end:?} with {count} attempts"),
     };
     Some(violation(Rule::Lost, request, text))
 }
@@ -96,7 +98,7 @@
     attempts.iter().any(is_of)
 }
 
-/// The time that a client had left when an attempt for it came to its server.
+/// The time that a client had left when an attempt for it arrived at its server.
 fn time_left(request: &RequestRecord, attempt: &AttemptRecord) -> Duration {
     (request.sent_at + request.timeout).saturating_duration_since(attempt.began_at)
 }
@@ -114,12 +116,12 @@
     overstatements.max().unwrap_or_default()
 }
 
-/// Attempts for a client that has left, and such that state more time than it has.
+/// Attempts for a client that has disconnected, and attempts that state more time than it has.
 fn late_attempts(request: &RequestRecord, attempts: &[&AttemptRecord]) -> Vec<Violation> {
     let mut violations = Vec::new();
     for attempt in attempts {
         let after_disconnect = attempt.began_at.saturating_duration_since(request.ended_at);
-        if request.ending == Ending::Left && after_disconnect > LEFT_GRACE {
+        if request.end == RequestEnd::Disconnected && after_disconnect > DISCONNECT_GRACE {
             let text = format!("an attempt {after_disconnect:?} after its client left");
             violations.push(violation(Rule::Lost, request, text));
         }
@@ -145,22 +147,22 @@
             report("two attempts in flight".to_string());
         }
     }
-    let may_have_run = |attempt: &&&AttemptRecord| attempt.fate != Fate::TurnedAway;
+    let may_have_run = |attempt: &&&AttemptRecord| attempt.outcome != AttemptOutcome::Rejected;
     let Some(ran) = attempts.iter().position(|attempt| may_have_run(&attempt)) else {
         return violations;
     };
     if request.class == Class::Unsafe && ran + 1 < attempts.len() {
         report("an unsafe request was sent again after it may have run".to_string());
     }
-    let was_rejected = matches!(request.ending, Ending::Response(429 | 503, _));
+    let was_rejected = matches!(request.end, RequestEnd::Response(429 | 503, _));
     if request.class == Class::Unsafe && was_rejected {
         report("an unsafe request that may have run was rejected".to_string());
     }
     violations
 }
 
-/// When a process counts as notified that a server is out of service: when a list has told it,
-/// and at the latest a while after discovery could have told it.
+/// When a process counts as notified that a server is out of service: when a list that shows it was
+/// written, and at the latest a fixed time after discovery could have notified it.
 fn notified_at(records: &Records, server: &ServerRecord) -> Option<Instant> {
     let withdrawn_at = server.withdrawn_at?;
     let notified_by = reachable_for(records, withdrawn_at, NOTIFIED_AFTER);
--- a/crates/test-support/src/soak/receive_time.rs
+++ b/crates/test-support/src/soak/receive_time.rs
@@ -1,4 +1,4 @@
-//! When bytes came to a socket, by the system's time stamps: a busy stand-in reads them later.
+//! When bytes came to a socket, by the system's time stamps: a busy server reads them later.
 
 use nix::sys::socket::sockopt::ReceiveTimestampns;
 use nix::sys::socket::{recvmsg, setsockopt, ControlMessageOwned, MsgFlags};
--- a/crates/test-support/src/soak/records.rs
+++ b/crates/test-support/src/soak/records.rs
@@ -1,45 +1,45 @@
-//! What the stand-ins have seen.
+//! Records of what servers, clients and discovery observed.
 
 use super::scenario::Class;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// What a server did with an attempt.
+/// How an attempt ended at its server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
+pub enum AttemptOutcome {
     /// It has not ended.
     Open,
     /// Served with 200.
     Served,
-    /// Turned away: it did not run.
-    TurnedAway,
-    /// Answered with an error, reset, or given up by the other side: it may have run.
-    Doubtful,
+    /// Rejected: it did not run.
+    Rejected,
+    /// Answered with an error, reset, or cancelled by the sidecar: it may have run.
+    MayHaveRun,
 }
 
-/// An attempt as a server saw it.
+/// An attempt as its server observed it.
 #[derive(Debug, Clone)]
 pub struct AttemptRecord {
     /// The server's number.
     pub server: usize,
     /// The request's id.
     pub transaction: String,
-    /// When its first byte came to the server's system.
+    /// When its first byte arrived at the server's system.
     pub began_at: Instant,
     /// When the server had read it completely.
     pub read_at: Instant,
-    /// The time that it said was left.
+    /// The remaining time that it stated.
     pub remaining: Option<Duration>,
-    /// What came of it.
-    pub fate: Fate,
+    /// Its outcome.
+    pub outcome: AttemptOutcome,
     /// When it ended.
     pub ended_at: Option<Instant>,
 }
 
 /// How a request ended for its client.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Ending {
+pub enum RequestEnd {
     /// A complete response: its status, and its body as text.
     Response(u16, String),
     /// The connection ended before any byte of a response; whether it had carried others before.
@@ -47,15 +47,15 @@
         /// Whether it had carried a request before, so that its end may have crossed this one.
         is_reused: bool,
     },
-    /// The response broke off.
+    /// The connection closed within the response.
     Broken,
     /// No response in its time.
     Silence,
-    /// Its client left before.
-    Left,
+    /// Its client disconnected before.
+    Disconnected,
 }
 
-/// A request as its client saw it.
+/// A request as its client observed it.
 #[derive(Debug, Clone)]
 pub struct RequestRecord {
     /// Its id.
@@ -67,12 +67,12 @@
     /// How long its client waits.
     pub timeout: Duration,
     /// How it ended.
-    pub ending: Ending,
-    /// When it ended, or its client left.
+    pub end: RequestEnd,
+    /// When it ended, or its client disconnected.
     pub ended_at: Instant,
 }
 
-/// A server, and what discovery has told of it.
+/// A server, and when it was taken out of service.
 #[derive(Debug, Clone)]
 pub struct ServerRecord {
     /// Where it listens.
@@ -114,7 +114,7 @@
     pub reloads: Vec<Instant>,
     /// Times from SIGTERM to the end of the process, or to SIGKILL.
     pub shutdowns: Vec<Duration>,
-    /// What went wrong with the process itself.
+    /// Faults of the process itself.
     pub process_faults: Vec<String>,
     /// Bytes of lists that discovery has written.
     pub list_bytes: usize,
@@ -122,16 +122,16 @@
     pub list_calls: usize,
     /// CPU time of the processes that have ended.
     pub cpu: Duration,
-    /// CPU time of the one that runs, as last seen.
+    /// CPU time of the running process, as last observed.
     pub cpu_of_current: Duration,
-    /// Most descriptors that any process has had open, as far as was seen.
+    /// Highest number of open descriptors that was observed.
     pub descriptors: usize,
     /// Connections that servers have accepted.
     pub connections: usize,
     /// Largest resident memory of any process, in bytes.
     pub peak_memory: usize,
-    /// Whether idle clients take the descriptors: new connections may be closed unread.
-    pub has_crowd: bool,
+    /// Whether idle clients use up the descriptors: new connections may be closed unread.
+    pub has_idle_clients: bool,
 }
 
 impl Records {
--- a/crates/test-support/src/soak/report.rs
+++ b/crates/test-support/src/soak/report.rs
@@ -1,20 +1,20 @@
-//! What came of a run.
+//! The result of a run.
 
 use super::oracle::{judge, max_overstatement, Rule, Violation};
-use super::records::{Ending, Records};
+use super::records::{Records, RequestEnd};
 use std::fmt;
 use std::time::Duration;
 
-/// What came of a run.
+/// The result of a run.
 #[derive(Debug, Clone)]
 pub struct SoakReport {
-    /// Breaks of rules.
+    /// Violations of rules.
     pub violations: Vec<Violation>,
     /// Requests made.
     pub requests: usize,
     /// Those that were served.
     pub served: usize,
-    /// Attempts that servers have seen.
+    /// Attempts that servers received.
     pub attempts: usize,
     /// Bytes of lists that discovery has written.
     pub list_bytes: usize,
@@ -24,20 +24,20 @@
     pub cpu: Duration,
     /// Largest resident memory in bytes.
     pub peak_memory: usize,
-    /// Most descriptors open at one time, as far as was seen.
+    /// Highest number of open descriptors that was observed.
     pub descriptors: usize,
     /// Connections made to servers.
     pub connections: usize,
-    /// By how much an attempt at most stated more time than its client had left.
+    /// The most time that an attempt stated beyond what its client had left.
     pub max_overstatement: Duration,
-    /// How late a server at most has read a request: the stand-ins share one thread.
+    /// The longest delay with which a server read a request: all servers share one thread.
     pub max_read_delay: Duration,
 }
 
 impl SoakReport {
     pub(super) fn new(records: &Records) -> Self {
-        let is_served = |ending: &Ending| matches!(ending, Ending::Response(200, _));
-        let served = records.requests.iter().filter(|request| is_served(&request.ending));
+        let is_served = |end: &RequestEnd| matches!(end, RequestEnd::Response(200, _));
+        let served = records.requests.iter().filter(|request| is_served(&request.end));
         SoakReport {
             violations: judge(records),
             requests: records.requests.len(),
@@ -54,7 +54,7 @@
         }
     }
 
-    /// How many breaks of a rule there were.
+    /// Number of violations of a rule.
     pub fn count(&self, rule: Rule) -> usize {
         self.violations.iter().filter(|violation| violation.rule == rule).count()
     }
--- a/crates/test-support/src/soak/scenario.rs
+++ b/crates/test-support/src/soak/scenario.rs
@@ -1,4 +1,4 @@
-//! What happens in one run, drawn from its seed.
+//! The size, the load and the events of one run, drawn from its seed.
 
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -29,16 +29,16 @@
     }
 }
 
-/// What a server does with requests from a moment on.
+/// How a server handles requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Behavior {
     /// Serves them.
     Serve,
-    /// Says that its queue is full.
+    /// Responds that its queue is full.
     Full,
-    /// Says nothing.
+    /// Does not respond.
     Hang,
-    /// Resets the connection once it has the request.
+    /// Resets the connection after the request.
     Reset,
     /// Answers 500.
     Fail,
@@ -48,14 +48,14 @@
     CloseIdle,
 }
 
-/// What discovery does with calls for a while.
+/// How discovery responds to calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ListDelivery {
-    /// Answers them.
+    /// Responds completely.
     Complete,
-    /// Ends the connection within its answers.
+    /// Closes the connection within its responses.
     CutOff,
-    /// Sends its answers in pieces, with delays.
+    /// Sends its responses in pieces, with delays.
     Slow,
 }
 
@@ -66,17 +66,17 @@
     Join(usize),
     /// Servers in service are listed as draining.
     Drain(usize),
-    /// Draining servers are listed no longer.
+    /// Draining servers are removed.
     Remove,
-    /// A part of the servers, in thousandths, behaves so for a while.
-    Misbehave { thousandths: usize, behavior: Behavior, lasts: Duration },
-    /// Discovery takes no calls for a while and resets those that wait.
+    /// A part of the servers, in thousandths, misbehaves for a while.
+    Misbehave { thousandths: usize, behavior: Behavior, duration: Duration },
+    /// Discovery accepts no calls for a while and resets those that wait.
     Outage(Duration),
     /// Open calls to discovery are never answered.
     SilentWatches,
-    /// Discovery delivers lists so for a while.
-    Deliver { delivery: ListDelivery, lasts: Duration },
-    /// Discovery gives complete lists to the calls that come next, new servers first.
+    /// Discovery delivers lists in another way for a while.
+    Deliver { delivery: ListDelivery, duration: Duration },
+    /// Discovery responds to the next calls with complete lists, new servers first.
     CompleteLists,
     /// SIGHUP with another address of discovery.
     Reload,
@@ -87,7 +87,7 @@
 /// A run: its size, its load and its events.
 #[derive(Debug, Clone)]
 pub struct Scenario {
-    /// It determines everything below.
+    /// Determines all other fields.
     pub seed: u64,
     /// Servers listed at the start.
     pub servers: usize,
@@ -97,9 +97,9 @@
     pub deadline: Duration,
     /// CPU time that the process gets, in thousandths of a core; none for all of one.
     pub cpu_thousandths: Option<u32>,
-    /// Idle clients that take the descriptors.
-    pub crowd: usize,
-    /// Whether some clients send in pieces, or stop in the midst of a request and stay.
+    /// Number of idle clients that use up the descriptors.
+    pub idle_clients: usize,
+    /// Whether some clients send requests in pieces, or stop within one and stay connected.
     pub has_slow_clients: bool,
     pub(super) events: Vec<(Duration, Event)>,
     pub(super) length: Duration,
@@ -107,11 +107,11 @@
 
 /// Random numbers of a run.
 #[derive(Debug)]
-pub(super) struct Draw(Pcg64Mcg);
+pub(super) struct SeededRandom(Pcg64Mcg);
 
-impl Draw {
+impl SeededRandom {
     pub(super) fn new(seed: u64) -> Self {
-        Draw(Pcg64Mcg::seed_from_u64(seed))
+        SeededRandom(Pcg64Mcg::seed_from_u64(seed))
     }
 
     /// A uniform number in [0, 1).
@@ -119,52 +119,52 @@
         (self.0.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// A whole number from `least` to `most`.
-    pub(super) fn between(&mut self, least: usize, most: usize) -> usize {
-        least + (self.uniform() * (most - least + 1) as f64) as usize
+    /// An integer from `min` to `max`, both included.
+    pub(super) fn between(&mut self, min: usize, max: usize) -> usize {
+        min + (self.uniform() * (max - min + 1) as f64) as usize
     }
 
     pub(super) fn is_chosen(&mut self, probability: f64) -> bool {
         self.uniform() < probability
     }
 
-    pub(super) fn millis(&mut self, least: u64, most: u64) -> Duration {
-        Duration::from_millis(self.between(least as usize, most as usize) as u64)
+    pub(super) fn millis(&mut self, min: u64, max: u64) -> Duration {
+        Duration::from_millis(self.between(min as usize, max as usize) as u64)
     }
 }
 
-/// Parts of a run with random numbers of their own.
+/// Parts of a run that have random numbers of their own.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum DrawPart {
+pub(super) enum RandomStream {
     Servers = 1,
     Clients,
-    Stage,
+    Environment,
     Discovery,
     SlowClients,
 }
 
 /// Length of a run before its last restart.
 const LENGTH: Duration = Duration::from_secs(9);
-/// Shares of a core as the platform gives them.
+/// The share of a core that the platform gives a sidecar.
 const CPU_THOUSANDTHS: u32 = 40;
 
 impl Scenario {
     /// The run of a seed; `servers` at the start, on a part of a core if `is_limited`.
     pub fn new(seed: u64, servers: usize, is_limited: bool) -> Self {
-        let mut draw = Draw::new(seed);
-        let mut events = release(&mut draw, servers);
-        events.extend(faults(&mut draw));
-        let reloads = draw.between(0, 3);
-        let reload_at = draw.millis(1_000, 6_000);
+        let mut random = SeededRandom::new(seed);
+        let mut events = release(&mut random, servers);
+        events.extend(faults(&mut random));
+        let reloads = random.between(0, 3);
+        let reload_at = random.millis(1_000, 6_000);
         for number in 0..reloads {
             events.push((reload_at + Duration::from_millis(120) * number as u32, Event::Reload));
         }
-        events.push((draw.millis(4_000, 6_000), Event::Restart));
-        let rate = 20.0 + 30.0 * draw.uniform();
-        let deadline = draw.millis(700, 2_500);
-        let crowd = if draw.is_chosen(0.25) { 140 } else { 0 };
-        events.extend(list_faults(&mut draw));
-        events.extend(connection_faults(&mut draw));
+        events.push((random.millis(4_000, 6_000), Event::Restart));
+        let rate = 20.0 + 30.0 * random.uniform();
+        let deadline = random.millis(700, 2_500);
+        let idle_clients = if random.is_chosen(0.25) { 140 } else { 0 };
+        events.extend(list_faults(&mut random));
+        events.extend(connection_faults(&mut random));
         events.sort_by_key(|(at, _)| *at);
         Scenario {
             seed,
@@ -172,8 +172,8 @@
             rate,
             deadline,
             cpu_thousandths: is_limited.then_some(CPU_THOUSANDTHS),
-            crowd,
-            has_slow_clients: draw.is_chosen(0.4),
+            idle_clients,
+            has_slow_clients: random.is_chosen(0.4),
             events,
             length: LENGTH,
         }
@@ -182,71 +182,71 @@
 
 impl Scenario {
     /// The random numbers of one part of the run.
-    pub(super) fn draw(&self, part: DrawPart) -> Draw {
-        Draw::new(self.seed ^ (part as u64) << 32)
+    pub(super) fn random(&self, part: RandomStream) -> SeededRandom {
+        SeededRandom::new(self.seed ^ (part as u64) << 32)
     }
 }
 
-/// A release: servers join, others drain and go, in steps.
-fn release(draw: &mut Draw, servers: usize) -> Vec<(Duration, Event)> {
+/// A release: servers join, others drain and are removed, in steps.
+fn release(random: &mut SeededRandom, servers: usize) -> Vec<(Duration, Event)> {
     let mut events = Vec::new();
-    let mut at = draw.millis(500, 1_500);
+    let mut at = random.millis(500, 1_500);
     let step = (servers / 16).max(1);
-    for _ in 0..draw.between(2, 4) {
-        if draw.is_chosen(0.4) {
+    for _ in 0..random.between(2, 4) {
+        if random.is_chosen(0.4) {
             events.push((at, Event::CompleteLists));
         }
         events.push((at, Event::Join(step)));
-        at += draw.millis(300, 1_200);
+        at += random.millis(300, 1_200);
         events.push((at, Event::Drain(step)));
-        at += draw.millis(300, 1_500);
+        at += random.millis(300, 1_500);
         events.push((at, Event::Remove));
     }
     events
 }
 
-fn faults(draw: &mut Draw) -> Vec<(Duration, Event)> {
+fn faults(random: &mut SeededRandom) -> Vec<(Duration, Event)> {
     let behaviors = [Behavior::Full, Behavior::Hang, Behavior::Reset, Behavior::Fail];
-    let mut events = misbehaviors(draw, &behaviors, 0.6);
-    if draw.is_chosen(0.4) {
-        events.push((draw.millis(500, 5_000), Event::Outage(draw.millis(300, 3_000))));
+    let mut events = misbehaviors(random, &behaviors, 0.6);
+    if random.is_chosen(0.4) {
+        events.push((random.millis(500, 5_000), Event::Outage(random.millis(300, 3_000))));
     }
     events
 }
 
-/// Parts of the servers misbehave, in each way with this probability.
+/// Some servers misbehave, in each way with this probability.
 fn misbehaviors(
-    draw: &mut Draw,
+    random: &mut SeededRandom,
     behaviors: &[Behavior],
     probability: f64,
 ) -> Vec<(Duration, Event)> {
     let mut events = Vec::new();
     for behavior in behaviors {
-        if draw.is_chosen(probability) {
-            let thousandths = draw.between(50, 500);
-            let lasts = draw.millis(500, 3_000);
-            let misbehave = Event::Misbehave { thousandths, behavior: *behavior, lasts };
-            events.push((draw.millis(500, 6_000), misbehave));
+        if random.is_chosen(probability) {
+            let thousandths = random.between(50, 500);
+            let duration = random.millis(500, 3_000);
+            let misbehave = Event::Misbehave { thousandths, behavior: *behavior, duration };
+            events.push((random.millis(500, 6_000), misbehave));
         }
     }
     events
 }
 
 /// Faults between servers and the process.
-fn connection_faults(draw: &mut Draw) -> Vec<(Duration, Event)> {
-    misbehaviors(draw, &[Behavior::BreakOff, Behavior::CloseIdle], 0.4)
+fn connection_faults(random: &mut SeededRandom) -> Vec<(Duration, Event)> {
+    misbehaviors(random, &[Behavior::BreakOff, Behavior::CloseIdle], 0.4)
 }
 
 /// Faults between discovery and the process.
-fn list_faults(draw: &mut Draw) -> Vec<(Duration, Event)> {
+fn list_faults(random: &mut SeededRandom) -> Vec<(Duration, Event)> {
     let mut events = Vec::new();
-    if draw.is_chosen(0.3) {
-        events.push((draw.millis(200, 3_000), Event::SilentWatches));
+    if random.is_chosen(0.3) {
+        events.push((random.millis(200, 3_000), Event::SilentWatches));
     }
     for delivery in [ListDelivery::CutOff, ListDelivery::Slow] {
-        if draw.is_chosen(0.3) {
-            let lasts = draw.millis(300, 2_000);
-            events.push((draw.millis(200, 5_000), Event::Deliver { delivery, lasts }));
+        if random.is_chosen(0.3) {
+            let duration = random.millis(300, 2_000);
+            events.push((random.millis(200, 5_000), Event::Deliver { delivery, duration }));
         }
     }
     events
--- a/crates/test-support/src/soak/servers.rs
+++ b/crates/test-support/src/soak/servers.rs
@@ -1,8 +1,8 @@
-//! Servers of a soak: each listens at an address of its own and behaves as the run says.
+//! Servers of a soak: each listens at an address of its own and behaves as the scenario says.
 
 use super::receive_time::stamp_received;
-use super::records::{AttemptRecord, Fate, Records, ServerRecord};
-use super::scenario::{Behavior, Draw};
+use super::records::{AttemptOutcome, AttemptRecord, Records, ServerRecord};
+use super::scenario::{Behavior, SeededRandom};
 use super::stream::{MessageStream, Received};
 use crate::addresses::free_address;
 use crate::message::ok_response;
@@ -13,23 +13,23 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-const TURNED_AWAY: &[u8] = b"HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n";
+const REJECTED: &[u8] = b"HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n";
 const ERROR: &[u8] = b"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n";
-/// After which time at most a server closes connections where it closes them early.
+/// Longest time after which a server closes an idle connection, where it closes them early.
 const CLOSE_IDLE_MAX_MS: u64 = 100;
-/// How long a server works for a request, in milliseconds.
+/// Range of the service time of a request, in milliseconds.
 const WORK_MS: (u64, u64) = (2, 40);
 
 /// All servers of a run.
 pub(super) struct Servers {
     records: Rc<RefCell<Records>>,
     behaviors: RefCell<Vec<Behavior>>,
-    draw: RefCell<Draw>,
+    random: RefCell<SeededRandom>,
 }
 
 impl Servers {
-    pub(super) fn new(records: Rc<RefCell<Records>>, draw: Draw) -> Rc<Self> {
-        Rc::new(Servers { records, behaviors: RefCell::default(), draw: RefCell::new(draw) })
+    pub(super) fn new(records: Rc<RefCell<Records>>, random: SeededRandom) -> Rc<Self> {
+        Rc::new(Servers { records, behaviors: RefCell::default(), random: RefCell::new(random) })
     }
 
     /// Starts a server; its number.
@@ -70,19 +70,19 @@
                     began_at,
                     read_at: Instant::now(),
                     remaining: remaining.map(Duration::from_millis),
-                    fate: Fate::Open,
+                    outcome: AttemptOutcome::Open,
                     ended_at: None,
                 });
                 records.attempts.len() - 1
             };
-            let fate = self.respond(number, &transaction, &mut stream).await;
-            self.record_end(attempt, fate);
+            let outcome = self.respond(number, &transaction, &mut stream).await;
+            self.record_end(attempt, outcome);
             match self.behavior(number) {
-                Behavior::Reset | Behavior::BreakOff if fate == Fate::Doubtful => {
+                Behavior::Reset | Behavior::BreakOff if outcome == AttemptOutcome::MayHaveRun => {
                     return stream.reset();
                 }
                 Behavior::CloseIdle => {
-                    let idle = self.draw.borrow_mut().millis(0, CLOSE_IDLE_MAX_MS);
+                    let idle = self.random.borrow_mut().millis(0, CLOSE_IDLE_MAX_MS);
                     return sleep(idle).await;
                 }
                 _ => {}
@@ -90,9 +90,9 @@
         }
     }
 
-    fn record_end(&self, attempt: usize, fate: Fate) {
+    fn record_end(&self, attempt: usize, outcome: AttemptOutcome) {
         let mut records = self.records.borrow_mut();
-        records.attempts[attempt].fate = fate;
+        records.attempts[attempt].outcome = outcome;
         records.attempts[attempt].ended_at = Some(Instant::now());
     }
 
@@ -100,34 +100,39 @@
         self.behaviors.borrow()[number]
     }
 
-    /// Answers a request as the server does now; what came of it.
-    async fn respond(&self, number: usize, transaction: &str, stream: &mut MessageStream) -> Fate {
-        let (response, fate) = match self.behavior(number) {
-            Behavior::Full => (TURNED_AWAY.to_vec(), Fate::TurnedAway),
-            Behavior::Fail => (ERROR.to_vec(), Fate::Doubtful),
-            Behavior::Reset => return Fate::Doubtful,
+    /// Responds to a request by the current behavior; the outcome.
+    async fn respond(
+        &self,
+        number: usize,
+        transaction: &str,
+        stream: &mut MessageStream,
+    ) -> AttemptOutcome {
+        let (response, outcome) = match self.behavior(number) {
+            Behavior::Full => (REJECTED.to_vec(), AttemptOutcome::Rejected),
+            Behavior::Fail => (ERROR.to_vec(), AttemptOutcome::MayHaveRun),
+            Behavior::Reset => return AttemptOutcome::MayHaveRun,
             Behavior::Hang => {
                 stream.ended().await;
-                return Fate::Doubtful;
+                return AttemptOutcome::MayHaveRun;
             }
             Behavior::BreakOff => {
                 let response = ok_response(&format!("{transaction} by {number}"));
-                // What breaks off is not a complete response, however it is taken.
+                // It is incomplete whether or not it can be written.
                 let _ = stream.write(&response[..response.len() - 1]).await;
-                return Fate::Doubtful;
+                return AttemptOutcome::MayHaveRun;
             }
             Behavior::Serve | Behavior::CloseIdle => {
-                let work = self.draw.borrow_mut().millis(WORK_MS.0, WORK_MS.1);
+                let work = self.random.borrow_mut().millis(WORK_MS.0, WORK_MS.1);
                 tokio::select! {
                     () = sleep(work) => {}
-                    () = stream.ended() => return Fate::Doubtful,
+                    () = stream.ended() => return AttemptOutcome::MayHaveRun,
                 }
-                (ok_response(&format!("{transaction} by {number}")), Fate::Served)
+                (ok_response(&format!("{transaction} by {number}")), AttemptOutcome::Served)
             }
         };
         match stream.write(&response).await {
-            Ok(()) => fate,
-            Err(_) => Fate::Doubtful,
+            Ok(()) => outcome,
+            Err(_) => AttemptOutcome::MayHaveRun,
         }
     }
 }
--- a/crates/test-support/tests/soak_oracle.rs
+++ b/crates/test-support/tests/soak_oracle.rs
@@ -1,7 +1,9 @@
 //! From when the soak's oracle counts a process as notified of a drain.
 
 use mintshelf_test_support::soak::oracle::{judge, Rule};
-use mintshelf_test_support::soak::records::{AttemptRecord, Fate, Outage, Records, ServerRecord};
+use mintshelf_test_support::soak::records::{
+    AttemptOutcome, AttemptRecord, Outage, Records, ServerRecord,
+};
 use std::time::{Duration, Instant};
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -32,7 +34,7 @@
             began_at: at,
             read_at: at,
             remaining: None,
-            fate: Fate::Served,
+            outcome: AttemptOutcome::Served,
             ended_at: Some(at),
         };
         let servers = self.records.servers.clone();
