--- a/crates/mintshelf/benches/common/mod.rs
+++ b/crates/mintshelf/benches/common/mod.rs
@@ -1,10 +1,10 @@
-//! What benches of several processes share.
+//! Shared parts of benches with several processes.
 
 use std::process::Child;
 use std::time::{Duration, Instant};
 use tokio::task::LocalSet;
 
-/// Runs a future on this thread, with what it spawns.
+/// Runs a future on this thread, with the tasks that it spawns.
 pub fn block_on<T>(future: impl std::future::Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), future)
@@ -30,10 +30,12 @@
     }
 }
 
-/// Waits until somebody listens there.
+/// Waits until something listens at an address.
 pub fn wait_for(at: &str) {
-    let begun = Instant::now();
-    while std::net::TcpStream::connect(at).is_err() && begun.elapsed() < Duration::from_secs(20) {
+    let started_at = Instant::now();
+    while std::net::TcpStream::connect(at).is_err()
+        && started_at.elapsed() < Duration::from_secs(20)
+    {
         std::thread::sleep(Duration::from_millis(20));
     }
 }
--- a/crates/mintshelf/benches/limits.rs
+++ b/crates/mintshelf/benches/limits.rs
@@ -1,6 +1,6 @@
-//! Second copies with one slow endpoint among six, and members who ask too much, at the real
-//! daemon: `cargo bench -p mintshelf --bench limits`. Every row has its baseline in the same
-//! run. Prints its tables.
+//! Hedging with one slow endpoint among six, and tenants over their limits, at the real daemon:
+//! `cargo bench -p mintshelf --bench limits`. Every row has its baseline in the same run. Prints its
+//! tables.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -11,14 +11,14 @@
 use std::time::{Duration, Instant};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_mintshelf");
-const SPAN: Duration = Duration::from_secs(5);
+const ROUND_DURATION: Duration = Duration::from_secs(5);
 const ROUNDS: usize = 3;
-/// Rounds of the members' cases: their ratio is small against what one round varies.
-const MEMBER_ROUNDS: usize = 9;
+/// Rounds of the cases with tenants, whose differences are small compared with the spread of rounds.
+const TENANT_ROUNDS: usize = 9;
 
-type Fault = Box<dyn std::error::Error + Send + Sync>;
+type BenchError = Box<dyn std::error::Error + Send + Sync>;
 
-/// Reads one message that has a length; whether there was one.
+/// Reads one message with a length; its status, or none at the end of the connection.
 fn message(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<u16> {
     buffer.clear();
     let mut part = [0; 4096];
@@ -41,13 +41,13 @@
     }
 }
 
-/// A server that takes so long for most answers, and so long for one of so many.
+/// A server with a normal latency, and a slow one for every n-th response.
 fn serve(
     at: SocketAddr,
-    usual: Duration,
-    slow: Duration,
-    one_of: u64,
-) -> Result<Arc<AtomicU64>, Fault> {
+    normal_latency: Duration,
+    slow_latency: Duration,
+    slow_every: u64,
+) -> Result<Arc<AtomicU64>, BenchError> {
     let (listener, count) = (TcpListener::bind(at)?, Arc::new(AtomicU64::new(0)));
     let counted = count.clone();
     thread::spawn(move || {
@@ -58,7 +58,11 @@
                 let mut buffer = Vec::new();
                 while message(&mut stream, &mut buffer).is_some() {
                     let number = count.fetch_add(1, Ordering::Relaxed);
-                    thread::sleep(if number % one_of == one_of - 1 { slow } else { usual });
+                    thread::sleep(if number % slow_every == slow_every - 1 {
+                        slow_latency
+                    } else {
+                        normal_latency
+                    });
                     if stream
                         .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood")
                         .is_err()
@@ -83,7 +87,7 @@
     }
 }
 
-fn daemon(at: SocketAddr, text: &str) -> Result<Daemon, Fault> {
+fn daemon(at: SocketAddr, text: &str) -> Result<Daemon, BenchError> {
     let file = std::env::temp_dir().join(format!("mintshelf-limits-{}.toml", std::process::id()));
     std::fs::write(&file, text)?;
     let child = Command::new(PROGRAM)
@@ -93,22 +97,22 @@
         .stderr(Stdio::null())
         .spawn()?;
     let daemon = Daemon(child, file);
-    let begun = Instant::now();
-    while TcpStream::connect(at).is_err() && begun.elapsed() < Duration::from_secs(20) {
+    let started_at = Instant::now();
+    while TcpStream::connect(at).is_err() && started_at.elapsed() < Duration::from_secs(20) {
         thread::sleep(Duration::from_millis(20));
     }
     Ok(daemon)
 }
 
-/// What one kind of client saw.
+/// The results of one kind of client.
 #[derive(Default, Clone)]
-struct Seen {
+struct ClientResults {
     times: Vec<Duration>,
     served: usize,
-    refused: usize,
+    rejected: usize,
 }
 
-impl Seen {
+impl ClientResults {
     fn quantile(&self, part: f64) -> f64 {
         let mut times = self.times.clone();
         times.sort_unstable();
@@ -119,52 +123,52 @@
     }
 }
 
-/// So many clients, each with a pause between its requests, until the end.
-fn clients(
+/// Starts clients that send a request at each interval until they are stopped.
+fn start_clients(
     at: SocketAddr,
     count: usize,
-    pause: Duration,
-    member: &str,
+    interval: Duration,
+    tenant: &str,
     stopped: &Arc<AtomicBool>,
-) -> Vec<thread::JoinHandle<Seen>> {
-    let request = format!("GET /devices/7 HTTP/1.1\r\nHost: h\r\nX-Member: {member}\r\n\r\n");
-    let client = move |request: String, stopped: Arc<AtomicBool>, number: usize| {
-        let mut seen = Seen::default();
-        let Ok(mut stream) = TcpStream::connect(at) else { return seen };
+) -> Vec<thread::JoinHandle<ClientResults>> {
+    let request = format!("GET /devices/7 HTTP/1.1\r\nHost: h\r\nX-Member: {tenant}\r\n\r\n");
+    let run_client = move |request: String, stopped: Arc<AtomicBool>, number: usize| {
+        let mut results = ClientResults::default();
+        let Ok(mut stream) = TcpStream::connect(at) else { return results };
         let _ = stream.set_nodelay(true);
         let mut buffer = Vec::new();
-        thread::sleep(pause.mul_f64(number as f64 / count as f64));
+        thread::sleep(interval.mul_f64(number as f64 / count as f64));
         while !stopped.load(Ordering::Relaxed) {
-            let begun = Instant::now();
+            let started_at = Instant::now();
             if stream.write_all(request.as_bytes()).is_err() {
                 break;
             }
             match message(&mut stream, &mut buffer) {
                 Some(200) => {
-                    seen.served += 1;
-                    seen.times.push(begun.elapsed());
+                    results.served += 1;
+                    results.times.push(started_at.elapsed());
                 }
-                Some(_) => seen.refused += 1,
+                Some(_) => results.rejected += 1,
                 None => break,
             }
-            thread::sleep(pause.saturating_sub(begun.elapsed()));
+            thread::sleep(interval.saturating_sub(started_at.elapsed()));
         }
-        seen
+        results
     };
     (0..count)
         .map(|n| {
             let (request, stopped) = (request.clone(), stopped.clone());
-            thread::spawn(move || client(request, stopped, n))
+            thread::spawn(move || run_client(request, stopped, n))
         })
         .collect()
 }
 
-fn joined(clients: Vec<thread::JoinHandle<Seen>>) -> Seen {
-    let mut all = Seen::default();
-    for seen in clients.into_iter().filter_map(|client| client.join().ok()) {
-        all.served += seen.served;
-        all.refused += seen.refused;
-        all.times.extend(seen.times);
+fn join_all(start_clients: Vec<thread::JoinHandle<ClientResults>>) -> ClientResults {
+    let mut all = ClientResults::default();
+    for results in start_clients.into_iter().filter_map(|run_client| run_client.join().ok()) {
+        all.served += results.served;
+        all.rejected += results.rejected;
+        all.times.extend(results.times);
     }
     all
 }
@@ -185,9 +189,11 @@
     values[values.len() / 2]
 }
 
-fn hedging(what: &str, from: u16, counts: &[Arc<AtomicU64>]) -> Result<(), Fault> {
+fn hedging(what: &str, from: u16, counts: &[Arc<AtomicU64>]) -> Result<(), BenchError> {
     println!("\na safe class at six endpoints of 4 ms, {what};");
-    println!("24 clients with a request every 20 ms, {ROUNDS} rounds of {SPAN:?}, medians");
+    println!(
+        "24 clients with a request every 20 ms, {ROUNDS} rounds of {ROUND_DURATION:?}, medians"
+    );
     println!("{:>28} {:>8} {:>8} {:>8} {:>10}", "", "p50 ms", "p99 ms", "p99.9 ms", "attempts");
     let at = address(2, 19_210);
     for (name, hedge) in [
@@ -205,13 +211,18 @@
         for _ in 0..ROUNDS {
             let before: u64 = counts.iter().map(|count| count.load(Ordering::Relaxed)).sum();
             let stopped = Arc::new(AtomicBool::new(false));
-            let all = clients(at, 24, Duration::from_millis(20), "a", &stopped);
-            thread::sleep(SPAN);
+            let all = start_clients(at, 24, Duration::from_millis(20), "a", &stopped);
+            thread::sleep(ROUND_DURATION);
             stopped.store(true, Ordering::Relaxed);
-            let seen = joined(all);
+            let results = join_all(all);
             let after: u64 = counts.iter().map(|count| count.load(Ordering::Relaxed)).sum();
-            let attempts = (after - before) as f64 / (seen.served + seen.refused) as f64;
-            rows.push([seen.quantile(0.5), seen.quantile(0.99), seen.quantile(0.999), attempts]);
+            let attempts = (after - before) as f64 / (results.served + results.rejected) as f64;
+            rows.push([
+                results.quantile(0.5),
+                results.quantile(0.99),
+                results.quantile(0.999),
+                attempts,
+            ]);
         }
         let [p50, p99, p999, attempts] =
             [0, 1, 2, 3].map(|at| median(rows.iter().map(|row| row[at]).collect()));
@@ -220,9 +231,22 @@
     Ok(())
 }
 
-fn members() -> Result<(), Fault> {
+/// Starts uploads that stop after two bytes, and last as long as their connections.
+fn start_slow_uploads(at: SocketAddr, count: usize) -> Result<Vec<TcpStream>, BenchError> {
+    let mut uploads = Vec::new();
+    for _ in 0..count {
+        let mut stream = TcpStream::connect(at)?;
+        let head =
+            "POST /up HTTP/1.1\r\nHost: h\r\nX-Member: greedy\r\nContent-Length: 60000\r\n\r\nxx";
+        stream.write_all(head.as_bytes())?;
+        uploads.push(stream);
+    }
+    Ok(uploads)
+}
+
+fn tenants() -> Result<(), BenchError> {
     println!("\nmembers at one cluster of 24 places; the calm ones: 20 clients, a request every 50 ms each;");
-    println!("{MEMBER_ROUNDS} rounds of {SPAN:?} in turns, medians");
+    println!("{TENANT_ROUNDS} rounds of {ROUND_DURATION:?} in turns, medians");
     println!(
         "{:>36} {:>8} {:>8} {:>9} {:>9} {:>10}",
         "", "p50 ms", "p99 ms", "served/s", "of alone", "p99 ratio (its quarters)"
@@ -241,28 +265,23 @@
         ("beside one at ten times its rate", 80, 0),
         ("beside 100 slow uploads of another", 0, 100),
     ];
-    // Rounds of the cases take turns, and each is compared with its own round's first: what
-    // the machine does meanwhile meets all alike.
+    // The cases take turns in each round, and each is compared with the first case of its round, so
+    // that other load on the machine affects all alike.
     let mut rounds: Vec<Vec<[f64; 3]>> = Vec::new();
-    for _ in 0..MEMBER_ROUNDS {
+    for _ in 0..TENANT_ROUNDS {
         let mut round = Vec::new();
-        for (_, greedy, uploads) in cases {
+        for (_, greedy_clients, uploads) in cases {
             let stopped = Arc::new(AtomicBool::new(false));
-            let mut slow = Vec::new();
-            for _ in 0..uploads {
-                let mut stream = TcpStream::connect(at)?;
-                let head = "POST /up HTTP/1.1\r\nHost: h\r\nX-Member: greedy\r\nContent-Length: 60000\r\n\r\nxx";
-                stream.write_all(head.as_bytes())?;
-                slow.push(stream);
-            }
-            let calm = clients(at, 20, Duration::from_millis(50), "calm", &stopped);
-            let other = clients(at, greedy, Duration::from_millis(20), "greedy", &stopped);
-            thread::sleep(SPAN);
+            let slow_uploads = start_slow_uploads(at, uploads)?;
+            let moderate = start_clients(at, 20, Duration::from_millis(50), "calm", &stopped);
+            let other =
+                start_clients(at, greedy_clients, Duration::from_millis(20), "greedy", &stopped);
+            thread::sleep(ROUND_DURATION);
             stopped.store(true, Ordering::Relaxed);
-            let seen = joined(calm);
-            drop((joined(other), slow));
-            let served = seen.served as f64 / SPAN.as_secs_f64();
-            round.push([seen.quantile(0.5), seen.quantile(0.99), served]);
+            let results = join_all(moderate);
+            drop((join_all(other), slow_uploads));
+            let served = results.served as f64 / ROUND_DURATION.as_secs_f64();
+            round.push([results.quantile(0.5), results.quantile(0.99), served]);
         }
         rounds.push(round);
     }
@@ -285,20 +304,20 @@
     Ok(())
 }
 
-fn main() -> Result<(), Fault> {
-    let (usual, slow) = (Duration::from_millis(4), Duration::from_millis(120));
-    let only_members = std::env::args().any(|arg| arg == "members");
+fn main() -> Result<(), BenchError> {
+    let (normal_latency, slow_latency) = (Duration::from_millis(4), Duration::from_millis(120));
+    let only_tenants = std::env::args().any(|arg| arg == "members");
     let mut one = Vec::new();
     let mut all = Vec::new();
     for n in 0..6 {
-        let of = if n == 5 { slow } else { usual };
-        one.push(serve(address(1, 19_200 + n), usual, of, 4)?);
-        all.push(serve(address(1, 19_220 + n), usual, slow, 50)?);
+        let of = if n == 5 { slow_latency } else { normal_latency };
+        one.push(serve(address(1, 19_200 + n), normal_latency, of, 4)?);
+        all.push(serve(address(1, 19_220 + n), normal_latency, slow_latency, 50)?);
     }
-    if only_members {
-        return members();
+    if only_tenants {
+        return tenants();
     }
     hedging("one of which takes 120 ms for every fourth answer", 19_200, &one)?;
     hedging("each of which takes 120 ms for one answer in fifty", 19_220, &all)?;
-    members()
+    tenants()
 }
--- a/crates/mintshelf/benches/relay.rs
+++ b/crates/mintshelf/benches/relay.rs
@@ -1,6 +1,6 @@
-//! The daemon against the least relay that hyper allows (pooled client, round robin, no
-//! rules), in one run: `cargo bench -p mintshelf`. Each runs in a process on a core of its
-//! own where `taskset` and the cores are there; servers and load have others.
+//! The daemon compared with a minimal relay on hyper (pooled client, round robin, no rules), in one
+//! run: `cargo bench -p mintshelf`. Each runs in a process on a core of its own where `taskset` and
+//! the cores are available; servers and clients have others.
 
 mod common;
 
@@ -28,19 +28,19 @@
 const RELAY: &str = "127.0.91.1:19110";
 const DAEMON: &str = "127.0.91.1:19111";
 const CONNECTIONS: usize = 32;
-const WARM: Duration = Duration::from_secs(1);
-const SPAN: Duration = Duration::from_secs(3);
+const WARM_UP: Duration = Duration::from_secs(1);
+const ROUND_DURATION: Duration = Duration::from_secs(3);
 const ROUNDS: usize = 3;
-/// Clock ticks a second in /proc, as Linux tells them to programs.
+/// Clock ticks a second in `/proc`.
 const TICKS: f64 = 100.0;
 
-type Fault = Box<dyn std::error::Error + Send + Sync>;
+type BenchError = Box<dyn std::error::Error + Send + Sync>;
 
-async fn listen(at: &str) -> Result<TcpListener, Fault> {
+async fn listen(at: &str) -> Result<TcpListener, BenchError> {
     Ok(TcpListener::bind(at.parse::<SocketAddr>()?).await?)
 }
 
-async fn servers() -> Result<(), Fault> {
+async fn servers() -> Result<(), BenchError> {
     for at in SERVERS {
         let listener = listen(at).await?;
         spawn_local(async move {
@@ -59,24 +59,27 @@
     Ok(())
 }
 
-/// Idle connections by server, and whose turn it is.
+/// Idle connections by server, and the server that is next.
 #[derive(Default)]
 struct Pool {
     idle: [RefCell<Vec<SendRequest<Incoming>>>; 3],
     turn: Cell<usize>,
 }
 
-async fn pass(pool: &Pool, mut request: Request<Incoming>) -> Result<Response<Incoming>, Fault> {
+async fn forward(
+    pool: &Pool,
+    mut request: Request<Incoming>,
+) -> Result<Response<Incoming>, BenchError> {
     let turn = pool.turn.get();
     pool.turn.set((turn + 1) % SERVERS.len());
-    let kept = pool.idle[turn].borrow_mut().pop();
-    let mut send = match kept {
+    let idle = pool.idle[turn].borrow_mut().pop();
+    let mut send = match idle {
         Some(send) => send,
         None => {
             let stream = TcpStream::connect(SERVERS[turn]).await?;
             stream.set_nodelay(true)?;
-            let (send, driven) = handshake(TokioIo::new(stream)).await?;
-            spawn_local(driven);
+            let (send, connection) = handshake(TokioIo::new(stream)).await?;
+            spawn_local(connection);
             send
         }
     };
@@ -88,7 +91,7 @@
     Ok(response)
 }
 
-async fn relay() -> Result<(), Fault> {
+async fn relay() -> Result<(), BenchError> {
     let listener = listen(RELAY).await?;
     let pool = Rc::new(Pool::default());
     while let Ok((stream, _)) = listener.accept().await {
@@ -96,26 +99,26 @@
         let pool = pool.clone();
         let service = service_fn(move |request| {
             let pool = pool.clone();
-            async move { pass(&pool, request).await }
+            async move { forward(&pool, request).await }
         });
         spawn_local(http1::Builder::new().serve_connection(TokioIo::new(stream), service));
     }
     Ok(())
 }
 
-/// Asks over and over until the end; the time of each answer.
-async fn ask(
+/// Sends one request after another until the end, and records the latency of each.
+async fn send_requests(
     to: SocketAddr,
-    until: Instant,
+    end: Instant,
     times: Rc<RefCell<Vec<Duration>>>,
-) -> Result<(), Fault> {
+) -> Result<(), BenchError> {
     let stream = TcpStream::connect(to).await?;
     stream.set_nodelay(true)?;
-    let (mut send, driven) = handshake(TokioIo::new(stream)).await?;
-    spawn_local(driven);
-    while Instant::now() < until {
+    let (mut send, connection) = handshake(TokioIo::new(stream)).await?;
+    spawn_local(connection);
+    while Instant::now() < end {
         send.ready().await?;
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let request =
             Request::get("/devices/7").header("host", "bench").body(Empty::<Bytes>::new())?;
         let response = send.send_request(request).await?;
@@ -123,16 +126,16 @@
             return Err(format!("answered {}", response.status()).into());
         }
         response.into_body().collect().await?;
-        times.borrow_mut().push(begun.elapsed());
+        times.borrow_mut().push(started_at.elapsed());
     }
     Ok(())
 }
 
-async fn load(to: &str, span: Duration) -> Result<Vec<Duration>, Fault> {
+async fn run_clients(to: &str, duration: Duration) -> Result<Vec<Duration>, BenchError> {
     let times = Rc::new(RefCell::new(Vec::new()));
-    let (to, until) = (to.parse()?, Instant::now() + span);
+    let (to, end) = (to.parse()?, Instant::now() + duration);
     let tasks: Vec<_> =
-        (0..CONNECTIONS).map(|_| spawn_local(ask(to, until, times.clone()))).collect();
+        (0..CONNECTIONS).map(|_| spawn_local(send_requests(to, end, times.clone()))).collect();
     for task in tasks {
         task.await??;
     }
@@ -141,8 +144,8 @@
     Ok(times)
 }
 
-/// Starts a child on a core of its own, where that can be had.
-fn start(core: &str, program: &str, args: &[&str], role: &str) -> Result<Process, Fault> {
+/// Starts a child on a core of its own, where that is possible.
+fn start(core: &str, program: &str, args: &[&str], role: &str) -> Result<Process, BenchError> {
     let pinned = Command::new("taskset").args(["-c", core, "true"]).status();
     let mut command = match pinned.is_ok_and(|status| status.success()) {
         true => {
@@ -161,24 +164,34 @@
     let stat = std::fs::read_to_string(format!("/proc/{}/stat", process.0.id()));
     let stat = stat.unwrap_or_default();
     let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or("").split_whitespace().collect();
-    let of = |at: usize| fields.get(at).and_then(|field| field.parse::<f64>().ok()).unwrap_or(0.0);
-    (of(11) + of(12)) / TICKS
+    let field =
+        |at: usize| fields.get(at).and_then(|field| field.parse::<f64>().ok()).unwrap_or(0.0);
+    (field(11) + field(12)) / TICKS
 }
 
 /// Requests a second, p50 and p99 in microseconds, CPU microseconds a request.
-fn measure(to: &str, process: Option<&Process>) -> Result<[f64; 4], Fault> {
-    block_on(load(to, WARM))?;
+fn measure(to: &str, process: Option<&Process>) -> Result<[f64; 4], BenchError> {
+    block_on(run_clients(to, WARM_UP))?;
     let before = process.map_or(0.0, cpu);
-    let times = block_on(load(to, SPAN))?;
+    let times = block_on(run_clients(to, ROUND_DURATION))?;
     let used = process.map_or(0.0, cpu) - before;
     let micros = |share: f64| times[(times.len() as f64 * share) as usize].as_secs_f64() * 1e6;
-    let rate = times.len() as f64 / SPAN.as_secs_f64();
+    let rate = times.len() as f64 / ROUND_DURATION.as_secs_f64();
     Ok([rate, micros(0.5), micros(0.99), used * 1e6 / times.len() as f64])
 }
 
-fn bench() -> Result<(), Fault> {
-    let me = std::env::current_exe()?;
-    let me = me.to_str().ok_or("the program's path")?;
+/// The median of each figure.
+fn medians(results: &[[f64; 4]]) -> [f64; 4] {
+    [0, 1, 2, 3].map(|at| {
+        let mut values: Vec<f64> = results.iter().map(|result| result[at]).collect();
+        values.sort_by(f64::total_cmp);
+        values[values.len() / 2]
+    })
+}
+
+fn bench() -> Result<(), BenchError> {
+    let own_program = std::env::current_exe()?;
+    let own_program = own_program.to_str().ok_or("the program's path")?;
     let endpoints = SERVERS.map(|at| format!("\"{at}\"")).join(", ");
     let text = format!(
         "listen = \"{DAEMON}\"\n[clusters.bench]\nendpoints = [{endpoints}]\n\
@@ -187,44 +200,40 @@
     let file = std::env::temp_dir().join(format!("mintshelf-bench-{}.toml", std::process::id()));
     std::fs::write(&file, text)?;
     let path = file.to_str().ok_or("the file's path")?;
-    let _servers = start("0", me, &[], "servers")?;
-    let relay = start("1", me, &[], "relay")?;
+    let _servers = start("0", own_program, &[], "servers")?;
+    let relay = start("1", own_program, &[], "relay")?;
     let daemon = start("1", PROGRAM, &["run", "--config", path], "")?;
     [SERVERS[0], RELAY, DAEMON].into_iter().for_each(wait_for);
     println!(
-        "{CONNECTIONS} connections, 256 bytes an answer, {ROUNDS} rounds of {SPAN:?}, medians"
+        "{CONNECTIONS} connections, 256 bytes an answer, {ROUNDS} rounds of {ROUND_DURATION:?}, medians"
     );
     let mut all: [Vec<[f64; 4]>; 3] = Default::default();
     let mut growth = Vec::new();
     let mut done = 0.0;
     for _ in 0..ROUNDS {
-        let ways = [(SERVERS[0], None), (RELAY, Some(&relay)), (DAEMON, Some(&daemon))];
-        for (way, results) in ways.into_iter().zip(&mut all) {
-            results.push(measure(way.0, way.1)?);
+        let targets = [(SERVERS[0], None), (RELAY, Some(&relay)), (DAEMON, Some(&daemon))];
+        for (target, results) in targets.into_iter().zip(&mut all) {
+            results.push(measure(target.0, target.1)?);
         }
-        done += all[2].last().map_or(0.0, |result| result[0] * (SPAN + WARM).as_secs_f64());
+        done += all[2]
+            .last()
+            .map_or(0.0, |result| result[0] * (ROUND_DURATION + WARM_UP).as_secs_f64());
         growth.push(format!("{} KiB after {done:.0} requests", daemon.memory()));
     }
-    let median = |results: &[[f64; 4]]| {
-        [0, 1, 2, 3].map(|at| {
-            let mut values: Vec<f64> = results.iter().map(|result| result[at]).collect();
-            values.sort_by(f64::total_cmp);
-            values[values.len() / 2]
-        })
-    };
-    let [direct, least, ours] = [&all[0], &all[1], &all[2]].map(|results| median(results));
+    let [direct, minimal, daemon_result] =
+        [&all[0], &all[1], &all[2]].map(|results| medians(results));
     let memory = [relay.memory(), daemon.memory()];
     println!(
         "{:>12} {:>10} {:>12} {:>12} {:>14} {:>10}",
         "", "requests/s", "added p50 us", "added p99 us", "CPU us/request", "RSS KiB"
     );
     for (name, [rate, p50, p99, cpu], memory) in
-        [("least relay", least, memory[0]), ("mintshelf", ours, memory[1])]
+        [("least relay", minimal, memory[0]), ("mintshelf", daemon_result, memory[1])]
     {
         let (p50, p99) = (p50 - direct[1], p99 - direct[2]);
         println!("{name:>12} {rate:>10.0} {p50:>12.0} {p99:>12.0} {cpu:>14.1} {memory:>10}");
     }
-    let ratio = [0, 1, 2, 3].map(|at| ours[at] / least[at]);
+    let ratio = [0, 1, 2, 3].map(|at| daemon_result[at] / minimal[at]);
     println!(
         "{:>12} {:>10.2} {:>12.2} {:>12.2} {:>14.2} {:>10.2}   (p50 and p99 whole, not added)",
         "ratio",
@@ -239,7 +248,7 @@
     Ok(())
 }
 
-fn main() -> Result<(), Fault> {
+fn main() -> Result<(), BenchError> {
     match std::env::var(ROLE).as_deref() {
         Ok("servers") => block_on(servers()),
         Ok("relay") => block_on(relay()),
