--- a/crates/mintshelf/tests/admission_limits.rs
+++ b/crates/mintshelf/tests/admission_limits.rs
@@ -12,7 +12,7 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_mintshelf");
 
-/// Its answers are held back while the gate is shut.
+/// A server that responds only while the latch is open.
 fn server(latch: &Latch) -> Server {
     let latch = latch.clone();
     Server::start(move |_, _| {
@@ -44,10 +44,10 @@
     (Daemon::start(PROGRAM, at, &file(at, admin, servers, more, cluster), &[]), admin)
 }
 
-fn code(got: &Message) -> String {
-    let text = String::from_utf8_lossy(&got.body).into_owned();
-    let code = text.split("\"code\":\"").nth(1).and_then(|rest| rest.split('"').next());
-    code.unwrap_or("").to_string()
+fn problem_code(response: &Message) -> String {
+    let text = String::from_utf8_lossy(&response.body).into_owned();
+    let problem_code = text.split("\"code\":\"").nth(1).and_then(|rest| rest.split('"').next());
+    problem_code.unwrap_or("").to_string()
 }
 
 fn request_of(tenant: &str, path: &str) -> Vec<u8> {
@@ -63,21 +63,22 @@
 fn a_tenant_over_its_rate_is_rejected_and_the_others_are_served() {
     let server = server(&Latch::default());
     let (daemon, admin) = daemon(&[server.at], TENANTS, "");
-    let greedy: Vec<Message> =
+    let of_limited_tenant: Vec<Message> =
         (0..200).map(|_| daemon.send_request(&request_of("a", "/")).unwrap()).collect();
-    let calm: Vec<Message> =
+    let of_other_tenant: Vec<Message> =
         (0..200).map(|_| daemon.send_request(&request_of("b", "/")).unwrap()).collect();
-    assert!(calm.iter().all(|got| got.status() == 200));
-    let limited: Vec<_> = greedy.iter().filter(|got| got.status() == 429).collect();
-    let served = greedy.iter().filter(|got| got.status() == 200).count();
+    assert!(of_other_tenant.iter().all(|response| response.status() == 200));
+    let rejected: Vec<_> =
+        of_limited_tenant.iter().filter(|response| response.status() == 429).collect();
+    let served = of_limited_tenant.iter().filter(|response| response.status() == 200).count();
     // Its burst, and one more for every minute that this takes.
-    assert!((20..25).contains(&served) && served + limited.len() == 200, "{served}");
-    for got in limited {
-        assert_eq!(code(got), "tenant-rate");
-        let retry_after: u64 = got.header("retry-after").unwrap().parse().unwrap();
-        assert!((1..=60).contains(&retry_after), "{}", got.head);
+    assert!((20..25).contains(&served) && served + rejected.len() == 200, "{served}");
+    for response in rejected {
+        assert_eq!(problem_code(response), "tenant-rate");
+        let retry_after: u64 = response.header("retry-after").unwrap().parse().unwrap();
+        assert!((1..=60).contains(&retry_after), "{}", response.head);
     }
-    assert_eq!(server.requests().len(), 200 + served, "what is refused is not sent on");
+    assert_eq!(server.requests().len(), 200 + served, "what is rejected is not forwarded");
     assert_eq!(metric(admin, "mintshelf_tenant_requests"), 0.0);
 }
 
@@ -104,8 +105,8 @@
         let head = "POST /up HTTP/1.1\r\nHost: h\r\nX-Member: b\r\nContent-Length: 60000\r\n\r\nxx";
         stream.write_all(head.as_bytes()).unwrap();
         uploads.push(stream);
-        // One after the other, so that the last are over the bound for sure.
-        wait_until("it is counted or refused", || {
+        // One after the other, so that the last ones are surely over the limit.
+        wait_until("it is counted or rejected", || {
             metric(admin, "mintshelf_tenant_requests{tenant=\"b\"}")
                 + metric(admin, "mintshelf_refusals_total")
                 >= uploads.len() as f64
@@ -117,15 +118,15 @@
         rejected >= 20 && in_flight >= 10 && in_flight + rejected == 60,
         "{in_flight} {rejected}"
     );
-    let got = Message::read(uploads.last_mut().unwrap()).unwrap();
-    assert_eq!(got.status(), 429, "{}", got.head);
-    assert!(got.header("retry-after").is_some());
+    let response = Message::read(uploads.last_mut().unwrap()).unwrap();
+    assert_eq!(response.status(), 429, "{}", response.head);
+    assert!(response.header("retry-after").is_some());
     for _ in 0..50 {
         let post = "POST /up HTTP/1.1\r\nHost: h\r\nX-Member: c\r\nContent-Length: 2\r\n\r\nxx";
         assert_eq!(daemon.send_request(post.as_bytes()).unwrap().status(), 200);
     }
     drop(uploads);
-    wait_until("all is given back", || metric(admin, "mintshelf_tenant_requests") == 0.0);
+    wait_until("all permits are released", || metric(admin, "mintshelf_tenant_requests") == 0.0);
     assert_eq!(daemon.send_request(&request_of("b", "/")).unwrap().status(), 200);
 }
 
@@ -137,7 +138,7 @@
     let at = daemon.at;
     let send = |path: &'static str| thread::spawn(move || send_request(at, &get(path)).unwrap());
     let wait_for_levels = |admitted: f64, waiting: f64| {
-        wait_until("the gate stands so", || {
+        wait_until("the queue has these levels", || {
             metric(admin, "mintshelf_gate_requests") == admitted
                 && metric(admin, "mintshelf_gate_waiting") == waiting
         });
@@ -145,64 +146,64 @@
     latch.close();
     let admitted = [send("/1"), send("/2")];
     wait_for_levels(2.0, 0.0);
-    let cheap = [send("/3"), send("/4")];
+    let low_priority = [send("/3"), send("/4")];
     wait_for_levels(2.0, 2.0);
-    // They came first, and are worth less.
-    let dear = [send("/dear/1"), send("/dear/2")];
-    for got in cheap.map(|one| one.join().unwrap()) {
-        assert_eq!((got.status(), code(&got).as_str()), (503, "queue-full"));
-        assert!(got.header("retry-after").is_some());
+    // Those in the queue came first, and have a lower priority.
+    let high_priority = [send("/dear/1"), send("/dear/2")];
+    for response in low_priority.map(|one| one.join().unwrap()) {
+        assert_eq!((response.status(), problem_code(&response).as_str()), (503, "queue-full"));
+        assert!(response.header("retry-after").is_some());
     }
-    // One more of them is the least itself.
-    assert_eq!(code(&send_request(at, &get("/5")).unwrap()), "queue-full");
-    // Who leaves the queue leaves no trace.
-    let mut left = connect(at).unwrap();
-    left.write_all(&get("/dear/3")).unwrap();
-    drop(left);
+    // Another one of low priority is the lowest itself.
+    assert_eq!(problem_code(&send_request(at, &get("/5")).unwrap()), "queue-full");
+    // A client that disconnects in the queue leaves no trace.
+    let mut disconnected = connect(at).unwrap();
+    disconnected.write_all(&get("/dear/3")).unwrap();
+    drop(disconnected);
     wait_for_levels(2.0, 2.0);
     latch.open();
-    for got in admitted.into_iter().chain(dear).map(|one| one.join().unwrap()) {
-        assert_eq!(got.status(), 200);
+    for response in admitted.into_iter().chain(high_priority).map(|one| one.join().unwrap()) {
+        assert_eq!(response.status(), 200);
     }
     wait_for_levels(0.0, 0.0);
     assert_eq!(send_request(at, &get("/6")).unwrap().status(), 200);
 }
 
 #[test]
-fn a_client_that_leaves_the_queue_frees_its_place() {
+fn a_client_that_disconnects_in_the_queue_frees_its_place() {
     let latch = Latch::default();
     let server = server(&latch);
     let (daemon, admin) = daemon(&[server.at], "", "concurrency = 1\nqueue = 1");
     latch.close();
     let at = daemon.at;
     let first = thread::spawn(move || send_request(at, &get("/1")).unwrap());
-    wait_until("one is in", || metric(admin, "mintshelf_gate_requests") == 1.0);
-    let mut left = connect(at).unwrap();
-    left.write_all(&get("/2")).unwrap();
+    wait_until("one is admitted", || metric(admin, "mintshelf_gate_requests") == 1.0);
+    let mut disconnected = connect(at).unwrap();
+    disconnected.write_all(&get("/2")).unwrap();
     wait_until("one waits", || metric(admin, "mintshelf_gate_waiting") == 1.0);
-    // A reset, as of a client that has died.
-    reset_connection(left);
+    // A reset, as of a client that has crashed.
+    reset_connection(disconnected);
     wait_until("none waits", || metric(admin, "mintshelf_gate_waiting") == 0.0);
     latch.open();
     assert_eq!(first.join().unwrap().status(), 200);
-    assert_eq!(server.requests().len(), 1, "it never went on");
+    assert_eq!(server.requests().len(), 1, "the other was never forwarded");
 }
 
 #[test]
 fn limits_that_change_under_load_lose_no_request_and_count_each_once() {
     let server = server(&Latch::default());
     let (daemon, admin) = daemon(&[server.at], TENANTS, "concurrency = 4\nqueue = 1000");
-    let (limited, completed) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
+    let (rejected, completed) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
     let at = daemon.at;
     let clients: Vec<_> = (0..16)
         .map(|n| {
-            let (limited, completed) = (limited.clone(), completed.clone());
+            let (rejected, completed) = (rejected.clone(), completed.clone());
             thread::spawn(move || {
                 let mut statuses = Vec::new();
                 let mut stream = connect(at).unwrap();
-                while !limited.load(Ordering::SeqCst) {
+                while !rejected.load(Ordering::SeqCst) {
                     stream.write_all(&request_of(["b", "c"][n % 2], "/")).unwrap();
-                    statuses.push(Message::read(&mut stream).expect("an answer").status());
+                    statuses.push(Message::read(&mut stream).expect("a response").status());
                     completed.fetch_add(1, Ordering::SeqCst);
                 }
                 statuses
@@ -218,11 +219,11 @@
         assert!(metric(admin, "mintshelf_gate_requests") <= 16.0);
     }
     daemon.reload(&file(at, admin, &[server.at], TENANTS, "concurrency = 4\nqueue = 1000"));
-    limited.store(true, Ordering::SeqCst);
+    rejected.store(true, Ordering::SeqCst);
     let statuses: Vec<u16> =
         clients.into_iter().flat_map(|client| client.join().unwrap()).collect();
     assert!(statuses.iter().all(|status| *status == 200), "{statuses:?}");
-    assert_eq!(server.requests().len(), statuses.len(), "each went once");
+    assert_eq!(server.requests().len(), statuses.len(), "each was forwarded once");
     for name in ["mintshelf_gate_requests", "mintshelf_gate_waiting", "mintshelf_tenant_requests"] {
         wait_until("nothing is left", || metric(admin, name) == 0.0);
     }
@@ -238,11 +239,11 @@
     let at = daemon.at;
     let clients: Vec<_> =
         (0..20).map(|_| thread::spawn(move || send_request(at, &get("/")).unwrap())).collect();
-    wait_until("all places are taken", || {
+    wait_until("all connections are in use", || {
         servers.iter().all(|server| server.requests().len() == 3)
     });
-    // The rest is refused while they wait.
-    wait_until("the rest is refused", || {
+    // The rest is rejected meanwhile.
+    wait_until("the rest is rejected", || {
         clients.iter().filter(|client| client.is_finished()).count() == 14
     });
     latch.open();
@@ -250,7 +251,7 @@
         clients.into_iter().map(|client| client.join().unwrap().status()).collect();
     assert_eq!(statuses.iter().filter(|status| **status == 200).count(), 6, "{statuses:?}");
     assert!(statuses.iter().all(|status| [200, 503].contains(status)));
-    assert!(servers.iter().all(|server| *server.connections.lock().unwrap() == 3));
+    assert!(servers.iter().all(|server| server.connection_count() == 3));
 }
 
 #[test]
--- a/crates/mintshelf/tests/large_fleet.rs
+++ b/crates/mintshelf/tests/large_fleet.rs
@@ -11,31 +11,31 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_mintshelf");
-/// Servers of a usual fleet, and of the largest one.
-const USUAL: usize = 200;
+/// Servers of a small fleet, and of the largest one.
+const SMALL: usize = 200;
 const LARGE: usize = 3_200;
 /// Listeners that all servers of a fleet share.
 const LISTENERS: usize = 16;
-/// Measurements of each fleet, in turns; the least of them counts, since timers and busy processors
-/// only add to one.
+/// Measurements of each fleet, in turns; the lowest counts, since timers and busy processors only
+/// add to one.
 const ROUNDS: usize = 5;
 /// Requests in one measurement.
 const REQUESTS: usize = 20;
 /// Changes of the list in one measurement, and entries in each.
 const CHANGES: usize = 10;
 const CHANGED: usize = 10;
-/// Highest cost at the large fleet, in multiples of that at the usual one.
+/// Highest cost at the large fleet, in multiples of that at the small one.
 const MAX_RATIO: f64 = 2.0;
 
 /// A sidecar between a client and a fleet of `count` listed servers.
-struct Stage {
+struct FleetFixture {
     sidecar: Sidecar,
     discovery: Discovery,
     addresses: Vec<SocketAddr>,
     _servers: Vec<Server>,
 }
 
-impl Stage {
+impl FleetFixture {
     fn start(count: usize, boot_ms: u64, response: &'static [u8]) -> Self {
         let respond = move |_: &Message, _| Some(response.to_vec());
         let servers: Vec<Server> = (0..LISTENERS).map(|_| Server::start(respond)).collect();
@@ -55,20 +55,20 @@
             class["goal-time"] = json!(200_000_000u64);
         }
         let sidecar = Sidecar::start(PROGRAM, config);
-        let stage = Stage { sidecar, discovery, addresses, _servers: servers };
-        stage.wait_for_calls(2);
-        stage
+        let fixture = FleetFixture { sidecar, discovery, addresses, _servers: servers };
+        fixture.wait_for_calls(2);
+        fixture
     }
 
-    /// Waits until the sidecar has called again, and so has applied the lists before.
+    /// Waits until the sidecar has polled so often, and so has applied the lists before.
     fn wait_for_calls(&self, calls: usize) {
-        wait_until("the list is read", || *self.discovery.calls.lock().unwrap() >= calls);
+        wait_until("the list is read", || self.discovery.call_count() >= calls);
     }
 
-    /// CPU time of what is done to the sidecar.
-    fn cost_of(&self, act: impl Fn(&Stage)) -> Duration {
+    /// CPU time that the sidecar uses for an action.
+    fn cost_of(&self, action: impl Fn(&FleetFixture)) -> Duration {
         let before = self.sidecar.cpu_time();
-        act(self);
+        action(self);
         self.sidecar.cpu_time() - before
     }
 
@@ -92,7 +92,7 @@
             let changed = (0..CHANGED)
                 .map(|number| listed(number, self.addresses[number], state, 0))
                 .collect();
-            let calls = *self.discovery.calls.lock().unwrap();
+            let calls = self.discovery.call_count();
             self.discovery.change(changed);
             self.wait_for_calls(calls + 1);
         }
@@ -110,19 +110,23 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64
 }
 
-fn assert_costs_the_same(what: &str, start: impl Fn(usize) -> Stage, act: impl Fn(&Stage)) {
-    let stages = [start(USUAL), start(LARGE)];
-    stages.iter().for_each(&act);
-    let mut least = [Duration::MAX; 2];
+fn assert_costs_the_same(
+    what: &str,
+    start: impl Fn(usize) -> FleetFixture,
+    action: impl Fn(&FleetFixture),
+) {
+    let fixtures = [start(SMALL), start(LARGE)];
+    fixtures.iter().for_each(&action);
+    let mut min = [Duration::MAX; 2];
     for _ in 0..ROUNDS {
-        for (least, stage) in least.iter_mut().zip(&stages) {
-            *least = stage.cost_of(&act).min(*least);
+        for (min, fixture) in min.iter_mut().zip(&fixtures) {
+            *min = fixture.cost_of(&action).min(*min);
         }
     }
-    let [usual, large] = least;
-    let ratio = large.as_secs_f64() / usual.as_secs_f64();
-    println!("{what}: {usual:?} with {USUAL} servers, {large:?} with {LARGE}, {ratio:.2}");
-    assert!(ratio < MAX_RATIO, "{what}: {usual:?} and {large:?}, {ratio:.1} times");
+    let [small, large] = min;
+    let ratio = large.as_secs_f64() / small.as_secs_f64();
+    println!("{what}: {small:?} with {SMALL} servers, {large:?} with {LARGE}, {ratio:.2}");
+    assert!(ratio < MAX_RATIO, "{what}: {small:?} and {large:?}, {ratio:.1} times");
 }
 
 fn served() -> &'static [u8] {
@@ -130,20 +134,20 @@
 }
 
 #[test]
-fn in_a_large_fleet_requests_cost_the_same() {
+fn requests_cost_the_same_in_a_large_fleet() {
     let served = served();
     let full = b"HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n".as_slice();
     let states =
         [("all sound", 0, served), ("all warming up", unix_ms(), served), ("all full", 0, full)];
     for (what, boot_ms, response) in states {
-        let start = |count| Stage::start(count, boot_ms, response);
-        assert_costs_the_same(what, start, Stage::send_requests);
+        let start = |count| FleetFixture::start(count, boot_ms, response);
+        assert_costs_the_same(what, start, FleetFixture::send_requests);
     }
 }
 
 #[test]
-fn in_a_large_fleet_changes_of_ten_servers_cost_the_same() {
+fn changes_of_ten_servers_cost_the_same_in_a_large_fleet() {
     let served = served();
-    let start = |count| Stage::start(count, 0, served);
-    assert_costs_the_same("changes", start, Stage::make_changes);
+    let start = |count| FleetFixture::start(count, 0, served);
+    assert_costs_the_same("changes", start, FleetFixture::make_changes);
 }
--- a/crates/mintshelf/tests/misbehaving_servers.rs
+++ b/crates/mintshelf/tests/misbehaving_servers.rs
@@ -44,10 +44,10 @@
         });
         let discovery = Discovery::start(1, vec![server.entry("a")]);
         let sidecar = Sidecar::start(PROGRAM, config(discovery.at, vec![server.entry("a")]));
-        let got = sidecar.send_request(&request("safe", "s")).unwrap();
-        assert_eq!((got.status(), &got.body[..]), (200, &b"good"[..]), "{what}");
+        let response = sidecar.send_request(&request("safe", "s")).unwrap();
+        assert_eq!((response.status(), &response.body[..]), (200, &b"good"[..]), "{what}");
         assert_eq!(server.requests().len(), 2, "{what}");
-        assert_eq!(*server.connections.lock().unwrap(), 2, "{what}");
+        assert_eq!(server.connection_count(), 2, "{what}");
     }
 }
 
@@ -100,19 +100,19 @@
     let discovery = Discovery::start(1, vec![server.entry("s0")]);
     let sidecar = Sidecar::start(PROGRAM, config(discovery.at, vec![server.entry("s0")]));
     let mut sent = 0;
-    let mut turn = |number: usize| {
+    let mut replace_server = |number: usize| {
         discovery.set(vec![server.entry(&format!("s{number}"))]);
-        let calls = *discovery.calls.lock().unwrap();
-        wait_until("the list is told", || *discovery.calls.lock().unwrap() > calls);
+        let calls = discovery.call_count();
+        wait_until("the list is notified", || discovery.call_count() > calls);
         sent += 1;
-        let got = sidecar.send_request(&request("safe", &format!("r{sent}"))).unwrap();
-        assert_eq!(got.status(), 200);
+        let response = sidecar.send_request(&request("safe", &format!("r{sent}"))).unwrap();
+        assert_eq!(response.status(), 200);
     };
-    (1..20).for_each(&mut turn);
+    (1..20).for_each(&mut replace_server);
     let before = sidecar.descriptors();
-    (20..120).for_each(&mut turn);
-    // Connections to those gone are closed, at the latest by the next sweep.
-    wait_until("descriptors are given back", || sidecar.descriptors() <= before + 4);
+    (20..120).for_each(&mut replace_server);
+    // Connections to removed servers are closed, at the latest by the next sweep.
+    wait_until("descriptors are released", || sidecar.descriptors() <= before + 4);
 }
 
 #[test]
@@ -121,16 +121,14 @@
     let discovery = Discovery::start(1, vec![server.entry("old")]);
     let sidecar = Sidecar::start(PROGRAM, config(discovery.at, vec![server.entry("old")]));
     assert_eq!(sidecar.send_request(&request("safe", "1")).unwrap().status(), 200);
-    assert_eq!(*server.connections.lock().unwrap(), 1);
+    assert_eq!(server.connection_count(), 1);
     discovery.set(vec![server.entry("new")]);
-    // A request on a connection to the old one could be lost with its machine.
+    // A request on a connection to the old server could be lost with its machine.
     let mut number = 1;
     wait_until("a connection of its own", || {
         number += 1;
-        assert_eq!(
-            sidecar.send_request(&request("safe", &number.to_string())).unwrap().status(),
-            200
-        );
-        *server.connections.lock().unwrap() > 1
+        let response = sidecar.send_request(&request("safe", &number.to_string())).unwrap();
+        assert_eq!(response.status(), 200);
+        server.connection_count() > 1
     });
 }
--- a/crates/mintshelf/tests/operator_file_reload.rs
+++ b/crates/mintshelf/tests/operator_file_reload.rs
@@ -13,7 +13,7 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_mintshelf");
 
-/// A server that names itself, its path and the request's mark.
+/// A server that responds with its name, the path and the `x-mark` header of a request.
 fn server(name: &'static str) -> Server {
     Server::start(move |request, _| {
         Some(ok_response(&format!(
@@ -28,12 +28,12 @@
     String::from_utf8_lossy(&message.body).into_owned()
 }
 
-/// Files whose every part differs: cluster, rewrite and mark must go together.
-fn file(at: SocketAddr, mark: &str, to: SocketAddr, stays: SocketAddr) -> String {
+/// A file in which the cluster, the rewrite and the header all depend on `mark`.
+fn file(at: SocketAddr, mark: &str, to: SocketAddr, unchanged: SocketAddr) -> String {
     format!(
         "listen = \"{at}\"\n[limits]\nsockets = 128\n\
          [clusters.{mark}]\nendpoints = \"{to}\"\nconnect-timeout = \"5s\"\n\
-         [clusters.stays]\nendpoints = \"{stays}\"\nconnect-timeout = \"5s\"\n\
+         [clusters.stays]\nendpoints = \"{unchanged}\"\nconnect-timeout = \"5s\"\n\
          [[routes]]\nprefix = \"/x\"\ncluster = \"{mark}\"\nrewrite-prefix = \"/{mark}\"\n\
          request-headers.set = {{ x-mark = \"{mark}\" }}\n\
          [[routes]]\nprefix = \"/stays\"\ncluster = \"stays\"\n"
@@ -46,11 +46,11 @@
     let mut stream = connect(at).unwrap();
     while !stopped.load(Ordering::Relaxed) {
         stream.write_all(&get("/x/1")).unwrap();
-        let got = Message::read(&mut stream).expect("an answer");
-        assert_eq!(got.status(), 200, "{}", got.head);
-        bodies.insert(body(&got));
+        let response = Message::read(&mut stream).expect("a response");
+        assert_eq!(response.status(), 200, "{}", response.head);
+        bodies.insert(body(&response));
         stream.write_all(&get("/stays")).unwrap();
-        assert_eq!(Message::read(&mut stream).expect("an answer").status(), 200);
+        assert_eq!(Message::read(&mut stream).expect("a response").status(), 200);
         sent.fetch_add(2, Ordering::Relaxed);
     }
     bodies
@@ -58,9 +58,9 @@
 
 #[test]
 fn a_hundred_reloads_under_load_lose_no_request_and_mix_no_settings() {
-    let (first, second, stays) = (server("a"), server("b"), server("stays"));
+    let (first, second, unchanged) = (server("a"), server("b"), server("stays"));
     let at = free_address();
-    let good = [file(at, "a", first.at, stays.at), file(at, "b", second.at, stays.at)];
+    let good = [file(at, "a", first.at, unchanged.at), file(at, "b", second.at, unchanged.at)];
     let broken = [good[0].replace("cluster = \"a\"", "cluster = \"c\""), "listen = ".to_string()];
     let daemon = Daemon::start(PROGRAM, at, &good[0], &[]);
     let stopped = Arc::new(AtomicBool::new(false));
@@ -73,8 +73,8 @@
         })
         .collect();
     let mut measured = Vec::new();
-    for turn in 0..100 {
-        let text = match turn % 4 {
+    for round in 0..100 {
+        let text = match round % 4 {
             0 => &good[1],
             1 => &broken[0],
             2 => &good[0],
@@ -83,7 +83,7 @@
         daemon.reload(text);
         let before = sent.load(Ordering::Relaxed);
         wait_until("requests go on", || sent.load(Ordering::Relaxed) > before + 8);
-        if turn >= 20 {
+        if round >= 20 {
             measured.push((daemon.descriptors(), daemon.memory("VmRSS:")));
         }
     }
@@ -98,8 +98,8 @@
     let max_descriptors =
         |of: &[(usize, usize)]| *of.iter().map(|(descriptors, _)| descriptors).max().unwrap();
     let (first, last) = measured.split_at(measured.len() / 2);
-    // Four clients may have a connection each to the old pool and to the new one at the moment of
-    // the look; a descriptor lost at each reload would be forty.
+    // Each of the four clients may have a connection of the old pool and of the new one when they
+    // are counted; a descriptor lost at each reload would be forty.
     assert!(
         max_descriptors(last) <= max_descriptors(first) + 8,
         "descriptors {} to {}",
@@ -108,8 +108,8 @@
     );
     let (first, last) = (first[first.len() - 1].1, last[last.len() - 1].1);
     assert!(last < first + (2 << 20), "memory from {first} to {last}");
-    // The cluster that stayed kept its connections through it all.
-    assert!(*stays.connections.lock().unwrap() <= 8);
+    // The unchanged cluster kept its connections.
+    assert!(unchanged.connection_count() <= 8);
 }
 
 #[test]
@@ -123,7 +123,7 @@
     assert!(log.contains(":17:11: routes[1].cluster: 'stay' names nothing"), "{log}");
     assert!(log.contains("did you mean 'stays'?"), "{log}");
     assert_eq!(body(&daemon.send_request(&get("/stays")).unwrap()), "b /stays -");
-    // An address that can't be had is no reason to drop the others.
+    // An address that can't be bound changes nothing either.
     let occupied = Peer::start(|_| {});
     let clash = good.replace(&format!("\"{at}\""), &format!("[\"{at}\", \"{}\"]", occupied.at));
     daemon.reload(&clash);
@@ -141,35 +141,35 @@
         }
         Some(ok_response("slow"))
     });
-    let (quick, stays) = (server("quick"), server("stays"));
+    let (quick, unchanged) = (server("quick"), server("stays"));
     let (at, second) = (free_address(), free_address());
     let with_both = |mark, to| {
         let listen = format!("listen = [\"{at}\", \"{second}\"]");
-        file(at, mark, to, stays.at).replace(&format!("listen = \"{at}\""), &listen)
+        file(at, mark, to, unchanged.at).replace(&format!("listen = \"{at}\""), &listen)
     };
     let daemon = Daemon::start(PROGRAM, at, &with_both("slow", slow.at), &[]);
     let mut open = connect(second).unwrap();
     open.write_all(&get("/x")).unwrap();
-    wait_until("it is at the server", || slow.requests().len() == 1);
-    daemon.reload(&file(at, "quick", quick.at, stays.at));
+    wait_until("it has arrived", || slow.requests().len() == 1);
+    daemon.reload(&file(at, "quick", quick.at, unchanged.at));
     assert_eq!(body(&daemon.send_request(&get("/x")).unwrap()), "quick /quick quick");
-    wait_until("the second listener is gone", || connect(second).is_none());
-    // What was under way on it is answered by the server that took it.
+    wait_until("the second listener is closed", || connect(second).is_none());
+    // The request in flight is answered by the server that received it.
     blocked.store(false, Ordering::Relaxed);
-    let got = Message::read(&mut open).unwrap();
-    assert_eq!((got.status(), body(&got).as_str()), (200, "slow"));
-    // And its connection is closed behind it.
+    let response = Message::read(&mut open).unwrap();
+    assert_eq!((response.status(), body(&response).as_str()), (200, "slow"));
+    // Its connection is closed after the response.
     assert!(Message::read(&mut open).is_none());
 }
 
 #[test]
 fn a_watched_file_is_reloaded_when_it_changes() {
-    let (first, second, stays) = (server("a"), server("b"), server("stays"));
+    let (first, second, unchanged) = (server("a"), server("b"), server("stays"));
     let at = free_address();
-    let daemon = Daemon::start(PROGRAM, at, &file(at, "a", first.at, stays.at), &["--watch"]);
+    let daemon = Daemon::start(PROGRAM, at, &file(at, "a", first.at, unchanged.at), &["--watch"]);
     assert_eq!(body(&daemon.send_request(&get("/x")).unwrap()), "a /a a");
-    std::fs::write(&daemon.file, file(at, "other", second.at, stays.at)).unwrap();
-    wait_until("the new file is in force", || {
+    std::fs::write(&daemon.file, file(at, "other", second.at, unchanged.at)).unwrap();
+    wait_until("the new file is applied", || {
         body(&daemon.send_request(&get("/x")).unwrap()) == "b /other other"
     });
 }
@@ -190,15 +190,15 @@
     let mut daemon = Daemon::start(PROGRAM, at, &text, &[]);
     let mut open = connect(at).unwrap();
     open.write_all(&get("/x")).unwrap();
-    wait_until("it is at the server", || slow.requests().len() == 1);
+    wait_until("it has arrived", || slow.requests().len() == 1);
     assert_eq!(send_request(admin, &get("/-/ready")).unwrap().status(), 200);
     daemon.signal("TERM");
-    wait_until("the end is told", || {
-        send_request(admin, &get("/-/ready")).is_some_and(|answer| answer.status() == 503)
+    wait_until("the shutdown is announced", || {
+        send_request(admin, &get("/-/ready")).is_some_and(|response| response.status() == 503)
     });
     blocked.store(false, Ordering::Relaxed);
     assert_eq!(Message::read(&mut open).unwrap().body, b"slow");
-    wait_until("it ends", || daemon.child.try_wait().unwrap().is_some());
+    wait_until("the process ends", || daemon.child.try_wait().unwrap().is_some());
     assert!(daemon.child.wait().unwrap().success());
 }
 
@@ -206,7 +206,7 @@
 fn memory_depends_on_open_requests_and_not_on_ended_ones() {
     let (first, admin, at) = (server("a"), free_address(), free_address());
     let text = file(at, "a", first.at, first.at) + &format!("[admin]\naddress = \"{admin}\"\n");
-    // Requests end at once; with this aim their timers would stand for minutes.
+    // Requests end at once; with this objective their timers would otherwise run for minutes.
     let text =
         text.replace("[limits]", "[classes.default]\naim = \"10m\"\ndeadline = \"20m\"\n[limits]");
     let daemon = Daemon::start(PROGRAM, at, &text, &[]);
--- a/crates/mintshelf/tests/platform_reload.rs
+++ b/crates/mintshelf/tests/platform_reload.rs
@@ -9,24 +9,22 @@
 
 #[test]
 fn discovery_follows_the_file() {
-    let (old, new) = (
-        Server::start(|_, _| Some(ok_response("old"))),
-        Server::start(|_, _| Some(ok_response("new"))),
-    );
+    let old = Server::start(|_, _| Some(ok_response("old")));
+    let new = Server::start(|_, _| Some(ok_response("new")));
     let first = Discovery::start(2, vec![old.entry("a")]);
-    // The second counts its versions anew.
+    // The second one has revisions of its own.
     let second = Discovery::start(1, vec![new.entry("b")]);
     let mut sidecar = Sidecar::start(PROGRAM, config(first.at, vec![old.entry("a")]));
-    wait_until("the first watch", || *first.calls.lock().unwrap() > 0);
+    first.wait_for_first_call();
     let mut moved = sidecar.config.clone();
     moved["discovery"] = json!(second.at.to_string());
     sidecar.reload(&moved.to_string());
     let mut number = 0;
-    wait_until("the new list is in force", || {
+    wait_until("the new list is applied", || {
         number += 1;
-        let answer = sidecar.send_request(&request("safe", &format!("r{number}"))).unwrap();
-        assert_eq!(answer.status(), 200);
-        answer.body == b"new"
+        let response = sidecar.send_request(&request("safe", &format!("r{number}"))).unwrap();
+        assert_eq!(response.status(), 200);
+        response.body == b"new"
     });
     assert!(sidecar.is_running());
 }
@@ -39,10 +37,10 @@
     for text in ["", "{", r#"{"name":"n0"}"#] {
         sidecar.reload(text);
     }
-    // A watch that goes on shows that the old address is still in force.
-    let calls = *discovery.calls.lock().unwrap();
+    // A watch that goes on shows that the old address is still used.
+    let calls = discovery.call_count();
     discovery.set(vec![server.entry("a"), server.entry("b")]);
-    wait_until("the watch goes on", || *discovery.calls.lock().unwrap() > calls);
+    wait_until("the watch goes on", || discovery.call_count() > calls);
     assert_eq!(sidecar.send_request(&request("safe", "x")).unwrap().status(), 200);
     assert!(sidecar.is_running());
 }
--- a/crates/mintshelf/tests/races/fixture.rs
+++ b/crates/mintshelf/tests/races/fixture.rs
@@ -1,9 +1,10 @@
-//! Barriers between the sidecar and its stand-ins.
+//! Servers that connect late, processes that are stopped, and records of requests.
 
 use mintshelf_test_support::{
     config, entry, full_listener, get, wait_until, Message, Process as _, Server, Sidecar,
 };
 use serde_json::{json, Value};
+use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex};
 use std::thread;
@@ -11,26 +12,29 @@
 
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_mintshelf");
 
-/// A server to which no connection comes up until it serves.
-pub struct Unreached {
+/// A server whose accept queue is full: connections to it are established only once it accepts.
+pub struct LateServer {
     listener: TcpListener,
-    _filling: Vec<TcpStream>,
+    _queued: Vec<TcpStream>,
 }
 
-impl Unreached {
+impl LateServer {
     pub fn start() -> Self {
-        let (listener, filling) = full_listener();
-        Unreached { listener, _filling: filling }
+        let (listener, queued) = full_listener();
+        LateServer { listener, _queued: queued }
     }
 
-    /// Serves from now on: what connects comes up late. Back come the requests, as they come.
-    pub fn accept(self, serve: impl Fn(Message) -> Vec<u8> + Send + Sync + 'static) -> RequestLog {
+    /// Accepts connections from now on and serves their requests, which the log records.
+    pub fn accept_requests(
+        self,
+        respond: impl Fn(Message) -> Vec<u8> + Send + Sync + 'static,
+    ) -> RequestLog {
         let log = RequestLog::default();
-        let (recorded, serve) = (log.clone(), Arc::new(serve));
+        let (recorded, respond) = (log.clone(), Arc::new(respond));
         thread::spawn(move || {
             for stream in self.listener.incoming().flatten() {
-                let (recorded, serve) = (recorded.clone(), serve.clone());
-                thread::spawn(move || recorded.serve(stream, &*serve));
+                let (recorded, respond) = (recorded.clone(), respond.clone());
+                thread::spawn(move || recorded.serve(stream, &*respond));
             }
         });
         log
@@ -41,16 +45,15 @@
     }
 }
 
-/// The requests that have come to a stand-in.
+/// The requests that a server has received.
 #[derive(Clone, Default)]
 pub struct RequestLog(Arc<Mutex<Vec<Message>>>);
 
 impl RequestLog {
-    fn serve(&self, mut stream: TcpStream, serve: &dyn Fn(Message) -> Vec<u8>) {
-        use std::io::Write;
+    fn serve(&self, mut stream: TcpStream, respond: &dyn Fn(Message) -> Vec<u8>) {
         while let Some(request) = Message::read(&mut stream) {
             self.0.lock().unwrap().push(request.clone());
-            if stream.write_all(&serve(request)).is_err() {
+            if stream.write_all(&respond(request)).is_err() {
                 return;
             }
         }
@@ -61,7 +64,7 @@
     }
 }
 
-/// Ids of what a server has seen.
+/// The ids of the requests that a server has received.
 pub fn ids(server: &Server) -> Vec<String> {
     ids_of(&server.requests())
 }
@@ -71,14 +74,14 @@
     requests.iter().map(id).collect()
 }
 
-/// A configuration in which a connection may take long to come up.
-pub fn slow_connects(discovery: SocketAddr, known: Vec<Value>) -> Value {
+/// A configuration with a connect timeout of 5 s.
+pub fn slow_connect_config(discovery: SocketAddr, known: Vec<Value>) -> Value {
     let mut config = config(discovery, known);
     config["settings"]["limits"]["connect-timeout"] = json!(5_000_000_000u64);
     config
 }
 
-/// Stops a process until the closure has run: what happens meanwhile meets it at one moment.
+/// Stops a process until the closure has run: the process finds all that happened meanwhile at once.
 pub fn while_stopped<T>(sidecar: &Sidecar, act: impl FnOnce() -> T) -> T {
     sidecar.signal("STOP");
     let stat = format!("/proc/{}/stat", sidecar.pid());
@@ -87,17 +90,17 @@
         stat.rsplit(") ").next().unwrap().starts_with('T')
     });
     let result = act();
-    // What was written is with the other side's kernel: loopback delivers at once.
+    // Loopback delivers at once: what was written is in the receiver's kernel buffer by now.
     sidecar.signal("CONT");
     result
 }
 
-/// Waits until a sidecar that has something to do has surely done it: a request of another
-/// client passes through it, twice the time in which a break would show.
-pub fn settle(sidecar: &Sidecar, name: &str) {
-    for number in 0..2 {
+/// Waits until a sidecar has surely done what it has to do: requests of another client are
+/// answered twice, 150 ms apart.
+pub fn wait_until_settled(sidecar: &Sidecar, step: &str) {
+    for round in 0..2 {
         thread::sleep(Duration::from_millis(150));
-        let got = sidecar.send_request(&get("/-/ready")).unwrap();
-        assert_eq!(got.status(), 200, "{name} {number}");
+        let response = sidecar.send_request(&get("/-/ready")).unwrap();
+        assert_eq!(response.status(), 200, "{step} {round}");
     }
 }
--- a/crates/mintshelf/tests/races/remaining_time.rs
+++ b/crates/mintshelf/tests/races/remaining_time.rs
@@ -1,4 +1,4 @@
-//! What servers are told of a request's time when its body is read late, or finds no capacity.
+//! The remaining time that is stated to a server when a body is read late, or waits for memory.
 
 use crate::fixture::{while_stopped, PROGRAM};
 use mintshelf_test_support::{
@@ -11,11 +11,11 @@
 
 const CLIENT_TIMEOUT: Duration = Duration::from_secs(5);
 /// How long the body waits.
-const HELD: Duration = Duration::from_millis(700);
-/// How much more than is left the platform lets a server be told.
+const BODY_DELAY: Duration = Duration::from_millis(700);
+/// How much more than the time left may be stated, by the platform's rule.
 const SLACK: Duration = Duration::from_millis(150);
-/// Size of a body that takes all of a small budget.
-const WHOLE_BUDGET: usize = 64 << 10;
+/// Size of a body that uses up a small budget.
+const BODY_BUDGET: usize = 64 << 10;
 
 fn post_head(id: &str, body_length: usize) -> Vec<u8> {
     format!(
@@ -26,38 +26,38 @@
     .into_bytes()
 }
 
-/// The time that a server was told is left of a request.
-fn told(server: &Server, id: &str) -> Duration {
+/// The remaining time of a request as it was stated to the server.
+fn stated_time(server: &Server, id: &str) -> Duration {
     let requests = server.requests();
     let request = requests.iter().find(|request| request.header("x-txn") == Some(id)).unwrap();
     Duration::from_millis(request.header("x-remaining-ms").unwrap().parse().unwrap())
 }
 
 #[test]
-fn a_body_that_is_read_late_takes_from_the_time_that_is_told() {
+fn the_remaining_time_is_reduced_by_the_delay_of_a_late_body() {
     let server = Server::start(|_, _| Some(ok_response("served")));
     let discovery = Discovery::start(1, vec![server.entry("a")]);
     let sidecar = Sidecar::start(PROGRAM, config(discovery.at, vec![server.entry("a")]));
     let mut client = connect(sidecar.at).unwrap();
     client.write_all(&post_head("late", 4)).unwrap();
     // The head is read by itself.
-    thread::sleep(HELD);
+    thread::sleep(BODY_DELAY);
     while_stopped(&sidecar, || {
         client.write_all(b"work").unwrap();
-        thread::sleep(HELD);
+        thread::sleep(BODY_DELAY);
     });
     assert_eq!(Message::read(&mut client).unwrap().status(), 200);
-    let told = told(&server, "late");
-    assert!(told <= CLIENT_TIMEOUT - HELD + SLACK, "{told:?}");
+    let remaining = stated_time(&server, "late");
+    assert!(remaining <= CLIENT_TIMEOUT - BODY_DELAY + SLACK, "{remaining:?}");
 }
 
 #[test]
-fn a_body_that_waits_for_capacity_takes_from_the_time_that_is_told() {
+fn the_remaining_time_is_reduced_by_the_wait_for_body_memory() {
     let latch = Latch::closed();
-    let opened = latch.clone();
+    let server_latch = latch.clone();
     let server = Server::start(move |request, _| {
         if request.header("x-txn") == Some("first") {
-            opened.wait();
+            server_latch.wait();
         }
         Some(ok_response("served"))
     });
@@ -66,15 +66,15 @@
     config["limits"]["memory_mb"] = json!(0);
     let sidecar = Sidecar::start(PROGRAM, config);
     let mut first = connect(sidecar.at).unwrap();
-    first.write_all(&post_head("first", WHOLE_BUDGET)).unwrap();
-    first.write_all(&vec![b'w'; WHOLE_BUDGET]).unwrap();
-    wait_until("the first one is with the server", || server.requests().len() == 1);
+    first.write_all(&post_head("first", BODY_BUDGET)).unwrap();
+    first.write_all(&vec![b'w'; BODY_BUDGET]).unwrap();
+    wait_until("the first one has arrived", || server.requests().len() == 1);
     let mut second = connect(sidecar.at).unwrap();
     second.write_all(&post_head("second", 4)).unwrap();
     second.write_all(b"work").unwrap();
-    thread::sleep(HELD);
+    thread::sleep(BODY_DELAY);
     latch.open();
     assert_eq!(Message::read(&mut second).unwrap().status(), 200);
-    let told = told(&server, "second");
-    assert!(told <= CLIENT_TIMEOUT - HELD + SLACK, "{told:?}");
+    let remaining = stated_time(&server, "second");
+    assert!(remaining <= CLIENT_TIMEOUT - BODY_DELAY + SLACK, "{remaining:?}");
 }
--- a/crates/mintshelf/tests/races/unusual_settings.rs
+++ b/crates/mintshelf/tests/races/unusual_settings.rs
@@ -1,4 +1,4 @@
-//! Other customers: names in any script, extreme settings, settings that contradict themselves.
+//! Unusual settings: names in any script, extreme values, contradictions.
 
 use crate::fixture::PROGRAM;
 use mintshelf_test_support::{
@@ -22,13 +22,13 @@
         SettingsFixture { config, _server: server, _discovery: discovery }
     }
 
-    /// A sidecar with settings changed; what a request of a class is answered.
+    /// Starts a sidecar with changed settings; the status that a request of a class gets.
     fn status_with(&self, class: &str, change: impl Fn(&mut Value)) -> u16 {
         let mut config = self.config.clone();
         change(&mut config["settings"]);
         let sidecar = Sidecar::start(PROGRAM, config);
         let status = sidecar.send_request(&request(class, "one")).unwrap().status();
-        // Another client still gets an answer: the process has not ended.
+        // Another client still gets a response: the process has not ended.
         assert_eq!(sidecar.send_request(&get("/-/ready")).unwrap().status(), 200);
         status
     }
@@ -51,39 +51,39 @@
     let mut config = config(discovery.at, vec![server.entry("a")]);
     config["settings"]["tenants"][0]["name"] = json!(tenant);
     let sidecar = Sidecar::start(PROGRAM, config);
-    let of = |org: &str| {
+    let status_of_tenant = |org: &str| {
         let text = String::from_utf8(request("safe", &format!("id-{}", org.len()))).unwrap();
         let text = text.replace("X-Org: acme", &format!("X-Org: {org}"));
         sidecar.send_request(text.as_bytes()).unwrap().status()
     };
-    assert_eq!([of(tenant), of("acme"), of("корзин")], [200, 400, 400]);
+    assert_eq!([tenant, "acme", "корзин"].map(status_of_tenant), [200, 400, 400]);
 }
 
 #[test]
-fn extreme_settings_are_served_or_refused_but_never_end_the_process() {
-    const LONGEST: u64 = 9_000_000_000_000_000_000;
+fn extreme_settings_are_served_or_rejected_but_never_end_the_process() {
+    const MAX: u64 = 9_000_000_000_000_000_000;
     let changes: &[(&str, &str, u64)] = &[
-        ("classes/0", "deadline", LONGEST),
+        ("classes/0", "deadline", MAX),
         ("classes/0", "deadline", 1),
         ("classes/0", "goal-time", 0),
-        ("classes/0", "goal-time", LONGEST),
+        ("classes/0", "goal-time", MAX),
         ("classes/1", "memory-span", 0),
-        ("classes/1", "memory-span", LONGEST),
+        ("classes/1", "memory-span", MAX),
         ("invariants", "ask-within", 0),
-        ("invariants", "ask-within", LONGEST),
-        ("invariants", "cold", LONGEST),
+        ("invariants", "ask-within", MAX),
+        ("invariants", "cold", MAX),
         ("invariants", "cold-from", 0),
         ("invariants", "cold-from", 7),
         ("invariants", "fall-multiple", 0),
         ("invariants", "tip-after", 0),
-        ("invariants", "tip-after", LONGEST),
-        ("limits", "connect-timeout", LONGEST),
+        ("invariants", "tip-after", MAX),
+        ("limits", "connect-timeout", MAX),
         ("limits", "conn-idle", 0),
-        ("limits", "conn-idle", LONGEST),
-        ("limits", "max-retry-after", LONGEST),
+        ("limits", "conn-idle", MAX),
+        ("limits", "max-retry-after", MAX),
         ("limits", "max-attempts", 4_000_000_000),
         ("", "tick", 0),
-        ("", "tick", LONGEST),
+        ("", "tick", MAX),
         ("", "balancers", 0),
         ("", "balancers", 4_000_000_000),
     ];
@@ -96,14 +96,14 @@
             });
             let what = format!("{class}, {place} {key} {value}");
             assert!([200, 502, 503].contains(&status), "{what}: {status}");
-            // Only a deadline that is over at once leaves nobody to serve.
+            // Only a deadline that passes at once leaves nothing to serve.
             assert!(status == 200 || (*key, *value) == ("deadline", 1), "{what}: {status}");
         }
     }
 }
 
 #[test]
-fn settings_that_contradict_themselves_are_named_with_their_place() {
+fn contradictory_settings_are_reported_with_their_place() {
     let file = std::env::temp_dir().join(format!("mintshelf-odd-{}.json", std::process::id()));
     type Change = dyn Fn(&mut Value);
     let changes: [(&str, &Change); 6] = [
--- a/crates/test-support/src/discovery.rs
+++ b/crates/test-support/src/discovery.rs
@@ -1,9 +1,11 @@
 //! A discovery service with one endpoint list.
 
+use crate::accept::{accept_connections, AcceptGuard};
 use crate::addresses::free_address;
+use crate::endpoint_list::EndpointList;
 use crate::message::{ok_response, Message};
-use crate::server::{accept_connections, AcceptGuard};
-use serde_json::{json, Value};
+use crate::wait::wait_until;
+use serde_json::Value;
 use std::io::Write;
 use std::net::SocketAddr;
 use std::sync::{Arc, Condvar, Mutex};
@@ -12,35 +14,6 @@
 /// Longest wait of a watch for a newer list; then it gets the same list again.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The entry of a serving endpoint in an endpoint list.
-pub fn entry(uid: &str, at: SocketAddr) -> Value {
-    json!({"uid": uid, "endpoint": at.to_string(), "state": "SERVING"})
-}
-
-struct EndpointList {
-    revision: u64,
-    entries: Vec<Value>,
-    /// The changes that led to the current revision, with the revision of each; callers that know
-    /// an older list than these began with get the complete one.
-    changes: Vec<(u64, Vec<Value>)>,
-}
-
-impl EndpointList {
-    /// The list as JSON: what changed after a revision, or all of it where that is not known.
-    fn after(&self, revision: Option<u64>) -> Value {
-        let is_covered = |after: &u64| {
-            *after == self.revision
-                || self.changes.first().is_some_and(|(first, _)| *first <= after + 1)
-        };
-        let Some(after) = revision.filter(is_covered).filter(|_| !self.changes.is_empty()) else {
-            return json!({"rev": self.revision, "all": true, "targets": self.entries});
-        };
-        let newer = self.changes.iter().filter(|(revision, _)| *revision > after);
-        let changed: Vec<&Value> = newer.flat_map(|(_, entries)| entries).collect();
-        json!({"rev": self.revision, "all": false, "targets": changed})
-    }
-}
-
 struct SharedList {
     current: Mutex<EndpointList>,
     changed: Condvar,
@@ -51,10 +24,10 @@
     fn respond(&self, call: &Message) -> String {
         let after = call.after();
         let current = self.current.lock().unwrap();
-        let known = current.revision;
+        let known = current.revision();
         let waits = after == Some(known) && !call.wait().is_zero();
         let timeout = if waits { WATCH_TIMEOUT } else { Duration::ZERO };
-        let is_unchanged = |list: &mut EndpointList| list.revision == known;
+        let is_unchanged = |list: &mut EndpointList| list.revision() == known;
         let waited = self.changed.wait_timeout_while(current, timeout, is_unchanged);
         let (current, _) = waited.unwrap();
         current.after(after).to_string()
@@ -66,8 +39,7 @@
     /// Its address.
     pub at: SocketAddr,
     list: Arc<SharedList>,
-    /// Number of calls answered so far.
-    pub calls: Arc<Mutex<usize>>,
+    calls: Arc<Mutex<usize>>,
     _accepting: AcceptGuard,
 }
 
@@ -85,7 +57,7 @@
     /// # Panics
     /// The address cannot be bound.
     pub fn start_at(at: SocketAddr, revision: u64, entries: Vec<Value>) -> Self {
-        let current = Mutex::new(EndpointList { revision, entries, changes: Vec::new() });
+        let current = Mutex::new(EndpointList::new(revision, entries));
         let list = Arc::new(SharedList { current, changed: Condvar::new() });
         let calls = Arc::new(Mutex::new(0));
         let served = list.clone();
@@ -102,15 +74,28 @@
         Discovery { at, list, calls, _accepting: accepting }
     }
 
+    /// Number of calls answered so far.
+    ///
+    /// # Panics
+    /// A thread of the service panicked.
+    pub fn call_count(&self) -> usize {
+        *self.calls.lock().unwrap()
+    }
+
+    /// Waits until a call has been answered, as the first of each sidecar is.
+    ///
+    /// # Panics
+    /// No call comes in time.
+    pub fn wait_for_first_call(&self) {
+        wait_until("the first call to discovery", || self.call_count() > 0);
+    }
+
     /// Replaces the list and answers the watches that wait.
     ///
     /// # Panics
     /// A thread of the service panicked.
     pub fn set(&self, entries: Vec<Value>) {
-        let mut current = self.list.current.lock().unwrap();
-        current.revision += 1;
-        current.entries = entries;
-        current.changes.clear();
+        self.list.current.lock().unwrap().replace(entries);
         self.list.changed.notify_all();
     }
 
@@ -120,13 +105,7 @@
     /// # Panics
     /// A thread of the service panicked.
     pub fn change(&self, changed: Vec<Value>) {
-        let mut current = self.list.current.lock().unwrap();
-        current.revision += 1;
-        let revision = current.revision;
-        current.entries.retain(|entry| changed.iter().all(|other| other["uid"] != entry["uid"]));
-        let listed = changed.iter().filter(|entry| entry["state"] != "DELETED").cloned();
-        current.entries.extend(listed);
-        current.changes.push((revision, changed));
+        self.list.current.lock().unwrap().change(changed);
         self.list.changed.notify_all();
     }
 }
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -6,10 +6,12 @@
     reason = "a fixture that cannot be set up fails the test that uses it"
 )]
 
+mod accept;
 mod addresses;
 mod client;
 mod daemon;
 mod discovery;
+mod endpoint_list;
 mod message;
 mod process;
 pub mod relay;
@@ -24,7 +26,8 @@
 };
 #[doc(hidden)]
 pub use daemon::{Daemon, CONFIGURATION_APPLIED, CONFIGURATION_REJECTED};
-pub use discovery::{entry, Discovery};
+pub use discovery::Discovery;
+pub use endpoint_list::entry;
 pub use message::{get, ok_response, read_some, Message};
 pub use process::Process;
 pub use server::{full_listener, Peer, Server};
--- a/crates/test-support/src/relay/transfer.rs
+++ b/crates/test-support/src/relay/transfer.rs
@@ -16,7 +16,7 @@
 /// How a transfer ended.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum Outcome {
-    /// The source ended, all bytes were carried and the end was passed on.
+    /// The source ended, all bytes were carried and the end was forwarded.
     Complete,
     /// The connection broke or has to be broken.
     Broken,
@@ -77,7 +77,7 @@
         Outcome::Broken
     }
 
-    /// Reads once if there is room, for at most the poll interval.
+    /// Reads once if the queue is not full, for at most the poll interval.
     fn read(&mut self) -> Result<(), Broken> {
         if self.source_ended || self.queued_bytes >= MAX_QUEUED_BYTES {
             thread::sleep(POLL_INTERVAL);
--- a/crates/test-support/src/server.rs
+++ b/crates/test-support/src/server.rs
@@ -1,51 +1,15 @@
 //! Servers that a test scripts: by the byte, by the request, or with a full accept queue.
 
+use crate::accept::{accept_connections, AcceptGuard};
 use crate::addresses::free_address;
-use crate::discovery::entry;
+use crate::endpoint_list::entry;
 use crate::message::Message;
 use serde_json::Value;
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
-use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
-use std::thread;
 use std::time::Duration;
 
-/// Stops accepting connections when dropped.
-pub(crate) struct AcceptGuard {
-    address: SocketAddr,
-    stopped: Arc<AtomicBool>,
-}
-
-impl Drop for AcceptGuard {
-    fn drop(&mut self) {
-        self.stopped.store(true, Ordering::Relaxed);
-        // The accepting thread sees the flag only when a connection wakes it.
-        let _ = TcpStream::connect(self.address);
-    }
-}
-
-/// Accepts connections until the guard is dropped and serves each on a thread of its own.
-pub(crate) fn accept_connections(
-    address: SocketAddr,
-    serve_connection: impl Fn(TcpStream) + Send + Sync + 'static,
-) -> AcceptGuard {
-    let listener = TcpListener::bind(address).unwrap();
-    let stopped = Arc::new(AtomicBool::new(false));
-    let guard = AcceptGuard { address, stopped: stopped.clone() };
-    let serve_connection = Arc::new(serve_connection);
-    thread::spawn(move || {
-        for stream in listener.incoming().flatten() {
-            if stopped.load(Ordering::Relaxed) {
-                return;
-            }
-            let serve_connection = serve_connection.clone();
-            thread::spawn(move || serve_connection(stream));
-        }
-    });
-    guard
-}
-
 /// A listener whose accept queue is full, and the connections that fill it.
 ///
 /// The kernel drops the first packet of a further connection, which is sent again a second later.
@@ -86,8 +50,7 @@
     /// Its address.
     pub at: SocketAddr,
     requests: Arc<Mutex<Vec<Message>>>,
-    /// Number of connections accepted so far.
-    pub connections: Arc<Mutex<usize>>,
+    connections: Arc<Mutex<usize>>,
     _accepting: AcceptGuard,
 }
 
@@ -118,6 +81,14 @@
         Server { at, requests, connections, _accepting: accepting }
     }
 
+    /// Number of connections accepted so far.
+    ///
+    /// # Panics
+    /// A thread of the server panicked.
+    pub fn connection_count(&self) -> usize {
+        *self.connections.lock().unwrap()
+    }
+
     /// The requests that have come, in order.
     ///
     /// # Panics
--- a/crates/test-support/tests/relay.rs
+++ b/crates/test-support/tests/relay.rs
@@ -34,14 +34,14 @@
 }
 
 #[test]
-fn one_direction_is_held_while_the_other_is_carried_and_nothing_is_lost() {
+fn one_direction_is_held_while_the_other_is_carried_without_loss() {
     let (peer, received) = echo();
     let relay = Relay::start(peer.at);
     let mut stream = connect_through(&relay);
     relay.hold(Direction::Backward);
     stream.write_all(b"heard").unwrap();
-    wait_until("it is heard", || received.lock().unwrap().as_slice() == b"heard");
-    assert_eq!(relay.carried_bytes(Direction::Backward), 0, "no word comes back");
+    wait_until("it has arrived", || received.lock().unwrap().as_slice() == b"heard");
+    assert_eq!(relay.carried_bytes(Direction::Backward), 0, "nothing is carried back");
     relay.release(Direction::Backward);
     assert_eq!(read_exactly(&mut stream, 5), b"heard");
     relay.hold(Direction::Forward);
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_delayed_direction_takes_its_time_and_keeps_the_order() {
+fn a_delayed_direction_keeps_the_order() {
     let (peer, _received) = echo();
     let relay = Relay::start(peer.at);
     let mut stream = connect_through(&relay);
@@ -75,13 +75,13 @@
         relay.break_after(Direction::Forward, cut);
         let mut stream = connect_through(&relay);
         stream.write_all(b"one frame").unwrap();
-        let mut rest = Vec::new();
-        let _ = stream.read_to_end(&mut rest);
-        assert!(rest.len() as u64 <= cut);
-        wait_until("the part is there", || received.lock().unwrap().len() as u64 == cut);
-        let mut again = connect_through(&relay);
-        again.write_all(b"whole").unwrap();
-        assert_eq!(read_exactly(&mut again, 5), b"whole");
+        let mut remaining = Vec::new();
+        let _ = stream.read_to_end(&mut remaining);
+        assert!(remaining.len() as u64 <= cut);
+        wait_until("the part has arrived", || received.lock().unwrap().len() as u64 == cut);
+        let mut next_stream = connect_through(&relay);
+        next_stream.write_all(b"whole").unwrap();
+        assert_eq!(read_exactly(&mut next_stream, 5), b"whole");
     }
 }
 
@@ -94,9 +94,9 @@
     stream.write_all(b"abcd").unwrap();
     assert_eq!(read_exactly(&mut stream, 4), [b'a', b'b', b'c' ^ 0xff, b'd']);
     relay.break_all();
-    let mut rest = Vec::new();
-    let _ = stream.read_to_end(&mut rest);
-    assert!(rest.is_empty());
+    let mut remaining = Vec::new();
+    let _ = stream.read_to_end(&mut remaining);
+    assert!(remaining.is_empty());
     relay.cut();
     let mut rejected = connect_through(&relay);
     let _ = rejected.write_all(b"nobody");
