--- a/crates/mintshelf/tests/commands.rs
+++ b/crates/mintshelf/tests/commands.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn check_tells_good_from_broken_from_unreadable() {
+fn check_distinguishes_valid_broken_and_unreadable_files() {
     assert_eq!(run(&["check", &example("lab.toml")]), (0, String::new(), String::new()));
     assert_eq!(run(&["check", &example("minimal.toml")]).0, 0);
     let file = broken(1);
@@ -44,13 +44,13 @@
         && problem["rule"].is_null()));
     assert!(problems.iter().any(|problem| problem["rule"] == 1), "{json}");
     std::fs::remove_file(file).unwrap();
-    let (code, _, said) = run(&["check", "/nowhere/at/all.toml"]);
-    assert_eq!(code, 2, "{said}");
+    let (code, _, errors) = run(&["check", "/nowhere/at/all.toml"]);
+    assert_eq!(code, 2, "{errors}");
     assert_eq!(run(&["chekc"]).0, 2);
 }
 
 #[test]
-fn explain_tells_the_winner_the_others_and_where_settings_come_from() {
+fn explain_shows_the_selected_route_the_others_and_the_source_of_settings() {
     let lab = example("lab.toml");
     let url = "http://bench/devices/7/flash?x=1";
     let (code, text, _) =
@@ -100,20 +100,20 @@
 #[test]
 fn the_demo_serves_and_ends_by_itself() {
     let listen = format!("127.0.77.1:{}", 20_000 + std::process::id() % 9_000);
-    let (code, text, said) = run(&["demo", "--for", "3s", "--listen", &listen]);
-    assert_eq!(code, 0, "{said}");
+    let (code, text, errors) = run(&["demo", "--for", "3s", "--listen", &listen]);
+    assert_eq!(code, 0, "{errors}");
     assert!(text.contains(&format!("curl -i http://{listen}/")), "{text}");
     let last = text.lines().last().unwrap();
-    let good: u64 = last.split(' ').next().unwrap().parse().unwrap();
-    assert!(good > 0 && last.ends_with(", 0 otherwise"), "{last}");
+    let served: u64 = last.split(' ').next().unwrap().parse().unwrap();
+    assert!(served > 0 && last.ends_with(", 0 otherwise"), "{last}");
 }
 
 #[test]
-fn run_refuses_a_broken_file() {
+fn run_rejects_a_broken_file() {
     let file = broken(2);
     let name = file.display().to_string();
-    let (code, _, said) = run(&["run", "--config", &name]);
+    let (code, _, errors) = run(&["run", "--config", &name]);
     assert_eq!(code, 1);
-    assert!(said.contains("is refused") && said.contains(":1:10:"), "{said}");
+    assert!(errors.contains("is refused") && errors.contains(":1:10:"), "{errors}");
     std::fs::remove_file(file).unwrap();
 }
--- a/crates/mintshelf/tests/compatibility/bindings.rs
+++ b/crates/mintshelf/tests/compatibility/bindings.rs
@@ -32,7 +32,7 @@
 use std::fmt::Debug;
 use std::path::Path;
 
-/// Stand-ins for servers and clients, under the names that the tests call them by.
+/// Test servers and clients, under the names that the tests use.
 pub use mintshelf_test_support::{
     config, connect, free_address, get, ok_response as answer, request, send_request as ask,
     wait_until, Daemon, Peer, Server, Sidecar, TEST_TIMEOUT as LONG,
@@ -227,14 +227,14 @@
 /// Number, sum and count of an endpoint.
 pub type EndpointGossip = (u32, f64, f64);
 
-/// What a datagram says: weight, traffic of each tenant, endpoints.
+/// The contents of a datagram: weight, traffic of each tenant, endpoints.
 pub fn decoded_gossip(bytes: &[u8]) -> Option<(f64, Vec<f64>, Vec<EndpointGossip>)> {
     let message = GossipMessage::decode(bytes)?;
     let seen = message.servers.iter().map(|seen| (seen.server, seen.sum, seen.count)).collect();
     Some((message.weight, message.tenants, seen))
 }
 
-/// What an endpoint list says, a line for the list and one for each endpoint.
+/// An endpoint list as text: a line for the list and one for each endpoint.
 pub fn described_list(text: &str, came_whole: bool) -> String {
     let zones = vec!["east".to_string(), "west".to_string()];
     let names = Names { zones, kinds: vec!["small".to_string()], ..Names::default() };
@@ -264,7 +264,7 @@
     lines
 }
 
-/// Why a platform configuration is refused, without the file's name.
+/// Why a platform configuration is rejected, without the file's name.
 pub fn platform_refusal(file: &Path) -> Option<String> {
     let error = PlatformConfig::read(file).err()?.to_string();
     Some(error.replacen(&format!("{}: ", file.display()), "", 1))
@@ -286,7 +286,7 @@
     }
 }
 
-/// A line of the adapter's for each action; the one that it has no message for gives none.
+/// The adapter's line for each action; empty for the one that has no message.
 pub fn simulator_actions() -> Vec<(&'static str, String)> {
     let payload = vec![1, 0x2b, 0xff];
     let reason = EndReason::Overload;
@@ -321,7 +321,7 @@
     (store, content)
 }
 
-/// What a replica's directory holds: the log as stored, and the leases once it is applied.
+/// The contents of a replica's directory: the log as stored, and the leases once it is applied.
 pub fn described_store(directory: &Path) -> String {
     let (store, StoreContent::State(stored)) = open(directory) else { panic!("an empty store") };
     let (state, snapshot, entries) = (stored.hard_state(), stored.snapshot(), stored.entries());
@@ -427,7 +427,7 @@
     }
 }
 
-/// Writes a replica's directory with leases held, waited for, given back, revoked and expired,
+/// Writes a replica's directory with leases held, waited for, released, revoked and expired,
 /// on both sides of a snapshot.
 pub fn write_store(directory: &Path) {
     let mut session = Session::begin(directory);
--- a/crates/mintshelf/tests/compatibility/command_line.rs
+++ b/crates/mintshelf/tests/compatibility/command_line.rs
@@ -61,7 +61,7 @@
 fn exit_codes_tell_good_from_broken_from_unusable() {
     let directory = TemporaryDirectory::new("codes");
     let broken = directory.write("broken.toml", BROKEN);
-    let lonely = directory.write(
+    let without_fleet = directory.write(
         "lonely.toml",
         "listen = \"127.0.0.1:1\"\n[clusters.a]\nendpoints = [\"127.0.0.1:9\"]\n\
          [[routes]]\ncluster = \"a\"\n",
@@ -87,21 +87,21 @@
         (2, &["demo", "--for", "long"]),
         (2, &["unheard-of"]),
         (1, &[]),
-        (1, &["fleet", "init", "--config", &lonely]),
+        (1, &["fleet", "init", "--config", &without_fleet]),
         (1, &["fleet", "init", "--config", &broken]),
         (2, &["fleet", "init", "--config", missing]),
-        (1, &["fleet", "status", "--config", &lonely]),
+        (1, &["fleet", "status", "--config", &without_fleet]),
         (2, &["fleet", "status", "--config", missing]),
         (2, &["fleet"]),
-        (1, &["lease", "list", "--config", &lonely]),
-        (1, &["lease", "release", "a", "--config", &lonely]),
-        (1, &["lease", "run", "a", "--config", &lonely, "--", "true"]),
-        (2, &["lease", "run", "a", "--config", &lonely]),
+        (1, &["lease", "list", "--config", &without_fleet]),
+        (1, &["lease", "release", "a", "--config", &without_fleet]),
+        (1, &["lease", "run", "a", "--config", &without_fleet, "--", "true"]),
+        (2, &["lease", "run", "a", "--config", &without_fleet]),
         (2, &["lease"]),
     ];
     for (code, arguments) in cases {
-        let got = run(arguments);
-        assert_eq!(got.0, *code, "{arguments:?}: {got:?}");
+        let result = run(arguments);
+        assert_eq!(result.0, *code, "{arguments:?}: {result:?}");
     }
 }
 
@@ -111,8 +111,8 @@
     let broken = directory.write("broken.toml", BROKEN);
     let (_, text, _) = run(&["check", &broken]);
     let (_, json, _) = run(&["check", &broken, "--format", "json"]);
-    let (_, none, _) = run(&["check", &deployed_name("lab.toml"), "--format", "json"]);
+    let (_, without_errors, _) = run(&["check", &deployed_name("lab.toml"), "--format", "json"]);
     let problems: serde_json::Value = serde_json::from_str(&json).unwrap();
-    let output = format!("{text}{problems:#}\n{none}");
+    let output = format!("{text}{problems:#}\n{without_errors}");
     assert_same("errors.txt", &output.replace(&broken, "FILE"));
 }
--- a/crates/mintshelf/tests/compatibility/endpoint_lists.rs
+++ b/crates/mintshelf/tests/compatibility/endpoint_lists.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists as discovery sends them, and as a configuration keeps the last one.
+//! Endpoint lists as discovery sends them, and as a configuration caches the last one.
 
 use super::bindings::{
     answer, config, described_list, free_address, request, wait_until, Server, Sidecar,
@@ -10,11 +10,11 @@
 fn a_list_written_before_says_the_same() {
     let list = text("endpoint-list.json");
     let mut described = format!("whole: {}", described_list(&list, true));
-    let cut = list.find(r#"{"uid":"s-3""#).unwrap();
-    described.push_str(&format!("cut: {}", described_list(&list[..cut], false)));
+    let cut_at = list.find(r#"{"uid":"s-3""#).unwrap();
+    described.push_str(&format!("cut: {}", described_list(&list[..cut_at], false)));
     let changes = list.replace(r#""all":true"#, r#""all":false"#);
     described.push_str(&format!("changes: {}", described_list(&changes, true)));
-    described.push_str(&format!("malformed: {}", described_list(&list[..cut], true)));
+    described.push_str(&format!("malformed: {}", described_list(&list[..cut_at], true)));
     assert_same("endpoint-list.txt", &described);
 }
 
@@ -26,8 +26,8 @@
     configuration["known"] = serde_json::from_str::<Value>(&list).unwrap();
     let sidecar = Sidecar::start(PROGRAM, configuration);
     for number in 0..5 {
-        let got = sidecar.send_request(&request("safe", &format!("txn-{number}"))).unwrap();
-        assert_eq!((got.status(), got.body.as_slice()), (200, &b"listed"[..]));
+        let response = sidecar.send_request(&request("safe", &format!("txn-{number}"))).unwrap();
+        assert_eq!((response.status(), response.body.as_slice()), (200, &b"listed"[..]));
     }
 }
 
@@ -44,6 +44,6 @@
     let (path, wait) = calls[0].path().split_once("&wait_ms=").unwrap();
     assert_eq!(path, "/api/targets?after=1");
     assert!(wait.parse::<u64>().is_ok(), "{wait}");
-    let got = sidecar.send_request(&request("safe", "txn-1")).unwrap();
-    assert_eq!((got.status(), got.body.as_slice()), (200, &b"listed"[..]));
+    let response = sidecar.send_request(&request("safe", "txn-1")).unwrap();
+    assert_eq!((response.status(), response.body.as_slice()), (200, &b"listed"[..]));
 }
--- a/crates/mintshelf/tests/compatibility/fixtures.rs
+++ b/crates/mintshelf/tests/compatibility/fixtures.rs
@@ -6,7 +6,7 @@
 /// The program under test.
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_mintshelf");
 
-/// Set to write the fixtures anew instead of comparing; for a deliberate change of the outside.
+/// Set to rewrite the fixtures instead of comparing; for a deliberate change of an interface.
 const WRITE: &str = "MINTSHELF_WRITE_FIXTURES";
 
 /// A directory that is removed when the test ends.
@@ -64,7 +64,7 @@
     texts(output.unwrap())
 }
 
-/// The parts of what a finished program leaves.
+/// Exit code, standard output and standard error of a finished program.
 pub fn texts(output: Output) -> (i32, String, String) {
     let text = |bytes| String::from_utf8(bytes).unwrap();
     (output.status.code().unwrap(), text(output.stdout), text(output.stderr))
--- a/crates/mintshelf/tests/compatibility/fleet_commands.rs
+++ b/crates/mintshelf/tests/compatibility/fleet_commands.rs
@@ -8,7 +8,7 @@
 #[test]
 fn a_stored_fleet_is_told_with_the_same_words_and_json() {
     let fleet = SampleFleet::start("told");
-    let mut told = String::new();
+    let mut output_of_all = String::new();
     let commands: &[(&[&str], &[&str])] = &[
         (&["fleet", "status"], &["--json"]),
         (&["fleet", "status"], &[]),
@@ -31,11 +31,11 @@
     for (words, rest) in commands {
         let (code, output, errors) = fleet.run(words, rest);
         let command = [*words, *rest].concat().join(" ");
-        // The replica's own directory is named in what it refuses.
+        // The replica's own directory is named in a rejection.
         let errors = errors.split(": ").last().unwrap_or("").trim_end();
-        told.push_str(&format!("== {command}\n{output}code {code} {errors}\n"));
+        output_of_all.push_str(&format!("== {command}\n{output}code {code} {errors}\n"));
     }
-    assert_same("fleet-commands.txt", &told);
+    assert_same("fleet-commands.txt", &output_of_all);
 }
 
 #[test]
@@ -59,7 +59,7 @@
     let (listen, replica) = (free_address(), free_address());
     let file = directory.write("fleet.toml", &file(listen, replica, &directory));
     let place = directory.0.display().to_string();
-    let mut told = String::new();
+    let mut output_of_all = String::new();
     for words in [
         &["fleet", "init"][..],
         &["fleet", "init"],
@@ -69,7 +69,8 @@
     ] {
         let (code, output, errors) = run(&[words, &["--config", &file]].concat());
         let text = format!("== {}\n{output}{errors}code {code}\n", words.join(" "));
-        told.push_str(&text.replace(&place, "DIRECTORY").replace(&replica.to_string(), "ADDRESS"));
+        output_of_all
+            .push_str(&text.replace(&place, "DIRECTORY").replace(&replica.to_string(), "ADDRESS"));
     }
-    assert_same("fleet-begins.txt", &told);
+    assert_same("fleet-begins.txt", &output_of_all);
 }
--- a/crates/mintshelf/tests/compatibility/fleet_messages.rs
+++ b/crates/mintshelf/tests/compatibility/fleet_messages.rs
@@ -1,4 +1,4 @@
-//! What replicas and members send each other, and what entries of the log hold.
+//! Messages between replicas and members, and entries of the log.
 
 use super::bindings::{
     encoded_budget_messages, encoded_frames, encoded_greetings, encoded_lease_commands, Sample,
@@ -40,7 +40,7 @@
     unhex(found.unwrap_or_else(|| panic!("{fixture} has no '{label}'")))
 }
 
-/// Sends a message behind its length.
+/// Sends a message after its length.
 fn send(stream: &mut TcpStream, message: &[u8]) {
     stream.write_all(&(message.len() as u32).to_be_bytes()).unwrap();
     stream.write_all(message).unwrap();
--- a/crates/mintshelf/tests/compatibility/main.rs
+++ b/crates/mintshelf/tests/compatibility/main.rs
@@ -1,8 +1,8 @@
-//! What the outside relies on, byte for byte: files, stores, messages, commands and figures.
+//! Interfaces that others rely on, byte for byte: files, stores, messages, commands and metrics.
 //!
 //! The fixtures were made by the program before its packages, types and files were renamed, and
-//! must keep passing unchanged. Assertions speak of bytes and text only; every Rust name of the
-//! workspace that is needed to produce them stands in [`bindings`].
+//! must keep passing unchanged. Assertions are about bytes and text only; every Rust name of the
+//! workspace that is needed to produce them is in [`bindings`].
 
 mod bindings;
 mod command_line;
--- a/crates/mintshelf/tests/compatibility/metrics.rs
+++ b/crates/mintshelf/tests/compatibility/metrics.rs
@@ -1,4 +1,4 @@
-//! What the admin listener tells, and the errors that clients are told.
+//! Pages of the admin listener, and the errors that clients get.
 
 use super::bindings::{answer, ask, connect, free_address, get, wait_until, Daemon, Peer, Server};
 use super::fixtures::{assert_same, PROGRAM};
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use tungstenite::Message;
 
-/// A cluster for plain requests, one for sockets, and one that nobody serves.
+/// A cluster for plain requests, one for sockets, and one without a server that listens.
 fn file(at: SocketAddr, admin: SocketAddr, servers: [SocketAddr; 3]) -> String {
     let [plain, live, other] = servers;
     format!(
@@ -23,7 +23,7 @@
     )
 }
 
-/// A WebSocket server that says back what it hears, and breaks off when told to.
+/// A WebSocket server that echoes messages, and closes its connection at `break off`.
 fn echo() -> Peer {
     Peer::start(|stream| {
         let Ok(mut socket) = tungstenite::accept(stream) else { return };
@@ -35,7 +35,7 @@
     })
 }
 
-/// Opens a socket and has one message said back.
+/// Opens a socket and receives the echo of one message.
 fn socket(at: SocketAddr) -> tungstenite::WebSocket<std::net::TcpStream> {
     let address = format!("ws://{at}/live");
     let (mut socket, _) = tungstenite::client(address, connect(at).unwrap()).unwrap();
@@ -44,8 +44,8 @@
     socket
 }
 
-/// Runs the program with traffic of each kind, then calls `look` with both addresses.
-fn with_traffic(look: impl FnOnce(&Daemon, SocketAddr)) {
+/// Runs the program with traffic of each kind, then checks it by its admin address.
+fn with_traffic(check: impl FnOnce(&Daemon, SocketAddr)) {
     let plain = Server::start(|_, _| Some(answer("good")));
     let (live, other) = (echo(), echo());
     let (at, admin) = (free_address(), free_address());
@@ -53,25 +53,25 @@
     let daemon = Daemon::start(PROGRAM, at, &text, &[]);
     assert_eq!(daemon.send_request(&get("/plain")).unwrap().status(), 200);
     assert_eq!(daemon.send_request(&get("/nowhere")).unwrap().status(), 404);
-    let mut ended = socket(at);
-    ended.close(None).unwrap();
-    while ended.read().is_ok() {}
-    let mut moved = socket(at);
-    moved.send(Message::text("break off")).unwrap();
+    let mut closed = socket(at);
+    closed.close(None).unwrap();
+    while closed.read().is_ok() {}
+    let mut migrated = socket(at);
+    migrated.send(Message::text("break off")).unwrap();
     daemon.reload(&text);
-    for figure in ["closed", "moved"] {
-        wait_until(figure, || {
-            page(admin, "/-/metrics").contains(&format!("mintshelf_sockets_{figure}_total{{"))
+    for counter in ["closed", "moved"] {
+        wait_until(counter, || {
+            page(admin, "/-/metrics").contains(&format!("mintshelf_sockets_{counter}_total{{"))
         });
     }
-    look(&daemon, admin);
+    check(&daemon, admin);
 }
 
 fn page(admin: SocketAddr, path: &str) -> String {
     String::from_utf8(ask(admin, &get(path)).unwrap().body).unwrap()
 }
 
-/// Names and kinds of all figures, and the label keys of each sample.
+/// Names and types of all metrics, and the label keys of each sample.
 fn outline(metrics: &str) -> String {
     let lines = metrics.lines().filter(|line| !line.starts_with("# HELP "));
     let outline = lines.map(|line| match line.split_once('{') {
@@ -87,17 +87,17 @@
     sorted.into_iter().map(|line| line + "\n").collect()
 }
 
-/// The keys of all objects, with the way to them.
-fn keys(value: &Value, way: &str, into: &mut BTreeSet<String>) {
+/// The keys of all objects, with their paths.
+fn keys(value: &Value, path: &str, into: &mut BTreeSet<String>) {
     match value {
         Value::Object(fields) => {
             for (name, field) in fields {
-                let way = format!("{way}.{name}");
-                into.insert(way.clone());
-                keys(field, &way, into);
+                let path = format!("{path}.{name}");
+                into.insert(path.clone());
+                keys(field, &path, into);
             }
         }
-        Value::Array(items) => items.iter().for_each(|item| keys(item, &format!("{way}[]"), into)),
+        Value::Array(items) => items.iter().for_each(|item| keys(item, &format!("{path}[]"), into)),
         _ => {}
     }
 }
@@ -113,7 +113,7 @@
         let value: Value = serde_json::from_str(&page(admin, "/-/config")).unwrap();
         let mut found = BTreeSet::new();
         keys(&value, "", &mut found);
-        let lines: String = found.into_iter().map(|way| way + "\n").collect();
+        let lines: String = found.into_iter().map(|path| path + "\n").collect();
         assert_same("in-force.txt", &lines);
         assert_eq!(page(admin, "/-/ready"), "ready\n");
     });
@@ -122,7 +122,7 @@
 #[test]
 fn clients_are_told_the_same_errors() {
     with_traffic(|daemon, admin| {
-        let mut told = String::new();
+        let mut errors = String::new();
         let requests = [
             ("no route", daemon.at, "GET /nowhere HTTP/1.1\r\nHost: h\r\n\r\n"),
             ("nobody serves", daemon.at, "GET /away HTTP/1.1\r\nHost: h\r\n\r\n"),
@@ -138,11 +138,11 @@
             ("only told", admin, "POST /-/ready HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n"),
         ];
         for (label, at, request) in requests {
-            let got = ask(at, request.as_bytes()).unwrap();
-            let kind = got.header("content-type").unwrap_or("");
-            let body = String::from_utf8(got.body.clone()).unwrap();
-            told.push_str(&format!("{label}: {} {kind}\n  {body}", got.status()));
+            let response = ask(at, request.as_bytes()).unwrap();
+            let kind = response.header("content-type").unwrap_or("");
+            let body = String::from_utf8(response.body.clone()).unwrap();
+            errors.push_str(&format!("{label}: {} {kind}\n  {body}", response.status()));
         }
-        assert_same("client-errors.txt", &told);
+        assert_same("client-errors.txt", &errors);
     });
 }
--- a/crates/mintshelf/tests/compatibility/platform_configuration.rs
+++ b/crates/mintshelf/tests/compatibility/platform_configuration.rs
@@ -4,53 +4,53 @@
 use super::fixtures::{assert_same, run, text, TemporaryDirectory, PROGRAM};
 use serde_json::{json, Value};
 
-/// A configuration with every key that there is.
-fn whole() -> Value {
+/// A configuration with every key.
+fn complete_configuration() -> Value {
     serde_json::from_str(&text("platform.json")).unwrap()
 }
 
-/// The places of all keys, of lists those of the first item.
-fn places(value: &Value, place: &str, into: &mut Vec<String>) {
+/// The paths of all keys; of lists those of the first item.
+fn paths(value: &Value, path: &str, found: &mut Vec<String>) {
     match value {
         Value::Object(fields) => {
             for (name, field) in fields {
-                into.push(format!("{place}/{name}"));
-                places(field, &format!("{place}/{name}"), into);
+                found.push(format!("{path}/{name}"));
+                paths(field, &format!("{path}/{name}"), found);
             }
         }
         Value::Array(items) => {
-            items.first().into_iter().for_each(|item| places(item, &format!("{place}/0"), into));
+            items.first().into_iter().for_each(|item| paths(item, &format!("{path}/0"), found));
         }
         _ => {}
     }
 }
 
-fn refusal(directory: &TemporaryDirectory, configuration: &Value) -> Option<String> {
+fn rejection(directory: &TemporaryDirectory, configuration: &Value) -> Option<String> {
     let file = directory.write("platform.json", &configuration.to_string());
-    let refusal = platform_refusal(file.as_ref())?;
-    // Where in the text is of no interest, and moves with the fixture.
-    Some(refusal.split(" at line").next().unwrap().to_string())
+    let rejection = platform_refusal(file.as_ref())?;
+    // The position in the text is left out, since it depends on the fixture.
+    Some(rejection.split(" at line").next().unwrap().to_string())
 }
 
 #[test]
 fn the_same_keys_are_read_and_required() {
     let directory = TemporaryDirectory::new("platform-keys");
-    assert_eq!(refusal(&directory, &whole()), None);
+    assert_eq!(rejection(&directory, &complete_configuration()), None);
     let mut all = Vec::new();
-    places(&whole(), "", &mut all);
-    let mut told = String::new();
-    for place in all.iter().filter(|place| !place.starts_with("/known/")) {
-        let (parent, name) = place.rsplit_once('/').unwrap();
-        let mut without = whole();
+    paths(&complete_configuration(), "", &mut all);
+    let mut outcomes = String::new();
+    for path in all.iter().filter(|path| !path.starts_with("/known/")) {
+        let (parent, name) = path.rsplit_once('/').unwrap();
+        let mut without = complete_configuration();
         without.pointer_mut(parent).unwrap().as_object_mut().unwrap().remove(name);
-        let without = refusal(&directory, &without).unwrap_or("optional".into());
-        let mut wrong = whole();
-        // No key takes lists in lists.
-        *wrong.pointer_mut(place).unwrap() = json!([[[]]]);
-        let read = if refusal(&directory, &wrong).is_some() { "read" } else { "not looked at" };
-        told.push_str(&format!("{place}: {read}; without it: {without}\n"));
+        let without = rejection(&directory, &without).unwrap_or("optional".into());
+        let mut wrong = complete_configuration();
+        // No key has a list of lists as its value.
+        *wrong.pointer_mut(path).unwrap() = json!([[[]]]);
+        let read = if rejection(&directory, &wrong).is_some() { "read" } else { "not looked at" };
+        outcomes.push_str(&format!("{path}: {read}; without it: {without}\n"));
     }
-    assert_same("platform-keys.txt", &told);
+    assert_same("platform-keys.txt", &outcomes);
 }
 
 #[test]
@@ -65,23 +65,23 @@
         ("/settings/report/how", &["piggyback", "pull", ""]),
         ("/settings/report/fields/0", &["inflight", "queue", "util", "latency_ms", "qps", "eps"]),
     ];
-    let mut told = String::new();
-    for (place, words) in choices {
+    let mut outcomes = String::new();
+    for (path, words) in choices {
         for word in words.iter().chain(&["nonsense"]) {
-            let mut configuration = whole();
-            *configuration.pointer_mut(place).unwrap() = json!(word);
-            let came = refusal(&directory, &configuration).unwrap_or("taken".into());
-            told.push_str(&format!("{place} = {word:?}: {came}\n"));
+            let mut configuration = complete_configuration();
+            *configuration.pointer_mut(path).unwrap() = json!(word);
+            let outcome = rejection(&directory, &configuration).unwrap_or("taken".into());
+            outcomes.push_str(&format!("{path} = {word:?}: {outcome}\n"));
         }
     }
-    assert_same("platform-choices.txt", &told);
+    assert_same("platform-choices.txt", &outcomes);
 }
 
 #[test]
 fn figures_out_of_bounds_are_refused_with_the_same_words() {
     let directory = TemporaryDirectory::new("platform-bounds");
-    let mut told = String::new();
-    for (place, value) in [
+    let mut outcomes = String::new();
+    for (path, value) in [
         ("/listen", json!("here")),
         ("/seed", json!("no hex")),
         ("/limits/sockets", json!(63)),
@@ -92,18 +92,18 @@
         ("/settings/limits/max-attempts", json!(0)),
         ("/peer_listen", json!(null)),
     ] {
-        let mut configuration = whole();
-        *configuration.pointer_mut(place).unwrap() = value;
-        let came = refusal(&directory, &configuration).unwrap_or("taken".into());
-        told.push_str(&format!("{place}: {came}\n"));
+        let mut configuration = complete_configuration();
+        *configuration.pointer_mut(path).unwrap() = value;
+        let outcome = rejection(&directory, &configuration).unwrap_or("taken".into());
+        outcomes.push_str(&format!("{path}: {outcome}\n"));
     }
-    assert_same("platform-bounds.txt", &told);
+    assert_same("platform-bounds.txt", &outcomes);
 }
 
 #[test]
 fn the_sidecar_starts_and_serves_by_a_configuration_written_before() {
     let server = Server::start(|_, _| Some(answer("served")));
-    let mut configuration = whole();
+    let mut configuration = complete_configuration();
     for key in ["listen", "discovery", "peer_listen"] {
         configuration[key] = json!(free_address().to_string());
     }
@@ -111,8 +111,8 @@
     configuration["peers_all"] = json!(free_address().to_string());
     configuration["known"]["targets"][0]["endpoint"] = json!(server.at.to_string());
     let sidecar = Sidecar::start(PROGRAM, configuration);
-    let got = sidecar.send_request(&request("safe", "txn-1")).unwrap();
-    assert_eq!((got.status(), got.body.as_slice()), (200, &b"served"[..]));
+    let response = sidecar.send_request(&request("safe", "txn-1")).unwrap();
+    assert_eq!((response.status(), response.body.as_slice()), (200, &b"served"[..]));
 }
 
 #[test]
--- a/crates/mintshelf/tests/compatibility/sample_fleet.rs
+++ b/crates/mintshelf/tests/compatibility/sample_fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of one replica that goes on from the store fixture.
+//! A fleet of one replica that starts with the store fixture.
 
 use super::bindings::{free_address, wait_until, Daemon};
 use super::fixtures::{run, TemporaryDirectory, PROGRAM};
--- a/crates/mintshelf/tests/compatibility/simulator.rs
+++ b/crates/mintshelf/tests/compatibility/simulator.rs
@@ -26,29 +26,29 @@
 
 #[test]
 fn every_verdict_has_the_same_consequence() {
-    let begun = text("simulator-verdicts-input.txt");
-    let before = simulator_replies(&begun);
-    let mut told = before.clone();
+    let start_of_input = text("simulator-verdicts-input.txt");
+    let before = simulator_replies(&start_of_input);
+    let mut output = before.clone();
     for verdict in
         ["delivered", "app_error", "shed", "expired", "dial_failed", "dropped", "revoked", "unused"]
     {
-        let mut input = format!("{begun}clock 7000000\ntarget_instance sidecar_7\n");
+        let mut input = format!("{start_of_input}clock 7000000\ntarget_instance sidecar_7\n");
         for request in ["t/pure", "t/once"] {
             let server = forwarded(&before, request);
             input.push_str(&format!("resolved {request} {verdict} 0 0 500000 {server} -\n"));
         }
         let replies = simulator_replies(&(input + "your_turn\n"));
         assert!(!replies.contains("error: "), "{replies}");
-        told.push_str(&format!("{verdict}:\n{}", &replies[before.len()..]));
+        output.push_str(&format!("{verdict}:\n{}", &replies[before.len()..]));
     }
-    assert_same("simulator-verdicts.txt", &told);
+    assert_same("simulator-verdicts.txt", &output);
 }
 
 #[test]
 fn wrong_lines_are_refused_with_the_same_words() {
     let input = text("simulator-input.txt");
     let start: String = input.lines().take(5).map(|line| format!("{line}\n")).collect();
-    let mut refusals = String::new();
+    let mut rejections = String::new();
     for line in [
         "nonsense 1",
         "timer",
@@ -68,7 +68,7 @@
     ] {
         let replies = simulator_replies(&format!("{start}{line}\n"));
         let error = replies.lines().last().unwrap();
-        refusals.push_str(&format!("{line}\n  {error}\n"));
+        rejections.push_str(&format!("{line}\n  {error}\n"));
     }
-    assert_same("simulator-refusals.txt", &refusals);
+    assert_same("simulator-refusals.txt", &rejections);
 }
--- a/crates/mintshelf/tests/compatibility/store.rs
+++ b/crates/mintshelf/tests/compatibility/store.rs
@@ -33,7 +33,7 @@
     let directory = path("store");
     let _ = std::fs::remove_dir_all(&directory);
     write_store(&directory);
-    // The database grows in steps; what is not used is given back.
+    // The database grows in steps; compacting releases unused space.
     let mut database = redb::Database::open(directory.join(DATABASE)).unwrap();
     database.compact().unwrap();
 }
--- a/crates/mintshelf/tests/fleet/cluster.rs
+++ b/crates/mintshelf/tests/fleet/cluster.rs
@@ -1,4 +1,4 @@
-//! Some replicas as processes, their files and connections.
+//! Replicas as processes, with their files and the connections between them.
 
 use mintshelf_test_support::relay::Relay;
 use mintshelf_test_support::{free_address, ok_response, wait_until, Daemon, Server};
@@ -13,8 +13,8 @@
 /// A connection, by the indexes of the replicas that dial and listen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Link {
-    pub dials: usize,
-    pub listens: usize,
+    pub dialer: usize,
+    pub listener: usize,
 }
 
 pub struct Cluster {
@@ -36,9 +36,9 @@
         std::fs::create_dir_all(&directory).unwrap();
         let addresses: Vec<SocketAddr> = (0..replicas).map(|_| free_address()).collect();
         let mut links = BTreeMap::new();
-        for dials in 1..replicas {
-            for (listens, address) in addresses.iter().enumerate().take(dials) {
-                links.insert(Link { dials, listens }, Relay::start(*address));
+        for dialer in 1..replicas {
+            for (listener, address) in addresses.iter().enumerate().take(dialer) {
+                links.insert(Link { dialer, listener }, Relay::start(*address));
             }
         }
         let server = Server::start(|_, _| Some(ok_response("here")));
@@ -54,7 +54,7 @@
     /// A replica's file; the connections that it dials go by way of relays.
     fn file_text(&self, index: usize) -> String {
         let voter = |other: usize| {
-            let relay = self.links.get(&Link { dials: index, listens: other });
+            let relay = self.links.get(&Link { dialer: index, listener: other });
             let address = relay.map_or(self.addresses[other], |relay| relay.at);
             format!("{{ name = \"v{other}\", address = \"{address}\" }}")
         };
@@ -89,7 +89,7 @@
             assert!(output.status.success(), "{output:?}");
             self.start(index);
         }
-        wait_until("somebody leads", || self.leader().is_some());
+        wait_until("a replica leads", || self.leader().is_some());
     }
 
     pub fn kill(&mut self, index: usize) {
--- a/crates/mintshelf/tests/fleet/lease_run.rs
+++ b/crates/mintshelf/tests/fleet/lease_run.rs
@@ -24,7 +24,7 @@
 struct TokenFile(PathBuf);
 
 impl TokenFile {
-    /// A script whose child writes without an end.
+    /// A script whose child process writes until it is ended.
     fn script(&self) -> String {
         let file = self.0.display();
         format!("(while true; do echo $MINTSHELF_LEASE_TOKEN >> {file}; sleep 0.05; done) & wait")
@@ -52,8 +52,8 @@
     assert!(status.unwrap().success());
 }
 
-fn wait_for_exit(child: &mut Child, what: &str) -> Option<i32> {
-    wait_until(what, || child.try_wait().unwrap().is_some());
+fn wait_for_exit(child: &mut Child, event: &str) -> Option<i32> {
+    wait_until(event, || child.try_wait().unwrap().is_some());
     child.wait().unwrap().code()
 }
 
@@ -65,33 +65,33 @@
     let output = start_run(&cluster, "10s", script).wait_with_output().unwrap();
     assert_eq!(output.status.code(), Some(7), "{output:?}");
     assert!(text(&output.stdout).starts_with("token "), "{output:?}");
-    // Held, the lease is not granted to another; a waiter gets it once the command has ended.
+    // While the lease is held it is not granted to another holder.
     let first_file = TokenFile(cluster.directory.join("first"));
     let mut first = start_run(&cluster, "10s", &first_file.script());
-    wait_until("the first works", || first_file.line_count() > 0);
+    wait_until("the first runs", || first_file.line_count() > 0);
     let output = start_run(&cluster, "0s", "echo never").wait_with_output().unwrap();
     assert_eq!(output.status.code(), Some(75), "{output:?}");
     assert!(output.stdout.is_empty());
-    // Stopped, the holder renews nothing: its command and that one's child are ended before the
-    // next begins, by the guard.
+    // A stopped holder renews nothing: its guard ends the command and the child of that before the
+    // next holder's command begins.
     let second_file = TokenFile(cluster.directory.join("next"));
     let mut second = start_run(&cluster, "60s", &second_file.script());
     signal(&first, "STOP");
-    wait_until("the second works", || second_file.line_count() > 0);
+    wait_until("the second runs", || second_file.line_count() > 0);
     assert!(!first_file.is_written(), "the first goes on beside the second");
     let (first_tokens, second_tokens) = (first_file.tokens(), second_file.tokens());
     assert!(first_tokens[0] < second_tokens[0], "{first_tokens:?} {second_tokens:?}");
     signal(&first, "CONT");
     assert_eq!(wait_for_exit(&mut first, "the first ends"), Some(74));
-    // Killed, the holder takes its command with it at once.
+    // The command of a killed holder ends at once.
     assert!(second_file.is_written());
     second.kill().unwrap();
     second.wait().unwrap();
-    wait_until("the second's command is ended", || !second_file.is_written());
-    // With no majority left the command is ended in time, and the holder says so.
+    wait_until("the second command is ended", || !second_file.is_written());
+    // Without a majority the command is ended in time, and the exit code says so.
     let third_file = TokenFile(cluster.directory.join("last"));
     let mut third = start_run(&cluster, "60s", &third_file.script());
-    wait_until("the third works", || third_file.line_count() > 0);
+    wait_until("the third runs", || third_file.line_count() > 0);
     (0..2).for_each(|index| cluster.kill(index));
     assert_eq!(wait_for_exit(&mut third, "the third ends"), Some(74));
     assert!(!third_file.is_written());
--- a/crates/mintshelf/tests/fleet/main.rs
+++ b/crates/mintshelf/tests/fleet/main.rs
@@ -1,5 +1,5 @@
-//! Replicas as real processes, every connection between two of them through a relay; members hold
-//! leases while processes are stopped, killed and cut off.
+//! Replicas as real processes, with every connection between two of them through a relay; members
+//! hold leases while processes are stopped, killed and partitioned.
 
 mod cluster;
 mod lease_run;
@@ -27,20 +27,20 @@
     let again = cluster.command(0, &["fleet", "init"]);
     assert!(!again.status.success());
     assert!(text(&again.stderr).contains("another process uses this directory"), "{again:?}");
-    // A follower, so that the leader goes on and remembers what it acknowledged.
+    // A follower, so that the leader keeps what the replica has acknowledged.
     let killed = (cluster.leader().unwrap() + 1) % 3;
     cluster.kill(killed);
     let again = cluster.command(killed, &["fleet", "init"]);
     assert!(text(&again.stderr).contains("holds a voter's store already"), "{again:?}");
-    // A store that was emptied and initialized anew: a leader knows better, and the replica stops.
+    // A store that was emptied and initialized again: the replica notices by the leader and stops.
     std::fs::remove_dir_all(cluster.store_directory(killed)).unwrap();
     assert!(cluster.command(killed, &["fleet", "init"]).status.success());
     cluster.start(killed);
     let log = || cluster.processes[killed].as_ref().map(Daemon::log_output).unwrap_or_default();
-    wait_until("it says that its store is behind", || log().contains("this voter must stop"));
+    wait_until("it logs that its store is behind", || log().contains("this voter must stop"));
     let daemon = cluster.processes[killed].as_ref().unwrap();
     assert_eq!(
-        daemon.send_request(&get("/")).map(|answer| answer.status()),
+        daemon.send_request(&get("/")).map(|response| response.status()),
         Some(200),
         "traffic goes on"
     );
@@ -51,7 +51,7 @@
     let mut cluster = Cluster::new("outlives", 3);
     cluster.initialize();
     let member = Member::start(&cluster.addresses, "first");
-    wait_until("it is held", || member.token().is_some());
+    wait_until("the lease is held", || member.token().is_some());
     let grant = member.grant().unwrap();
     let leader = cluster.leader().unwrap();
     cluster.kill(leader);
@@ -60,7 +60,7 @@
     });
     assert_eq!(member.token(), Some(grant.token));
     cluster.start(leader);
-    wait_until("it answers again, in its second incarnation", || {
+    wait_until("it responds again, in its second incarnation", || {
         let status = cluster.status();
         let replica = &status["voters"][leader];
         replica["lives"] == 3 && replica["lag"] == 0
@@ -75,13 +75,13 @@
     let released = cluster.command(2, &["lease", "release", "task"]);
     assert!(released.status.success(), "{released:?}");
     wait_until("another grant", || member.token().is_some_and(|token| token > grant.token));
-    // One replica of three: no grants, a clear error at once, and requests as ever.
-    let left = cluster.leader().unwrap();
-    (0..3).filter(|index| *index != left).for_each(|index| cluster.kill(index));
-    wait_until("nobody holds it", || member.token().is_none());
-    let listed = cluster.command(left, &["lease", "list"]);
+    // One replica of three: no grants, a clear error at once, and requests are served.
+    let survivor = cluster.leader().unwrap();
+    (0..3).filter(|index| *index != survivor).for_each(|index| cluster.kill(index));
+    wait_until("the lease has expired", || member.token().is_none());
+    let listed = cluster.command(survivor, &["lease", "list"]);
     assert_eq!(listed.status.code(), Some(69));
     assert!(text(&listed.stderr).contains("1 of 3 voters answer, 2 are needed"), "{listed:?}");
-    let daemon = cluster.processes[left].as_ref().unwrap();
-    assert_eq!(daemon.send_request(&get("/")).map(|answer| answer.status()), Some(200));
+    let daemon = cluster.processes[survivor].as_ref().unwrap();
+    assert_eq!(daemon.send_request(&get("/")).map(|response| response.status()), Some(200));
 }
--- a/crates/mintshelf/tests/fleet/member.rs
+++ b/crates/mintshelf/tests/fleet/member.rs
@@ -1,4 +1,4 @@
-//! A member that keeps the lease that all tests are about.
+//! A member that keeps the lease of the tests.
 
 use mintshelf_consensus_node::clock;
 use mintshelf_consensus_node::lease_keeper::{keep_lease, LeaseRequest, LeaseStatus};
--- a/crates/mintshelf/tests/fleet/storm.rs
+++ b/crates/mintshelf/tests/fleet/storm.rs
@@ -1,5 +1,5 @@
-//! Two holders never act at once, whatever fails: five replicas as processes, six contenders,
-//! drawn faults. `MINTSHELF_STORM_SECONDS` goes on for longer.
+//! Two holders never operate at the same time: five replicas as processes, six contenders, random
+//! faults from a seed. `MINTSHELF_STORM_SECONDS` sets the duration.
 
 use crate::cluster::Cluster;
 use crate::member::lease_request;
@@ -40,12 +40,12 @@
 struct Record {
     operations: Arc<Mutex<Vec<Operation>>>,
     fence: Arc<Mutex<Fence>>,
-    is_over: Arc<AtomicBool>,
+    is_stopped: Arc<AtomicBool>,
 }
 
 impl Record {
-    fn is_over(&self) -> bool {
-        self.is_over.load(Ordering::Relaxed)
+    fn is_stopped(&self) -> bool {
+        self.is_stopped.load(Ordering::Relaxed)
     }
 
     fn admits(&self, token: u64) -> bool {
@@ -61,7 +61,7 @@
     operations.windows(2).filter(|pair| pair[0].contender != pair[1].contender).count()
 }
 
-/// A member that requests the lease, acts while it holds it, and releases it now and then.
+/// A member that requests the lease, operates while it holds it, and releases it at times.
 fn contend(
     replicas: Vec<SocketAddr>,
     contender: usize,
@@ -72,7 +72,7 @@
     thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
         let mut incarnation = 0;
-        while !record.is_over() {
+        while !record.is_stopped() {
             incarnation += 1;
             let owner = Owner { member: format!("m{contender}"), incarnation };
             let request = lease_request(&replicas, owner, LEASE_DURATION);
@@ -89,7 +89,7 @@
     })
 }
 
-/// Acts under the lease of one incarnation.
+/// Operates under the lease of one incarnation.
 struct Operator {
     contender: usize,
     status: watch::Receiver<LeaseStatus>,
@@ -98,12 +98,12 @@
 }
 
 impl Operator {
-    /// Acts a number of times, each within what is left of the lease.
+    /// Operates a number of times, each within the time left of the lease.
     async fn act(mut self, turns: u32) {
         for _ in 0..turns {
             let duration = (20 + u64::from(self.rng.next_u32() % 150)) * MS;
             while !self.try_act(duration).await {
-                if self.record.is_over() {
+                if self.record.is_stopped() {
                     return;
                 }
                 tokio::time::sleep(Duration::from_millis(10)).await;
@@ -111,14 +111,14 @@
         }
     }
 
-    /// Acts if the lease lasts for long enough.
+    /// Operates if the lease lasts for long enough.
     async fn try_act(&mut self, duration: Nanos) -> bool {
-        if self.record.is_over() {
+        if self.record.is_stopped() {
             return false;
         }
         let grant = self.status.borrow_and_update().grant;
         let start = clock::now();
-        // An operation takes its time, and some more on a busy machine.
+        // An operation takes its duration, and up to 0.5 s more on a busy machine.
         let needed_until = start + duration + 500 * MS;
         let Some(grant) = grant.filter(|grant| needed_until < grant.expires_at) else {
             return false;
@@ -136,7 +136,7 @@
     }
 }
 
-/// Draws faults and causes them.
+/// Causes random faults.
 struct FaultInjector<'a> {
     cluster: &'a mut Cluster,
     rng: Pcg32,
@@ -190,24 +190,24 @@
             }
             _ => self.heal(),
         }
-        let pause = 100 + self.draw_below(500) as u64;
-        thread::sleep(Duration::from_millis(pause));
+        let wait_ms = 100 + self.draw_below(500) as u64;
+        thread::sleep(Duration::from_millis(wait_ms));
     }
 
     fn restart(&mut self, index: usize) {
         self.cluster.kill(index);
         self.stopped.retain(|stopped| *stopped != index);
-        let pause = self.draw_below(600) as u64;
-        thread::sleep(Duration::from_millis(pause));
+        let wait_ms = self.draw_below(600) as u64;
+        thread::sleep(Duration::from_millis(wait_ms));
         self.cluster.start(index);
     }
 
-    /// Holds back all that a replica sends on its links, or all that it is sent.
+    /// Delays all that a replica sends on its links, or all that it receives.
     fn cut_one_way(&mut self, index: usize) {
-        let way = [Direction::Forward, Direction::Backward][self.draw_below(2)];
+        let direction = [Direction::Forward, Direction::Backward][self.draw_below(2)];
         let links = self.cluster.links.iter();
-        let links = links.filter(|(link, _)| link.dials == index || link.listens == index);
-        links.for_each(|(_, relay)| relay.hold(way));
+        let links = links.filter(|(link, _)| link.dialer == index || link.listener == index);
+        links.for_each(|(_, relay)| relay.hold(direction));
     }
 
     fn heal(&mut self) {
@@ -225,7 +225,7 @@
 fn assert_exclusive(operations: &[Operation]) {
     for pair in operations.windows(2) {
         let (first, second) = (pair[0], pair[1]);
-        assert!(second.start >= first.end, "two acted at once: {pair:?}");
+        assert!(second.start >= first.end, "two operated at once: {pair:?}");
         assert!(second.token >= first.token, "a lower token after a higher: {pair:?}");
         let is_same_holder = second.contender == first.contender;
         assert!(second.token > first.token || is_same_holder, "{pair:?}");
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn two_holders_never_act_at_once_while_processes_and_links_fail() {
+fn two_holders_never_operate_at_once_while_processes_and_links_fail() {
     let seconds: u64 = environment("MINTSHELF_STORM_SECONDS").unwrap_or(12);
     let seed: u64 = environment("MINTSHELF_SEED").unwrap_or(1);
     println!("seed {seed}");
@@ -253,11 +253,11 @@
     }
     faults.heal();
     let healed_at = clock::now();
-    wait_until("it is held once all is healed", || {
+    wait_until("the lease is held once all is healed", || {
         record.operations().iter().any(|operation| operation.start > healed_at)
     });
-    wait_until("it has changed hands", || handovers(&record.operations()) >= 4);
-    record.is_over.store(true, Ordering::Relaxed);
+    wait_until("the lease has changed hands", || handovers(&record.operations()) >= 4);
+    record.is_stopped.store(true, Ordering::Relaxed);
     for contender in contenders {
         contender.join().expect("no rejection in time");
     }
--- a/crates/mintshelf/tests/gateway/disconnects.rs
+++ b/crates/mintshelf/tests/gateway/disconnects.rs
@@ -12,14 +12,14 @@
 #[test]
 fn a_client_that_disconnects_during_a_stream_frees_its_server() {
     let closed = Arc::new(AtomicBool::new(false));
-    let told = closed.clone();
+    let server_closed = closed.clone();
     let server = Peer::start(move |mut stream| {
         if Message::read(&mut stream).is_none() {
             return;
         }
         let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 9000000000\r\n\r\n");
         while stream.write_all(&[b'x'; 4096]).is_ok() {}
-        told.store(true, Ordering::Relaxed);
+        server_closed.store(true, Ordering::Relaxed);
     });
     let daemon = daemon(&[server.at], "");
     let mut stream = connect(daemon.at).unwrap();
@@ -28,23 +28,23 @@
     drop(stream);
     wait_until("the server's connection is closed", || closed.load(Ordering::Relaxed));
     // The same while the client sends: the server sees a body that does not end.
-    let (begun, ended) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicBool::new(false)));
-    let (count, over) = (begun.clone(), ended.clone());
+    let (received, ended) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicBool::new(false)));
+    let (total, is_ended) = (received.clone(), ended.clone());
     let server = Peer::start(move |mut stream| {
         let mut buffer = vec![0; 64 << 10];
-        while let Ok(some @ 1..) = read_some(&mut stream, &mut buffer) {
-            count.fetch_add(some, Ordering::Relaxed);
+        while let Ok(count @ 1..) = read_some(&mut stream, &mut buffer) {
+            total.fetch_add(count, Ordering::Relaxed);
         }
-        over.store(true, Ordering::Relaxed);
+        is_ended.store(true, Ordering::Relaxed);
     });
     daemon.reload(&file(daemon.at, &[server.at], ""));
     let mut stream = connect(daemon.at).unwrap();
     let head = "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 9000000\r\n\r\n";
     stream.write_all(head.as_bytes()).unwrap();
     stream.write_all(&vec![b'x'; 300_000]).unwrap();
-    wait_until("some has come", || begun.load(Ordering::Relaxed) > 200_000);
+    wait_until("a part has arrived", || received.load(Ordering::Relaxed) > 200_000);
     drop(stream);
-    wait_until("the upload is cut off", || ended.load(Ordering::Relaxed));
+    wait_until("the upload is aborted", || ended.load(Ordering::Relaxed));
 }
 
 #[test]
@@ -63,7 +63,7 @@
         let text = String::from_utf8_lossy(&read_to_close(&mut stream)).into_owned();
         assert!(text.starts_with("HTTP/1.1 200 ") && text.ends_with("late"), "{text}");
     }
-    // HTTP/1.0, as the simplest of tools write it.
+    // HTTP/1.0, as simple tools write it.
     let mut stream = connect(daemon.at).unwrap();
     stream.write_all(b"GET /slow HTTP/1.0\r\n\r\n").unwrap();
     stream.shutdown(std::net::Shutdown::Write).unwrap();
@@ -80,14 +80,14 @@
     let daemon = Daemon::start(PROGRAM, at, &text, &[]);
     let mut stream = connect(daemon.at).unwrap();
     stream.write_all(&get("/never")).unwrap();
-    wait_until("it is sent on", || server.requests().len() == 1);
+    wait_until("it is forwarded", || server.requests().len() == 1);
     stream.shutdown(std::net::Shutdown::Write).unwrap();
-    // Its connection is gone long before its time is up; the asking one is left.
-    let begun = std::time::Instant::now();
-    wait_until("it is given up", || {
-        let got = send_request(admin, &get("/-/metrics")).unwrap();
-        String::from_utf8_lossy(&got.body).contains("mintshelf_clients 1\n")
+    // Its connection is closed long before its deadline; that of the metrics request is left.
+    let closed_at = std::time::Instant::now();
+    wait_until("its connection is closed", || {
+        let response = send_request(admin, &get("/-/metrics")).unwrap();
+        String::from_utf8_lossy(&response.body).contains("mintshelf_clients 1\n")
     });
-    assert!(begun.elapsed() < std::time::Duration::from_secs(14));
+    assert!(closed_at.elapsed() < std::time::Duration::from_secs(14));
     assert_eq!(daemon.send_request(&get("/")).unwrap().status(), 200);
 }
--- a/crates/mintshelf/tests/gateway/failures.rs
+++ b/crates/mintshelf/tests/gateway/failures.rs
@@ -11,10 +11,10 @@
 
 #[test]
 fn a_safe_request_is_retried_at_another_server_and_an_unsafe_one_is_not() {
-    let ran = Arc::new(AtomicUsize::new(0));
-    let counted = ran.clone();
-    // It takes the request, runs it, and dies.
-    let dies = Server::start(move |_, _| {
+    let executions = Arc::new(AtomicUsize::new(0));
+    let counted = executions.clone();
+    // It executes the request and crashes.
+    let crashing = Server::start(move |_, _| {
         counted.fetch_add(1, Ordering::Relaxed);
         Some(b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\nhalf".to_vec())
     });
@@ -30,31 +30,31 @@
     let mut failed = 0;
     for _ in 0..20 {
         let post = b"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\n\r\nx";
-        let got = daemon.send_request(post).unwrap();
-        match got.status() {
+        let response = daemon.send_request(post).unwrap();
+        match response.status() {
             200 => {}
             502 => {
-                assert_eq!(got.header("content-type"), Some("application/problem+json"));
-                let problem: String = String::from_utf8_lossy(&got.body).into();
+                assert_eq!(response.header("content-type"), Some("application/problem+json"));
+                let problem: String = String::from_utf8_lossy(&response.body).into();
                 assert!(problem.contains("\"code\":\"upstream-failed\""), "{problem}");
                 failed += 1;
             }
             status => panic!("{status}"),
         }
     }
-    // Each went to one server only: either it failed, or the good one ran it.
+    // Each had one attempt: it failed, or the good server executed it.
     assert_eq!(good.requests().len() - before, 20 - failed);
-    drop(dies);
-    assert_eq!(ran.load(Ordering::Relaxed), 0);
+    drop(crashing);
+    assert_eq!(executions.load(Ordering::Relaxed), 0);
 }
 
 #[test]
 fn an_unreachable_cluster_is_answered_at_once_with_retry_after() {
     let daemon = daemon(&[free_address()], "");
-    let got = daemon.send_request(&get("/")).unwrap();
-    assert_eq!(got.status(), 503, "{}", got.head);
-    assert!(String::from_utf8_lossy(&got.body).contains("\"code\":\"overloaded\""));
-    assert_eq!(got.header("retry-after"), Some("1"));
+    let response = daemon.send_request(&get("/")).unwrap();
+    assert_eq!(response.status(), 503, "{}", response.head);
+    assert!(String::from_utf8_lossy(&response.body).contains("\"code\":\"overloaded\""));
+    assert_eq!(response.header("retry-after"), Some("1"));
 }
 
 #[test]
@@ -75,7 +75,7 @@
         let bytes = read_to_close(&mut stream);
         let text = String::from_utf8_lossy(&bytes);
         assert!(text.starts_with("HTTP/1.1 200 ") && bytes.len() < 400_000, "{framing}");
-        assert!(!text.ends_with("0\r\n\r\n"), "{framing}: it looks whole");
+        assert!(!text.ends_with("0\r\n\r\n"), "{framing}: it looks complete");
     }
 }
 
@@ -85,10 +85,10 @@
     let counted = attempts.clone();
     let server = Peer::start(move |mut stream| {
         let mut buffer = vec![0; 64 << 10];
-        let mut seen = 0;
-        while seen < 400_000 {
+        let mut received = 0;
+        while received < 400_000 {
             match read_some(&mut stream, &mut buffer) {
-                Ok(count @ 1..) => seen += count,
+                Ok(count @ 1..) => received += count,
                 _ => return,
             }
         }
@@ -102,15 +102,15 @@
     };
     let at = free_address();
     let daemon = Daemon::start(PROGRAM, at, &text(at), &[]);
-    // Even a safe one: what has gone of its body can't be had again.
+    // Even a safe one: the part of its body that was sent is no longer available.
     for (number, method) in ["POST", "GET"].into_iter().enumerate() {
         let mut stream = connect(daemon.at).unwrap();
         let head = format!("{method} / HTTP/1.1\r\nHost: h\r\nContent-Length: 600000\r\n\r\n");
         stream.write_all(head.as_bytes()).unwrap();
         stream.write_all(&vec![b'x'; 500_000]).unwrap();
-        // The deadline is far over the test's patience: only an answer at once passes.
-        let got = Message::read(&mut stream).unwrap();
-        assert_eq!(got.status(), 502, "{}", got.head);
+        // The deadline is far over the test's timeout: only an immediate response passes.
+        let response = Message::read(&mut stream).unwrap();
+        assert_eq!(response.status(), 502, "{}", response.head);
         assert_eq!(attempts.load(Ordering::Relaxed), number + 1);
     }
 }
--- a/crates/mintshelf/tests/gateway/fixture.rs
+++ b/crates/mintshelf/tests/gateway/fixture.rs
@@ -6,7 +6,7 @@
 
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_mintshelf");
 
-/// A file with one cluster and one route that takes everything.
+/// A file with one cluster and one route that matches every request.
 pub fn file(at: SocketAddr, servers: &[SocketAddr], more: &str) -> String {
     let servers: Vec<String> = servers.iter().map(|server| format!("\"{server}\"")).collect();
     format!(
@@ -17,12 +17,13 @@
     )
 }
 
+/// Starts a daemon with this file.
 pub fn daemon(servers: &[SocketAddr], more: &str) -> Daemon {
     let at = free_address();
     Daemon::start(PROGRAM, at, &file(at, servers, more), &[])
 }
 
-/// Writes a request that asks for the connection's end, and reads all that comes.
+/// Sends a request, and reads to the end of the connection.
 pub fn send_and_read_to_close(at: SocketAddr, request: &str) -> String {
     let mut stream = connect(at).unwrap();
     let _ = stream.write_all(request.as_bytes());
--- a/crates/mintshelf/tests/gateway/forwarding.rs
+++ b/crates/mintshelf/tests/gateway/forwarding.rs
@@ -8,10 +8,10 @@
 fn every_status_is_forwarded_with_its_headers() {
     let server = Server::start(|request, _| {
         let status = &request.path()[1..];
-        let bare = matches!(status, "204" | "304");
-        let body = if bare { "" } else { "Content-Length: 4\r\n" };
+        let has_no_body = matches!(status, "204" | "304");
+        let body = if has_no_body { "" } else { "Content-Length: 4\r\n" };
         let head = format!("HTTP/1.1 {status} X\r\nX-Of: server\r\nETag: \"e\"\r\n{body}\r\n");
-        Some(format!("{head}{}", if bare { "" } else { "body" }).into_bytes())
+        Some(format!("{head}{}", if has_no_body { "" } else { "body" }).into_bytes())
     });
     let daemon = daemon(&[server.at], "");
     for status in [200, 201, 204, 206, 301, 304, 400, 401, 404, 409, 418, 429, 500, 502, 503] {
@@ -21,7 +21,7 @@
         assert!(text.contains("x-of: server") && text.contains("etag: \"e\""), "{text}");
         assert_eq!(text.ends_with("\r\n\r\nbody"), !matches!(status, 204 | 304), "{text}");
     }
-    // An unsafe request is sent once, whatever comes back.
+    // An unsafe request is sent once, whatever the response is.
     assert_eq!(server.requests().len(), 15);
 }
 
@@ -29,22 +29,23 @@
 fn a_head_of_a_hundred_headers_is_forwarded_and_a_longer_one_is_rejected() {
     let server = Server::start(|request, _| {
         let more: usize = request.path()[1..].parse().unwrap_or(0);
-        let more: String = (0..more).map(|n| format!("X-{n}: 1\r\n")).collect();
+        let more: String = (0..more).map(|number| format!("X-{number}: 1\r\n")).collect();
         Some(format!("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n{more}\r\n").into_bytes())
     });
     let daemon = daemon(&[server.at], "");
-    let with = |answered: usize, asked: usize| {
-        let more: String = (0..asked).map(|n| format!("X-{n}: 1\r\n")).collect();
-        let head = format!("POST /{answered} HTTP/1.1\r\nHost: h\r\nConnection: close\r\n");
+    let send = |response_headers: usize, request_headers: usize| {
+        let more: String =
+            (0..request_headers).map(|number| format!("X-{number}: 1\r\n")).collect();
+        let head = format!("POST /{response_headers} HTTP/1.1\r\nHost: h\r\nConnection: close\r\n");
         send_and_read_to_close(daemon.at, &format!("{head}{more}\r\n"))
     };
-    let text = with(99, 98);
+    let text = send(99, 98);
     assert!(text.starts_with("HTTP/1.1 200 ") && text.contains("x-98: 1"), "{text}");
     let before = server.requests().len();
-    assert!(with(0, 99).starts_with("HTTP/1.1 431 "));
-    assert_eq!(server.requests().len(), before, "none of it goes on");
-    // It may have run, and is not sent again.
-    assert!(with(100, 0).starts_with("HTTP/1.1 502 "));
+    assert!(send(0, 99).starts_with("HTTP/1.1 431 "));
+    assert_eq!(server.requests().len(), before, "it is not forwarded");
+    // It may have run, and is not retried.
+    assert!(send(100, 0).starts_with("HTTP/1.1 502 "));
     assert_eq!(server.requests().len(), before + 1);
 }
 
@@ -80,7 +81,7 @@
         "GET /trailers HTTP/1.1\r\nHost: h\r\nTE: trailers\r\nConnection: TE, close\r\n\r\n",
     );
     assert!(text.contains("3\r\nabc\r\n0\r\n") && text.contains("x-sum: 7"), "{text}");
-    // The body is sent only once it has been asked for.
+    // The body is sent only after 100 Continue.
     let mut stream = connect(daemon.at).unwrap();
     let head =
         "POST /echo HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 5\r\n\r\n";
--- a/crates/mintshelf/tests/gateway/routes.rs
+++ b/crates/mintshelf/tests/gateway/routes.rs
@@ -43,10 +43,13 @@
     assert!(text.contains("location: http://new.example/new/a?b\r\n"), "{text}");
     assert!(send("GET /q?to=two", "h", "").contains("two GET"));
     assert!(send("GET /q?to=one", "h", "").ends_with("tea\n"));
-    let of = |who: usize| send("GET /split", "h", &format!("Cookie: a=b; who={who}\r\n"));
-    let went: Vec<bool> = (0..24).map(|who| of(who).contains("two GET")).collect();
-    assert!(went.contains(&true) && went.contains(&false), "{went:?}");
-    assert!((0..24).all(|who| of(who).contains("two GET") == went[who]), "a key moved");
+    let send_as = |who: usize| send("GET /split", "h", &format!("Cookie: a=b; who={who}\r\n"));
+    let is_second: Vec<bool> = (0..24).map(|who| send_as(who).contains("two GET")).collect();
+    assert!(is_second.contains(&true) && is_second.contains(&false), "{is_second:?}");
+    assert!(
+        (0..24).all(|who| send_as(who).contains("two GET") == is_second[who]),
+        "a sticky key changed its cluster"
+    );
     drop(daemon);
 }
 
@@ -84,10 +87,10 @@
     assert_eq!(send("GET /devices/7", ""), "200");
     assert_eq!(send("GET /runs/3/logs", ""), "200");
     assert_eq!(send("GET /nothing", ""), "404");
-    // A keyed run is repeated within its window, by another try.
+    // An idempotent run is retried within its window.
     assert_eq!(send("POST /runs", "Idempotency-Key: k1\r\n"), "200");
     assert_eq!(attempts.load(Ordering::Relaxed), 2);
-    // A flash that may have run is not; nor is a run without a key.
+    // A flash that may have run is not retried; nor is a run without a key.
     assert_eq!(send("POST /devices/7/flash", "Idempotency-Key: k2\r\n"), "500");
     assert_eq!(attempts.load(Ordering::Relaxed), 3);
     assert_eq!(send("POST /runs", ""), "200");
--- a/crates/mintshelf/tests/gateway/streaming.rs
+++ b/crates/mintshelf/tests/gateway/streaming.rs
@@ -5,7 +5,7 @@
 use std::io::Write;
 use std::net::TcpStream;
 
-/// Bytes that differ by place, so that a swap or a loss shows.
+/// Bytes that differ by position, so that a swap or a loss shows.
 fn pattern(at: usize) -> u8 {
     (at % 251) as u8
 }
@@ -28,21 +28,21 @@
 /// Writes a body of the pattern.
 fn write_body(stream: &mut TcpStream) -> std::io::Result<()> {
     let block: Vec<u8> = (0..251 * 256).map(pattern).collect();
-    let mut left = BODY_BYTES;
-    while left > 0 {
-        let part = &block[..left.min(block.len())];
+    let mut remaining = BODY_BYTES;
+    while remaining > 0 {
+        let part = &block[..remaining.min(block.len())];
         stream.write_all(part)?;
-        left -= part.len();
+        remaining -= part.len();
     }
     Ok(())
 }
 
-/// Whether bytes are those of the pattern at this place.
+/// Whether bytes are those of the pattern at this position.
 fn is_pattern(bytes: &[u8], at: usize) -> bool {
     bytes.iter().enumerate().all(|(offset, byte)| *byte == pattern(at + offset))
 }
 
-/// Receives a body and tells its length and whether it is the pattern, or sends one.
+/// Receives a body and responds with its length and whether it is the pattern, or sends one.
 fn serve(mut stream: TcpStream) {
     let Some(head) = read_head(&mut stream) else { return };
     if !head.starts_with("POST") {
@@ -73,8 +73,8 @@
     let head = format!("POST /up HTTP/1.1\r\nHost: h\r\nContent-Length: {BODY_BYTES}\r\n\r\n");
     stream.write_all(head.as_bytes()).unwrap();
     write_body(&mut stream).unwrap();
-    let got = Message::read(&mut stream).unwrap();
-    assert_eq!(String::from_utf8_lossy(&got.body), format!("{BODY_BYTES} true"));
+    let response = Message::read(&mut stream).unwrap();
+    assert_eq!(String::from_utf8_lossy(&response.body), format!("{BODY_BYTES} true"));
     let mut stream = connect(daemon.at).unwrap();
     stream.write_all(&get("/down")).unwrap();
     read_head(&mut stream).unwrap();
--- a/crates/mintshelf/tests/graceful_shutdown.rs
+++ b/crates/mintshelf/tests/graceful_shutdown.rs
@@ -17,11 +17,11 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_mintshelf");
 /// Deadline of every class.
 const DEADLINE: Duration = Duration::from_millis(1_500);
-/// So long after SIGTERM comes SIGKILL: no sooner than the longest deadline and 0.7 s, and on a
-/// busy machine somewhat later.
+/// Time from SIGTERM to SIGKILL: the longest deadline and 0.7 s at least, somewhat more on a busy
+/// machine.
 const SIGKILL_DELAY: Duration = Duration::from_millis(1_500 + 700 + 300);
 
-/// A configuration whose classes have [`DEADLINE`], and advice is passed on.
+/// A configuration whose classes have [`DEADLINE`], and `Retry-After` is forwarded.
 fn short_deadline_config(
     discovery: SocketAddr,
     known: Vec<serde_json::Value>,
@@ -32,19 +32,19 @@
     config
 }
 
-/// Milliseconds that a client would wait: longer than any process lives.
+/// Client timeout in milliseconds: longer than any process runs.
 const CLIENT_TIMEOUT_MS: u64 = 60_000;
 
-/// What became of a request.
+/// A request and its response.
 #[derive(Debug)]
 struct Exchange {
-    sent: Instant,
-    /// Its answer and when that was whole; none if the connection ended without one.
-    answer: Option<(Message, Instant)>,
+    sent_at: Instant,
+    /// With the time when it was complete; none if the connection ended without one.
+    response: Option<(Message, Instant)>,
 }
 
 /// A client that sends one request after another on one connection for as long as that stays
-/// open. What it sends on a connection that was closed just then counts as not taken.
+/// open. What it sends on a connection that is being closed does not count as accepted.
 fn send_until_closed(
     at: SocketAddr,
     name: String,
@@ -53,22 +53,22 @@
 ) {
     let Some(mut stream) = connect(at) else { return };
     for number in 0.. {
-        // Refused at once it would only spin.
+        // Rejected at once it would only spin.
         thread::sleep(Duration::from_millis(2));
         let id = format!("{name}-{number}");
-        let sent = Instant::now();
+        let sent_at = Instant::now();
         if stopped.load(Ordering::Relaxed)
             || stream.write_all(&request_with_timeout("safe", &id, CLIENT_TIMEOUT_MS)).is_err()
         {
             return;
         }
-        let answer = Message::read(&mut stream).map(|answer| (answer, Instant::now()));
-        let last = match &answer {
-            Some((answer, _)) => answer.header("connection") == Some("close"),
+        let response = Message::read(&mut stream).map(|response| (response, Instant::now()));
+        let is_last = match &response {
+            Some((response, _)) => response.header("connection") == Some("close"),
             None => true,
         };
-        exchanges.lock().unwrap().insert(id, Exchange { sent, answer });
-        if last {
+        exchanges.lock().unwrap().insert(id, Exchange { sent_at, response });
+        if is_last {
             return;
         }
     }
@@ -76,7 +76,7 @@
 
 #[test]
 fn requests_accepted_after_sigterm_are_answered_before_sigkill() {
-    // Every fourth request is met with silence, the rest after a while.
+    // Every fourth request gets no response, the others get one after 40 ms.
     let server = Server::start(|request, _| {
         let id = request.header("x-txn").unwrap();
         let number = id.rsplit('-').next().unwrap().parse::<u32>().unwrap();
@@ -93,37 +93,37 @@
         (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(HashMap::new())));
     let clients: Vec<_> = (0..24)
         .map(|client| {
-            // Spread over the time that one request may hang.
+            // Spread over the time that one request may wait.
             thread::sleep(Duration::from_millis(60));
             let (stopped, exchanges, at) = (stopped.clone(), exchanges.clone(), sidecar.at);
             thread::spawn(move || send_until_closed(at, format!("c{client}"), &stopped, &exchanges))
         })
         .collect();
-    let signalled = Instant::now();
+    let signalled_at = Instant::now();
     sidecar.signal("TERM");
-    thread::sleep(SIGKILL_DELAY.saturating_sub(signalled.elapsed()));
+    thread::sleep(SIGKILL_DELAY.saturating_sub(signalled_at.elapsed()));
     let _ = sidecar.child.kill();
     stopped.store(true, Ordering::Relaxed);
     clients.into_iter().for_each(|client| client.join().unwrap());
     let exchanges = exchanges.lock().unwrap();
     let after: Vec<_> =
-        exchanges.iter().filter(|(_, exchange)| exchange.sent > signalled).collect();
+        exchanges.iter().filter(|(_, exchange)| exchange.sent_at > signalled_at).collect();
     for (id, exchange) in exchanges.iter() {
-        let (answer, completed_at) = exchange.answer.as_ref().unwrap_or_else(|| {
-            let late = exchange.sent.saturating_duration_since(signalled);
-            panic!("{id}, sent {late:?} after the signal, has no answer: {exchange:?}")
+        let (response, completed_at) = exchange.response.as_ref().unwrap_or_else(|| {
+            let late = exchange.sent_at.saturating_duration_since(signalled_at);
+            panic!("{id}, sent {late:?} after the signal, has no response: {exchange:?}")
         });
-        assert!(*completed_at < signalled + SIGKILL_DELAY, "{id}");
-        assert!([200, 502, 503].contains(&answer.status()), "{id}: {}", answer.head);
-        if *completed_at > signalled + Duration::from_millis(50) {
-            assert_eq!(answer.header("connection"), Some("close"), "{id}: {}", answer.head);
+        assert!(*completed_at < signalled_at + SIGKILL_DELAY, "{id}");
+        assert!([200, 502, 503].contains(&response.status()), "{id}: {}", response.head);
+        if *completed_at > signalled_at + Duration::from_millis(50) {
+            assert_eq!(response.header("connection"), Some("close"), "{id}: {}", response.head);
         }
     }
-    assert!(!after.is_empty(), "nobody sent anything after the signal");
+    assert!(!after.is_empty(), "nothing was sent after the signal");
     assert!(exchanges.len() > 48, "{} requests", exchanges.len());
 }
 
-/// Writes a request and gives the connection back.
+/// Writes a request and returns its connection.
 fn send(at: SocketAddr, bytes: &[u8]) -> TcpStream {
     let mut stream = connect(at).unwrap();
     stream.write_all(bytes).unwrap();
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn at_the_end_only_requests_that_cannot_have_run_are_rejected() {
+fn final_responses_reject_only_requests_that_cannot_have_run() {
     let server = Server::start(|_, _| None);
     let discovery = Discovery::start(1, vec![server.entry("a")]);
     let mut config = short_deadline_config(discovery.at, vec![server.entry("a")]);
@@ -141,26 +141,29 @@
     let classes = ["safe", "keyed", "unsafe"];
     let mut streams = classes
         .map(|class| send(sidecar.at, &request_with_timeout(class, class, CLIENT_TIMEOUT_MS)));
-    wait_until("all are at the server", || server.requests().len() == 3);
-    // This one's end never comes: it is not taken.
-    let half = send(sidecar.at, b"GET /api HTTP/1.1\r\nHost: a\r\n");
-    let signalled = Instant::now();
+    wait_until("all have arrived", || server.requests().len() == 3);
+    // An incomplete request does not count as accepted.
+    let incomplete = send(sidecar.at, b"GET /api HTTP/1.1\r\nHost: a\r\n");
+    let signalled_at = Instant::now();
     sidecar.signal("TERM");
-    let got = streams.each_mut().map(|stream| Message::read(stream).unwrap());
-    let took = signalled.elapsed();
-    assert!(took < Duration::from_millis(4_500), "{took:?}");
-    assert!(took > Duration::from_millis(3_000), "{took:?}: servers were given too little time");
-    assert_eq!(got.each_ref().map(Message::status), [503, 502, 502]);
-    assert!(got[0].header("retry-after").is_some(), "{}", got[0].head);
-    // Nothing was sent twice on the way.
+    let responses = streams.each_mut().map(|stream| Message::read(stream).unwrap());
+    let elapsed = signalled_at.elapsed();
+    assert!(elapsed < Duration::from_millis(4_500), "{elapsed:?}");
+    assert!(
+        elapsed > Duration::from_millis(3_000),
+        "{elapsed:?}: servers were given too little time"
+    );
+    assert_eq!(responses.each_ref().map(Message::status), [503, 502, 502]);
+    assert!(responses[0].header("retry-after").is_some(), "{}", responses[0].head);
+    // None of them was retried.
     assert_eq!(server.requests().len(), 3);
-    // No time is left for more: refused at once, and sent to nobody.
-    let asked = Instant::now();
+    // No time is left for another: it is rejected at once, without an attempt.
+    let late_sent_at = Instant::now();
     let late =
         sidecar.send_request(&request_with_timeout("unsafe", "late", CLIENT_TIMEOUT_MS)).unwrap();
     assert_eq!(late.status(), 503, "{}", late.head);
-    assert!(asked.elapsed() < Duration::from_secs(1));
+    assert!(late_sent_at.elapsed() < Duration::from_secs(1));
     assert_eq!(server.requests().len(), 3);
-    drop(half);
+    drop(incomplete);
     assert!(sidecar.is_running(), "it goes on until its clients have had time to leave");
 }
--- a/crates/mintshelf/tests/misbehaving_clients.rs
+++ b/crates/mintshelf/tests/misbehaving_clients.rs
@@ -29,8 +29,8 @@
 #[test]
 fn a_request_with_two_framings_is_not_forwarded() {
     let (server, _discovery, sidecar) = start(|_, _| Some(ok_response("served")));
-    let hidden = String::from_utf8(request("safe", "hidden")).unwrap();
-    let body = format!("0\r\n\r\n{hidden}");
+    let smuggled = String::from_utf8(request("safe", "hidden")).unwrap();
+    let body = format!("0\r\n\r\n{smuggled}");
     let length = format!("Content-Length: {}", body.len());
     for (id, framing) in [
         ("before", format!("{length}\r\nTransfer-Encoding: chunked")),
@@ -52,12 +52,12 @@
 
 #[test]
 fn an_id_in_flight_is_not_sent_twice() {
-    // The first request waits at the server for good.
+    // The first request never gets a response.
     let (server, _discovery, sidecar) =
         start(|_, number| (number > 1).then(|| ok_response("served")));
     let mut first = connect(sidecar.at).unwrap();
     first.write_all(&request("safe", "same")).unwrap();
-    wait_until("the first is at the server", || server.requests().len() == 1);
+    wait_until("the first has arrived", || server.requests().len() == 1);
     assert_eq!(sidecar.send_request(&request("safe", "same")).unwrap().status(), 409);
     assert_eq!(sidecar.send_request(&request("safe", "other")).unwrap().status(), 200);
     assert_eq!(server.requests().len(), 2);
@@ -83,7 +83,7 @@
     }
     assert_eq!(server.requests().len(), 0);
     let grown = sidecar.peak_memory() - before;
-    assert!(grown < 8 << 20, "{grown} bytes for bodies that are turned away");
+    assert!(grown < 8 << 20, "{grown} bytes for bodies that are rejected");
     assert_eq!(sidecar.send_request(&request("safe", "after")).unwrap().status(), 200);
 }
 
@@ -97,11 +97,11 @@
     ] {
         let mut stream = connect(sidecar.at).unwrap();
         stream.write_all(&partial).unwrap();
-        // The read limit is far over the 3 s that are owed; it shows a hang.
+        // The read timeout is far over the 3 s that are allowed; it shows a hang.
         let text = read_to_close(&mut stream);
         assert!(text.is_empty() || text.starts_with(b"HTTP/1.1 4"));
     }
-    // A head that comes drop by drop gets no more time than one that stops.
+    // A head that is sent byte by byte gets no more time than one that stops.
     let mut stream = connect(sidecar.at).unwrap();
     let closed = (0..600).any(|_| {
         std::thread::sleep(std::time::Duration::from_millis(100));
@@ -113,13 +113,13 @@
 #[test]
 fn silent_connections_do_not_block_other_clients() {
     let (_server, _discovery, sidecar) = start(|_, _| Some(ok_response("served")));
-    let crowd: Vec<_> = (0..400).filter_map(|_| connect(sidecar.at)).collect();
+    let silent: Vec<_> = (0..400).filter_map(|_| connect(sidecar.at)).collect();
     for number in 0..20 {
-        let answer = sidecar.send_request(&request("safe", &format!("r{number}"))).unwrap();
-        assert_eq!(answer.status(), 200);
+        let response = sidecar.send_request(&request("safe", &format!("r{number}"))).unwrap();
+        assert_eq!(response.status(), 200);
         assert!(sidecar.descriptors() <= 128);
     }
-    drop(crowd);
+    drop(silent);
 }
 
 #[test]
--- a/crates/mintshelf/tests/outage_recovery.rs
+++ b/crates/mintshelf/tests/outage_recovery.rs
@@ -11,12 +11,12 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_mintshelf");
 
-/// A server that breaks off every exchange while it is down, and what reached it.
+/// A server that closes every connection without a response while it is down.
 struct FailingServer {
     peer: Peer,
     down: Arc<AtomicBool>,
     received: Arc<AtomicUsize>,
-    /// How often each POST came, by its path.
+    /// How often each POST arrived, by its path.
     posts: Arc<Mutex<HashMap<String, usize>>>,
 }
 
@@ -41,108 +41,108 @@
     }
 }
 
-fn file(at: SocketAddr, admin: SocketAddr, site: SocketAddr, more: &str) -> String {
+fn file(at: SocketAddr, admin: SocketAddr, server: SocketAddr, more: &str) -> String {
     format!(
         "listen = \"{at}\"\n[admin]\naddress = \"{admin}\"\n\
-         [clusters.c]\nendpoints = [\"{site}\"]\n{more}\n[[routes]]\ncluster = \"c\"\n"
+         [clusters.c]\nendpoints = [\"{server}\"]\n{more}\n[[routes]]\ncluster = \"c\"\n"
     )
 }
 
-fn daemon(site: SocketAddr, more: &str) -> (Daemon, SocketAddr) {
+fn daemon(server: SocketAddr, more: &str) -> (Daemon, SocketAddr) {
     let (at, admin) = (free_address(), free_address());
-    (Daemon::start(PROGRAM, at, &file(at, admin, site, more), &[]), admin)
+    (Daemon::start(PROGRAM, at, &file(at, admin, server, more), &[]), admin)
 }
 
 fn phase(admin: SocketAddr) -> String {
-    let got = send_request(admin, &get("/-/metrics")).unwrap();
-    let text = String::from_utf8_lossy(&got.body).into_owned();
+    let response = send_request(admin, &get("/-/metrics")).unwrap();
+    let text = String::from_utf8_lossy(&response.body).into_owned();
     let line =
         text.lines().find(|line| line.starts_with("mintshelf_recovery_phase{cluster=\"c\"}"));
     line.unwrap().rsplit(' ').next().unwrap().to_string()
 }
 
-fn is_paced(got: &Message) -> bool {
-    let paced = String::from_utf8_lossy(&got.body).contains("\"code\":\"outage\"");
+fn is_paced(response: &Message) -> bool {
+    let paced = String::from_utf8_lossy(&response.body).contains("\"code\":\"outage\"");
     if paced {
-        assert_eq!(got.status(), 503, "{}", got.head);
-        let retry_after: u64 = got.header("retry-after").unwrap().parse().unwrap();
-        assert!((1..=10).contains(&retry_after), "{}", got.head);
+        assert_eq!(response.status(), 503, "{}", response.head);
+        let retry_after: u64 = response.header("retry-after").unwrap().parse().unwrap();
+        assert!((1..=10).contains(&retry_after), "{}", response.head);
     }
     paced
 }
 
 #[test]
 fn a_recovering_cluster_gets_its_traffic_by_the_ramp() {
-    let site = FailingServer::start();
-    let (daemon, admin) = daemon(site.peer.at, "");
-    for n in 0..300 {
-        assert_eq!(daemon.send_request(&get(&format!("/{n}"))).unwrap().status(), 200);
+    let server = FailingServer::start();
+    let (daemon, admin) = daemon(server.peer.at, "");
+    for number in 0..300 {
+        assert_eq!(daemon.send_request(&get(&format!("/{number}"))).unwrap().status(), 200);
     }
     assert_eq!(phase(admin), "0");
-    site.down.store(true, Ordering::SeqCst);
+    server.down.store(true, Ordering::SeqCst);
     let mut posts = 0;
-    // A mix of what may be repeated and what may not.
-    let mut one = || {
+    // A mix of requests that may be retried and requests that may not.
+    let mut send_one = || {
         posts += 1;
         let post = format!("POST /p{posts} HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\n\r\nx");
         let request = if posts % 3 == 0 { post.into_bytes() } else { get("/g") };
         daemon.send_request(&request).unwrap()
     };
-    wait_until("the outage is noticed", || is_paced(&one()));
+    wait_until("the outage is noticed", || is_paced(&send_one()));
     assert_eq!(phase(admin), "1");
-    // While it is out nearly nothing is sent on, and all are answered at once.
-    let before = site.received.load(Ordering::SeqCst);
-    let paced = (0..300).filter(|_| is_paced(&one())).count();
-    let sent = site.received.load(Ordering::SeqCst) - before;
-    assert!(paced > 150 && sent < 150, "{paced} of 300 were held back, {sent} sent on");
-    site.down.store(false, Ordering::SeqCst);
+    // During the outage nearly nothing is forwarded, and all are answered at once.
+    let before = server.received.load(Ordering::SeqCst);
+    let paced = (0..300).filter(|_| is_paced(&send_one())).count();
+    let sent = server.received.load(Ordering::SeqCst) - before;
+    assert!(paced > 150 && sent < 150, "{paced} of 300 were rejected, {sent} forwarded");
+    server.down.store(false, Ordering::SeqCst);
     let mut statuses = HashSet::new();
-    wait_until("traffic is as usual again", || {
-        statuses.extend((0..20).map(|_| one().status()));
+    wait_until("the cluster has recovered", || {
+        statuses.extend((0..20).map(|_| send_one().status()));
         phase(admin) == "0"
     });
     assert!(statuses.contains(&200) && statuses.contains(&503), "{statuses:?}");
-    for n in 0..300 {
-        assert_eq!(daemon.send_request(&get(&format!("/{n}"))).unwrap().status(), 200);
+    for number in 0..300 {
+        assert_eq!(daemon.send_request(&get(&format!("/{number}"))).unwrap().status(), 200);
     }
-    let posts = site.posts.lock().unwrap();
+    let posts = server.posts.lock().unwrap();
     assert!(posts.len() > 20 && posts.values().all(|times| *times == 1), "{posts:?}");
 }
 
 #[test]
 fn without_a_recovery_ramp_nothing_is_paced() {
-    let site = FailingServer::start();
-    let (daemon, admin) = daemon(site.peer.at, "return-ramp = \"0s\"");
-    site.down.store(true, Ordering::SeqCst);
+    let server = FailingServer::start();
+    let (daemon, admin) = daemon(server.peer.at, "return-ramp = \"0s\"");
+    server.down.store(true, Ordering::SeqCst);
     for _ in 0..200 {
-        let got = daemon.send_request(&get("/")).unwrap();
-        assert!(got.status() >= 500 && !is_paced(&got), "{}", got.head);
+        let response = daemon.send_request(&get("/")).unwrap();
+        assert!(response.status() >= 500 && !is_paced(&response), "{}", response.head);
     }
     assert_eq!(phase(admin), "0");
-    // A file that changes nothing but the ramp is in force as well.
-    daemon.reload(&file(daemon.at, admin, site.peer.at, "return-ramp = \"1s\""));
+    // A file that changes nothing but the ramp is applied as well.
+    daemon.reload(&file(daemon.at, admin, server.peer.at, "return-ramp = \"1s\""));
     wait_until("the outage is noticed", || is_paced(&daemon.send_request(&get("/")).unwrap()));
     assert_eq!(phase(admin), "1");
-    daemon.reload(&file(daemon.at, admin, site.peer.at, "return-ramp = \"0s\""));
+    daemon.reload(&file(daemon.at, admin, server.peer.at, "return-ramp = \"0s\""));
     assert_eq!(phase(admin), "0");
-    site.down.store(false, Ordering::SeqCst);
+    server.down.store(false, Ordering::SeqCst);
     wait_until("it is served", || daemon.send_request(&get("/")).unwrap().status() == 200);
 }
 
 #[test]
 fn clients_rejected_together_get_different_retry_after() {
-    // Nobody listens there.
+    // Nothing listens there.
     let (daemon, admin) = daemon(free_address(), "max-retry-after = \"60s\"");
     let mut retry_after = HashSet::new();
-    for n in 0..60 {
-        let got = daemon.send_request(&get("/")).unwrap();
-        assert_eq!(got.status(), 503, "{n}: {}", got.head);
-        let seconds: u64 = got.header("retry-after").unwrap().parse().unwrap();
-        assert!((1..=60).contains(&seconds), "{}", got.head);
+    for number in 0..60 {
+        let response = daemon.send_request(&get("/")).unwrap();
+        assert_eq!(response.status(), 503, "{number}: {}", response.head);
+        let seconds: u64 = response.header("retry-after").unwrap().parse().unwrap();
+        assert!((1..=60).contains(&seconds), "{}", response.head);
         retry_after.insert(seconds);
     }
     assert!(retry_after.len() > 10, "{retry_after:?}");
-    let got = send_request(admin, &get("/-/metrics")).unwrap();
-    let text = String::from_utf8_lossy(&got.body).into_owned();
+    let response = send_request(admin, &get("/-/metrics")).unwrap();
+    let text = String::from_utf8_lossy(&response.body).into_owned();
     assert!(!text.contains("mintshelf_expected_back{cluster=\"c\"} 0"), "{text}");
 }
--- a/crates/mintshelf/tests/soak.rs
+++ b/crates/mintshelf/tests/soak.rs
@@ -1,5 +1,5 @@
 //! A short soak of the real program (`mintshelf_test_support::soak`): few seeds, small fleets and
-//! one with a thousand servers. `cargo bench -p mintshelf --bench soak` plays many seeds with
+//! one with a thousand servers. `cargo bench -p mintshelf --bench soak` runs many seeds with
 //! thousands of servers on a small share of a core.
 
 use mintshelf_test_support::soak::{costs, run, Scenario};
@@ -32,13 +32,13 @@
 /// CPU time is compared in release builds alone: the platform's bound has parts in seconds.
 #[test]
 fn a_large_fleet_costs_no_more_than_the_platform_allows() {
-    const USUAL: usize = 200;
+    const SMALL: usize = 200;
     const LARGE: usize = 3_200;
     let seed = 5;
-    let usual = run(PROGRAM, &Scenario::new(seed, USUAL, false));
+    let small = run(PROGRAM, &Scenario::new(seed, SMALL, false));
     let large = run(PROGRAM, &Scenario::new(seed, LARGE, false));
     assert!(large.violations.is_empty(), "{large}\n{}", large.violations[0]);
-    for row in costs::compare(&usual, &large, LARGE) {
+    for row in costs::compare(&small, &large, LARGE) {
         println!("{row}");
         let is_compared = !(cfg!(debug_assertions) && row.what.starts_with("CPU"));
         assert!(row.is_within_bound || !is_compared, "{row}");
--- a/crates/mintshelf/tests/system_call_filter.rs
+++ b/crates/mintshelf/tests/system_call_filter.rs
@@ -15,7 +15,7 @@
 use std::process::Command;
 use std::thread;
 
-/// Set for the control: this program itself, started to make a call that the filter forbids.
+/// Set for the control process: this program itself, started to make a forbidden call.
 const CONTROL: &str = "MINTSHELF_CONFINED_CONTROL";
 
 /// Kills a process that makes one of the forbidden calls.
@@ -92,31 +92,31 @@
     let first = Server::start(|_, _| Some(ok_response("first")));
     let second = Server::start(|_, _| Some(ok_response("second")));
     let discovery = Discovery::start(1, vec![first.entry("s-1"), second.entry("s-2")]);
-    let moved = Discovery::start(2, vec![second.entry("s-2")]);
+    let new_discovery = Discovery::start(2, vec![second.entry("s-2")]);
     let file = config(discovery.at, vec![first.entry("s-1")]);
     let program = env!("CARGO_BIN_EXE_mintshelf");
     let mut sidecar = confined(|| Sidecar::start(program, file));
     for round in 0..50 {
         for class in ["safe", "keyed", "unsafe"] {
-            let answer = sidecar.send_request(&request(class, &format!("{class}-{round}")));
-            assert_eq!(answer.map(|answer| answer.status()), Some(200), "{class} {round}");
+            let response = sidecar.send_request(&request(class, &format!("{class}-{round}")));
+            assert_eq!(response.map(|response| response.status()), Some(200), "{class} {round}");
         }
     }
     // A new configuration, another discovery, other servers.
     let mut file = sidecar.config.clone();
-    file["discovery"] = moved.at.to_string().into();
+    file["discovery"] = new_discovery.at.to_string().into();
     sidecar.reload(&file.to_string());
     let mut round = 0;
-    wait_until("the list of the new discovery is in force", || {
+    wait_until("the list of the new discovery service is applied", || {
         round += 1;
-        let answer = sidecar.send_request(&request("safe", &format!("moved-{round}"))).unwrap();
-        answer.status() == 200 && answer.body == b"second" && round > 20
+        let response = sidecar.send_request(&request("safe", &format!("moved-{round}"))).unwrap();
+        response.status() == 200 && response.body == b"second" && round > 20
     });
     let pid = sidecar.pid();
-    // Every thread of it is under the filter still.
+    // Every thread of it is still under the filter.
     assert_eq!(sidecar.status("Seccomp:"), 2);
     assert_eq!(children(pid), Vec::<u32>::new());
-    // Page faults of children that it has waited for: none has ever been.
+    // Page faults of children that it has waited for: it never had a child.
     assert_eq!(stat(pid).unwrap()[8], "0", "cminflt");
     let fds = std::fs::read_dir(format!("/proc/{pid}/fd")).unwrap().flatten();
     let fds = fds.filter_map(|fd| std::fs::read_link(fd.path()).ok());
@@ -127,7 +127,7 @@
         {
             let unix = std::fs::read_to_string("/proc/net/unix").unwrap();
             let named = unix.lines().map(|line| line.split_whitespace().collect::<Vec<_>>());
-            // A pair of its own, which wakes it for signals, has no name; no other is open.
+            // The pair that wakes it for signals has no name; no other is open.
             let named = named.filter(|fields| fields.get(6) == Some(&inode));
             assert!(named.clone().all(|fields| fields.len() == 7), "{inode} has a name");
         }
@@ -136,7 +136,7 @@
     let maps = std::fs::read_to_string(format!("/proc/{pid}/maps")).unwrap();
     assert!(maps.lines().any(|line| line.contains("libc.so") || line.contains("libc-")));
     sidecar.signal("TERM");
-    wait_until("it ends", || !sidecar.is_running());
+    wait_until("the process ends", || !sidecar.is_running());
     let ended = sidecar.child.wait().unwrap();
     assert!(ended.success(), "{ended}");
     assert!(send_request(sidecar.at, &request("safe", "late")).is_none());
--- a/crates/mintshelf/tests/websocket/node.rs
+++ b/crates/mintshelf/tests/websocket/echo_server.rs
@@ -13,8 +13,8 @@
 /// Time after which a read looks again whether the server is frozen or dead.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A server that sends messages back with its name; it can be frozen or made to break off.
-pub struct Node {
+/// A server that sends messages back with its name; it can be frozen, or made to close connections.
+pub struct EchoServer {
     pub peer: Peer,
     /// Sockets opened so far.
     pub opened: Arc<AtomicUsize>,
@@ -22,22 +22,22 @@
     pub open: Arc<AtomicUsize>,
     /// Neither reads nor writes while this is set.
     pub frozen: Arc<AtomicBool>,
-    /// Breaks off all connections while this is set.
+    /// Closes all connections while this is set.
     pub dead: Arc<AtomicBool>,
 }
 
-impl Node {
+impl EchoServer {
     pub fn start(name: &'static str) -> Self {
-        let connections = Echo { name, ..Echo::default() };
-        let Echo { opened, open, frozen, dead, .. } = connections.clone();
+        let connections = EchoConnections { name, ..EchoConnections::default() };
+        let EchoConnections { opened, open, frozen, dead, .. } = connections.clone();
         let peer = Peer::start(move |stream| connections.serve(stream));
-        Node { peer, opened, open, frozen, dead }
+        EchoServer { peer, opened, open, frozen, dead }
     }
 }
 
 /// What the server's connections share.
 #[derive(Clone, Default)]
-struct Echo {
+struct EchoConnections {
     name: &'static str,
     opened: Arc<AtomicUsize>,
     open: Arc<AtomicUsize>,
@@ -45,7 +45,7 @@
     dead: Arc<AtomicBool>,
 }
 
-impl Echo {
+impl EchoConnections {
     fn serve(&self, stream: TcpStream) {
         if self.dead.load(Ordering::SeqCst) {
             return;
--- a/crates/mintshelf/tests/websocket/fixture.rs
+++ b/crates/mintshelf/tests/websocket/fixture.rs
@@ -1,6 +1,6 @@
-//! Clients and a daemon for WebSocket.
+//! WebSocket clients, and a daemon with a route for them.
 
-use crate::node::Node;
+use crate::echo_server::EchoServer;
 use mintshelf_test_support::{connect, free_address, Daemon};
 use std::net::{SocketAddr, TcpStream};
 use std::thread;
@@ -11,10 +11,10 @@
 
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_mintshelf");
 
-/// Longest wait of anything; each test waits for what happens, not for this.
+/// Longest wait of a read; tests wait for events, not for this.
 pub const READ_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A file with one cluster of these nodes and a route for sockets.
+/// What differs between the files of tests: one cluster, and a route for web sockets.
 pub struct Setup {
     pub at: SocketAddr,
     pub admin: SocketAddr,
@@ -25,7 +25,7 @@
     pub more: String,
 }
 
-pub fn setup() -> Setup {
+pub fn default_setup() -> Setup {
     Setup {
         at: free_address(),
         admin: free_address(),
@@ -38,22 +38,22 @@
 }
 
 impl Setup {
-    pub fn text(&self, nodes: &[SocketAddr]) -> String {
+    pub fn text(&self, servers: &[SocketAddr]) -> String {
         let Setup { at, admin, limits, class, cluster, websocket, more } = self;
-        let nodes: Vec<String> = nodes.iter().map(|at| format!("\"{at}\"")).collect();
-        let nodes = nodes.join(", ");
+        let servers: Vec<String> = servers.iter().map(|at| format!("\"{at}\"")).collect();
+        let servers = servers.join(", ");
         format!(
             "listen = \"{at}\"\ntenant-header = \"x-member\"\n[limits]\n{limits}\n\
              [admin]\naddress = \"{admin}\"\n[classes.live]\naim = \"1s\"\ndeadline = \"5s\"\n\
-             [classes.live.sockets]\n{class}\n[clusters.c]\nendpoints = [{nodes}]\n\
+             [classes.live.sockets]\n{class}\n[clusters.c]\nendpoints = [{servers}]\n\
              connect-timeout = \"2s\"\n{cluster}\n\
              [[routes]]\nname = \"live\"\nclass = \"live\"\ncluster = \"c\"\nwebsocket = {websocket}\n{more}"
         )
     }
 
-    pub fn start(&self, nodes: &[&Node]) -> Daemon {
-        let nodes: Vec<_> = nodes.iter().map(|node| node.peer.at).collect();
-        Daemon::start(PROGRAM, self.at, &self.text(&nodes), &[])
+    pub fn start(&self, servers: &[&EchoServer]) -> Daemon {
+        let servers: Vec<_> = servers.iter().map(|server| server.peer.at).collect();
+        Daemon::start(PROGRAM, self.at, &self.text(&servers), &[])
     }
 }
 
@@ -73,7 +73,7 @@
     request.body(()).unwrap()
 }
 
-/// Opens a socket, or tells the status that it got instead.
+/// Opens a socket; the status of the response if it is another than 101.
 pub fn open_with(at: SocketAddr, headers: &[(&str, &str)]) -> Result<Socket, u16> {
     let stream = connect(at).expect("a connection");
     stream.set_read_timeout(Some(READ_TIMEOUT)).unwrap();
@@ -90,6 +90,7 @@
     open_with(at, &[]).expect("a socket")
 }
 
+/// Sends a text and receives the next one; answers pings.
 pub fn send_and_receive(socket: &mut Socket, text: &str) -> String {
     socket.send(WsMessage::text(text)).unwrap();
     loop {
@@ -102,7 +103,7 @@
 }
 
 /// Reads to the close frame; its code and reason.
-pub fn closed(socket: &mut Socket) -> (u16, String) {
+pub fn read_close(socket: &mut Socket) -> (u16, String) {
     loop {
         match socket.read() {
             Ok(WsMessage::Close(Some(close))) => {
@@ -115,7 +116,7 @@
     }
 }
 
-/// Reads on in a thread of its own, to the end.
-pub fn reading(mut socket: Socket) -> thread::JoinHandle<(u16, String)> {
-    thread::spawn(move || closed(&mut socket))
+/// Reads to the close frame on a thread of its own.
+pub fn spawn_reader(mut socket: Socket) -> thread::JoinHandle<(u16, String)> {
+    thread::spawn(move || read_close(&mut socket))
 }
--- a/crates/mintshelf/tests/websocket/main.rs
+++ b/crates/mintshelf/tests/websocket/main.rs
@@ -4,10 +4,10 @@
     reason = "the errors of the implementation at both ends are large"
 )]
 
+mod echo_server;
 mod fixture;
 mod handshakes;
 mod limits;
-mod node;
 mod protocol_errors;
 mod raw_client;
 mod sessions;
--- a/crates/mintshelf/tests/websocket/raw_client.rs
+++ b/crates/mintshelf/tests/websocket/raw_client.rs
@@ -4,24 +4,24 @@
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
 
-/// The status and headers that a raw handshake gets, and the connection.
+/// Sends a handshake with `behind` after it; the response, and the connection.
 pub fn handshake(at: SocketAddr, headers: &[(&str, &str)], behind: &[u8]) -> (Message, TcpStream) {
     let mut text = format!("GET /live HTTP/1.1\r\nHost: {at}\r\n");
-    let usual = [
+    let defaults = [
         ("Connection", "Upgrade"),
         ("Upgrade", "websocket"),
         ("Sec-WebSocket-Version", "13"),
         ("Sec-WebSocket-Key", "dGhlIHNhbXBsZSBub25jZQ=="),
     ];
     let stated = |name: &str| headers.iter().any(|(other, _)| other.eq_ignore_ascii_case(name));
-    let all = usual.iter().filter(|(name, _)| !stated(name)).chain(headers);
-    all.for_each(|(name, value)| text.push_str(&format!("{name}: {value}\r\n")));
+    let sent = defaults.iter().filter(|(name, _)| !stated(name)).chain(headers);
+    sent.for_each(|(name, value)| text.push_str(&format!("{name}: {value}\r\n")));
     let mut stream = connect(at).unwrap();
     stream.write_all(&[text.as_bytes(), b"\r\n", behind].concat()).unwrap();
-    (Message::read(&mut stream).expect("an answer"), stream)
+    (Message::read(&mut stream).expect("a response"), stream)
 }
 
-/// The answer to the last handshake of a raw server, and what it reads before.
+/// The value of `Sec-WebSocket-Accept` for a handshake.
 pub fn accept_of(request: &Message) -> String {
     let key = request.header("sec-websocket-key").unwrap();
     tungstenite::handshake::derive_accept_key(key.as_bytes())
@@ -36,19 +36,19 @@
     [&[first, 0x80 | payload.len() as u8, 0, 0, 0, 0], payload].concat()
 }
 
-/// The close frame that a raw connection reads, if any, and whether nothing comes behind it.
+/// The code and reason of the close frame that ends a connection, if there is one.
 pub fn close_of(stream: &mut TcpStream) -> Option<(u16, String)> {
     let bytes = read_to_close(stream);
-    // Pings of the sidecar's may come before.
-    let mut rest = &bytes[..];
-    while let [first, length, tail @ ..] = rest {
+    // Pings of the sidecar may come before.
+    let mut remaining = &bytes[..];
+    while let [first, length, tail @ ..] = remaining {
         let (payload, behind) = tail.split_at_checked(usize::from(*length))?;
         if *first == 0x88 {
             assert!(behind.is_empty(), "bytes behind a close frame: {behind:?}");
             let code = u16::from_be_bytes([payload[0], payload[1]]);
             return Some((code, String::from_utf8_lossy(&payload[2..]).into_owned()));
         }
-        rest = behind;
+        remaining = behind;
     }
     None
 }
--- a/crates/mintshelf/tests/websocket/steady_client.rs
+++ b/crates/mintshelf/tests/websocket/steady_client.rs
@@ -8,37 +8,38 @@
 use std::thread;
 use std::time::Duration;
 
-/// A client that asks and is answered over and over, to the end.
+/// A client that sends a message and waits for the response, until it is dropped.
 pub struct SteadyClient {
-    over: Arc<AtomicBool>,
-    answers: Arc<AtomicUsize>,
+    stopped: Arc<AtomicBool>,
+    responses: Arc<AtomicUsize>,
     thread: Option<thread::JoinHandle<()>>,
 }
 
 impl SteadyClient {
     pub fn start(at: SocketAddr) -> Self {
-        let (over, answers) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
-        let (until, count) = (over.clone(), answers.clone());
+        let (stopped, responses) =
+            (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
+        let (is_stopped, count) = (stopped.clone(), responses.clone());
         let mut socket = open(at);
         let thread = thread::spawn(move || {
-            while !until.load(Ordering::SeqCst) {
+            while !is_stopped.load(Ordering::SeqCst) {
                 assert!(send_and_receive(&mut socket, "on").ends_with(": on"));
                 count.fetch_add(1, Ordering::SeqCst);
                 thread::sleep(Duration::from_millis(10));
             }
         });
-        SteadyClient { over, answers, thread: Some(thread) }
+        SteadyClient { stopped, responses, thread: Some(thread) }
     }
 
     pub fn wait_for_responses(&self) {
-        let before = self.answers.load(Ordering::SeqCst);
-        wait_until("answers", || self.answers.load(Ordering::SeqCst) > before + 2);
+        let before = self.responses.load(Ordering::SeqCst);
+        wait_until("responses", || self.responses.load(Ordering::SeqCst) > before + 2);
     }
 }
 
 impl Drop for SteadyClient {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::SeqCst);
+        self.stopped.store(true, Ordering::SeqCst);
         let ended = self.thread.take().map(|thread| thread.join().is_ok());
         assert!(thread::panicking() || ended == Some(true));
     }
