--- a/crates/proxy/src/body.rs
+++ b/crates/proxy/src/body.rs
@@ -1,5 +1,6 @@
 //! The body of an HTTP message that is either complete in memory or streamed.
 
+use crate::headers::BODY_MAX;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::{Body, Frame, SizeHint};
@@ -10,6 +11,17 @@
 /// What polling a body for its next frame returns.
 pub type FramePoll = Poll<Option<Result<Frame<Bytes>, io::Error>>>;
 
+/// A number of bytes in memory, as lengths of HTTP messages are counted.
+pub(crate) fn byte_count(bytes: usize) -> u64 {
+    u64::try_from(bytes).unwrap_or(u64::MAX)
+}
+
+/// The length in bytes of a body that is known to be at most [`BODY_MAX`] long; none of any other.
+pub(crate) fn short_length(body: &impl Body) -> Option<usize> {
+    let length = usize::try_from(body.size_hint().exact()?).ok()?;
+    Some(length).filter(|length| *length <= BODY_MAX)
+}
+
 /// A complete body in memory; clones share its bytes.
 pub type BufferedBody = Full<Bytes>;
 
--- a/crates/proxy/src/budget.rs
+++ b/crates/proxy/src/budget.rs
@@ -3,7 +3,7 @@
 use crate::headers::BODY_MAX;
 use mintshelf_config::model::{BODY_SHARE, UPSTREAM_SHARE};
 use std::sync::Arc;
-use tokio::sync::Semaphore;
+use tokio::sync::{AcquireError, OwnedSemaphorePermit, Semaphore};
 
 /// Descriptors that are neither clients' nor servers' connections: standard
 /// streams, the reactor's own, the signal pipe, the listener, the datagram
@@ -34,3 +34,15 @@
         }
     }
 }
+
+/// Acquires the permits for so many bytes of bodies.
+///
+/// # Errors
+/// Once the budget is closed.
+pub(crate) async fn acquire_bytes(
+    budget: &Arc<Semaphore>,
+    bytes: usize,
+) -> Result<OwnedSemaphorePermit, AcquireError> {
+    let permits = u32::try_from(bytes).unwrap_or(u32::MAX);
+    budget.clone().acquire_many_owned(permits).await
+}
--- a/crates/proxy/src/client/closing.rs
+++ b/crates/proxy/src/client/closing.rs
@@ -10,7 +10,7 @@
 
 /// What a client has from its response on to read it, before its connection is evicted.
 const READ_TIME: Duration = Duration::from_millis(20);
-/// How often a connection that is to be closed is looked at for bytes that wait to be read.
+/// How often a connection that is to be closed is checked for bytes that wait to be read.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Idle connections are closed this long after SIGTERM. By then no new ones come,
 /// and what a client sends just then it can send again elsewhere.
@@ -30,7 +30,7 @@
 pub(super) enum CloseReason {
     /// It was idle, or a request or the reading of a response took too long.
     TimedOut,
-    /// It made room for another one.
+    /// It was evicted for lack of capacity for others.
     Evicted,
     /// The process shuts down, and it was idle.
     ShutDown,
@@ -43,8 +43,8 @@
 }
 
 /// Waits until a connection is dead, evicted, or idle during the shutdown; how it is to be
-/// closed. What a client sends in that very moment would be met by a reset, and take
-/// a response with it that the client has not read yet: so bytes that wait are read first.
+/// closed. Bytes that wait are read first: a close would answer them with a reset, and the reset
+/// may destroy a response that the client has not read yet.
 pub(super) async fn close_due(
     client: &Client,
     draining: &CancellationToken,
--- a/crates/proxy/src/client/connection.rs
+++ b/crates/proxy/src/client/connection.rs
@@ -12,10 +12,10 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// Waits in the listener's queue that are shorter are not counted.
+/// A wait in the listener's queue that is shorter is not counted.
 const MIN_QUEUED: Duration = Duration::from_millis(5);
 
-/// What a first request that waited to be accepted has left of its time to be complete, at least.
+/// Least time for a first request to be complete, after its connection waited to be accepted.
 const MIN_RECEIVE: Duration = Duration::from_millis(500);
 
 /// How long a connection may be in its phases.
@@ -30,7 +30,7 @@
     pub idle: Duration,
     /// How long a request may occupy the connection.
     pub busy: Duration,
-    /// Whether bytes that pass, either way, start the time of a request anew.
+    /// Whether bytes that pass, either way, restart the time of a request.
     pub is_extended_by_progress: bool,
     /// Whether a client that has ended its sending still gets its response; else it counts as
     /// disconnected.
@@ -114,13 +114,13 @@
         // A request that is not there yet was sent after the connection was accepted.
         let came_with_request = queued >= MIN_QUEUED && pending(&stream) == Pending::Bytes;
         let queued = if came_with_request { queued } else { Duration::ZERO };
-        let first_receive = timeouts.receive.saturating_sub(queued).max(MIN_RECEIVE);
+        let min_receive = MIN_RECEIVE.min(timeouts.receive);
         Client {
             stream,
             peer,
             phase: Cell::new(Phase::New),
             phase_since: Cell::new(Instant::now()),
-            first_receive: first_receive.min(timeouts.receive),
+            first_receive: timeouts.receive.saturating_sub(queued).max(min_receive),
             timeouts,
             scanner: RefCell::default(),
             is_response_read: Cell::new(false),
@@ -169,15 +169,6 @@
         pending(&self.stream) == Pending::Bytes
     }
 
-    /// Whether nobody waits for a response any more. The socket itself is asked: the HTTP library
-    /// does not look for the end of a connection behind bytes that it has not handed on.
-    pub fn has_left(&self) -> bool {
-        match self.timeouts.allows_half_close {
-            true => is_reset(&self.stream),
-            false => has_ended(&self.stream),
-        }
-    }
-
     /// When the connection has been in its phase for too long.
     pub fn dead_at(&self) -> Instant {
         let timeout = match self.phase.get() {
@@ -196,6 +187,17 @@
     }
 }
 
+impl Client {
+    /// Whether the client has disconnected.
+    pub fn has_left(&self) -> bool {
+        if self.timeouts.allows_half_close {
+            is_reset(&self.stream)
+        } else {
+            has_ended(&self.stream)
+        }
+    }
+}
+
 impl TrafficObserver for Client {
     fn read(&self, bytes: &[u8]) {
         if !bytes.is_empty() {
--- a/crates/proxy/src/client/handler.rs
+++ b/crates/proxy/src/client/handler.rs
@@ -38,8 +38,8 @@
     }
 
     /// Responds to one request. Once the shutdown is announced every response closes its
-    /// connection, whatever the handler says. Where the handler sends on what it reads it enters
-    /// [`Phase::Busy`](super::connection::Phase::Busy) on the client first.
+    /// connection, whatever the handler says. Before a handler forwards what it reads it enters
+    /// [`Phase::Busy`](super::connection::Phase::Busy) on the client.
     fn respond(
         self: Rc<Self>,
         request: ClientRequest,
--- a/crates/proxy/src/client/head_scanner.rs
+++ b/crates/proxy/src/client/head_scanner.rs
@@ -5,10 +5,10 @@
 //! takes for the body another takes for a further request (RFC 9112 11.2). Requests that a
 //! client writes behind an open one are scanned too.
 
+use super::line_buffer::{Line, LineBuffer};
+use crate::body::byte_count;
 use std::collections::VecDeque;
 
-/// How much of a line is buffered, in bytes: enough for the fields that matter.
-const LINE_MAX: usize = 256;
 /// Why a head is ambiguous whose lines do not all end in CR LF.
 const BARE_LINE_BREAK: &str = "a line break that is none";
 /// Digits of a length that fits a `u64`.
@@ -109,60 +109,6 @@
     Lost,
 }
 
-/// A line, as far as it has arrived.
-#[derive(Debug, Default)]
-struct LineBuffer {
-    bytes: Vec<u8>,
-    /// The line is longer than was buffered.
-    is_cut: bool,
-    /// The last byte so far is a carriage return.
-    ends_with_return: bool,
-}
-
-/// A complete line without its line break.
-struct Line {
-    bytes: Vec<u8>,
-    /// Whether it ended in CR LF.
-    ends_in_crlf: bool,
-}
-
-impl LineBuffer {
-    fn push(&mut self, part: &[u8]) {
-        let capacity = LINE_MAX - self.bytes.len();
-        self.ends_with_return = part.last().map_or(self.ends_with_return, |byte| *byte == b'\r');
-        self.bytes.extend_from_slice(&part[..part.len().min(capacity)]);
-        self.is_cut |= part.len() > capacity;
-    }
-
-    fn take_line(&mut self) -> Line {
-        let mut bytes = std::mem::take(&mut self.bytes);
-        let is_cut = std::mem::take(&mut self.is_cut);
-        let ends_in_crlf = std::mem::take(&mut self.ends_with_return);
-        if ends_in_crlf && !is_cut {
-            bytes.pop();
-        }
-        Line { bytes, ends_in_crlf }
-    }
-
-    /// Takes back a line's memory for the next.
-    fn reuse(&mut self, line: Line) {
-        self.bytes = line.bytes;
-        self.bytes.clear();
-    }
-}
-
-impl Line {
-    fn is_empty(&self) -> bool {
-        self.bytes.is_empty()
-    }
-
-    /// Whether it has line breaks that are not CR LF. Where a bare line feed ends a line for one
-    /// reader and not for another, they see different fields (RFC 9112 2.2).
-    fn has_bare_break(&self) -> bool {
-        self.bytes.contains(&b'\r') || !self.ends_in_crlf
-    }
-}
-
 /// Scans the messages of one connection as their bytes arrive.
 #[derive(Debug, Default)]
 pub struct RequestHeadScanner {
@@ -232,7 +178,7 @@
             Position::Trailers if line.is_empty() => Position::RequestLine,
             other => other,
         };
-        self.line.reuse(line);
+        self.line.recycle(line);
     }
 
     fn head_line_ended(&mut self, line: &Line) -> Position {
@@ -305,9 +251,9 @@
 
 /// Skips at most `left` bytes; how many are left to skip.
 fn skip(bytes: &mut &[u8], left: u64) -> u64 {
-    let skipped = left.min(bytes.len() as u64);
-    *bytes = &bytes[skipped as usize..];
-    left - skipped
+    let skipped = usize::try_from(left).map_or(bytes.len(), |left| left.min(bytes.len()));
+    *bytes = &bytes[skipped..];
+    left - byte_count(skipped)
 }
 
 fn body_position(left: u64) -> Position {
--- a/crates/proxy/src/client/mod.rs
+++ b/crates/proxy/src/client/mod.rs
@@ -5,6 +5,7 @@
 pub mod connection;
 pub mod handler;
 pub mod head_scanner;
+mod line_buffer;
 pub mod listener;
 pub mod registry;
 mod serve;
--- a/crates/proxy/src/client/registry.rs
+++ b/crates/proxy/src/client/registry.rs
@@ -1,8 +1,9 @@
-//! All clients' connections, and which of them is evicted where there is no capacity for others.
+//! All clients' connections, and which of them is evicted when there is no capacity for others.
 
 use super::connection::{Client, EvictionPriority};
 use std::cell::{Cell, RefCell};
-use std::collections::BTreeMap;
+use std::cmp::Reverse;
+use std::collections::{BTreeMap, BinaryHeap};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -15,7 +16,7 @@
 }
 
 impl Clients {
-    /// Adds a connection; its number.
+    /// Adds a connection; returns its number.
     pub fn add(&self, client: Rc<Client>) -> u64 {
         self.last_number.set(self.last_number.get() + 1);
         self.by_number.borrow_mut().insert(self.last_number.get(), client);
@@ -37,45 +38,50 @@
         self.by_number.borrow().len()
     }
 
-    /// Evicts a connection: of those whose last response is out, else
-    /// of those that have sent nothing, else of the idle ones, else of those whose
-    /// first request has begun, the one that is so for longest, if it has been for `min_age`.
-    /// Whether there was one.
+    /// Evicts one connection, if one may be; whether there was one. Those whose last response is
+    /// out come first, then those that have sent nothing, then idle ones, then those whose first
+    /// request has begun; among them the one that is so for longest, and for at least `min_age`.
     ///
-    /// Else a crowd that connects and sends nothing would shut out all others. One whose request
-    /// waits to be read is not closed for it.
+    /// Without it, clients that connect and send nothing could shut out all others. A connection
+    /// is not evicted while a request waits to be read on it.
     pub fn evict_one(&self, min_age: Duration) -> bool {
         let clients = self.by_number.borrow();
         let now = Instant::now();
-        let candidate = |client| EvictionCandidate::new(client, now, min_age);
-        let mut candidates: Vec<_> = clients.values().filter_map(candidate).collect();
-        candidates.sort_unstable_by_key(|candidate| (candidate.priority, candidate.since));
-        // In this order, as each look asks the kernel.
-        let Some(evicted) = candidates.iter().find(|candidate| candidate.may_be_closed()) else {
-            return false;
-        };
-        evicted.client.eviction.cancel();
-        true
+        let candidates = clients.iter().filter_map(|(number, client)| {
+            EvictionCandidate::new(*number, client, now, min_age).map(Reverse)
+        });
+        let mut candidates: BinaryHeap<_> = candidates.collect();
+        // In this order, as each check is a system call.
+        while let Some(Reverse(candidate)) = candidates.pop() {
+            let client = clients.get(&candidate.number);
+            if let Some(client) = client.filter(|client| candidate.may_be_closed(client)) {
+                client.eviction.cancel();
+                return true;
+            }
+        }
+        false
     }
 }
 
-/// A connection that may be evicted.
-struct EvictionCandidate<'a> {
-    client: &'a Client,
+/// A connection that may be evicted; the first one in their order is evicted first.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct EvictionCandidate {
     priority: EvictionPriority,
+    /// When its phase began.
     since: Instant,
+    number: u64,
 }
 
-impl<'a> EvictionCandidate<'a> {
-    fn new(client: &'a Rc<Client>, now: Instant, min_age: Duration) -> Option<Self> {
+impl EvictionCandidate {
+    fn new(number: u64, client: &Client, now: Instant, min_age: Duration) -> Option<Self> {
         let priority = client.eviction_priority()?;
         let since = client.phase_since();
         let is_old = now.saturating_duration_since(since) >= min_age;
         let is_candidate = is_old && !client.eviction.is_cancelled();
-        is_candidate.then_some(EvictionCandidate { client, priority, since })
+        is_candidate.then_some(EvictionCandidate { priority, since, number })
     }
 
-    fn may_be_closed(&self) -> bool {
-        self.priority == EvictionPriority::Closing || !self.client.has_pending()
+    fn may_be_closed(&self, client: &Client) -> bool {
+        self.priority == EvictionPriority::Closing || !client.has_pending()
     }
 }
--- a/crates/proxy/src/client/serve.rs
+++ b/crates/proxy/src/client/serve.rs
@@ -2,9 +2,9 @@
 
 use super::accept_queue::AcceptedConnection;
 use super::closing::{close_due, read_deadline, reset_by_client, CloseMode, CloseReason};
-use super::connection::{Client, Phase};
+use super::connection::{Client, ClientTimeouts, Phase};
 use super::handler::{ClientRequest, RequestHandler, ResponseBody, TrackedBody};
-use super::listener::ClientListener;
+use super::registry::Clients;
 use crate::tcp::{close_gracefully, pending, ObservedStream, Pending, SharedStream};
 use bytes::Bytes;
 use hyper::body::Incoming;
@@ -20,6 +20,7 @@
 use std::time::Duration;
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::sleep_until;
+use tokio_util::sync::CancellationToken;
 use tracing::debug;
 
 /// Largest head of a request, and the most that the library buffers each way, in bytes.
@@ -37,7 +38,16 @@
     Upgrade(Bytes),
 }
 
-impl<H: RequestHandler> ClientListener<H> {
+/// Serves the connections of one listening socket through a handler.
+pub(super) struct ConnectionServer<H> {
+    pub(super) handler: Rc<H>,
+    pub(super) clients: Rc<Clients>,
+    pub(super) timeouts: ClientTimeouts,
+    /// Cancelled when the shutdown is announced.
+    pub(super) draining: CancellationToken,
+}
+
+impl<H: RequestHandler> ConnectionServer<H> {
     /// Serves a connection to its end. It counts in the budget by `_permit`.
     pub(super) async fn serve_connection(
         self: Rc<Self>,
@@ -77,7 +87,7 @@
         self.clients.remove(number);
     }
 
-    /// Serves requests until a side ends the connection.
+    /// Serves requests until one side ends the connection.
     async fn serve_requests(
         self: &Rc<Self>,
         stream: &SharedStream,
--- a/crates/proxy/src/cluster/health_check.rs
+++ b/crates/proxy/src/cluster/health_check.rs
@@ -1,6 +1,7 @@
 //! Health checks: whether a server is healthy, and how loaded.
 
 use crate::headers::parse_load_report;
+use crate::platform_protocol::{HEALTH_PATH, LOAD_PATH};
 use crate::upstream::connection::Target;
 use crate::upstream::pool::Upstream;
 use crate::upstream::request_body::RequestBody;
@@ -9,11 +10,6 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Path that answers whether a server is healthy.
-const HEALTH_PATH: &str = "/-/healthy";
-/// Path that answers with a load report.
-const LOAD_PATH: &str = "/-/load";
-
 /// How health checks are made in a cluster.
 #[derive(Debug)]
 pub struct HealthChecker {
--- a/crates/proxy/src/gateway/request_body.rs
+++ b/crates/proxy/src/gateway/request_body.rs
@@ -2,7 +2,8 @@
 
 use super::classify::ambiguous_framing;
 use super::rejection::Rejection;
-use crate::body::BufferedBody;
+use crate::body::{short_length, BufferedBody};
+use crate::budget::acquire_bytes;
 use crate::client::connection::{Client, Phase};
 use crate::headers::BODY_MAX;
 use crate::upstream::request_body::{RequestBody, StreamedBody};
@@ -37,9 +38,8 @@
 impl BufferPlan {
     /// The plan for a body that has not been read.
     pub(crate) fn of(body: &Incoming) -> Self {
-        let is_short = body.size_hint().exact().is_some_and(|size| size <= BODY_MAX as u64);
-        let max_bytes = if is_short { body.size_hint().lower() as usize } else { BODY_MAX };
-        BufferPlan { is_short, max_bytes }
+        let length = short_length(body);
+        BufferPlan { is_short: length.is_some(), max_bytes: length.unwrap_or(BODY_MAX) }
     }
 }
 
@@ -63,7 +63,7 @@
         return Ok(BudgetedBody::default());
     }
     let plan = BufferPlan::of(&body);
-    let permit = budget.clone().acquire_many_owned(plan.max_bytes.max(1) as u32);
+    let permit = acquire_bytes(budget, plan.max_bytes.max(1));
     let Ok(Ok(permit)) = timeout(CAPACITY_WAIT, permit).await else {
         return Err(no_capacity());
     };
--- a/crates/proxy/src/headers.rs
+++ b/crates/proxy/src/headers.rs
@@ -21,8 +21,8 @@
     header::EXPECT,
 ];
 
-/// Removes what concerns the connection that a message came on, and the length,
-/// which the next connection's framing states anew.
+/// Removes what concerns the connection that a message arrived on, and its length: the next
+/// connection's framing states that itself.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -38,8 +38,8 @@
     }
 }
 
-/// The same for a message whose body goes on as it came: where there is one length it stays,
-/// for responses that state it without a body (HEAD, 304), and so does the list of trailers.
+/// The same for a message whose body is forwarded as it arrives: where there is one length it
+/// stays, for responses that state it without a body (HEAD, 304), and so does the list of trailers.
 pub fn strip_for_next_hop(headers: &mut HeaderMap) {
     let mut lengths = headers.get_all(header::CONTENT_LENGTH).iter().cloned();
     let length = lengths.next().filter(|_| lengths.next().is_none());
@@ -59,7 +59,7 @@
 }
 
 /// A header's value as text; absent if it is not.
-pub fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+pub fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers.get(name)?.to_str().ok().map(str::trim)
 }
 
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -27,6 +27,7 @@
 pub mod list_arrival;
 pub mod loop_monitor;
 pub mod platform;
+mod platform_protocol;
 pub mod request_log;
 pub mod tcp;
 pub mod upstream;
--- a/crates/proxy/src/list_arrival.rs
+++ b/crates/proxy/src/list_arrival.rs
@@ -41,13 +41,13 @@
 
     /// Waits until no list is on its way, at most for half a second.
     ///
-    /// Tasks take turns. Where many requests are due at once, the task that reads the list comes
-    /// behind them, and they would be sent to servers that are known to drain.
+    /// Tasks take turns. Where many requests are due at once, the task that reads the list runs after
+    /// them, and they would be sent to servers that are known to drain.
     pub async fn settled(&self) {
         let started_at = Instant::now();
         while self.is_arriving() && started_at.elapsed() < MAX_WAIT {
-            // Whether it was handled or the gap is over shows at the next look.
-            let _ = timeout(PROGRESS_GAP, self.handled.notified()).await;
+            // The next check tells whether it was handled or the gap is over.
+            timeout(PROGRESS_GAP, self.handled.notified()).await.unwrap_or_default();
         }
     }
 
--- a/crates/proxy/src/loop_monitor.rs
+++ b/crates/proxy/src/loop_monitor.rs
@@ -11,12 +11,12 @@
 /// A tick that takes longer is followed by another at once.
 const LATE_TICK: Duration = Duration::from_millis(10);
 
-/// Measures by a periodic task for how long the event loop has not got round to its work.
+/// Measures by a periodic task for how long the event loop has not processed what arrived.
 ///
 /// At each tick the task yields. The loop then polls the sockets, wakes their tasks, and this task
-/// behind them; tasks run in the order in which they were woken. So all that had come before the
-/// tick has been read when the task runs again, and the tick counts from its begin. That holds for a task of its own
-/// alone: the future that the loop blocks on is polled before all tasks.
+/// after them; tasks run in the order in which they were woken. So all that had arrived before the
+/// tick has been read when the task runs again, and the tick counts from its begin. Only a task of
+/// its own can rely on that: the future that the loop blocks on is polled before all tasks.
 #[derive(Debug)]
 pub struct LoopMonitor {
     last_tick: Rc<Cell<Instant>>,
--- a/crates/proxy/src/platform/handler.rs
+++ b/crates/proxy/src/platform/handler.rs
@@ -1,6 +1,6 @@
 //! The platform's requests to its one cluster, each from its head to the response.
 
-use super::metadata::{missing_transaction_id, read_metadata, TRANSACTION_ID};
+use super::metadata::{missing_transaction_id, read_metadata};
 use super::rejection::RejectedRequest;
 use super::request_body::read_body;
 use crate::budget::ResourceBudget;
@@ -11,6 +11,7 @@
 use crate::cluster::runtime::ClusterRuntime;
 use crate::headers::{strip_hop_by_hop, HEADERS_MAX};
 use crate::loop_monitor::LoopMonitor;
+use crate::platform_protocol::{READY_PATH, TRANSACTION_ID};
 use bytes::Bytes;
 use hyper::body::Incoming;
 use hyper::header::{self, HeaderValue};
@@ -26,8 +27,6 @@
 use tokio::sync::Semaphore;
 use tokio::time::sleep_until;
 
-/// Path that answers whether this sidecar takes requests.
-const READY_PATH: &str = "/-/ready";
 /// A client that is rejected during the shutdown may retry after this, in nanoseconds: the next
 /// process has started by then.
 const RESTART_RETRY_AFTER: Nanos = 1_000_000_000;
@@ -72,9 +71,9 @@
         RESTART_RETRY_AFTER.min(self.settings.max_retry_after)
     }
 
-    /// Reads a request completely and gets it its final outcome. The stages of its way: its head,
-    /// its body, the shutdown's deadlines, the decision module. The client has waited for up to
-    /// `queued` since it sent the request.
+    /// Reads a request completely and returns its final outcome. Its stages are its head, its body,
+    /// the shutdown's deadlines and the decision module. The client has waited for up to `queued`
+    /// since it sent the request.
     async fn handle(
         &self,
         client: &Rc<Client>,
@@ -187,7 +186,7 @@
     }
 }
 
-/// The response to a request that breaks the protocol: what comes behind it on its connection
+/// The response to a request that breaks the protocol. It closes the connection: what follows on it
 /// can't be trusted either.
 fn rejected_response(rejected: &RejectedRequest) -> Response<ResponseBody> {
     let mut response = text_response(rejected.status, rejected.body());
--- a/crates/proxy/src/platform/metadata.rs
+++ b/crates/proxy/src/platform/metadata.rs
@@ -1,35 +1,21 @@
-//! The headers of the platform's requests that the decision module learns of.
+//! What the headers of a platform request state for the decision module.
 
 use super::rejection::RejectedRequest;
 use crate::cluster::request::RequestMetadata;
 use crate::headers::{cookie_pairs, text};
-use hyper::header::HeaderMap;
+use crate::platform_protocol::{
+    CLASS, COST_HINT_US, KEY_COOKIE_PREFIX, LABELS, REMAINING_MS, RETRY, TENANT, TRANSACTION_ID,
+};
+use hyper::header::{HeaderMap, HeaderName};
 use mintshelf_balancer::api::{Nanos, Settings};
 use mintshelf_config::platform::Names;
 use std::str::FromStr;
 
-/// Header with the id that a client gives a request.
-pub(super) const TRANSACTION_ID: &str = "x-txn";
-/// Header with the name of a request's class.
-const CLASS: &str = "x-lane";
-/// Header with the name of a request's tenant.
-const TENANT: &str = "x-org";
-/// Header with the time that the client still waits, in milliseconds.
-const REMAINING_MS: &str = "x-remaining-ms";
-/// Header with the expected work, in microseconds.
-const ESTIMATE_US: &str = "x-estimate";
-/// Header with figures by name.
-const LABELS: &str = "x-labels";
-/// Header that marks a repeat, with the value 1.
-const REPEAT: &str = "x-resent";
-/// Cookie with what a request concerns, in hexadecimal digits.
-const KEY_COOKIE: &str = "obj=";
-
 const MILLISECOND: Nanos = 1_000_000;
 /// Nanoseconds in a microsecond.
 const MICROSECOND: f64 = 1e3;
 
-/// Reads what the module learns of a request.
+/// Reads what the decision module needs to know of a request.
 ///
 /// # Errors
 /// The rejection of a request that lacks a header or has a malformed one.
@@ -38,12 +24,12 @@
     settings: &Settings,
     names: &Names,
 ) -> Result<RequestMetadata, RejectedRequest> {
-    if text(headers, TRANSACTION_ID).is_none_or(str::is_empty) {
+    if text(headers, &TRANSACTION_ID).is_none_or(str::is_empty) {
         return Err(missing_transaction_id());
     }
-    let class = position_of(headers, CLASS, &names.classes);
+    let class = position_of(headers, &CLASS, &names.classes);
     let class = class.ok_or(RejectedRequest::bad_request("X-Lane is not a class\n"))?;
-    let tenant = match position_of(headers, TENANT, &names.tenants) {
+    let tenant = match position_of(headers, &TENANT, &names.tenants) {
         Some(tenant) => tenant,
         None if names.tenants.is_empty() => 0,
         None => return Err(RejectedRequest::bad_request("X-Org is not a tenant\n")),
@@ -51,13 +37,13 @@
     let client_timeout = read_client_timeout(headers, settings.classes[class].deadline)?;
     let cost_hint = read_cost_hint(headers)?;
     check_labels(headers)?;
-    let key = cookie_pairs(headers).find_map(|pair| pair.strip_prefix(KEY_COOKIE));
+    let key = cookie_pairs(headers).find_map(|pair| pair.strip_prefix(KEY_COOKIE_PREFIX));
     Ok(RequestMetadata {
         class: class as u32,
         tenant: tenant as u32,
         key: key.and_then(|key| u64::from_str_radix(key, 16).ok()),
         cost_hint,
-        is_repeat: text(headers, REPEAT) == Some("1"),
+        is_repeat: text(headers, &RETRY) == Some("1"),
         client_timeout,
     })
 }
@@ -67,14 +53,14 @@
 }
 
 /// The position of a header's value among `names`, by its bytes: a name may be in any script.
-fn position_of(headers: &HeaderMap, header: &str, names: &[String]) -> Option<usize> {
+fn position_of(headers: &HeaderMap, header: &HeaderName, names: &[String]) -> Option<usize> {
     let value = headers.get(header)?.as_bytes().trim_ascii();
     names.iter().position(|name| name.as_bytes() == value)
 }
 
 /// How long the client waits, in nanoseconds: at most the deadline of its class.
 fn read_client_timeout(headers: &HeaderMap, deadline: Nanos) -> Result<Nanos, RejectedRequest> {
-    let remaining_ms = read_number::<u64>(headers, REMAINING_MS).map_err(|MalformedNumber| {
+    let remaining_ms = read_number::<u64>(headers, &REMAINING_MS).map_err(|MalformedNumber| {
         RejectedRequest::bad_request("X-Remaining-Ms is not a number\n")
     })?;
     Ok(remaining_ms.map_or(deadline, |ms| ms.saturating_mul(MILLISECOND).min(deadline)))
@@ -82,15 +68,15 @@
 
 /// The expected work in nanoseconds, if the client states some.
 fn read_cost_hint(headers: &HeaderMap) -> Result<Option<Nanos>, RejectedRequest> {
-    let estimate_us = read_number::<f64>(headers, ESTIMATE_US)
+    let cost_us = read_number::<f64>(headers, &COST_HINT_US)
         .map_err(|MalformedNumber| RejectedRequest::bad_request("X-Estimate is not a number\n"))?;
-    let cost_hint = estimate_us.map(|estimate_us| (estimate_us * MICROSECOND) as Nanos);
+    let cost_hint = cost_us.map(|cost_us| (cost_us * MICROSECOND) as Nanos);
     Ok(cost_hint.filter(|cost| *cost > 0))
 }
 
 /// Checks the labels, which are not used: `name=number, ...`.
 fn check_labels(headers: &HeaderMap) -> Result<(), RejectedRequest> {
-    let labels = text(headers, LABELS).unwrap_or_default();
+    let labels = text(headers, &LABELS).unwrap_or_default();
     let mut labels = labels.split(',').filter(|label| !label.trim().is_empty());
     let is_number = |value: &str| value.trim().parse::<f64>().is_ok();
     if labels.all(|label| label.split_once('=').is_some_and(|(_, value)| is_number(value))) {
@@ -103,7 +89,10 @@
 struct MalformedNumber;
 
 /// Reads a header that holds a number, if it is there.
-fn read_number<T: FromStr>(headers: &HeaderMap, name: &str) -> Result<Option<T>, MalformedNumber> {
+fn read_number<T: FromStr>(
+    headers: &HeaderMap,
+    name: &HeaderName,
+) -> Result<Option<T>, MalformedNumber> {
     if !headers.contains_key(name) {
         return Ok(None);
     }
--- a/crates/proxy/src/platform/request_body.rs
+++ b/crates/proxy/src/platform/request_body.rs
@@ -1,7 +1,8 @@
-//! Reading the body of a platform request, which is always complete before it is sent on.
+//! Reading the body of a platform request, which is always complete before an attempt sends it.
 
 use super::rejection::RejectedRequest;
-use crate::body::BufferedBody;
+use crate::body::{byte_count, BufferedBody};
+use crate::budget::acquire_bytes;
 use crate::headers::BODY_MAX;
 use crate::upstream::request_body::RequestBody;
 use bytes::BytesMut;
@@ -22,11 +23,11 @@
 pub(super) struct BudgetedBody {
     pub(super) body: RequestBody,
     pub(super) permit: Option<OwnedSemaphorePermit>,
-    /// How long it waited for capacity. All of it may have come before.
+    /// How long it waited for capacity. All of it may have arrived before.
     pub(super) capacity_wait: Duration,
 }
 
-/// Reads a body, as far as there is capacity for it while its client waits.
+/// Reads a body to its end, where there is capacity for it while its client waits.
 ///
 /// # Errors
 /// The rejection of a body that is too long, breaks off or finds no capacity.
@@ -35,7 +36,7 @@
     body: &mut Incoming,
     client_timeout: Nanos,
 ) -> Result<BudgetedBody, RejectedRequest> {
-    if body.size_hint().lower() > BODY_MAX as u64 {
+    if body.size_hint().lower() > byte_count(BODY_MAX) {
         return Err(too_long());
     }
     let capacity_wait_max = CAPACITY_WAIT_MAX.min(Duration::from_nanos(client_timeout));
@@ -49,7 +50,7 @@
             return Err(too_long());
         }
         let wait_began_at = Instant::now();
-        let more = budget.clone().acquire_many_owned(data.len() as u32);
+        let more = acquire_bytes(budget, data.len());
         let wait_left = capacity_wait_max.saturating_sub(capacity_wait);
         let Ok(Ok(more)) = timeout(wait_left, more).await else {
             // Nothing has been sent for it: the client may try again.
--- a/crates/proxy/src/tcp.rs
+++ b/crates/proxy/src/tcp.rs
@@ -26,7 +26,7 @@
     fn flushed(&self) {}
 }
 
-/// A stream that the library uses while others look at it; never borrowed over a wait.
+/// A stream that the library uses while others inspect it; never borrowed across an await.
 pub type SharedStream = Rc<RefCell<TcpStream>>;
 
 /// A stream as the HTTP library sees it, which reports its traffic.
@@ -111,7 +111,7 @@
 }
 
 /// Whether the other side has ended its sending or reset the connection, also where bytes that
-/// it sent before still wait to be read: a look at those alone would not show it.
+/// it sent before still wait to be read, which alone would not show it.
 pub fn has_ended(stream: &SharedStream) -> bool {
     match pending(stream) {
         Pending::End => true,
@@ -125,7 +125,7 @@
     }
 }
 
-/// Whether the other side has reset the connection: it can't take an answer any more.
+/// Whether the other side has reset the connection: it can't receive a response any more.
 pub fn is_reset(stream: &SharedStream) -> bool {
     let mut byte = [MaybeUninit::uninit()];
     let peeked = SockRef::from(&*stream.borrow()).peek(&mut byte);
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -3,6 +3,7 @@
 use super::connection_limits::ConnectionPermit;
 use super::request_body::RequestBody;
 use super::write_progress::WriteProgress;
+use crate::body::byte_count;
 use crate::tcp::{pending, ObservedStream, Pending, SharedStream};
 use bytes::{Bytes, BytesMut};
 use hyper::body::{Body, Incoming};
@@ -122,7 +123,7 @@
         mut body: Incoming,
         max_bytes: usize,
     ) -> Result<Bytes, Outcome> {
-        if body.size_hint().lower() > max_bytes as u64 {
+        if body.size_hint().lower() > byte_count(max_bytes) {
             return Err(Outcome::Error);
         }
         let mut received = BytesMut::new();
@@ -145,7 +146,7 @@
     }
 
     /// Sends a handshake and waits for the head of its response. After a 101 the connection is
-    /// taken over by [`UpstreamConnection::into_upgraded`]; else it goes on as after
+    /// taken over by [`UpstreamConnection::into_upgraded`]; else it is used as after
     /// [`UpstreamConnection::send`].
     ///
     /// # Errors
@@ -191,8 +192,8 @@
         drive(&mut self.driver, cx);
     }
 
-    /// Whether an idle connection is still up, which the kernel is asked for: the reactor may not
-    /// have reported yet that its server closed or reset it.
+    /// Whether an idle connection is still up, by a system call: the reactor may not have reported
+    /// yet that its server closed or reset it.
     pub(crate) fn is_alive(&self) -> bool {
         let may_idle = self.idle_since.elapsed() < self.idle_timeout;
         self.driver.is_some() && may_idle && pending(&self.stream) == Pending::Nothing
--- a/crates/proxy/src/upstream/connection_limits.rs
+++ b/crates/proxy/src/upstream/connection_limits.rs
@@ -34,13 +34,18 @@
 impl OpenConnections {
     fn add(&mut self, usage: ConnectionUse) {
         self.connections += 1;
-        self.sockets += u32::from(usage == ConnectionUse::Socket);
+        match usage {
+            ConnectionUse::Requests => {}
+            ConnectionUse::Socket => self.sockets += 1,
+        }
     }
 
     fn remove(&mut self, usage: ConnectionUse) {
         self.connections = self.connections.saturating_sub(1);
-        let sockets = u32::from(usage == ConnectionUse::Socket);
-        self.sockets = self.sockets.saturating_sub(sockets);
+        match usage {
+            ConnectionUse::Requests => {}
+            ConnectionUse::Socket => self.sockets = self.sockets.saturating_sub(1),
+        }
     }
 }
 
--- a/crates/proxy/src/upstream/exchange.rs
+++ b/crates/proxy/src/upstream/exchange.rs
@@ -8,8 +8,9 @@
 use super::request_body::{RequestBody, StreamedBody};
 use super::response::{AttemptResult, UpstreamProtocol};
 use super::write_progress::WriteProgress;
+use crate::platform_protocol::REMAINING_MS;
 use bytes::Bytes;
-use hyper::header::{HeaderName, HeaderValue};
+use hyper::header::HeaderValue;
 use hyper::{Request, StatusCode};
 use mintshelf_balancer::api::Outcome;
 use mintshelf_websocket::handshake::HandshakeRequest;
@@ -20,9 +21,6 @@
 use std::time::Duration;
 use tokio::time::{sleep_until, Instant};
 
-/// Tells a server of the platform how long this sidecar will wait, in milliseconds.
-const REMAINING_MS: HeaderName = HeaderName::from_static("x-remaining-ms");
-
 /// How long an attempt may take.
 #[derive(Debug, Clone, Copy)]
 pub struct AttemptDeadlines {
--- a/crates/proxy/src/upstream/receive.rs
+++ b/crates/proxy/src/upstream/receive.rs
@@ -7,7 +7,9 @@
     UpstreamResponse,
 };
 use super::response_stream::{Remainder, ResponseStream};
+use crate::body::short_length;
 use crate::headers::{text, BODY_MAX};
+use crate::platform_protocol::{LOAD_REPORT, NEVER_RAN};
 use bytes::{Bytes, BytesMut};
 use hyper::body::{Body, Frame, Incoming};
 use hyper::header::{self, HeaderMap, HeaderName};
@@ -25,10 +27,6 @@
 const SHORT_RESPONSE_WAIT: Duration = Duration::from_millis(100);
 /// Longest body of a load report, or of a platform response that is not 200, in bytes.
 pub(super) const SMALL_BODY_MAX: usize = 4 << 10;
-/// Header that marks a platform response whose request was never run.
-const TURNED_AWAY: &str = "x-turned-away";
-/// Header that carries a load report.
-const LOAD_REPORT: &str = "x-pressure";
 
 impl Upstream {
     /// Reads a response of the platform's protocol: short and complete.
@@ -38,8 +36,8 @@
         response: Response<Incoming>,
     ) -> AttemptResult {
         let (head, body) = response.into_parts();
-        let load_report = text(&head.headers, LOAD_REPORT).map(str::to_string);
-        let never_ran = text(&head.headers, TURNED_AWAY) == Some("1");
+        let load_report = text(&head.headers, &LOAD_REPORT).map(str::to_string);
+        let never_ran = text(&head.headers, &NEVER_RAN) == Some("1");
         if !has_sure_end(&head.headers) {
             return AttemptResult { outcome: Outcome::Error, load_report, response: None };
         }
@@ -169,7 +167,7 @@
     connection: &mut UpstreamConnection,
     body: &mut Incoming,
 ) -> Result<BodyStart, Outcome> {
-    let is_short = body.size_hint().exact().is_some_and(|size| size <= BODY_MAX as u64);
+    let is_short = short_length(body).is_some();
     let wait = if is_short { SHORT_RESPONSE_WAIT } else { Duration::ZERO };
     let deadline = Instant::now() + wait;
     let mut start = BodyStart { frames: VecDeque::new(), is_complete: body.is_end_stream() };
@@ -202,9 +200,8 @@
     joined.freeze()
 }
 
-/// Whether a response can be read in one way only: nothing was asked for that would answer
-/// with another protocol, and with both framings two readers may take it for two responses
-/// (RFC 9112 6.3).
+/// Whether a response can be read in one way only. No change of protocol was requested here, and a
+/// response with both framings may be taken for two responses (RFC 9112 6.3).
 fn is_readable(status: StatusCode, headers: &HeaderMap) -> bool {
     let framings: [HeaderName; 2] = [header::TRANSFER_ENCODING, header::CONTENT_LENGTH];
     let has_both_framings = framings.iter().all(|framing| headers.contains_key(framing));
--- a/crates/proxy/src/upstream/request_body.rs
+++ b/crates/proxy/src/upstream/request_body.rs
@@ -1,6 +1,6 @@
 //! The body of a request on its way to servers: buffered, or streamed from its client.
 
-use crate::body::{FramePoll, MessageBody};
+use crate::body::{byte_count, FramePoll, MessageBody};
 use bytes::Bytes;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use std::cell::{Cell, RefCell};
@@ -119,7 +119,7 @@
     }
 
     fn size_hint(&self) -> SizeHint {
-        let prefix_bytes = self.prefix.as_ref().map_or(0, |_| self.source.prefix_bytes as u64);
+        let prefix_bytes = self.prefix.as_ref().map_or(0, |_| byte_count(self.source.prefix_bytes));
         match self.source.stream.borrow().size_hint().exact() {
             Some(stream_bytes) => SizeHint::with_exact(prefix_bytes + stream_bytes),
             None => SizeHint::default(),
--- a/crates/proxy/src/upstream/response_stream.rs
+++ b/crates/proxy/src/upstream/response_stream.rs
@@ -1,7 +1,7 @@
 //! The body of a response, passed on as its server sends it.
 
 use super::connection::UpstreamConnection;
-use crate::body::FramePoll;
+use crate::body::{byte_count, FramePoll};
 use bytes::Bytes;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use mintshelf_balancer::api::Outcome;
@@ -54,7 +54,7 @@
         return_connection: ReturnConnection,
     ) -> Self {
         let data = queued.iter().filter_map(Frame::data_ref);
-        let queued_bytes = data.map(|data| data.len() as u64).sum();
+        let queued_bytes = data.map(|data| byte_count(data.len())).sum();
         ResponseStream {
             return_connection: Some(return_connection),
             queued,
@@ -128,7 +128,7 @@
     fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> FramePoll {
         let this = &mut *self;
         if let Some(frame) = this.queued.pop_front() {
-            this.queued_bytes -= frame.data_ref().map_or(0, |data| data.len() as u64);
+            this.queued_bytes -= frame.data_ref().map_or(0, |data| byte_count(data.len()));
             return Poll::Ready(Some(Ok(frame)));
         }
         let Some(remainder) = &mut this.remainder else {
--- a/crates/proxy/src/upstream/write_progress.rs
+++ b/crates/proxy/src/upstream/write_progress.rs
@@ -1,5 +1,6 @@
 //! How far a request has been written to its server, and whether its response has stalled.
 
+use crate::body::byte_count;
 use crate::tcp::TrafficObserver;
 use std::cell::Cell;
 use tokio::time::Instant;
@@ -68,6 +69,7 @@
             };
         }
         self.head_end_matched.set(matched);
-        self.body_bytes_written.set(self.body_bytes_written.get() + unread.len() as u64);
+        let written = self.body_bytes_written.get() + byte_count(unread.len());
+        self.body_bytes_written.set(written);
     }
 }
