--- a/crates/mintshelf/src/daemon/listeners.rs
+++ b/crates/mintshelf/src/daemon/listeners.rs
@@ -6,7 +6,7 @@
 use mintshelf_proxy::client::handler::RequestHandler;
 use mintshelf_proxy::client::listener::{listen, ClientListener};
 use mintshelf_proxy::gateway::config::ServingConfig;
-use mintshelf_proxy::gateway::handler::GatewayHandler;
+use mintshelf_proxy::gateway::handler::{GatewayHandler, GatewaySettings};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -111,9 +111,13 @@
         serving: Rc<ServingConfig>,
         socket: TcpListener,
     ) -> OpenListener {
-        let bodies = self.budget.bodies.clone();
-        let stats = self.stats.clone();
-        let handler = GatewayHandler::new(serving, bodies, stats, self.sockets.clone(), self.seed);
+        let handler = GatewayHandler::new(GatewaySettings {
+            config: serving,
+            body_budget: self.budget.bodies.clone(),
+            stats: self.stats.clone(),
+            sockets: self.sockets.clone(),
+            seed: self.seed,
+        });
         let draining = CancellationToken::new();
         let accepting = self.accept(handler.clone(), socket, draining.clone());
         OpenListener { handler, name: listener.name.clone(), accepting, draining }
--- a/crates/proxy/src/gateway/admission.rs
+++ b/crates/proxy/src/gateway/admission.rs
@@ -1,43 +1,23 @@
-//! Where requests pass the limits of tenants, routes and clusters: what those decide is done here.
+//! Admission of requests: carries out what the limits of tenants, routes and clusters decide.
 
 use super::limit_rejections::{body_rejection, limit_rejection, queue_rejection, MIN_RETRY_AFTER};
+use super::queue_waiters::{QueueWaiters, RemovedWait, WaitResult, WaiterKey};
 use super::rejection::Rejection;
 use crate::clock::Clock;
 use crate::request_log::RequestLog;
 use mintshelf_admission::admission::{Admission, AdmissionConfig, LimitUsage};
-use mintshelf_admission::queue::{
-    QueueDecision, QueueEntry, QueueTicket, QueueTransitions, RejectReason, RejectedTicket,
-};
+use mintshelf_admission::queue::{QueueDecision, QueueEntry, RejectReason};
 use mintshelf_balancer::api::Nanos;
 use std::cell::RefCell;
-use std::collections::HashMap;
 use std::future::poll_fn;
 use std::rc::Rc;
-use std::task::{Poll, Waker};
 use tokio::time::timeout_at;
 use tracing::Level;
 
-/// A request in the queue of a cluster.
-#[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct WaiterKey {
-    cluster: Rc<str>,
-    ticket: QueueTicket,
-}
-
-/// What became of a wait.
-type WaitResult = Result<(), RejectReason>;
-
-/// A task that waits in the queue of a cluster.
-#[derive(Default)]
-struct Waiter {
-    result: Option<WaitResult>,
-    waker: Option<Waker>,
-}
-
 /// All limits in force, and the requests that wait for them.
 pub struct AdmissionController {
     admission: RefCell<Admission>,
-    waiters: RefCell<HashMap<WaiterKey, Waiter>>,
+    waiters: QueueWaiters,
     clock: Clock,
     log: RequestLog,
 }
@@ -47,7 +27,7 @@
         let clock = Clock::start();
         AdmissionController {
             admission: RefCell::default(),
-            waiters: RefCell::default(),
+            waiters: QueueWaiters::default(),
             clock,
             log: RequestLog::new(&clock),
         }
@@ -83,7 +63,7 @@
         let now = controller.clock.now();
         let transitions =
             controller.admission.borrow_mut().complete(now, &self.cluster, &self.tenant);
-        controller.notify_waiters(&self.cluster, transitions);
+        controller.waiters.notify(&self.cluster, transitions);
     }
 }
 
@@ -101,7 +81,7 @@
     }
 }
 
-/// What a request asks of its cluster's queue.
+/// What a request states to its cluster's queue.
 pub struct QueueRequest {
     /// Its tenant.
     pub tenant: Rc<str>,
@@ -123,7 +103,7 @@
     pub remaining_timeout: Nanos,
 }
 
-/// A wait in a queue; dropped before its end it gives up the place, or what came of it.
+/// A wait in a queue; dropped before its end, it leaves the queue or gives back its place.
 struct QueueWait<'a> {
     controller: &'a Rc<AdmissionController>,
     key: WaiterKey,
@@ -132,29 +112,22 @@
 
 impl QueueWait<'_> {
     async fn result(&self) -> WaitResult {
-        poll_fn(|cx| {
-            let mut waiters = self.controller.waiters.borrow_mut();
-            let waiter = waiters.entry(self.key.clone()).or_default();
-            if let Some(result) = waiter.result.take() {
-                waiters.remove(&self.key);
-                return Poll::Ready(result);
-            }
-            waiter.waker = Some(cx.waker().clone());
-            Poll::Pending
-        })
-        .await
+        poll_fn(|cx| self.controller.waiters.poll_result(&self.key, cx)).await
     }
 }
 
 impl Drop for QueueWait<'_> {
     fn drop(&mut self) {
         let WaiterKey { cluster, ticket } = &self.key;
-        let waiter = self.controller.waiters.borrow_mut().remove(&self.key);
-        match waiter.map(|waiter| waiter.result) {
-            // Nobody used the place that it was given.
-            Some(Some(Ok(()))) => drop(self.controller.cluster_permit(cluster, &self.tenant)),
-            Some(None) => self.controller.admission.borrow_mut().cancel(cluster, *ticket),
-            Some(Some(Err(_))) | None => {}
+        match self.controller.waiters.remove(&self.key) {
+            // The place that it was given was not used.
+            Some(RemovedWait::Resolved(Ok(()))) => {
+                drop(self.controller.cluster_permit(cluster, &self.tenant));
+            }
+            Some(RemovedWait::Unresolved) => {
+                self.controller.admission.borrow_mut().cancel(cluster, *ticket);
+            }
+            Some(RemovedWait::Resolved(Err(_))) | None => {}
         }
     }
 }
@@ -164,7 +137,7 @@
     pub fn configure(&self, config: &AdmissionConfig) {
         let transitions = self.admission.borrow_mut().configure(self.clock.now(), config);
         for (cluster, transitions) in transitions {
-            self.notify_waiters(&cluster, transitions);
+            self.waiters.notify(&cluster, transitions);
         }
     }
 
@@ -173,22 +146,6 @@
         self.admission.borrow().usage()
     }
 
-    /// Gives the tasks that wait what became of their requests.
-    fn notify_waiters(&self, cluster: &Rc<str>, transitions: QueueTransitions) {
-        let admitted = transitions.admitted.into_iter().map(|ticket| (ticket, Ok(())));
-        let rejected = transitions.rejected.into_iter();
-        let rejected = rejected.map(|RejectedTicket { ticket, reason }| (ticket, Err(reason)));
-        for (ticket, result) in admitted.chain(rejected) {
-            let mut waiters = self.waiters.borrow_mut();
-            let key = WaiterKey { cluster: cluster.clone(), ticket };
-            let waiter = waiters.entry(key).or_default();
-            waiter.result = Some(result);
-            if let Some(waker) = waiter.waker.take() {
-                waker.wake();
-            }
-        }
-    }
-
     fn cluster_permit(self: &Rc<Self>, cluster: &Rc<str>, tenant: &Rc<str>) -> ClusterPermit {
         ClusterPermit { controller: self.clone(), cluster: cluster.clone(), tenant: tenant.clone() }
     }
@@ -265,7 +222,7 @@
         let Some((decision, transitions)) = offered else {
             return Ok(AdmittedRequest { permit: None, remaining_timeout: client_timeout });
         };
-        self.notify_waiters(cluster, transitions);
+        self.waiters.notify(cluster, transitions);
         let max_wait = client_timeout.saturating_sub(expected_latency);
         let result = match decision {
             QueueDecision::Admit => Ok(()),
@@ -292,7 +249,7 @@
         tenant: &Rc<str>,
         deadline: Nanos,
     ) -> WaitResult {
-        self.waiters.borrow_mut().insert(key.clone(), Waiter::default());
+        self.waiters.insert(key.clone());
         let wait = QueueWait { controller: self, key, tenant: tenant.clone() };
         let deadline = self.clock.instant(deadline);
         timeout_at(deadline, wait.result()).await.unwrap_or(Err(RejectReason::TooLate))
--- a/crates/proxy/src/gateway/dispatch.rs
+++ b/crates/proxy/src/gateway/dispatch.rs
@@ -1,4 +1,4 @@
-//! The last stages of a request's way: its cluster's queue, then the decision module.
+//! The last stages of a request before its response: its cluster's queue, then the decision module.
 
 use super::admission::{ClusterPermit, QueueRequest};
 use super::config::{ClusterHandle, ServingConfig};
@@ -7,7 +7,7 @@
 use mintshelf_balancer::api::Nanos;
 use std::rc::Rc;
 
-/// What a request asks of a cluster.
+/// How a request is sent to a cluster.
 pub(crate) struct DispatchOptions {
     /// The module's class.
     pub(crate) class: u32,
@@ -21,7 +21,7 @@
     pub(crate) tenant: Option<Rc<str>>,
 }
 
-/// What came of a request at its cluster.
+/// The result of a request at its cluster.
 pub(crate) struct Dispatched {
     /// The outcome; none if its id is that of an open request.
     pub(crate) outcome: Option<RequestOutcome>,
--- a/crates/proxy/src/gateway/forward.rs
+++ b/crates/proxy/src/gateway/forward.rs
@@ -9,6 +9,8 @@
 use super::request_body::{read_body, BudgetedBody, BufferPlan};
 use super::request_ids::RequestIds;
 use super::respond::{client_response, served_response, upstream_failed, RequestPermits};
+use super::socket_rejections::upgrade_rejection;
+use crate::body::byte_count;
 use crate::client::connection::{Client, Phase};
 use crate::client::handler::ResponseBody;
 use crate::cluster::request::UpstreamRequest;
@@ -114,7 +116,9 @@
             cluster: class.cluster_name.into(),
         };
         let is_draining = context.is_draining;
-        PendingUpgrade::accept(&self.sockets, settings, request, owner, is_draining).map(Some)
+        PendingUpgrade::accept(&self.sockets, settings, request, owner, is_draining)
+            .map(Some)
+            .map_err(upgrade_rejection)
     }
 
     /// The request's head as it goes to servers, and its body as it comes from the client.
@@ -243,7 +247,7 @@
         let Some((admission, permit)) = limits.filter(|_| !body.is_end_stream()) else {
             return Ok(None);
         };
-        let bytes = BufferPlan::of(body).max_bytes as u64;
+        let bytes = byte_count(BufferPlan::of(body).max_bytes);
         admission.controller.reserve_body(&permit.tenant, bytes).map(Some)
     }
 
--- a/crates/proxy/src/gateway/handler.rs
+++ b/crates/proxy/src/gateway/handler.rs
@@ -1,5 +1,4 @@
-//! Ordinary HTTP/1.1: a listener's requests, each from its head to the
-//! response.
+//! Ordinary HTTP/1.1: the requests of a listener, each from its head to the response.
 
 use super::classify::{RequestTarget, RouteMatch};
 use super::config::{ActiveConfig, ServingConfig};
@@ -16,6 +15,20 @@
 use std::sync::Arc;
 use tokio::sync::Semaphore;
 
+/// What the handler of one listener is made of.
+pub struct GatewaySettings {
+    /// The first configuration in force.
+    pub config: Rc<ServingConfig>,
+    /// Bytes of requests' bodies that the process may have in memory.
+    pub body_budget: Arc<Semaphore>,
+    /// Where requests and responses are counted.
+    pub stats: Rc<ProxyStats>,
+    /// The open WebSocket connections of the process.
+    pub sockets: Rc<SocketRegistry>,
+    /// Keeps the request ids of two runs of the program apart.
+    pub seed: u64,
+}
+
 /// Responds to the requests of one listener.
 pub struct GatewayHandler {
     forwarder: Forwarder,
@@ -23,23 +36,16 @@
 }
 
 impl GatewayHandler {
-    /// A listener with this configuration; `seed` keeps the ids of two runs apart.
-    pub fn new(
-        config: Rc<ServingConfig>,
-        body_budget: Arc<Semaphore>,
-        stats: Rc<ProxyStats>,
-        sockets: Rc<SocketRegistry>,
-        seed: u64,
-    ) -> Rc<Self> {
-        Rc::new(GatewayHandler {
-            forwarder: Forwarder {
-                config: ActiveConfig::new(config),
-                ids: RequestIds::new(seed),
-                body_budget,
-                sockets,
-            },
-            stats,
-        })
+    /// A listener with these settings.
+    pub fn new(settings: GatewaySettings) -> Rc<Self> {
+        let GatewaySettings { config, body_budget, stats, sockets, seed } = settings;
+        let forwarder = Forwarder {
+            config: ActiveConfig::new(config),
+            ids: RequestIds::new(seed),
+            body_budget,
+            sockets,
+        };
+        Rc::new(GatewayHandler { forwarder, stats })
     }
 
     /// Puts another configuration in force for the requests that come from now on.
--- a/crates/proxy/src/gateway/limit_rejections.rs
+++ b/crates/proxy/src/gateway/limit_rejections.rs
@@ -44,7 +44,7 @@
 }
 
 /// The rejection of a body for which its tenant's quota has no bytes left. The body is not read,
-/// so nothing can come behind it on its connection.
+/// so nothing can follow it on its connection.
 pub(super) fn body_rejection() -> Rejection {
     let detail = "its tenant's bodies take all the room that it has; it has not run";
     let rejection = Rejection::new(StatusCode::TOO_MANY_REQUESTS, "tenant-room", detail);
--- /dev/null
+++ b/crates/proxy/src/gateway/queue_waiters.rs
@@ -0,0 +1,80 @@
+//! The tasks that wait in the queues of clusters, and what becomes of their waits.
+
+use mintshelf_admission::queue::{QueueTicket, QueueTransitions, RejectReason, RejectedTicket};
+use std::cell::RefCell;
+use std::collections::HashMap;
+use std::rc::Rc;
+use std::task::{Context, Poll, Waker};
+
+/// A request in the queue of a cluster.
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+pub(super) struct WaiterKey {
+    pub(super) cluster: Rc<str>,
+    pub(super) ticket: QueueTicket,
+}
+
+/// What became of a wait: a place at the cluster, or a rejection.
+pub(super) type WaitResult = Result<(), RejectReason>;
+
+/// A task that waits in the queue of a cluster.
+#[derive(Default)]
+struct Waiter {
+    result: Option<WaitResult>,
+    waker: Option<Waker>,
+}
+
+/// A wait that was removed.
+pub(super) enum RemovedWait {
+    /// It had no result yet.
+    Unresolved,
+    /// Its task had not taken this result.
+    Resolved(WaitResult),
+}
+
+/// All tasks that wait in queues.
+#[derive(Default)]
+pub(super) struct QueueWaiters(RefCell<HashMap<WaiterKey, Waiter>>);
+
+impl QueueWaiters {
+    /// Adds a wait.
+    pub(super) fn insert(&self, key: WaiterKey) {
+        self.0.borrow_mut().insert(key, Waiter::default());
+    }
+
+    /// Removes a wait; none if its task has taken the result.
+    pub(super) fn remove(&self, key: &WaiterKey) -> Option<RemovedWait> {
+        let waiter = self.0.borrow_mut().remove(key)?;
+        Some(waiter.result.map_or(RemovedWait::Unresolved, RemovedWait::Resolved))
+    }
+
+    /// Takes the result of a wait, which then ends.
+    pub(super) fn poll_result(&self, key: &WaiterKey, cx: &Context<'_>) -> Poll<WaitResult> {
+        let mut waiters = self.0.borrow_mut();
+        let waiter = waiters.entry(key.clone()).or_default();
+        if let Some(result) = waiter.result.take() {
+            waiters.remove(key);
+            return Poll::Ready(result);
+        }
+        waiter.waker = Some(cx.waker().clone());
+        Poll::Pending
+    }
+
+    /// Gives the tasks that wait at a cluster the results of their waits.
+    pub(super) fn notify(&self, cluster: &Rc<str>, transitions: QueueTransitions) {
+        for ticket in transitions.admitted {
+            self.resolve(cluster, ticket, Ok(()));
+        }
+        for RejectedTicket { ticket, reason } in transitions.rejected {
+            self.resolve(cluster, ticket, Err(reason));
+        }
+    }
+
+    fn resolve(&self, cluster: &Rc<str>, ticket: QueueTicket, result: WaitResult) {
+        let mut waiters = self.0.borrow_mut();
+        let waiter = waiters.entry(WaiterKey { cluster: cluster.clone(), ticket }).or_default();
+        waiter.result = Some(result);
+        if let Some(waker) = waiter.waker.take() {
+            waker.wake();
+        }
+    }
+}
--- a/crates/proxy/src/gateway/rejection.rs
+++ b/crates/proxy/src/gateway/rejection.rs
@@ -19,8 +19,8 @@
     pub code: &'static str,
     /// What happened, for people.
     detail: &'static str,
-    /// When the client may retry, in nanoseconds; 0 where nothing is said of that.
-    retry_after: Nanos,
+    /// When the client may retry, in nanoseconds; absent where the response does not say.
+    retry_after: Option<Nanos>,
     closes_connection: bool,
     extra_headers: &'static [(HeaderName, HeaderValue)],
 }
@@ -40,19 +40,19 @@
             status,
             code,
             detail,
-            retry_after: 0,
+            retry_after: None,
             closes_connection: false,
             extra_headers: &[],
         }
     }
 
-    /// Says when the client may retry, in nanoseconds from now; 0 for nothing to say.
+    /// States when the client may retry, in nanoseconds from now; nothing for 0.
     #[must_use]
     pub fn retry_after(self, retry_after: Nanos) -> Self {
-        Rejection { retry_after, ..self }
+        Rejection { retry_after: Some(retry_after).filter(|wait| *wait > 0), ..self }
     }
 
-    /// Closes the connection: what comes behind such a request can't be trusted.
+    /// Closes the connection: what follows such a request on it can't be trusted.
     #[must_use]
     pub fn closing_connection(self) -> Self {
         Rejection { closes_connection: true, ..self }
@@ -79,9 +79,9 @@
         let headers = response.headers_mut();
         let content_type = HeaderValue::from_static("application/problem+json");
         headers.insert(header::CONTENT_TYPE, content_type);
-        if self.retry_after > 0 {
+        if let Some(retry_after) = self.retry_after {
             // Whole seconds, rounded up (RFC 9110 10.2.3).
-            let seconds = self.retry_after.div_ceil(SECOND);
+            let seconds = retry_after.div_ceil(SECOND);
             headers.insert(header::RETRY_AFTER, HeaderValue::from(seconds));
         }
         for (name, value) in self.extra_headers {
--- a/crates/proxy/src/websocket/rejections.rs
+++ b/crates/proxy/src/gateway/socket_rejections.rs
@@ -1,16 +1,26 @@
-//! The responses to handshakes that are rejected before a server is asked.
+//! The responses to WebSocket handshakes that are rejected before they are sent to a server.
 
-use crate::gateway::rejection::Rejection;
+use super::rejection::Rejection;
+use crate::websocket::upgrade::UpgradeError;
 use hyper::StatusCode;
 use mintshelf_admission::slots::SlotUnavailable;
 use mintshelf_balancer::api::Nanos;
 use mintshelf_websocket::handshake::HandshakeError;
 
-/// Retry-After of handshakes that may succeed a little later.
+/// Retry-After of handshakes that may succeed a little later, in nanoseconds.
 const RETRY_AFTER_NS: Nanos = 1_000_000_000;
 
+/// The response to a handshake that is rejected.
+pub(super) fn upgrade_rejection(error: UpgradeError) -> Rejection {
+    match error {
+        UpgradeError::Handshake(error) => handshake_rejection(error),
+        UpgradeError::Draining => draining_rejection(),
+        UpgradeError::NoSlot(limit) => slot_rejection(limit),
+    }
+}
+
 /// The response to a malformed handshake, or one that its route does not allow.
-pub(super) fn handshake_rejected(error: HandshakeError) -> Rejection {
+fn handshake_rejection(error: HandshakeError) -> Rejection {
     let (status, code) = match error {
         HandshakeError::Method | HandshakeError::Key | HandshakeError::List => {
             (StatusCode::BAD_REQUEST, "websocket")
@@ -27,13 +37,13 @@
 }
 
 /// The response to a handshake during the graceful shutdown.
-pub(super) fn draining() -> Rejection {
+fn draining_rejection() -> Rejection {
     let reason = "the planned end has begun; no server was asked";
     Rejection::new(StatusCode::SERVICE_UNAVAILABLE, "draining", reason).retry_after(RETRY_AFTER_NS)
 }
 
 /// The response to a handshake for which there is no slot.
-pub(super) fn slot_unavailable(limit: SlotUnavailable) -> Rejection {
+fn slot_rejection(limit: SlotUnavailable) -> Rejection {
     let (code, reason) = match limit {
         SlotUnavailable::Full => ("sockets-full", "all sockets are taken; no server was asked"),
         SlotUnavailable::Tenant => ("tenant-sockets", "its tenant has as many sockets as it may"),
--- a/crates/proxy/src/websocket/eviction.rs
+++ b/crates/proxy/src/websocket/eviction.rs
@@ -92,8 +92,7 @@
         for (position, entry) in drained.into_iter().enumerate() {
             let position = position as u64;
             entry.set_draining();
-            // Clients are asked to come back as evenly as they were closed, and no sooner than
-            // a restart takes.
+            // Clients come back as evenly as they were closed, and no sooner than a restart takes.
             let retry_after_s = 1 + position % 10;
             let reason = reason_with_retry("this sidecar ends", retry_after_s);
             let close_code = close_code::GOING_AWAY;
--- a/crates/proxy/src/websocket/mod.rs
+++ b/crates/proxy/src/websocket/mod.rs
@@ -5,7 +5,6 @@
 pub mod eviction;
 pub mod reconnect;
 pub mod registry;
-mod rejections;
 pub mod relay;
 mod schedules;
 pub mod stats;
--- a/crates/proxy/src/websocket/registry.rs
+++ b/crates/proxy/src/websocket/registry.rs
@@ -151,8 +151,8 @@
     /// above its own is evicted, so that a later call may succeed.
     pub fn reserve(self: &Rc<Self>, owner: &SlotOwner) -> Result<SlotReservation, SlotUnavailable> {
         let now = self.clock.now();
-        let taken = self.slots.borrow_mut().acquire(now, owner);
-        match taken {
+        let acquired = self.slots.borrow_mut().acquire(now, owner);
+        match acquired {
             Ok(()) => Ok(SlotReservation { registry: self.clone(), owner: owner.clone() }),
             Err(rejected) => {
                 if let Some(tenant) = rejected.reclaim_from {
--- a/crates/proxy/src/websocket/relay.rs
+++ b/crates/proxy/src/websocket/relay.rs
@@ -1,5 +1,5 @@
-//! Relays one socket between its two connections: bytes into the session, bytes out of it, and
-//! what the session asks for beside them.
+//! Relays one socket between its two connections: bytes into the session, bytes out of it, and the
+//! actions that the session requests.
 
 use super::entry::{ScheduledEviction, ServerLocation, SocketCommand};
 use super::reconnect::ServerConnection;
--- a/crates/proxy/src/websocket/upgrade.rs
+++ b/crates/proxy/src/websocket/upgrade.rs
@@ -3,25 +3,38 @@
 use super::entry::ServerLocation;
 use super::reconnect::{write_handshake, ReconnectRequest, ReconnectTarget, SocketConnector};
 use super::registry::{SlotReservation, SocketRegistry};
-use super::rejections::{draining, handshake_rejected, slot_unavailable};
 use super::relay::{Reconnect, Relay, RetryAfter};
 use crate::client::connection::Upgrade;
 use crate::cluster::runtime::ClusterRuntime;
-use crate::gateway::rejection::Rejection;
 use crate::upstream::response::UpgradedConnection;
 use hyper::body::Incoming;
 use hyper::header::HeaderMap;
 use hyper::http::request::Parts;
 use hyper::Request;
-use mintshelf_admission::slots::SlotOwner;
+use mintshelf_admission::slots::{SlotOwner, SlotUnavailable};
 use mintshelf_balancer::api::Nanos;
 use mintshelf_config::model::WebSocket;
-use mintshelf_websocket::handshake::ClientHandshake;
+use mintshelf_websocket::handshake::{ClientHandshake, HandshakeError};
 use mintshelf_websocket::session::Session;
 use std::rc::Rc;
+use thiserror::Error;
 
 const NANOS_PER_SECOND: Nanos = 1_000_000_000;
 
+/// Why a client's handshake is rejected before it is sent to a server.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
+pub(crate) enum UpgradeError {
+    /// It is malformed, or its route does not allow it.
+    #[error(transparent)]
+    Handshake(#[from] HandshakeError),
+    /// The graceful shutdown has begun.
+    #[error("the graceful shutdown has begun")]
+    Draining,
+    /// A limit on open sockets is reached.
+    #[error("no slot is free: {0:?}")]
+    NoSlot(SlotUnavailable),
+}
+
 /// A handshake that has a slot and waits for a server.
 pub(crate) struct PendingUpgrade {
     handshake: ClientHandshake,
@@ -36,26 +49,25 @@
     ///
     /// # Errors
     ///
-    /// The response to a handshake that is malformed, not allowed by its route, over a limit, or
-    /// sent during the graceful shutdown.
+    /// The handshake is malformed, not allowed by its route, over a limit, or sent during the
+    /// graceful shutdown.
     pub(crate) fn accept(
         registry: &Rc<SocketRegistry>,
         config: &Rc<WebSocket>,
         request: &Request<Incoming>,
         owner: SlotOwner,
         is_draining: bool,
-    ) -> Result<Self, Rejection> {
+    ) -> Result<Self, UpgradeError> {
         let handshake = ClientHandshake::parse(
             request.method(),
             request.version(),
             request.headers(),
             &config.terms,
-        )
-        .map_err(handshake_rejected)?;
+        )?;
         if is_draining {
-            return Err(draining());
+            return Err(UpgradeError::Draining);
         }
-        let slot = registry.reserve(&owner).map_err(slot_unavailable)?;
+        let slot = registry.reserve(&owner).map_err(UpgradeError::NoSlot)?;
         Ok(PendingUpgrade {
             handshake,
             slot,
