--- a/crates/proxy/src/discovery/client.rs
+++ b/crates/proxy/src/discovery/client.rs
@@ -1,5 +1,6 @@
 //! HTTP client for the discovery service: one request at a time on one connection.
 
+use super::protocol::{changes_path, LIST_PATH};
 use crate::list_arrival::ListArrival;
 use crate::tcp::ObservedStream;
 use bytes::Bytes;
@@ -28,12 +29,12 @@
 /// Longest response body: some twenty thousand servers. A longer one would need too much memory.
 const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
-/// The body of a response as far as it came; empty if there was no usable response.
+/// The body of a response as far as it arrived; empty if there was no usable response.
 #[derive(Debug, Default)]
 pub struct ReceivedBody {
-    /// What came of it.
+    /// What arrived of it.
     pub bytes: Vec<u8>,
-    /// Whether it came to its end.
+    /// Whether it arrived to its end.
     pub is_complete: bool,
     /// Whether no response began in time.
     pub has_timed_out: bool,
@@ -73,7 +74,7 @@
         Some(DiscoveryConnection { sender, connection, is_open: true })
     }
 
-    /// Lets the connection read and write, and notes whether it has ended.
+    /// Lets the connection read and write, and records whether it has ended.
     fn drive(&mut self, cx: &mut Context<'_>) {
         self.is_open = self.is_open && self.connection.as_mut().poll(cx).is_pending();
     }
@@ -96,7 +97,7 @@
         .ok()
     }
 
-    /// Reads a response's body, as far as it comes.
+    /// Reads a response's body, as far as it arrives.
     async fn read_body(&mut self, mut body: Incoming) -> ReceivedBody {
         let mut received = ReceivedBody::default();
         while received.bytes.len() <= MAX_RESPONSE_BYTES {
@@ -141,7 +142,7 @@
 
     /// Requests the complete list.
     pub async fn fetch_list(&mut self) -> ReceivedBody {
-        self.get("", LIST_RESPONSE_TIMEOUT).await
+        self.get(LIST_PATH, LIST_RESPONSE_TIMEOUT).await
     }
 
     /// Long poll: waits up to `poll_timeout` for a list newer than `after_revision`, and
@@ -152,16 +153,15 @@
         poll_timeout: Duration,
         response_grace: Duration,
     ) -> ReceivedBody {
-        let query = format!("?after={after_revision}&wait_ms={}", poll_timeout.as_millis());
-        self.get(&query, poll_timeout + response_grace).await
+        let path = changes_path(after_revision, poll_timeout);
+        self.get(&path, poll_timeout + response_grace).await
     }
 
     /// One request, whose response has to begin within `response_timeout`.
-    async fn get(&mut self, query: &str, response_timeout: Duration) -> ReceivedBody {
+    async fn get(&mut self, path: &str, response_timeout: Duration) -> ReceivedBody {
         let Some(mut connection) = self.connect().await else { return ReceivedBody::default() };
-        let request = Request::get(format!("/api/targets{query}"))
-            .header(header::HOST, self.address.to_string())
-            .body(Empty::new());
+        let request =
+            Request::get(path).header(header::HOST, self.address.to_string()).body(Empty::new());
         let Ok(request) = request else { return ReceivedBody::default() };
         let response = match timeout(response_timeout, connection.send(request)).await {
             Ok(Some(response)) => response,
--- a/crates/proxy/src/discovery/list.rs
+++ b/crates/proxy/src/discovery/list.rs
@@ -1,45 +1,12 @@
-//! Parses endpoint lists as the discovery service writes them in JSON, as far as they came.
+//! Parses endpoint lists as far as they arrived; the names in them are those of `protocol.rs`.
 
+use super::protocol::{EndpointEntry, ENTRIES, HAS_ALL_ENDPOINTS, REVISION};
 use serde::de::{DeserializeSeed, Deserializer, IgnoredAny, MapAccess, SeqAccess, Visitor};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::borrow::Cow;
 use std::fmt;
 use std::marker::PhantomData;
-use std::net::SocketAddr;
-
-/// One entry of a list. The fields are named as in the JSON.
-#[derive(Debug, Clone, PartialEq, Deserialize)]
-pub(super) struct EndpointEntry<'a> {
-    #[serde(borrow)]
-    pub(super) uid: Cow<'a, str>,
-    pub(super) endpoint: SocketAddr,
-    #[serde(default, borrow)]
-    pub(super) az: Cow<'a, str>,
-    #[serde(default, borrow)]
-    pub(super) model: Cow<'a, str>,
-    #[serde(default)]
-    pub(super) pod_group: u32,
-    pub(super) state: EntryState,
-    #[serde(default = "default_capacity")]
-    pub(super) capacity_hint: f64,
-    #[serde(default)]
-    pub(super) boot_ms: u64,
-}
-
-/// Capacity of an entry that states none, relative to a usual server.
-fn default_capacity() -> f64 {
-    1.0
-}
-
-/// Lifecycle of a server as the service states it.
-#[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
-#[serde(rename_all = "UPPERCASE")]
-pub(super) enum EntryState {
-    Serving,
-    Draining,
-    Deleted,
-}
 
 /// A list as far as it could be parsed; it borrows from the response.
 #[derive(Debug, Default, PartialEq)]
@@ -121,9 +88,9 @@
     fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<(), A::Error> {
         while let Some(key) = map.next_key::<Cow<'de, str>>()? {
             match key.as_ref() {
-                "rev" => self.list.revision = Some(map.next_value()?),
-                "all" => self.list.has_all_endpoints = map.next_value()?,
-                "targets" => {
+                REVISION => self.list.revision = Some(map.next_value()?),
+                HAS_ALL_ENDPOINTS => self.list.has_all_endpoints = map.next_value()?,
+                ENTRIES => {
                     let entries = self.list.entries.insert(Vec::new());
                     map.next_value_seed(EntriesSeed { entries, element: self.element })?;
                 }
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -2,6 +2,7 @@
 
 mod client;
 pub mod list;
+mod protocol;
 pub mod reader;
 mod server_numbers;
 pub(crate) mod watch_tasks;
@@ -22,15 +23,15 @@
 
 /// Least time between the starts of two polls of a watch, short enough to keep it established.
 const MIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// How long the response to a call that asks for no wait may take to begin, before the complete list
-/// is asked for in its place.
+/// How long the response to a poll without a wait may take to begin, before the complete list is
+/// requested instead.
 const RESET_CHECK_TIMEOUT: Duration = Duration::from_millis(700);
 /// Least time between two polls of a push agent, which answers at once even without changes.
 const AGENT_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// How long an agent is asked to wait for changes: no longer, as another may take its place.
+/// How long an agent may wait for changes: no longer, as another may take its place.
 const AGENT_POLL_TIMEOUT: Duration = Duration::from_millis(500);
 /// How much longer an agent's response may take before it is polled on another connection. An
-/// agent is silent until it has a list, and that list is wanted at once.
+/// agent is silent until it has a list, which is needed at once.
 const AGENT_RESPONSE_GRACE: Duration = Duration::from_millis(500);
 
 /// The discovery service of one cluster, at an address that may change.
@@ -71,8 +72,8 @@
         DiscoveryClient::new(self.address.get(), self.reader.borrow().arrival())
     }
 
-    /// Watches until a call fails. Once another watch has `replaced` this one, what has come of a
-    /// response is still read, and nothing follows.
+    /// Watches until a call fails. Once another watch has `replaced` this one, what has arrived of
+    /// a response is still read, and nothing follows.
     pub async fn watch(
         self: Rc<Self>,
         observer: impl EndpointListObserver,
@@ -82,34 +83,45 @@
         let mut watch = WatchState::default();
         loop {
             let started_at = Instant::now();
-            let poll_timeout = watch.poll_timeout();
-            let call = client.poll_changes(self.revision(), poll_timeout, watch.response_grace());
-            let response = tokio::select! {
+            let next_call = tokio::select! {
                 biased;
-                response = call => response,
+                next_call = self.poll(&mut client, &mut watch, &observer, &replaced) => next_call,
                 () = self.superseded(&replaced) => return,
             };
-            if replaced.is_cancelled() {
-                return self.handle_last_response(&response, &observer);
-            }
-            let outcome = tokio::select! {
-                biased;
-                outcome = self.handle_response(&mut client, &observer, response) => outcome,
-                () = self.superseded(&replaced) => return,
-            };
-            if replaced.is_cancelled() {
-                return;
-            }
-            match watch.on_call_end(outcome) {
-                NextCall::Continue => {}
-                NextCall::Reconnect => client = self.connect(),
-                NextCall::BackOff => return self.report_failure(&observer),
+            match next_call {
+                None => return,
+                Some(NextCall::Continue) => {}
+                Some(NextCall::Reconnect) => client = self.connect(),
+                Some(NextCall::BackOff) => return self.report_failure(&observer),
             }
             // A service that answers every poll at once must not make this loop spin.
             sleep(MIN_POLL_INTERVAL.saturating_sub(started_at.elapsed())).await;
         }
     }
 
+    /// Polls once and handles the response; what follows, none where the watch was replaced
+    /// meanwhile.
+    async fn poll(
+        &self,
+        client: &mut DiscoveryClient,
+        watch: &mut WatchState,
+        observer: &impl EndpointListObserver,
+        replaced: &CancellationToken,
+    ) -> Option<NextCall> {
+        let response = client
+            .poll_changes(self.revision(), watch.poll_timeout(), watch.response_grace())
+            .await;
+        if replaced.is_cancelled() {
+            self.handle_last_response(&response, observer);
+            return None;
+        }
+        let outcome = self.handle_response(client, observer, response).await;
+        if replaced.is_cancelled() {
+            return None;
+        }
+        Some(watch.on_call_end(outcome))
+    }
+
     /// Waits until a watch was replaced and no list is on its way.
     async fn superseded(&self, replaced: &CancellationToken) {
         replaced.cancelled().await;
@@ -118,7 +130,7 @@
     }
 
     /// Applies the last response of a replaced watch, unless its list is older than the current
-    /// one or did not come.
+    /// one or did not arrive.
     fn handle_last_response(&self, response: &ReceivedBody, observer: &impl EndpointListObserver) {
         let list = EndpointList::parse(&response.bytes);
         if list.revision.is_some_and(|revision| revision > self.revision()) {
@@ -160,7 +172,7 @@
     /// Applies a response if its revision allows.
     ///
     /// An older list would undo later changes. But a service that was reset never reaches the
-    /// current revision, so it is asked again until a complete list is accepted.
+    /// current revision, so it is polled again until a complete list is accepted.
     async fn handle_response(
         &self,
         client: &mut DiscoveryClient,
--- a/crates/proxy/src/discovery/reader.rs
+++ b/crates/proxy/src/discovery/reader.rs
@@ -1,7 +1,8 @@
 //! Applies endpoint lists: translates entries into the balancer's numbers, keeps the servers'
 //! addresses, and tracks the revision.
 
-use super::list::{EndpointEntry, EndpointList, EntryState};
+use super::list::EndpointList;
+use super::protocol::{EndpointEntry, EntryState};
 use super::server_numbers::ServerNumbers;
 use crate::clock::nanos;
 use crate::endpoints::{stable_id, Endpoint, Endpoints};
@@ -21,12 +22,12 @@
     index.map_or_else(|| stable_id(name) | UNKNOWN_NAME, |index| index as u32)
 }
 
-/// What a list has for the balancer.
+/// What a list changes for the balancer.
 #[derive(Debug)]
 pub struct ListUpdate {
     /// Whether it replaces the servers known before or changes some of them.
     pub kind: ListKind,
-    /// The servers that it has.
+    /// Its servers.
     pub servers: Vec<ListedServer>,
 }
 
@@ -49,32 +50,29 @@
 
     fn listed_server(&mut self, entry: &EndpointEntry) -> ListedServer {
         ListedServer {
-            id: self.numbers.assign(&entry.uid),
-            zone: name_index(&self.names.zones, &entry.az),
+            id: self.numbers.assign(&entry.name),
+            zone: name_index(&self.names.zones, &entry.zone),
             kind: name_index(&self.names.kinds, &entry.model),
-            cell: entry.pod_group,
-            state: match entry.state {
-                EntryState::Serving => EndpointState::Live,
-                EntryState::Draining => EndpointState::Draining,
-                EntryState::Deleted => EndpointState::Removed,
-            },
-            size: entry.capacity_hint,
-            started_at: nanos(Duration::from_millis(entry.boot_ms)),
+            cell: entry.failure_domain,
+            state: entry.state.into(),
+            size: entry.capacity,
+            started_at: nanos(Duration::from_millis(entry.started_at_ms)),
         }
     }
 
-    /// Applies a list. `was_received_whole`: its response came to its end.
+    /// Applies a list; `is_complete`: its response arrived to its end.
     ///
-    /// Entries of a truncated response are applied as far as they came; where its revision did not
-    /// come, it may be older than the current list, and only what takes servers out of service is.
-    /// Nothing of a malformed one is: an error within a complete response makes all of it doubtful.
-    pub fn apply(&mut self, list: EndpointList, was_received_whole: bool) -> ListUpdate {
-        let is_valid = list.is_well_formed && was_received_whole;
-        let is_truncated = !was_received_whole;
+    /// Entries of a truncated response are applied as far as they arrived. Where its revision did
+    /// not arrive it may be older than the current list: only entries that take servers out of
+    /// service are applied. Nothing of a malformed list is: an error within a complete response
+    /// makes all of it unreliable.
+    pub fn apply(&mut self, list: EndpointList, is_complete: bool) -> ListUpdate {
+        let is_valid = list.is_well_formed && is_complete;
+        let is_truncated = !is_complete;
         let is_full = is_valid && list.has_all_endpoints;
         let mut entries = list.entries.filter(|_| is_valid || is_truncated).unwrap_or_default();
         if list.revision.is_none() {
-            entries.retain(|entry| entry.state != EntryState::Serving);
+            entries.retain(|entry| entry.state != EntryState::Live);
         }
         if is_full {
             self.numbers.begin_complete_list();
@@ -96,10 +94,10 @@
         let server = self.listed_server(entry);
         if server.state == EndpointState::Removed {
             self.endpoints.remove(server.id);
-            self.numbers.release(&entry.uid);
+            self.numbers.release(&entry.name);
         } else {
             let takes_requests = server.state == EndpointState::Live;
-            let endpoint = Endpoint { address: entry.endpoint, takes_requests };
+            let endpoint = Endpoint { address: entry.address, takes_requests };
             self.endpoints.insert(server.id, endpoint);
         }
         server
@@ -114,16 +112,16 @@
     }
 
     /// What is done with a list because of its revision. `now`: the time since any fixed moment;
-    /// `is_valid`: the list is well formed and its response came to its end.
+    /// `is_valid`: the list is well formed and its response arrived to its end.
     #[must_use]
     pub fn evaluate(&mut self, now: Duration, list: &EndpointList, is_valid: bool) -> Verdict {
-        // A response that was truncated before its revision, or that did not come, counts as
-        // current. It says nothing of whether the service was reset.
+        // A response that was truncated before its revision, or did not arrive, counts as current:
+        // it does not show whether the service was reset.
         let Some(revision) = list.revision else { return Verdict::Accept };
         self.revision.evaluate(now, revision, is_valid && list.has_all_endpoints)
     }
 
-    /// What to ask for next, after a list was suspect.
+    /// What to request next, after a list whose revision was suspect.
     #[must_use]
     pub fn reset_check(&self, now: Duration) -> ResetCheck {
         self.revision.reset_check(now)
--- a/crates/proxy/src/discovery/server_numbers.rs
+++ b/crates/proxy/src/discovery/server_numbers.rs
@@ -4,7 +4,7 @@
 use mintshelf_balancer::api::ServerId;
 use std::collections::HashMap;
 
-/// Step to the next number where one is taken; odd, so that every number is reached.
+/// Step to the next number where one is in use; odd, so that every number is reached.
 const PROBE_STEP: u32 = 0x9e37_79b9;
 
 /// The number of one server.
@@ -19,49 +19,51 @@
 /// longer than numbers: a server that did would get the other's drains and requests.
 #[derive(Debug, Default)]
 pub(super) struct ServerNumbers {
-    by_uid: HashMap<Box<str>, AssignedNumber>,
-    taken: HashMap<ServerId, Box<str>>,
-    complete_lists: u64,
+    by_name: HashMap<Box<str>, AssignedNumber>,
+    name_by_number: HashMap<ServerId, Box<str>>,
+    /// How many complete lists have begun.
+    complete_list_count: u64,
 }
 
 impl ServerNumbers {
-    /// The number of a server; a new one if the server was not listed.
-    pub(super) fn assign(&mut self, uid: &str) -> ServerId {
-        let named_by_list = self.complete_lists;
-        if let Some(assigned) = self.by_uid.get_mut(uid) {
+    /// The number of a server, which is given one if it was not listed.
+    pub(super) fn assign(&mut self, name: &str) -> ServerId {
+        let named_by_list = self.complete_list_count;
+        if let Some(assigned) = self.by_name.get_mut(name) {
             assigned.named_by_list = named_by_list;
             return assigned.number;
         }
-        let mut number = stable_id(uid);
-        while self.taken.contains_key(&number) {
+        let mut number = stable_id(name);
+        while self.name_by_number.contains_key(&number) {
             number = number.wrapping_add(PROBE_STEP);
         }
-        self.taken.insert(number, uid.into());
-        self.by_uid.insert(uid.into(), AssignedNumber { number, named_by_list });
+        self.name_by_number.insert(number, name.into());
+        self.by_name.insert(name.into(), AssignedNumber { number, named_by_list });
         number
     }
 
     /// Frees the number of a server that is listed no longer.
-    pub(super) fn release(&mut self, uid: &str) {
-        if let Some(assigned) = self.by_uid.remove(uid) {
-            self.taken.remove(&assigned.number);
+    pub(super) fn release(&mut self, name: &str) {
+        if let Some(assigned) = self.by_name.remove(name) {
+            self.name_by_number.remove(&assigned.number);
         }
     }
 
     /// Begins a complete list: the servers that it does not name until
     /// [`Self::release_unnamed`] are listed no longer.
     pub(super) fn begin_complete_list(&mut self) {
-        self.complete_lists += 1;
+        self.complete_list_count += 1;
     }
 
     /// Frees the numbers of the servers that the complete list has not named; returns them.
     pub(super) fn release_unnamed(&mut self) -> Vec<ServerId> {
-        let is_unnamed = |assigned: &AssignedNumber| assigned.named_by_list != self.complete_lists;
-        let unnamed = self.by_uid.values().filter(|assigned| is_unnamed(assigned));
+        let is_unnamed =
+            |assigned: &AssignedNumber| assigned.named_by_list != self.complete_list_count;
+        let unnamed = self.by_name.values().filter(|assigned| is_unnamed(assigned));
         let numbers: Vec<ServerId> = unnamed.map(|assigned| assigned.number).collect();
         for number in &numbers {
-            if let Some(uid) = self.taken.remove(number) {
-                self.by_uid.remove(&uid);
+            if let Some(name) = self.name_by_number.remove(number) {
+                self.by_name.remove(&name);
             }
         }
         numbers
