--- a/crates/proxy/src/client/connection.rs
+++ b/crates/proxy/src/client/connection.rs
@@ -2,6 +2,7 @@
 
 use super::head_scanner::RequestHeadScanner;
 use crate::tcp::{has_ended, is_reset, pending, Pending, SharedStream, TrafficObserver};
+use crate::upstream::attempt_control::ResponseRecipient;
 use bytes::Bytes;
 use std::cell::{Cell, RefCell};
 use std::fmt;
@@ -187,9 +188,10 @@
     }
 }
 
-impl Client {
-    /// Whether the client has disconnected.
-    pub fn has_left(&self) -> bool {
+impl ResponseRecipient for Client {
+    // Read from the socket: the HTTP library does not look for the end of a connection behind bytes
+    // that it has not handed on.
+    fn has_left(&self) -> bool {
         if self.timeouts.allows_half_close {
             is_reset(&self.stream)
         } else {
--- a/crates/proxy/src/cluster/attempt.rs
+++ b/crates/proxy/src/cluster/attempt.rs
@@ -1,12 +1,13 @@
-//! One attempt of a request: what it is sent with, and what its end means for the request.
-
+//! One attempt of a request: its exchange with a server, and what its end means for the request.
+//!
+//! Its life has these steps: it is started (`attempt_start.rs`), exchanges the request with its
+//! server under its deadlines and its own timeout, during which a hedge may be requested, delivers
+//! the response to the client, and reports its outcome.
+
+use super::attempt_context::AttemptContext;
+use super::attempt_supervisor::AttemptSupervisor;
 use super::attempt_timeouts::{self, AttemptTimeouts};
-use super::pending_requests::{AttemptEnd, NewAttempt, PendingRequest};
-use super::request::RequestOutcome;
-use super::runtime::ClusterRuntime;
-use super::state::RuntimeState;
-use super::trace;
-use crate::headers::parse_load_report;
+use super::pending_requests::AttemptEnd;
 use crate::upstream::attempt_control::AttemptControl;
 use crate::upstream::connection::Target;
 use crate::upstream::exchange::AttemptDeadlines;
@@ -15,136 +16,23 @@
     AttemptResult, UpgradedConnection, UpstreamBody, UpstreamResponse,
 };
 use hyper::Request;
-use mintshelf_balancer::api::{Event, Nanos, Outcome, RequestId, ServerId};
-use mintshelf_retry::attempts::{RetryConditions, TimeoutAction};
+use mintshelf_balancer::api::{Event, Outcome, RequestId};
 use std::rc::Rc;
 
-impl ClusterRuntime {
-    /// Starts an attempt; `timeout_at` is 0 where only the request's deadline bounds it. It ends
-    /// at once, unused, where it may not be sent.
-    pub(super) fn start_attempt(
-        self: &Rc<Self>,
-        state: &mut RuntimeState,
-        id: &RequestId,
-        server: ServerId,
-        timeout_at: Nanos,
-    ) {
-        let now = self.clock.now();
-        let Some(request) = state.requests.get_mut(id) else { return };
-        let send_by = self.send_by(request);
-        let NewAttempt { number, control, is_duplicate } = request.add_attempt(server, now);
-        let end_at = match timeout_at {
-            0 => request.deadline,
-            at => at.min(request.deadline),
-        };
-        // Two attempts at one server would wait in the same queue.
-        let is_excess = request.attempts.len() > self.max_attempts || is_duplicate;
-        if control.has_client_left() {
-            // Nobody reads the response.
-            state.abort(id, RequestOutcome::Failed { timed_out: false });
-        }
-        let Some(request) = state.requests.get_mut(id) else { return };
-        let response = request.response.clone().filter(|_| !is_excess && end_at > now);
-        let Some(response) = response else {
-            let end = AttemptEnd::new(number, Outcome::Unused);
-            let ended = state.requests.end_attempt(id, end, now);
-            state.events.extend(ended.map(|ended| ended.event));
-            return;
-        };
-        let attempt = AttemptTask {
-            runtime: self.clone(),
-            id: id.clone(),
-            number,
-            class: request.class,
-            timeouts: self.timeouts(request, number, now),
-        };
-        let message = self.message(request, id, number);
-        let deadlines = self.deadlines(request.class, end_at, send_by);
-        let target = self.source.target(server);
-        trace::attempt_began(id, number, server, target.map(|target| target.address));
-        response.start(Box::pin(attempt.run(target, message, deadlines, control)));
-    }
-
-    /// When a further attempt of an idempotent request has to be with a server at the latest. The
-    /// module decides when it starts; its connection and its writing take time.
-    fn send_by(&self, request: &PendingRequest) -> Option<Nanos> {
-        let window = self.classes.get(request.class)?.window()?;
-        Some(request.ran_at()?.saturating_add(window))
-    }
-
-    /// The request as this attempt sends it.
-    fn message(
-        self: &Rc<Self>,
-        request: &PendingRequest,
-        id: &RequestId,
-        number: u32,
-    ) -> Request<RequestBody> {
-        let message = request.request.request.clone();
-        if let RequestBody::Streamed(body) = message.body() {
-            // A body of which a part was taken can't be sent again: the module may not retry.
-            let runtime = Rc::downgrade(self);
-            let id = id.clone();
-            body.on_first_frame(move || {
-                if let Some(runtime) = runtime.upgrade() {
-                    runtime.post(Event::StreamStarted { id, attempt: number });
-                }
-            });
-        }
-        message
-    }
-
-    /// The attempt's own timeouts; none for a streamed body, which can't be sent again.
-    fn timeouts(
-        &self,
-        request: &PendingRequest,
-        number: u32,
-        now: Nanos,
-    ) -> Option<AttemptTimeouts> {
-        if matches!(request.request.request.body(), RequestBody::Streamed(_)) {
-            return None;
-        }
-        self.retries.timeouts(request.class, number, now)
-    }
-
-    fn deadlines(&self, class: usize, end_at: Nanos, send_by: Option<Nanos>) -> AttemptDeadlines {
-        let bounds = self.retries.connection_bounds(class);
-        AttemptDeadlines {
-            end: self.clock.instant(end_at),
-            send_by: send_by.map(|at| self.clock.instant(at)),
-            connect_timeout: bounds.map(|bounds| bounds.connect_timeout),
-            max_idle: bounds.map(|bounds| bounds.max_idle),
-        }
-    }
-
-    /// Whether an attempt whose own timeout has passed is to end now; else when to look again.
-    fn on_timeout(&self, class: usize, timeout_ns: Nanos) -> TimeoutAction {
-        let conditions = RetryConditions {
-            has_budget: self.state.borrow().balancer.can_retry(),
-            has_other_endpoint: self.source.endpoints.len() > 1,
-        };
-        self.retries.on_timeout(class, self.clock.now(), timeout_ns, conditions)
-    }
-
-    /// Asks the module for a hedge of a request, if their share allows one.
-    fn request_hedge(self: &Rc<Self>, class: usize, id: &RequestId) {
-        if self.retries.try_hedge(class) {
-            self.post(Event::HedgeRequested { id: id.clone() });
-        }
-    }
-}
-
 /// One attempt in progress.
-struct AttemptTask {
-    runtime: Rc<ClusterRuntime>,
-    id: RequestId,
-    number: u32,
-    class: usize,
-    /// What of its own time limits it.
-    timeouts: Option<AttemptTimeouts>,
+pub(super) struct AttemptTask<S> {
+    pub(super) context: Rc<AttemptContext>,
+    pub(super) supervisor: Rc<S>,
+    pub(super) id: RequestId,
+    pub(super) number: u32,
+    pub(super) class: usize,
+    /// Its own timeouts, beside its request's deadline; absent where it has none.
+    pub(super) timeouts: Option<AttemptTimeouts>,
 }
 
-impl AttemptTask {
-    async fn run(
+impl<S: AttemptSupervisor> AttemptTask<S> {
+    /// Runs the attempt to its end; `target` is absent for a server that is listed no longer.
+    pub(super) async fn run(
         self,
         target: Option<Target>,
         message: Request<RequestBody>,
@@ -153,7 +41,6 @@
     ) {
         let result = match target {
             Some(target) => self.exchange(target, message, deadlines, &control).await,
-            // It is no longer listed: there is nowhere to connect to.
             None => Outcome::ConnectFailed.into(),
         };
         self.finish(result);
@@ -166,27 +53,33 @@
         deadlines: AttemptDeadlines,
         control: &AttemptControl,
     ) -> AttemptResult {
-        let runtime = &self.runtime;
-        let attempt = runtime.upstream.attempt(target, message, deadlines, control);
+        let context = &self.context;
+        let attempt = context.upstream.attempt(target, message, deadlines, control);
         let Some(timeouts) = self.timeouts else { return attempt.await };
-        let on_timeout = |timeout_ns| runtime.on_timeout(self.class, timeout_ns);
-        let hedge = || runtime.request_hedge(self.class, &self.id);
+        let on_timeout =
+            |timeout_ns| context.on_timeout(self.class, timeout_ns, self.supervisor.can_retry());
+        let hedge = || self.request_hedge();
         attempt_timeouts::run(attempt, timeouts, control, on_timeout, hedge).await
     }
 
-    /// Gives the request what came of the attempt, and reports its end.
+    /// Requests a hedge from the decision module, if the class's share of hedges allows one.
+    fn request_hedge(&self) {
+        if self.context.retries.try_hedge(self.class) {
+            self.supervisor.handle(Event::HedgeRequested { id: self.id.clone() });
+        }
+    }
+
+    /// Delivers the response, if there is one, and reports the attempt's end.
     fn finish(self, result: AttemptResult) {
         let outcome = result.outcome;
-        let fields = self.runtime.report_fields.as_deref();
-        let report = result.load_report.zip(fields);
-        let load_report = report.and_then(|(text, fields)| parse_load_report(&text, fields));
-        let Some(UpstreamResponse { status, headers, body }) = result.response else {
+        let load_report = self.context.parse_load_report(result.load_report.as_deref());
+        let Some(response) = result.response else {
             return self.end(outcome, load_report);
         };
+        let UpstreamResponse { status, headers, body } = response;
         match body {
             UpstreamBody::Stream(mut stream) => {
-                let on_end = self.passed_on();
-                stream.on_end(on_end);
+                stream.on_end(self.stream_response());
                 let body = UpstreamBody::Stream(stream);
                 self.deliver(UpstreamResponse { status, headers, body });
             }
@@ -194,11 +87,11 @@
                 self.count_socket(&mut connection);
                 let body = UpstreamBody::Upgraded(connection);
                 self.deliver(UpstreamResponse { status, headers, body });
-                self.runtime.socket_load.report_due();
+                self.context.socket_load.report_due();
             }
-            // It may have run, and what came is no response: it must not be retried.
+            // It may have run, and what arrived is no response: it must not be retried.
             UpstreamBody::InvalidUpgrade => {
-                self.post_stream_started();
+                self.report_stream_started();
                 self.end(Outcome::Error, load_report);
             }
             UpstreamBody::Complete(_) => {
@@ -214,52 +107,47 @@
         outcome: Outcome,
         load_report: Option<Vec<f64>>,
     ) {
-        if !matches!(outcome, Outcome::Error | Outcome::Full) {
+        if matches!(outcome, Outcome::Error | Outcome::Full) {
+            self.supervisor.set_fallback(&self.id, response);
+        } else {
             self.deliver(response);
-        } else if let Some(request) = self.runtime.state.borrow_mut().requests.get_mut(&self.id) {
-            // Another server may do better.
-            request.fallback = Some(response);
         }
         self.end(outcome, load_report);
     }
 
     /// Reports that the response goes to the client, and none of another attempt may.
-    fn post_stream_started(&self) {
+    fn report_stream_started(&self) {
         let event = Event::StreamStarted { id: self.id.clone(), attempt: self.number };
-        self.runtime.post(event);
+        self.supervisor.handle(event);
     }
 
-    /// Reports that the response goes to the client as it arrives; what reports its end.
-    fn passed_on(&self) -> impl FnOnce(Outcome) + 'static {
-        self.post_stream_started();
-        let responded_at = Some(self.runtime.clock.now());
-        let runtime = self.runtime.clone();
+    /// Reports that the response goes to the client as it arrives; returns what reports its end.
+    fn stream_response(&self) -> impl FnOnce(Outcome) + 'static {
+        self.report_stream_started();
+        let responded_at = Some(self.context.clock.now());
+        let supervisor = self.supervisor.clone();
         let id = self.id.clone();
         let number = self.number;
         move |outcome| {
             let end = AttemptEnd { number, outcome, load_report: None, responded_at };
-            runtime.attempt_ended(&id, end);
+            supervisor.attempt_ended(&id, end);
         }
     }
 
     /// Counts a WebSocket in the cluster's load until its connection is dropped.
     fn count_socket(&self, connection: &mut UpgradedConnection) {
-        let report_end = self.passed_on();
+        let report_end = self.stream_response();
         let on_end = Box::new(move || report_end(Outcome::Ok));
-        let guard = self.runtime.socket_load.open(connection.target.server, on_end);
+        let guard = self.context.socket_load.open(connection.target.server, on_end);
         connection.load_guard = Some(Box::new(guard));
     }
 
-    /// Gives the client its response. One that nobody waits for is dropped after the turn: a
-    /// stream reports its end to the runtime when dropped.
     fn deliver(&self, response: UpstreamResponse) {
-        let outcome = RequestOutcome::Served(Box::new(response));
-        let undelivered = self.runtime.state.borrow_mut().requests.conclude(&self.id, outcome);
-        drop(undelivered);
+        self.supervisor.deliver(&self.id, response);
     }
 
     fn end(self, outcome: Outcome, load_report: Option<Vec<f64>>) {
         let end = AttemptEnd { number: self.number, outcome, load_report, responded_at: None };
-        self.runtime.attempt_ended(&self.id, end);
+        self.supervisor.attempt_ended(&self.id, end);
     }
 }
--- a/crates/proxy/src/cluster/attempt_observer.rs
+++ b/crates/proxy/src/cluster/attempt_observer.rs
@@ -1,5 +1,5 @@
-//! Who learns of attempts that did not go well: the log, and the owners of other connections to
-//! the same server.
+//! Observers of attempts' ends: the log, and the owners of other connections to a server at which
+//! an attempt broke off.
 
 use super::pending_requests::EndedAttempt;
 use crate::clock::Clock;
@@ -51,7 +51,7 @@
             attempt = number + 1,
             server = ended.server,
             ?outcome,
-            took_us = ended.took / 1_000,
+            took_us = ended.elapsed / 1_000,
             "attempt concluded"
         );
         self.log_fault(number, outcome, ended, endpoints);
@@ -84,7 +84,7 @@
             endpoint,
             attempt = number + 1,
             ?outcome,
-            took_ms = ended.took / 1_000_000,
+            took_ms = ended.elapsed / 1_000_000,
             omitted,
             "attempt ended"
         );
--- /dev/null
+++ b/crates/proxy/src/cluster/attempt_start.rs
@@ -0,0 +1,108 @@
+//! The start of an attempt: whether it may be sent, with which deadlines, and as which message.
+
+use super::attempt::AttemptTask;
+use super::attempt_context::AttemptContext;
+use super::attempt_supervisor::AttemptSupervisor;
+use super::pending_requests::{NewAttempt, PendingRequest};
+use super::request::RequestOutcome;
+use super::state::RuntimeState;
+use super::trace;
+use crate::upstream::attempt_control::AttemptControl;
+use crate::upstream::request_body::RequestBody;
+use hyper::Request;
+use mintshelf_balancer::api::{Event, Nanos, RequestId, ServerId};
+use std::rc::Rc;
+
+/// An attempt as the decision module orders it.
+pub(super) struct AttemptOrder {
+    pub(super) id: RequestId,
+    pub(super) server: ServerId,
+    /// When it times out; absent where only the request's deadline bounds it.
+    pub(super) timeout_at: Option<Nanos>,
+}
+
+/// An attempt that its request counts, and that has not been sent.
+struct RecordedAttempt {
+    number: u32,
+    control: Rc<AttemptControl>,
+    /// When it has to end.
+    end_at: Nanos,
+    /// When it has to be with its server at the latest, if its server may forget its key.
+    send_by: Option<Nanos>,
+    /// Whether it may be sent as far as its request's other attempts go.
+    is_permitted: bool,
+}
+
+/// Starts an attempt in the task that waits for its request's response. An attempt that may not
+/// be sent ends at once, unused.
+pub(super) fn start_attempt<S: AttemptSupervisor>(
+    context: &Rc<AttemptContext>,
+    supervisor: &Rc<S>,
+    state: &mut RuntimeState,
+    order: AttemptOrder,
+) {
+    let now = context.clock.now();
+    let Some(recorded) = record_attempt(context, state, &order, now) else { return };
+    let AttemptOrder { id, server, .. } = order;
+    let RecordedAttempt { number, control, end_at, send_by, is_permitted } = recorded;
+    if control.has_client_left() {
+        // The response would not be read.
+        state.abort(&id, RequestOutcome::Failed { timed_out: false });
+    }
+    let Some(request) = state.requests.get(&id) else { return };
+    let response = request.response.clone().filter(|_| is_permitted && end_at > now);
+    let Some(response) = response else { return state.end_unused(&id, number, now) };
+    let timeouts = context.timeouts(request, number, now);
+    let message = message_of(supervisor, request, &id, number);
+    let deadlines = context.deadlines(request.class, end_at, send_by);
+    let target = context.upstream.target(server);
+    trace::attempt_began(&id, number, server, target.map(|target| target.address));
+    let task = AttemptTask {
+        context: context.clone(),
+        supervisor: supervisor.clone(),
+        id,
+        number,
+        class: request.class,
+        timeouts,
+    };
+    response.start(Box::pin(task.run(target, message, deadlines, control)));
+}
+
+/// Records an attempt at its request; none if that is over.
+fn record_attempt(
+    context: &AttemptContext,
+    state: &mut RuntimeState,
+    order: &AttemptOrder,
+    now: Nanos,
+) -> Option<RecordedAttempt> {
+    let request = state.requests.get_mut(&order.id)?;
+    // By the attempts before this one.
+    let send_by = context.send_by(request);
+    let NewAttempt { number, control, is_duplicate } = request.add_attempt(order.server, now);
+    let deadline = request.deadline;
+    let end_at = order.timeout_at.map_or(deadline, |timeout_at| timeout_at.min(deadline));
+    // Two attempts at one server would wait in the same queue.
+    let is_permitted = request.attempts.len() <= context.max_attempts && !is_duplicate;
+    Some(RecordedAttempt { number, control, end_at, send_by, is_permitted })
+}
+
+/// The request as an attempt sends it.
+fn message_of<S: AttemptSupervisor>(
+    supervisor: &Rc<S>,
+    request: &PendingRequest,
+    id: &RequestId,
+    number: u32,
+) -> Request<RequestBody> {
+    let message = request.upstream_request.message.clone();
+    if let RequestBody::Streamed(body) = message.body() {
+        // A body of which a part was taken can't be sent again: the module may not retry.
+        let supervisor = Rc::downgrade(supervisor);
+        let id = id.clone();
+        body.on_first_frame(move || {
+            if let Some(supervisor) = supervisor.upgrade() {
+                supervisor.handle(Event::StreamStarted { id, attempt: number });
+            }
+        });
+    }
+    message
+}
--- a/crates/proxy/src/cluster/attempt_timeouts.rs
+++ b/crates/proxy/src/cluster/attempt_timeouts.rs
@@ -9,21 +9,21 @@
 use std::time::Duration;
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// How often an attempt without a connection is looked at: its time counts from there.
+/// How often an attempt is checked for its connection, from which its timeout counts.
 const CONNECTION_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// What limits an attempt beside its request's deadline.
 #[derive(Debug, Clone, Copy)]
-pub struct AttemptTimeouts {
+pub(super) struct AttemptTimeouts {
     /// How long it may take from its connection on, in nanoseconds.
-    pub timeout_ns: Option<Nanos>,
+    pub(super) timeout_ns: Option<Nanos>,
     /// When a hedge may go beside it, in nanoseconds from its start.
-    pub hedge_after_ns: Option<Nanos>,
+    pub(super) hedge_after_ns: Option<Nanos>,
 }
 
-/// Carries an attempt. `on_timeout` decides what becomes of it when its own time is up; `hedge`
-/// asks for a hedge.
-pub async fn run(
+/// Runs an attempt. `on_timeout` decides what becomes of it when its own timeout has passed;
+/// `hedge` requests a hedge.
+pub(super) async fn run(
     attempt: impl Future<Output = AttemptResult>,
     timeouts: AttemptTimeouts,
     control: &AttemptControl,
@@ -38,7 +38,7 @@
         () = hedge_when_due(started_at, timeouts.hedge_after_ns, hedge) => {}
         () = timed_out(timeouts.timeout_ns, control, on_timeout) => {}
     }
-    // What was written of it tells whether it may have run.
+    // Whether it may have run depends on what was written of it.
     control.cancel();
     let result = attempt.await;
     match result.outcome {
@@ -47,7 +47,7 @@
     }
 }
 
-/// Asks for a hedge when it is due; never ends.
+/// Requests a hedge when it is due; never ends.
 async fn hedge_when_due(started_at: Instant, after_ns: Option<Nanos>, hedge: impl Fn()) {
     if let Some(after_ns) = after_ns {
         sleep_until(started_at + Duration::from_nanos(after_ns)).await;
@@ -56,7 +56,7 @@
     pending().await
 }
 
-/// Waits until an attempt is to end for its own time, counted from its connection.
+/// Waits until an attempt is to end for its own timeout, counted from its connection.
 async fn timed_out(
     timeout_ns: Option<Nanos>,
     control: &AttemptControl,
--- a/crates/proxy/src/cluster/endpoint_source.rs
+++ b/crates/proxy/src/cluster/endpoint_source.rs
@@ -4,8 +4,6 @@
 use crate::discovery::watch_tasks::WatchTasks;
 use crate::discovery::Discovery;
 use crate::endpoints::{EndpointListObserver, Endpoints};
-use crate::upstream::connection::Target;
-use mintshelf_balancer::api::ServerId;
 use mintshelf_config::platform::Names;
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -29,14 +27,8 @@
         EndpointSource { endpoints, discovery, watches: RefCell::default() }
     }
 
-    /// A server with its address, if it is listed.
-    pub(crate) fn target(&self, server: ServerId) -> Option<Target> {
-        let address = self.endpoints.address(server)?;
-        Some(Target { server, address })
-    }
-
-    /// Passes on the cached list, and follows an agent that lists are pushed to where
-    /// the decision module does not poll.
+    /// Gives the observer the cached list, and follows an agent that lists are pushed to where the
+    /// decision module does not poll.
     pub(crate) fn start<O>(&self, cached_list: Option<&str>, observer: &O, must_poll: bool)
     where
         O: EndpointListObserver + Clone,
@@ -48,16 +40,18 @@
         }
     }
 
-    /// Stops watching; watches anew if `is_on`, and then what is on its way to the watch before is
-    /// still read.
-    pub(crate) fn set_watch(&self, is_on: bool, observer: impl EndpointListObserver) {
-        let mut watches = self.watches.borrow_mut();
-        match self.discovery.clone().filter(|_| is_on) {
-            Some(discovery) => watches.replace(discovery, observer),
-            None => watches.stop(),
+    /// Starts a watch. What is on its way to the watch before it is still read.
+    pub(crate) fn start_watch(&self, observer: impl EndpointListObserver) {
+        if let Some(discovery) = self.discovery.clone() {
+            self.watches.borrow_mut().replace(discovery, observer);
         }
     }
 
+    /// Stops watching.
+    pub(crate) fn stop_watch(&self) {
+        self.watches.borrow_mut().stop();
+    }
+
     /// Fetches the complete list once.
     pub(crate) fn fetch(&self, observer: impl EndpointListObserver) {
         if let Some(discovery) = self.discovery.clone() {
--- a/crates/proxy/src/cluster/peers.rs
+++ b/crates/proxy/src/cluster/peers.rs
@@ -29,10 +29,11 @@
         broadcast: Option<SocketAddr>,
     ) -> io::Result<Self> {
         let socket = UdpSocket::bind(listen).await?;
-        // Of peers with one address the first one counts.
-        let by_address =
-            peers.iter().enumerate().rev().map(|(number, peer)| (*peer, number as u32));
-        let numbers = by_address.collect();
+        let mut numbers = HashMap::new();
+        for (number, peer) in (0..).zip(&peers) {
+            // Of peers with one address the first one counts.
+            numbers.entry(*peer).or_insert(number);
+        }
         Ok(PeerGossip { socket, peers, numbers, broadcast })
     }
 
@@ -44,7 +45,7 @@
             None => self.broadcast,
         };
         if let Some(address) = address.filter(|_| payload.len() <= MESSAGE_MAX) {
-            let _ = self.socket.try_send_to(payload, address);
+            drop(self.socket.try_send_to(payload, address));
         }
     }
 
--- a/crates/proxy/src/cluster/pending_requests.rs
+++ b/crates/proxy/src/cluster/pending_requests.rs
@@ -1,4 +1,4 @@
-//! The requests that are open, with their attempts: how far each has come.
+//! The open requests of a cluster, with their attempts and the state of each.
 
 use super::pending_response::PendingResponse;
 use super::request::{RequestOutcome, UpstreamRequest};
@@ -11,7 +11,7 @@
 
 /// A request from its last byte to its final response and its last attempt.
 pub(crate) struct PendingRequest {
-    pub(crate) request: UpstreamRequest,
+    pub(crate) upstream_request: UpstreamRequest,
     pub(crate) class: usize,
     /// A response that takes longer, counted from its attempt's start, is late; in nanoseconds.
     pub(crate) latency_objective: Nanos,
@@ -20,8 +20,9 @@
     pub(crate) response: Option<Rc<PendingResponse<RequestOutcome>>>,
     pub(crate) attempts: Vec<Attempt>,
     pub(crate) attempts_in_flight: usize,
-    /// A server's response that counts as a failure, passed on if nothing better comes.
+    /// A server's response that counts as a failure, delivered if no other attempt does better.
     pub(crate) fallback: Option<UpstreamResponse>,
+    /// Whether the attempt that ended last had no response in time.
     pub(crate) timed_out: bool,
 }
 
@@ -36,14 +37,14 @@
 impl PendingRequest {
     /// A request without attempts.
     pub(crate) fn new(
-        request: UpstreamRequest,
+        upstream_request: UpstreamRequest,
         class: usize,
         class_settings: Option<&Class>,
         deadline: Nanos,
         response: Rc<PendingResponse<RequestOutcome>>,
     ) -> Self {
         PendingRequest {
-            request,
+            upstream_request,
             class,
             latency_objective: class_settings
                 .map_or(Nanos::MAX, |settings| settings.latency_objective),
@@ -64,7 +65,7 @@
     /// Adds an attempt at `server`.
     pub(crate) fn add_attempt(&mut self, server: ServerId, now: Nanos) -> NewAttempt {
         let number = self.attempts.len() as u32;
-        let control = Rc::new(AttemptControl::new(self.request.client.clone()));
+        let control = Rc::new(AttemptControl::new(self.upstream_request.client.clone()));
         let is_duplicate = self.in_flight().any(|attempt| attempt.server == server);
         self.attempts.push(Attempt {
             server,
@@ -122,8 +123,8 @@
 pub(crate) struct EndedAttempt {
     pub(crate) class: usize,
     pub(crate) server: ServerId,
-    /// How long it took, in nanoseconds.
-    pub(crate) took: Nanos,
+    /// How long its response took, in nanoseconds.
+    pub(crate) elapsed: Nanos,
     /// Whether that was within the class's latency objective.
     pub(crate) is_in_time: bool,
     /// The event for the decision module.
@@ -155,7 +156,7 @@
         }
     }
 
-    /// Adds a request; its id.
+    /// Adds a request; returns its id.
     pub(crate) fn insert(&mut self, request: PendingRequest) -> RequestId {
         self.last_id += 1;
         let id: RequestId = self.last_id.to_string().into();
@@ -163,18 +164,22 @@
         id
     }
 
+    /// An open request.
     pub(crate) fn get(&self, id: &RequestId) -> Option<&PendingRequest> {
         self.by_id.get(id)
     }
 
+    /// An open request, to be changed.
     pub(crate) fn get_mut(&mut self, id: &RequestId) -> Option<&mut PendingRequest> {
         self.by_id.get_mut(id)
     }
 
+    /// How many requests are open.
     pub(crate) fn len(&self) -> usize {
         self.by_id.len()
     }
 
+    /// Whether no request is open.
     pub(crate) fn is_empty(&self) -> bool {
         self.by_id.is_empty()
     }
@@ -195,8 +200,8 @@
         waiting
     }
 
-    /// Gives a client its final outcome; returns one that nobody waits for.
-    pub(crate) fn conclude(
+    /// Gives a client its final outcome; returns one that no client waits for.
+    pub(crate) fn resolve(
         &mut self,
         id: &RequestId,
         outcome: RequestOutcome,
@@ -219,6 +224,14 @@
         None
     }
 
+    /// Cancels an attempt, if it is in flight.
+    pub(crate) fn cancel_attempt(&self, id: &RequestId, number: u32) {
+        let attempts = self.by_id.get(id).map(|request| &request.attempts);
+        if let Some(attempt) = attempts.and_then(|attempts| attempts.get(number as usize)) {
+            attempt.control.cancel();
+        }
+    }
+
     /// Records that a client disconnected before its response: the attempts that have begun go
     /// on to their ends. Whether the client still waited.
     pub(crate) fn client_disconnected(&mut self, id: &RequestId) -> bool {
@@ -246,20 +259,20 @@
         attempt.outcome = Some(end.outcome);
         request.attempts_in_flight -= 1;
         request.timed_out = end.outcome == Outcome::TimedOut;
-        // What an attempt took is measured to the head of its response, however long the body.
-        let took = end.responded_at.unwrap_or(now).saturating_sub(attempt.sent_at);
+        // Measured to the head of its response, however long the body.
+        let elapsed = end.responded_at.unwrap_or(now).saturating_sub(attempt.sent_at);
         let server = attempt.server;
         let ended = EndedAttempt {
             class: request.class,
             server,
-            took,
-            is_in_time: took <= request.latency_objective,
+            elapsed,
+            is_in_time: elapsed <= request.latency_objective,
             event: Event::AttemptEnded {
                 id: id.clone(),
                 attempt: end.number,
                 outcome: end.outcome,
                 finished: request.response.is_none(),
-                took,
+                took: elapsed,
                 server,
                 report: end.load_report,
             },
@@ -277,7 +290,8 @@
             return;
         }
         let removed = self.by_id.remove(id);
-        if let Some(transaction_id) = removed.and_then(|request| request.request.transaction_id) {
+        let transaction_id = removed.and_then(|request| request.upstream_request.transaction_id);
+        if let Some(transaction_id) = transaction_id {
             self.transaction_ids.remove(&transaction_id);
         }
     }
--- a/crates/proxy/src/cluster/pending_response.rs
+++ b/crates/proxy/src/cluster/pending_response.rs
@@ -1,5 +1,5 @@
-//! Where a client's task waits for its response, and carries the attempts meanwhile: one
-//! task for both saves a hand-over between tasks, twice a request.
+//! Where a client's task waits for its response, and runs the attempts meanwhile: one task for both
+//! saves two switches between tasks a request.
 
 use std::cell::{Cell, RefCell};
 use std::future::{poll_fn, Future};
@@ -8,10 +8,10 @@
 use std::task::{Context, Poll, Waker};
 use tokio::task::spawn_local;
 
-/// The future that carries an attempt.
+/// The future that runs an attempt.
 pub type AttemptFuture = Pin<Box<dyn Future<Output = ()>>>;
 
-/// A place for one response, and for the attempts that are to begin.
+/// A place for one response, and for the attempts that are to be started.
 pub struct PendingResponse<R> {
     response: Cell<Option<R>>,
     new_attempts: RefCell<Vec<AttemptFuture>>,
@@ -35,7 +35,7 @@
         self.wake();
     }
 
-    /// Has the waiting task carry an attempt.
+    /// Has the waiting task run an attempt.
     pub fn start(&self, attempt: AttemptFuture) {
         self.new_attempts.borrow_mut().push(attempt);
         self.wake();
@@ -60,7 +60,7 @@
         AttemptSet { pending, running: Vec::new() }
     }
 
-    /// Carries the attempts until the response is there.
+    /// Runs the attempts until the response is there.
     pub async fn response(&mut self) -> R {
         poll_fn(|cx| self.poll(cx)).await
     }
--- a/crates/proxy/src/cluster/request.rs
+++ b/crates/proxy/src/cluster/request.rs
@@ -1,6 +1,6 @@
-//! A request as the cluster's runtime takes it, and what becomes of it in the end.
+//! A request as a cluster's runtime accepts it, and its final outcome.
 
-use crate::client::connection::Client;
+use crate::upstream::attempt_control::ResponseRecipient;
 use crate::upstream::request_body::RequestBody;
 use crate::upstream::response::UpstreamResponse;
 use hyper::header::HeaderValue;
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use tokio::sync::OwnedSemaphorePermit;
 
-/// What becomes of a request in the end.
+/// The final outcome of a request.
 pub enum RequestOutcome {
     /// The server's response.
     Served(Box<UpstreamResponse>),
@@ -30,7 +30,7 @@
     },
 }
 
-/// What the decision module learns of a request.
+/// What the decision module needs to know of a request.
 pub struct RequestMetadata {
     /// Its class.
     pub class: u32,
@@ -46,14 +46,15 @@
     pub client_timeout: Nanos,
 }
 
-/// A request as it goes to servers, with what its body takes of the budget.
+/// A request as it goes to servers, with its body's part of the budget.
 pub struct UpstreamRequest {
     /// Its head and body.
-    pub request: Request<RequestBody>,
+    pub message: Request<RequestBody>,
     /// The id that its client gave it, where no two open requests may share one.
     pub transaction_id: Option<HeaderValue>,
     /// The body's bytes in the budget, until the last attempt has ended.
     pub body_permit: Option<OwnedSemaphorePermit>,
-    /// Who waits for the response, if that is a connection with this request open.
-    pub client: Option<Rc<Client>>,
+    /// The client whose request this is, while it waits for the response; none for a request of
+    /// this process's own.
+    pub client: Option<Rc<dyn ResponseRecipient>>,
 }
--- a/crates/proxy/src/cluster/retry_trackers.rs
+++ b/crates/proxy/src/cluster/retry_trackers.rs
@@ -1,4 +1,4 @@
-//! What the attempts of each class may do: their timeouts, hedges and connections.
+//! The limits of the attempts of each class: their timeouts, hedges and connections.
 
 use super::attempt_timeouts::AttemptTimeouts;
 use mintshelf_balancer::api::Nanos;
@@ -16,17 +16,18 @@
     pub(crate) max_idle: Duration,
 }
 
-/// The attempts of each class; no class on the platform, which says all of that itself.
+/// The attempts of each class; none on the platform, whose settings the decision module applies.
 pub(crate) struct RetryTrackers(Vec<RefCell<AttemptTracker>>);
 
 impl RetryTrackers {
+    /// Classes with these policies, in their order.
     pub(crate) fn new(policies: Vec<RetryPolicy>, now: Nanos) -> Self {
         let tracker = |policy| RefCell::new(AttemptTracker::new(policy, now));
         RetryTrackers(policies.into_iter().map(tracker).collect())
     }
 
     /// Counts a request.
-    pub(crate) fn begin(&self, class: usize) {
+    pub(crate) fn record_request(&self, class: usize) {
         if let Some(tracker) = self.0.get(class) {
             tracker.borrow_mut().record_request();
         }
@@ -74,9 +75,9 @@
     }
 
     /// Records how long a server took to respond, in nanoseconds.
-    pub(crate) fn responded(&self, class: usize, now: Nanos, took: Nanos) {
+    pub(crate) fn record_response(&self, class: usize, now: Nanos, elapsed: Nanos) {
         if let Some(tracker) = self.0.get(class) {
-            tracker.borrow_mut().record_response(now, took);
+            tracker.borrow_mut().record_response(now, elapsed);
         }
     }
 
@@ -85,6 +86,7 @@
         self.0.get(class).map_or(0, |tracker| tracker.borrow_mut().median_latency(now))
     }
 
+    /// Attempts that were ended for their own timeout, and hedges, of all classes.
     pub(crate) fn counts(&self) -> AttemptCounts {
         let mut counts = AttemptCounts::default();
         for tracker in &self.0 {
--- a/crates/proxy/src/cluster/runtime.rs
+++ b/crates/proxy/src/cluster/runtime.rs
@@ -1,27 +1,27 @@
-//! The decision module's surroundings: events go in here and actions come out,
-//! in order. Everything runs on one thread, so a turn is never interrupted.
+//! The runtime of one cluster: events go into its decision module, and the module's actions come
+//! out, in order. Everything runs on one thread, so a turn is never interrupted.
 
+use super::attempt_context::AttemptContext;
 use super::attempt_observer::AttemptObserver;
+use super::attempt_start::{start_attempt, AttemptOrder};
+use super::attempt_supervisor::AttemptSupervisor;
 use super::endpoint_source::EndpointSource;
-use super::health_check::{HealthCheckResult, HealthChecker};
+use super::health_check::{unreachable, HealthChecker};
 use super::peers::PeerGossip;
 use super::pending_requests::AttemptEnd;
-use super::recovery::{RecoveryStatus, RecoveryTracker};
+use super::recovery::RecoveryTracker;
 use super::request::RequestOutcome;
-use super::retry_trackers::RetryTrackers;
-use super::socket_load::SocketLoad;
 use super::spec::{ClusterSpec, DiscoverySpec};
 use super::state::RuntimeState;
 use super::trace::{self, ListChanges};
 use crate::clock::Clock;
 use crate::endpoints::{Endpoint, EndpointListObserver};
-use crate::upstream::pool::{ConnectionPool, Upstream, UpstreamSettings};
+use crate::upstream::pool::{ConnectionPool, Upstream};
+use crate::upstream::response::UpstreamResponse;
 use mintshelf_balancer::api::{
-    Action, Class, EndpointState, Event, ListKind, ListedServer, Nanos, Outcome, ReportMode,
-    RequestId, ServerId, Settings,
+    Action, EndpointState, Event, ListKind, ListedServer, Nanos, RequestId, ServerId,
 };
 use mintshelf_balancer::decide::Balancer;
-use mintshelf_retry::attempts::AttemptCounts;
 use std::cell::RefCell;
 use std::future::poll_fn;
 use std::io::Write;
@@ -31,7 +31,7 @@
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
-/// How often idle connections that are dead are looked for.
+/// Interval between two checks for idle connections that are dead.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Feeds the decision module of one cluster and carries out what it decides.
@@ -50,73 +50,42 @@
 /// ```
 pub struct ClusterRuntime {
     pub(super) state: RefCell<RuntimeState>,
+    pub(super) attempts: Rc<AttemptContext>,
     pub(super) clock: Clock,
-    pub(super) classes: Vec<Class>,
-    pub(super) max_attempts: usize,
-    pub(super) source: EndpointSource,
     pub(super) upstream: Rc<Upstream>,
-    pub(super) retries: RetryTrackers,
-    pub(super) socket_load: Rc<SocketLoad>,
-    /// Fields of the load reports in responses, where there are any.
-    pub(super) report_fields: Option<Vec<String>>,
+    pub(super) source: EndpointSource,
     health_checker: HealthChecker,
+    /// Absent where sidecars do not gossip.
     peers: Option<PeerGossip>,
     /// Absent on the platform.
     pub(super) recovery: Option<RecoveryTracker>,
     observer: AttemptObserver,
 }
 
-/// What is open in a cluster.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct RuntimeUsage {
-    /// Open requests.
-    pub requests: usize,
-    /// Timers that the decision module has set.
-    pub timers: usize,
-}
-
 impl ClusterRuntime {
     /// Starts an instance of the decision module.
     pub fn start(spec: ClusterSpec, pool: Rc<ConnectionPool>) -> Rc<Self> {
         let clock = Clock::start();
-        let settings = spec.settings;
-        let connect_timeout = Duration::from_nanos(settings.connect_timeout);
-        let idle_timeout = Duration::from_nanos(settings.idle_timeout);
-        let report_fields = spec.names.report_fields.clone();
-        let discovery_address = spec.discovery.as_ref().map(|discovery| discovery.address);
-        let recovery_tracker =
-            |ramp| RecoveryTracker::new(spec.seed, ramp, settings.max_retry_after);
-        let recovery = spec.recovery_ramp.map(recovery_tracker);
         let mut actions = Vec::new();
-        let balancer = Balancer::new(settings.clone(), spec.seed, clock.now(), &mut actions);
-        let source = EndpointSource::new(spec.names, discovery_address);
-        let upstream = Upstream::new(
-            pool,
-            source.endpoints.clone(),
-            UpstreamSettings {
-                connect_timeout,
-                idle_timeout,
-                protocol: spec.protocol,
-                limits: spec.connection_limits,
-            },
-        );
+        let settings = spec.settings.clone();
+        let balancer = Balancer::new(settings, spec.seed, clock.now(), &mut actions);
+        let discovery_address = spec.discovery.as_ref().map(|discovery| discovery.address);
+        let source = EndpointSource::new(spec.names.clone(), discovery_address);
+        let upstream = Upstream::new(pool, source.endpoints.clone(), spec.upstream_settings());
+        let health_checker = HealthChecker::new(&spec, upstream.clone(), clock);
         let runtime = Rc::new(ClusterRuntime {
             state: RefCell::new(RuntimeState::new(balancer)),
+            attempts: Rc::new(AttemptContext::new(&spec, upstream.clone(), clock)),
             clock,
-            max_attempts: settings.max_attempts as usize,
-            source,
             upstream,
-            retries: RetryTrackers::new(spec.retry_policies, clock.now()),
-            socket_load: SocketLoad::new(spec.socket_weight),
-            health_checker: health_checker(&settings, &report_fields),
-            report_fields: (settings.report_mode == ReportMode::Answers).then_some(report_fields),
-            peers: spec.peers.filter(|_| settings.has_peers),
-            recovery,
+            source,
+            health_checker,
+            recovery: spec.recovery_tracker(),
+            peers: spec.peers.filter(|_| spec.settings.has_peers),
             observer: AttemptObserver::new(spec.name, clock),
-            classes: settings.classes,
         });
-        runtime.perform(&mut runtime.state.borrow_mut(), actions);
-        runtime.start_discovery(spec.discovery, settings.must_poll);
+        runtime.perform_all(&mut runtime.state.borrow_mut(), actions);
+        runtime.start_discovery(spec.discovery, spec.settings.must_poll);
         runtime
     }
 
@@ -134,81 +103,31 @@
             endpoints.insert(server.id, Endpoint { address: *address, takes_requests });
         }
         let servers = servers.into_iter().map(|(server, _)| server).collect();
-        self.listed(ListKind::Full, 0, servers);
+        self.endpoints_listed(ListKind::Full, 0, servers);
     }
 
     /// Uses another address of discovery. Calls in progress go on until
     /// the module starts new ones, so that no event is missed in between.
     pub fn set_discovery_address(self: &Rc<Self>, address: SocketAddr) {
         if self.source.set_address(address) {
-            self.post(Event::DiscoveryAddressChanged);
+            self.handle(Event::DiscoveryAddressChanged);
         }
     }
 
-    /// A number that no other runtime of this process has.
-    pub fn number(&self) -> u32 {
-        self.upstream.cluster_number()
-    }
-
-    /// Calls this with each server at which an attempt has broken off.
+    /// Calls `callback` with each server at which an attempt has broken off.
     pub fn on_suspicion(&self, callback: impl Fn(ServerId) + 'static) {
         self.observer.on_suspicion(Box::new(callback));
     }
 
-    /// Where a server listens, if it is listed.
-    pub fn address(&self, server: ServerId) -> Option<SocketAddr> {
-        self.source.endpoints.address(server)
-    }
-
-    /// The clock that the decisions go by.
-    pub fn clock(&self) -> Clock {
-        self.clock
-    }
-
-    /// Whether no request is open.
-    pub fn is_idle(&self) -> bool {
-        self.state.borrow().requests.is_empty()
-    }
-
-    /// What is open.
-    pub fn usage(&self) -> RuntimeUsage {
-        let state = self.state.borrow();
-        RuntimeUsage { requests: state.requests.len(), timers: state.timers.len() }
-    }
-
-    /// The cluster's outage, where that is followed.
-    pub fn recovery_status(&self) -> Option<RecoveryStatus> {
-        self.recovery.as_ref().map(RecoveryTracker::status)
-    }
-
-    /// The median latency of a class in nanoseconds; 0 while it is unknown.
-    pub fn median_latency(&self, class: u32) -> Nanos {
-        self.retries.median_latency(class as usize, self.clock.now())
-    }
-
-    /// Attempts that were ended for their own timeout, and hedges, so far.
-    pub fn attempt_counts(&self) -> AttemptCounts {
-        self.retries.counts()
-    }
-
-    /// When a client whose request has not been sent may retry, in nanoseconds.
-    pub fn retry_after(&self, class: u32) -> Nanos {
-        let class = self.classes.get(class as usize);
-        let recovery = self.recovery.as_ref();
-        let retry_after =
-            recovery.and_then(|recovery| recovery.retry_after(self.clock.now(), class, None));
-        retry_after.unwrap_or(0)
-    }
-
     /// Gives all open requests their final outcome, as there is no time left to wait for servers.
     /// Rejected clients may retry `retry_after` nanoseconds later.
-    pub fn conclude_all(self: &Rc<Self>, retry_after: Nanos) {
+    pub fn resolve_all(self: &Rc<Self>, retry_after: Nanos) {
         let mut state = self.state.borrow_mut();
-        state.conclude_all(&self.classes, retry_after);
+        state.resolve_all(&self.attempts.classes, retry_after);
         self.turn(&mut state);
     }
 
-    /// Runs what goes by the clock: timers, dead connections, and peers' messages; never ends.
+    /// Runs the timers, closes dead connections and receives peers' messages; never ends.
     pub async fn run(self: &Rc<Self>) {
         tokio::join!(self.run_timers(), self.close_dead_connections(), self.receive_gossip());
     }
@@ -216,7 +135,7 @@
     async fn run_timers(self: &Rc<Self>) {
         loop {
             let token = poll_fn(|cx| self.state.borrow_mut().timers.poll_expired(cx)).await;
-            self.post(Event::Timer { token });
+            self.handle(Event::Timer { token });
         }
     }
 
@@ -229,84 +148,88 @@
 
     async fn receive_gossip(self: &Rc<Self>) {
         if let Some(peers) = &self.peers {
-            peers.listen(|from, payload| self.post(Event::Gossip { from, payload })).await;
+            peers.listen(|from, payload| self.handle(Event::Gossip { from, payload })).await;
         }
     }
 
-    /// Handles one event, and carries out all that follows from it.
-    pub fn post(self: &Rc<Self>, event: Event) {
-        let mut state = self.state.borrow_mut();
-        state.events.push_back(event);
-        self.turn(&mut state);
-    }
-
     /// Handles all events that are queued.
     pub(super) fn turn(self: &Rc<Self>, state: &mut RuntimeState) {
         while let Some(event) = state.events.pop_front() {
             let mut actions = Vec::new();
             state.balancer.handle(self.clock.now(), event, &mut actions);
-            self.perform(state, actions);
+            self.perform_all(state, actions);
         }
     }
 
-    fn perform(self: &Rc<Self>, state: &mut RuntimeState, actions: Vec<Action>) {
+    fn perform_all(self: &Rc<Self>, state: &mut RuntimeState, actions: Vec<Action>) {
         for action in actions {
-            match action {
-                Action::Send { id, server, timeout_at } => {
-                    self.start_attempt(state, &id, server, timeout_at);
-                }
-                Action::Cancel { id, attempt } => cancel_attempt(state, &id, attempt),
-                Action::Reject { id, retry_after, reason } => {
-                    trace::request_ended(&id, &state.requests, reason);
-                    state.reject(&id, retry_after);
-                }
-                Action::Fail { id, reason } => {
-                    trace::request_ended(&id, &state.requests, reason);
-                    let outcome = RequestOutcome::Failed { timed_out: false };
-                    drop(state.requests.conclude(&id, outcome));
-                }
-                Action::SetTimer { after, token } => state.timers.set(token, after),
-                Action::DropTimer { token } => state.timers.cancel(token),
-                Action::Probe { server } => self.check_health(state, server),
-                Action::CloseIdle { server } => self.upstream.close_idle(server),
-                Action::SendGossip { peer, payload } => {
-                    if let Some(peers) = &self.peers {
-                        peers.send(peer, &payload);
-                    }
+            self.perform(state, action);
+        }
+    }
+
+    /// Carries out one action of the decision module.
+    fn perform(self: &Rc<Self>, state: &mut RuntimeState, action: Action) {
+        match action {
+            Action::Send { id, server, timeout_at } => {
+                // The module sends 0 where only the request's deadline bounds the attempt.
+                let timeout_at = Some(timeout_at).filter(|timeout_at| *timeout_at > 0);
+                let order = AttemptOrder { id, server, timeout_at };
+                start_attempt(&self.attempts, self, state, order);
+            }
+            Action::Cancel { id, attempt } => state.requests.cancel_attempt(&id, attempt),
+            Action::Reject { id, retry_after, reason } => {
+                trace::request_ended(&id, &state.requests, reason);
+                state.reject(&id, retry_after);
+            }
+            Action::Fail { id, reason } => {
+                trace::request_ended(&id, &state.requests, reason);
+                state.fail(&id);
+            }
+            Action::SetTimer { after, token } => state.timers.set(token, after),
+            Action::DropTimer { token } => state.timers.cancel(token),
+            Action::Probe { server } => self.check_health(state, server),
+            Action::CloseIdle { server } => self.upstream.close_idle(server),
+            Action::SendGossip { peer, payload } => {
+                if let Some(peers) = &self.peers {
+                    peers.send(peer, &payload);
                 }
-                Action::Watch { on } => self.source.set_watch(on, self.clone()),
-                Action::FetchServers => self.source.fetch(self.clone()),
-                // A log that nobody reads must not stop the sidecar.
-                Action::Log { text } => drop(writeln!(std::io::stderr(), "{text}")),
             }
+            Action::Watch { on: true } => self.source.start_watch(self.clone()),
+            Action::Watch { on: false } => self.source.stop_watch(),
+            Action::FetchServers => self.source.fetch(self.clone()),
+            // A failure to write the log must not stop the sidecar.
+            Action::Log { text } => drop(writeln!(std::io::stderr(), "{text}")),
         }
     }
 
     fn check_health(self: &Rc<Self>, state: &mut RuntimeState, server: ServerId) {
-        let Some(target) = self.source.target(server) else {
-            let outcome = Outcome::ConnectFailed;
-            state.events.push_back(Event::Probed { server, outcome, took: 0, report: None });
-            return;
+        let Some(target) = self.upstream.target(server) else {
+            return state.events.push_back(unreachable(server));
         };
         let runtime = self.clone();
         spawn_local(async move {
-            let sent_at = runtime.clock.now();
-            let result = runtime.health_checker.check(&runtime.upstream, target).await;
-            let took = runtime.clock.now().saturating_sub(sent_at);
-            let HealthCheckResult { outcome, load_report: report } = result;
-            runtime.post(Event::Probed { server, outcome, took, report });
+            let result = runtime.health_checker.check(target).await;
+            runtime.handle(result);
         });
     }
+}
 
-    /// Records an attempt's end, and handles what follows from it.
-    pub(super) fn attempt_ended(self: &Rc<Self>, id: &RequestId, end: AttemptEnd) {
+impl AttemptSupervisor for ClusterRuntime {
+    /// Handles one event, and carries out all that follows from it.
+    fn handle(self: &Rc<Self>, event: Event) {
+        let mut state = self.state.borrow_mut();
+        state.events.push_back(event);
+        self.turn(&mut state);
+    }
+
+    fn attempt_ended(self: &Rc<Self>, id: &RequestId, end: AttemptEnd) {
         let mut state = self.state.borrow_mut();
         let now = self.clock.now();
         let number = end.number;
         let outcome = end.outcome;
         if let Some(ended) = state.requests.end_attempt(id, end, now) {
             if outcome.answered() {
-                self.retries.responded(ended.class, now, ended.took);
+                self.attempts.retries.record_response(ended.class, now, ended.elapsed);
             }
             self.observer.attempt_ended(id, number, outcome, &ended, &self.source.endpoints);
             if let Some(recovery) = &self.recovery {
@@ -316,30 +239,30 @@
         }
         self.turn(&mut state);
     }
-}
 
-fn health_checker(settings: &Settings, report_fields: &[String]) -> HealthChecker {
-    HealthChecker {
-        report_fields: match settings.report_mode {
-            ReportMode::Absent => Vec::new(),
-            _ => report_fields.to_vec(),
-        },
-        timeout: Duration::from_nanos(settings.connect_timeout),
+    fn deliver(&self, id: &RequestId, response: UpstreamResponse) {
+        let outcome = RequestOutcome::Served(Box::new(response));
+        let undelivered = self.state.borrow_mut().requests.resolve(id, outcome);
+        // After the turn: a stream reports its end to the runtime when it is dropped.
+        drop(undelivered);
+    }
+
+    fn set_fallback(&self, id: &RequestId, response: UpstreamResponse) {
+        if let Some(request) = self.state.borrow_mut().requests.get_mut(id) {
+            request.fallback = Some(response);
+        }
     }
-}
 
-fn cancel_attempt(state: &RuntimeState, id: &RequestId, number: u32) {
-    let request = state.requests.get(id);
-    if let Some(attempt) = request.and_then(|request| request.attempts.get(number as usize)) {
-        attempt.control.cancel();
+    fn can_retry(&self) -> bool {
+        self.state.borrow().balancer.can_retry()
     }
 }
 
 impl EndpointListObserver for Rc<ClusterRuntime> {
-    fn listed(&self, kind: ListKind, version: u64, servers: Vec<ListedServer>) {
+    fn endpoints_listed(&self, kind: ListKind, version: u64, servers: Vec<ListedServer>) {
         let changes = ListChanges::count(&servers);
         let started_at = Instant::now();
-        self.post(Event::Servers { kind, version, entries: servers.into() });
+        self.handle(Event::Servers { kind, version, entries: servers.into() });
         trace::list_applied(kind, version, changes, started_at.elapsed());
         trace::in_service(&self.state.borrow().balancer);
     }
--- a/crates/proxy/src/cluster/serve.rs
+++ b/crates/proxy/src/cluster/serve.rs
@@ -1,4 +1,4 @@
-//! A request's way through a cluster: pacing, the decision module, the final outcome.
+//! A request's way through a cluster: recovery ramp, decision module, final outcome.
 
 use super::pending_requests::PendingRequest;
 use super::pending_response::{AttemptSet, PendingResponse};
@@ -12,15 +12,14 @@
 
 impl ClusterRuntime {
     /// Hands a client's request to the module and waits for the final outcome.
-    /// Dropping the future reports to the module that the client has disconnected. `None`
-    /// for a request whose id is that of one still open: a server would
-    /// take it for a hedge of that one.
+    /// Dropping the future reports to the module that the client has disconnected. `None` for a
+    /// request whose id is that of an open one: a server would take it for a hedge of that one.
     pub async fn serve(
         self: &Rc<Self>,
         metadata: RequestMetadata,
         request: UpstreamRequest,
     ) -> Option<RequestOutcome> {
-        let now = self.clock.now();
+        let now = self.attempts.clock.now();
         let Some(recovery) = &self.recovery else {
             return self.balance(now, metadata, request).await;
         };
@@ -29,7 +28,11 @@
             return Some(RequestOutcome::Paced(self.retry_after(class)));
         }
         let outcome = self.balance(now, metadata, request).await?;
-        Some(recovery.request_ended(self.clock.now(), self.classes.get(class as usize), outcome))
+        Some(recovery.request_ended(
+            self.attempts.clock.now(),
+            self.attempts.classes.get(class as usize),
+            outcome,
+        ))
     }
 
     async fn balance(
@@ -39,7 +42,7 @@
         request: UpstreamRequest,
     ) -> Option<RequestOutcome> {
         if request.client.as_ref().is_some_and(|client| client.has_left()) {
-            // Nobody reads its response: it costs no server, no credit and no place in a queue.
+            // Its response would not be read: it costs no server, no budget and no place in a queue.
             return Some(RequestOutcome::Failed { timed_out: false });
         }
         let response = Rc::new(PendingResponse::default());
@@ -52,6 +55,15 @@
         Some(outcome)
     }
 
+    /// When a client whose request has not been sent may retry, in nanoseconds.
+    pub fn retry_after(&self, class: u32) -> Nanos {
+        let class = self.attempts.classes.get(class as usize);
+        let recovery = self.recovery.as_ref();
+        let retry_after =
+            recovery.and_then(|recovery| recovery.retry_after(self.clock.now(), class, None));
+        retry_after.unwrap_or(0)
+    }
+
     /// Records a request and hands it to the module; none if its id is that of an open one.
     fn open_request(
         self: &Rc<Self>,
@@ -66,8 +78,8 @@
         }
         let class = metadata.class as usize;
         let deadline = now.saturating_add(metadata.client_timeout);
-        self.retries.begin(class);
-        let settings = self.classes.get(class);
+        self.attempts.retries.record_request(class);
+        let settings = self.attempts.classes.get(class);
         let pending = PendingRequest::new(request, class, settings, deadline, response);
         let id = state.requests.insert(pending);
         trace::request_began(&id, &state.requests, Duration::from_nanos(metadata.client_timeout));
--- a/crates/proxy/src/cluster/spec.rs
+++ b/crates/proxy/src/cluster/spec.rs
@@ -1,12 +1,15 @@
 //! What a cluster's runtime is started with.
 
 use super::peers::PeerGossip;
+use super::recovery::RecoveryTracker;
 use crate::upstream::connection_limits::ClusterLimits;
+use crate::upstream::pool::UpstreamSettings;
 use crate::upstream::response::UpstreamProtocol;
-use mintshelf_balancer::api::{Nanos, Settings};
+use mintshelf_balancer::api::{Nanos, ReportMode, Settings};
 use mintshelf_config::platform::Names;
 use mintshelf_retry::policy::RetryPolicy;
 use std::net::SocketAddr;
+use std::time::Duration;
 
 /// The discovery service of a cluster.
 pub struct DiscoverySpec {
@@ -43,3 +46,35 @@
     /// The cluster's name in the log; absent where nothing is logged of single requests.
     pub name: Option<String>,
 }
+
+impl ClusterSpec {
+    /// The settings of the connections to the cluster's servers.
+    pub(super) fn upstream_settings(&self) -> UpstreamSettings {
+        UpstreamSettings {
+            connect_timeout: Duration::from_nanos(self.settings.connect_timeout),
+            idle_timeout: Duration::from_nanos(self.settings.idle_timeout),
+            protocol: self.protocol.clone(),
+            limits: self.connection_limits,
+        }
+    }
+
+    /// The tracker of the cluster's outages, where this process paces its recovery.
+    pub(super) fn recovery_tracker(&self) -> Option<RecoveryTracker> {
+        let ramp = self.recovery_ramp?;
+        Some(RecoveryTracker::new(self.seed, ramp, self.settings.max_retry_after))
+    }
+
+    /// The fields of the load reports in responses, where responses carry them.
+    pub(super) fn response_report_fields(&self) -> Option<Vec<String>> {
+        let carries_reports = self.settings.report_mode == ReportMode::Answers;
+        carries_reports.then(|| self.names.report_fields.clone())
+    }
+
+    /// The fields of the load reports that health checks request; none where there are none.
+    pub(super) fn health_report_fields(&self) -> Vec<String> {
+        match self.settings.report_mode {
+            ReportMode::Absent => Vec::new(),
+            _ => self.names.report_fields.clone(),
+        }
+    }
+}
--- a/crates/proxy/src/cluster/state.rs
+++ b/crates/proxy/src/cluster/state.rs
@@ -1,9 +1,9 @@
-//! The decision module with everything that is open, changed in one turn at a time.
+//! The decision module with the open requests and timers, changed in one turn at a time.
 
-use super::pending_requests::PendingRequests;
+use super::pending_requests::{AttemptEnd, PendingRequests};
 use super::request::RequestOutcome;
 use super::timers::TimerQueue;
-use mintshelf_balancer::api::{Class, Effect, Event, Nanos, RequestId};
+use mintshelf_balancer::api::{Class, Effect, Event, Nanos, Outcome, RequestId};
 use mintshelf_balancer::decide::Balancer;
 use mintshelf_retry::shutdown::{FinalResponse, ShutdownDeadlines};
 use std::collections::VecDeque;
@@ -31,13 +31,13 @@
     /// Rejects a request, with what is known of its attempts.
     pub(crate) fn reject(&mut self, id: &RequestId, retry_after: Nanos) {
         let ran_at = self.requests.get(id).and_then(|request| request.ran_at());
-        drop(self.requests.conclude(id, RequestOutcome::Rejected { retry_after, ran_at }));
+        drop(self.requests.resolve(id, RequestOutcome::Rejected { retry_after, ran_at }));
     }
 
     /// Gives every request that still waits its final outcome: whether its client may
     /// retry depends on whether it may have run, and on its class. Rejected clients may retry
     /// `retry_after` nanoseconds later.
-    pub(crate) fn conclude_all(&mut self, classes: &[Class], retry_after: Nanos) {
+    pub(crate) fn resolve_all(&mut self, classes: &[Class], retry_after: Nanos) {
         for request in self.requests.waiting() {
             let class = classes.get(request.class);
             let effect = class.map_or(Effect::Unsafe, |class| class.effect);
@@ -50,9 +50,21 @@
         }
     }
 
+    /// Ends an attempt that was not sent.
+    pub(crate) fn end_unused(&mut self, id: &RequestId, number: u32, now: Nanos) {
+        let end = AttemptEnd::new(number, Outcome::Unused);
+        let ended = self.requests.end_attempt(id, end, now);
+        self.events.extend(ended.map(|ended| ended.event));
+    }
+
+    /// Fails a request: it may have run.
+    pub(crate) fn fail(&mut self, id: &RequestId) {
+        drop(self.requests.resolve(id, RequestOutcome::Failed { timed_out: false }));
+    }
+
     /// Ends a request that the module has not ended.
     pub(crate) fn abort(&mut self, id: &RequestId, outcome: RequestOutcome) {
-        drop(self.requests.conclude(id, outcome));
+        drop(self.requests.resolve(id, outcome));
         self.events.push_back(Event::ClientDisconnected { id: id.clone() });
     }
 
--- a/crates/proxy/src/cluster/trace.rs
+++ b/crates/proxy/src/cluster/trace.rs
@@ -26,7 +26,7 @@
 
 /// The id that the client gave a request; empty where it gave none.
 fn transaction_id(request: &PendingRequest) -> &str {
-    let id = request.request.transaction_id.as_ref().map(HeaderValue::to_str);
+    let id = request.upstream_request.transaction_id.as_ref().map(HeaderValue::to_str);
     id.and_then(Result::ok).unwrap_or_default()
 }
 
@@ -54,7 +54,7 @@
     );
 }
 
-/// An attempt was begun, or found nowhere to go.
+/// An attempt was started; without an address it ends at once.
 pub(super) fn attempt_began(
     id: &RequestId,
     number: u32,
@@ -75,14 +75,18 @@
     }
 }
 
-/// A client got its final outcome, or had left before it.
-pub(super) fn request_concluded(id: &RequestId, outcome: Option<&RequestOutcome>, took: Duration) {
+/// A client got its final outcome, or had disconnected before it.
+pub(super) fn request_concluded(
+    id: &RequestId,
+    outcome: Option<&RequestOutcome>,
+    elapsed: Duration,
+) {
     let outcome = outcome.map_or("client left", outcome_name);
-    debug!(request = %id, outcome, took_ms = took.as_millis() as u64, "request concluded");
+    debug!(request = %id, outcome, took_ms = elapsed.as_millis() as u64, "request concluded");
 }
 
-/// A list was applied, which took `took` of one turn.
-pub(super) fn list_applied(kind: ListKind, version: u64, changes: ListChanges, took: Duration) {
+/// A list was applied, which occupied a turn for `elapsed`.
+pub(super) fn list_applied(kind: ListKind, version: u64, changes: ListChanges, elapsed: Duration) {
     let ListChanges { live, draining, removed } = changes;
     debug!(
         ?kind,
@@ -90,7 +94,7 @@
         live,
         draining,
         removed,
-        took_us = took.as_micros() as u64,
+        took_us = elapsed.as_micros() as u64,
         "endpoint list applied"
     );
 }
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -61,7 +61,7 @@
     /// Passes on the list that the configuration has cached.
     pub fn load_cached_list(&self, text: Option<&str>, observer: &impl EndpointListObserver) {
         let servers = text.and_then(|text| self.reader.borrow_mut().apply_cached(text));
-        observer.listed(ListKind::Cached, self.revision(), servers.unwrap_or_default());
+        observer.endpoints_listed(ListKind::Cached, self.revision(), servers.unwrap_or_default());
     }
 
     fn revision(&self) -> u64 {
@@ -166,7 +166,7 @@
     }
 
     fn report_failure(&self, observer: &impl EndpointListObserver) {
-        observer.listed(ListKind::Failed, self.revision(), Vec::new());
+        observer.endpoints_listed(ListKind::Failed, self.revision(), Vec::new());
     }
 
     /// Applies a response if its revision allows.
@@ -220,7 +220,7 @@
         let is_valid = list.is_well_formed && response.is_complete;
         let update = self.reader.borrow_mut().apply(list, response.is_complete);
         if is_valid || !update.servers.is_empty() {
-            observer.listed(update.kind, self.revision(), update.servers);
+            observer.endpoints_listed(update.kind, self.revision(), update.servers);
         }
     }
 }
--- a/crates/proxy/src/endpoints.rs
+++ b/crates/proxy/src/endpoints.rs
@@ -74,7 +74,7 @@
 /// Learns of the lists of a source of endpoints: discovery, a file, a static list.
 pub trait EndpointListObserver: 'static {
     /// A list, or a change of one, with the version that it has at its source.
-    fn listed(&self, kind: ListKind, version: u64, servers: Vec<ListedServer>);
+    fn endpoints_listed(&self, kind: ListKind, version: u64, servers: Vec<ListedServer>);
 }
 
 /// Constants of the 64-bit FNV-1a hash.
--- a/crates/proxy/src/gateway/socket_connector.rs
+++ b/crates/proxy/src/gateway/socket_connector.rs
@@ -23,7 +23,7 @@
             tenant: Some(request.tenant.clone()),
         };
         let request = UpstreamRequest {
-            request: Request::from_parts(head, RequestBody::default()),
+            message: Request::from_parts(head, RequestBody::default()),
             transaction_id: None,
             body_permit: None,
             client: None,
--- a/crates/proxy/src/platform/handler.rs
+++ b/crates/proxy/src/platform/handler.rs
@@ -64,7 +64,7 @@
         let deadlines = ShutdownDeadlines::new(clock.now(), nanos(longest_deadline));
         self.shutdown.set(Some(deadlines));
         sleep_until(clock.instant(deadlines.final_response_at())).await;
-        self.runtime.conclude_all(self.restart_retry_after());
+        self.runtime.resolve_all(self.restart_retry_after());
     }
 
     fn restart_retry_after(&self) -> Nanos {
@@ -98,7 +98,7 @@
             return Ok(rejected);
         }
         let request = UpstreamRequest {
-            request: Request::from_parts(head, body.body),
+            message: Request::from_parts(head, body.body),
             transaction_id: Some(transaction_id),
             body_permit: body.permit,
             client: Some(client.clone()),
--- a/crates/proxy/src/upstream/attempt_control.rs
+++ b/crates/proxy/src/upstream/attempt_control.rs
@@ -1,26 +1,35 @@
 //! Cancelling an attempt, and learning when it got its connection.
+//!
+//! Elsewhere cancellation is a `CancellationToken`, which any number of tasks may wait for. Every
+//! attempt has an [`AttemptControl`] instead, as each request needs one: its two signals reach the
+//! one task that runs the attempt, without a lock and without a list of waiters.
 
-use crate::client::connection::Client;
 use std::cell::Cell;
 use std::future::poll_fn;
 use std::rc::Rc;
 use std::task::{Context, Poll, Waker};
 use tokio::time::Instant;
 
-/// Shared by the runtime, which stops an attempt, and the one task that carries it.
+/// The client that waits for a response.
+pub trait ResponseRecipient {
+    /// Whether it has disconnected, so that a response would not be read.
+    fn has_left(&self) -> bool;
+}
+
+/// Shared by the runtime, which cancels an attempt, and the one task that runs it.
 #[derive(Default)]
 pub struct AttemptControl {
     is_cancelled: Cell<bool>,
     has_client_left: Cell<bool>,
-    /// Who waits for the response, if that is a connection with a request open.
-    client: Option<Rc<Client>>,
+    /// The client whose request is open, if the request came from one.
+    client: Option<Rc<dyn ResponseRecipient>>,
     waker: Cell<Option<Waker>>,
     connected_at: Cell<Option<Instant>>,
 }
 
 impl AttemptControl {
     /// The control of an attempt for `client`.
-    pub fn new(client: Option<Rc<Client>>) -> Self {
+    pub fn new(client: Option<Rc<dyn ResponseRecipient>>) -> Self {
         AttemptControl { client, ..AttemptControl::default() }
     }
 
@@ -51,13 +60,13 @@
         self.connected_at.get()
     }
 
-    /// Stops the attempt.
+    /// Cancels the attempt.
     pub fn cancel(&self) {
         self.is_cancelled.set(true);
         self.wake();
     }
 
-    /// Waits until the attempt is cancelled; for one waiting task.
+    /// Waits until the attempt is cancelled; only in one task.
     pub async fn cancelled(&self) {
         poll_fn(|cx| self.poll_flag(&self.is_cancelled, cx)).await
     }
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -128,6 +128,17 @@
         self.endpoints.takes_requests(target.server, target.address)
     }
 
+    /// A server with its address, if it is listed.
+    pub fn target(&self, server: ServerId) -> Option<Target> {
+        let address = self.endpoints.address(server)?;
+        Some(Target { server, address })
+    }
+
+    /// How many servers are listed.
+    pub fn endpoint_count(&self) -> usize {
+        self.endpoints.len()
+    }
+
     /// The cluster's number, which no other cluster of the pool has had.
     pub fn cluster_number(&self) -> u32 {
         self.cluster
