--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -13,12 +13,12 @@
 //! - each grant has a fencing token that only grows; the protected resource rejects lower ones
 //!   ([`fence::Fence`]).
 //!
-//! `docs/fleet-design.md` has the reasons and the alternatives.
+//! `docs/design/fleet.md` has the reasons and the alternatives.
 //!
 //! ```
 //! use mintshelf_lease::command::{Command, Owner, Response};
 //! use mintshelf_lease::lease::Leases;
-//! use mintshelf_lease::timing::SECOND;
+//! use mintshelf_time::SECOND;
 //!
 //! let acquire = |member: &str| Command::Acquire {
 //!     lease: "nightly-report".into(),
--- a/crates/proxy/src/cluster/attempt.rs
+++ b/crates/proxy/src/cluster/attempt.rs
@@ -16,7 +16,7 @@
     AttemptResult, UpgradedConnection, UpstreamBody, UpstreamResponse,
 };
 use hyper::Request;
-use mintshelf_balancer::api::{Event, Outcome, RequestId};
+use mintshelf_balancer::api::{AttemptNumber, ClassId, Event, Outcome, RequestId};
 use std::rc::Rc;
 
 /// One attempt in progress.
@@ -24,8 +24,8 @@
     pub(super) context: Rc<AttemptContext>,
     pub(super) supervisor: Rc<S>,
     pub(super) id: RequestId,
-    pub(super) number: u32,
-    pub(super) class: usize,
+    pub(super) number: AttemptNumber,
+    pub(super) class: ClassId,
     /// Its own timeouts, beside its request's deadline; absent where it has none.
     pub(super) timeouts: Option<AttemptTimeouts>,
 }
--- a/crates/proxy/src/cluster/attempt_context.rs
+++ b/crates/proxy/src/cluster/attempt_context.rs
@@ -10,8 +10,9 @@
 use crate::upstream::exchange::AttemptDeadlines;
 use crate::upstream::pool::Upstream;
 use crate::upstream::request_body::RequestBody;
-use mintshelf_balancer::api::{Class, Nanos};
+use mintshelf_balancer::api::{AttemptNumber, Class, ClassId};
 use mintshelf_retry::attempts::{RetryConditions, TimeoutAction};
+use mintshelf_time::Nanos;
 use std::rc::Rc;
 
 /// What the attempts of a cluster share. The decision module's state is no part of it.
@@ -44,14 +45,14 @@
     /// When a further attempt of an idempotent request has to be with a server at the latest. The
     /// decision module chooses when it starts; its connection and its writing take time.
     pub(super) fn send_by(&self, request: &PendingRequest) -> Option<Nanos> {
-        let window = self.classes.get(request.class)?.window()?;
+        let window = self.classes.get(request.class.index())?.window()?;
         Some(request.ran_at()?.saturating_add(window))
     }
 
     /// The deadlines of an attempt that has to end at `end_at` and to be sent by `send_by`.
     pub(super) fn deadlines(
         &self,
-        class: usize,
+        class: ClassId,
         end_at: Nanos,
         send_by: Option<Nanos>,
     ) -> AttemptDeadlines {
@@ -68,7 +69,7 @@
     pub(super) fn timeouts(
         &self,
         request: &PendingRequest,
-        number: u32,
+        number: AttemptNumber,
         now: Nanos,
     ) -> Option<AttemptTimeouts> {
         if matches!(request.upstream_request.message.body(), RequestBody::Streamed(_)) {
@@ -80,7 +81,7 @@
     /// What becomes of an attempt whose own timeout has passed; `has_budget`: a retry is allowed.
     pub(super) fn on_timeout(
         &self,
-        class: usize,
+        class: ClassId,
         timeout_ns: Nanos,
         has_budget: bool,
     ) -> TimeoutAction {
--- a/crates/proxy/src/cluster/attempt_start.rs
+++ b/crates/proxy/src/cluster/attempt_start.rs
@@ -10,7 +10,8 @@
 use crate::upstream::attempt_control::AttemptControl;
 use crate::upstream::request_body::RequestBody;
 use hyper::Request;
-use mintshelf_balancer::api::{Event, Nanos, RequestId, ServerId};
+use mintshelf_balancer::api::{AttemptNumber, Event, RequestId, ServerId};
+use mintshelf_time::Nanos;
 use std::rc::Rc;
 
 /// An attempt as the decision module orders it.
@@ -23,7 +24,7 @@
 
 /// An attempt that its request counts, and that has not been sent.
 struct RecordedAttempt {
-    number: u32,
+    number: AttemptNumber,
     control: Rc<AttemptControl>,
     /// When it has to end.
     end_at: Nanos,
@@ -91,7 +92,7 @@
     supervisor: &Rc<S>,
     request: &PendingRequest,
     id: &RequestId,
-    number: u32,
+    number: AttemptNumber,
 ) -> Request<RequestBody> {
     let message = request.upstream_request.message.clone();
     if let RequestBody::Streamed(body) = message.body() {
--- a/crates/proxy/src/cluster/runtime.rs
+++ b/crates/proxy/src/cluster/runtime.rs
@@ -19,9 +19,10 @@
 use crate::upstream::pool::{ConnectionPool, Upstream};
 use crate::upstream::response::UpstreamResponse;
 use mintshelf_balancer::api::{
-    Action, EndpointState, Event, ListKind, ListedServer, Nanos, RequestId, ServerId,
+    Action, EndpointState, Event, ListKind, ListedServer, RequestId, ServerId,
 };
 use mintshelf_balancer::decide::Balancer;
+use mintshelf_time::Nanos;
 use std::cell::RefCell;
 use std::future::poll_fn;
 use std::io::Write;
--- a/crates/proxy/src/cluster/serve.rs
+++ b/crates/proxy/src/cluster/serve.rs
@@ -5,7 +5,8 @@
 use super::request::{RequestMetadata, RequestOutcome, UpstreamRequest};
 use super::runtime::ClusterRuntime;
 use super::trace;
-use mintshelf_balancer::api::{Event, Nanos, RequestId};
+use mintshelf_balancer::api::{ClassId, Event, RequestId};
+use mintshelf_time::Nanos;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -30,7 +31,7 @@
         let outcome = self.balance(now, metadata, request).await?;
         Some(recovery.request_ended(
             self.attempts.clock.now(),
-            self.attempts.classes.get(class as usize),
+            self.attempts.classes.get(class.index()),
             outcome,
         ))
     }
@@ -56,8 +57,8 @@
     }
 
     /// When a client whose request has not been sent may retry, in nanoseconds.
-    pub fn retry_after(&self, class: u32) -> Nanos {
-        let class = self.attempts.classes.get(class as usize);
+    pub fn retry_after(&self, class: ClassId) -> Nanos {
+        let class = self.attempts.classes.get(class.index());
         let recovery = self.recovery.as_ref();
         let retry_after =
             recovery.and_then(|recovery| recovery.retry_after(self.clock.now(), class, None));
@@ -76,10 +77,10 @@
         if !state.requests.reserve_transaction_id(&request) {
             return None;
         }
-        let class = metadata.class as usize;
+        let class = metadata.class;
         let deadline = now.saturating_add(metadata.client_timeout);
         self.attempts.retries.record_request(class);
-        let settings = self.attempts.classes.get(class);
+        let settings = self.attempts.classes.get(class.index());
         let pending = PendingRequest::new(request, class, settings, deadline, response);
         let id = state.requests.insert(pending);
         trace::request_began(&id, &state.requests, Duration::from_nanos(metadata.client_timeout));
--- a/crates/proxy/src/cluster/spec.rs
+++ b/crates/proxy/src/cluster/spec.rs
@@ -5,9 +5,10 @@
 use crate::upstream::connection_limits::ClusterLimits;
 use crate::upstream::pool::UpstreamSettings;
 use crate::upstream::response::UpstreamProtocol;
-use mintshelf_balancer::api::{Nanos, ReportMode, Settings};
+use mintshelf_balancer::api::{ReportMode, Settings};
 use mintshelf_config::platform::Names;
 use mintshelf_retry::policy::RetryPolicy;
+use mintshelf_time::Nanos;
 use std::net::SocketAddr;
 use std::time::Duration;
 
--- a/crates/proxy/src/cluster/state.rs
+++ b/crates/proxy/src/cluster/state.rs
@@ -3,9 +3,10 @@
 use super::pending_requests::{AttemptEnd, PendingRequests};
 use super::request::RequestOutcome;
 use super::timers::TimerQueue;
-use mintshelf_balancer::api::{Class, Effect, Event, Nanos, Outcome, RequestId};
+use mintshelf_balancer::api::{AttemptNumber, Class, Effect, Event, Outcome, RequestId};
 use mintshelf_balancer::decide::Balancer;
 use mintshelf_retry::shutdown::{FinalResponse, ShutdownDeadlines};
+use mintshelf_time::Nanos;
 use std::collections::VecDeque;
 
 /// What the turns of a cluster's runtime change.
@@ -39,7 +40,7 @@
     /// `retry_after` nanoseconds later.
     pub(crate) fn resolve_all(&mut self, classes: &[Class], retry_after: Nanos) {
         for request in self.requests.waiting() {
-            let class = classes.get(request.class);
+            let class = classes.get(request.class.index());
             let effect = class.map_or(Effect::Unsafe, |class| class.effect);
             let ran_at = request.ran_at;
             let outcome = match ShutdownDeadlines::final_response(effect, ran_at.is_some()) {
@@ -51,7 +52,7 @@
     }
 
     /// Ends an attempt that was not sent.
-    pub(crate) fn end_unused(&mut self, id: &RequestId, number: u32, now: Nanos) {
+    pub(crate) fn end_unused(&mut self, id: &RequestId, number: AttemptNumber, now: Nanos) {
         let end = AttemptEnd::new(number, Outcome::Unused);
         let ended = self.requests.end_attempt(id, end, now);
         self.events.extend(ended.map(|ended| ended.event));
--- a/crates/proxy/src/cluster/status.rs
+++ b/crates/proxy/src/cluster/status.rs
@@ -3,8 +3,9 @@
 use super::recovery::{RecoveryStatus, RecoveryTracker};
 use super::runtime::ClusterRuntime;
 use crate::clock::Clock;
-use mintshelf_balancer::api::{Nanos, ServerId};
+use mintshelf_balancer::api::{ClassId, ServerId};
 use mintshelf_retry::attempts::AttemptCounts;
+use mintshelf_time::Nanos;
 use std::net::SocketAddr;
 
 /// What is open in a cluster.
@@ -49,8 +50,8 @@
     }
 
     /// The median latency of a class in nanoseconds; 0 while it is unknown.
-    pub fn median_latency(&self, class: u32) -> Nanos {
-        self.attempts.retries.median_latency(class as usize, self.clock.now())
+    pub fn median_latency(&self, class: ClassId) -> Nanos {
+        self.attempts.retries.median_latency(class, self.clock.now())
     }
 
     /// Attempts that were ended for their own timeout, and hedges, so far.
--- a/crates/proxy/src/gateway/admission.rs
+++ b/crates/proxy/src/gateway/admission.rs
@@ -7,7 +7,7 @@
 use crate::request_log::RequestLog;
 use mintshelf_admission::admission::{Admission, AdmissionConfig, LimitUsage};
 use mintshelf_admission::queue::{QueueDecision, QueueEntry, RejectReason};
-use mintshelf_balancer::api::Nanos;
+use mintshelf_time::Nanos;
 use std::cell::RefCell;
 use std::future::poll_fn;
 use std::rc::Rc;
--- a/crates/proxy/src/gateway/socket_rejections.rs
+++ b/crates/proxy/src/gateway/socket_rejections.rs
@@ -4,11 +4,11 @@
 use crate::websocket::upgrade::UpgradeError;
 use hyper::StatusCode;
 use mintshelf_admission::slots::SlotUnavailable;
-use mintshelf_balancer::api::Nanos;
+use mintshelf_time::{Nanos, SECOND};
 use mintshelf_websocket::handshake::HandshakeError;
 
 /// Retry-After of handshakes that may succeed a little later, in nanoseconds.
-const RETRY_AFTER_NS: Nanos = 1_000_000_000;
+const RETRY_AFTER_NS: Nanos = SECOND;
 
 /// The response to a handshake that is rejected.
 pub(super) fn upgrade_rejection(error: UpgradeError) -> Rejection {
--- a/crates/proxy/src/platform/metadata.rs
+++ b/crates/proxy/src/platform/metadata.rs
@@ -7,14 +7,11 @@
     CLASS, COST_HINT_US, KEY_COOKIE_PREFIX, LABELS, REMAINING_MS, RETRY, TENANT, TRANSACTION_ID,
 };
 use hyper::header::{HeaderMap, HeaderName};
-use mintshelf_balancer::api::{Nanos, Settings};
+use mintshelf_balancer::api::{ClassId, Settings, TenantId};
 use mintshelf_config::platform::Names;
+use mintshelf_time::{as_float, from_float, Nanos, MICROSECOND, MILLISECOND};
 use std::str::FromStr;
 
-const MILLISECOND: Nanos = 1_000_000;
-/// Nanoseconds in a microsecond.
-const MICROSECOND: f64 = 1e3;
-
 /// Reads what the decision module needs to know of a request.
 ///
 /// # Errors
@@ -39,8 +36,8 @@
     check_labels(headers)?;
     let key = cookie_pairs(headers).find_map(|pair| pair.strip_prefix(KEY_COOKIE_PREFIX));
     Ok(RequestMetadata {
-        class: class as u32,
-        tenant: tenant as u32,
+        class: ClassId::from_index(class),
+        tenant: TenantId::from_index(tenant),
         key: key.and_then(|key| u64::from_str_radix(key, 16).ok()),
         cost_hint,
         is_repeat: text(headers, &RETRY) == Some("1"),
@@ -70,7 +67,7 @@
 fn read_cost_hint(headers: &HeaderMap) -> Result<Option<Nanos>, RejectedRequest> {
     let cost_us = read_number::<f64>(headers, &COST_HINT_US)
         .map_err(|MalformedNumber| RejectedRequest::bad_request("X-Estimate is not a number\n"))?;
-    let cost_hint = cost_us.map(|cost_us| (cost_us * MICROSECOND) as Nanos);
+    let cost_hint = cost_us.map(|cost_us| from_float(cost_us * as_float(MICROSECOND)));
     Ok(cost_hint.filter(|cost| *cost > 0))
 }
 
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -19,11 +19,12 @@
 //! Requests of clients never wait for it: whoever admits them reads
 //! [`client::QuotaClient::limit`], or a [`token_bucket::TokenBucket`] that follows it.
 //!
-//! `docs/quota-design.md` has the reasons, the alternatives and what is proved.
+//! `docs/design/quota.md` has the reasons, the alternatives and what is proved.
 //!
 //! ```
 //! use mintshelf_lease::command::Owner;
-//! use mintshelf_lease::timing::{ClockError, SECOND};
+//! use mintshelf_lease::timing::ClockError;
+//! use mintshelf_time::SECOND;
 //! use mintshelf_quota::allocation::AllocationBatch;
 //! use mintshelf_quota::client::QuotaClient;
 //! use mintshelf_quota::config::Quota;
