--- a/crates/proxy/src/budget.rs
+++ b/crates/proxy/src/budget.rs
@@ -23,10 +23,11 @@
 
 impl ResourceBudget {
     /// Divides so many descriptors, and bytes of memory.
+    #[must_use]
     pub fn new(descriptors: usize, memory_bytes: usize) -> Self {
         let connections = descriptors.saturating_sub(OTHER_DESCRIPTORS);
-        let upstream = (connections as f64 * UPSTREAM_SHARE) as usize;
-        let body_bytes = (memory_bytes as f64 * BODY_SHARE) as usize;
+        let upstream = fraction_of(connections, UPSTREAM_SHARE);
+        let body_bytes = fraction_of(memory_bytes, BODY_SHARE);
         ResourceBudget {
             clients: Arc::new(Semaphore::new(connections - upstream)),
             upstream: Arc::new(Semaphore::new(upstream)),
@@ -35,6 +36,17 @@
     }
 }
 
+/// A fraction, from 0 to 1, of a number; rounded down.
+#[allow(
+    clippy::cast_precision_loss,
+    clippy::cast_possible_truncation,
+    clippy::cast_sign_loss,
+    reason = "a fraction of a number fits its type; the numbers are far below 2^53"
+)]
+pub(crate) fn fraction_of(total: usize, fraction: f64) -> usize {
+    (total as f64 * fraction) as usize
+}
+
 /// Acquires the permits for so many bytes of bodies.
 ///
 /// # Errors
--- a/crates/proxy/src/client/closing.rs
+++ b/crates/proxy/src/client/closing.rs
@@ -113,7 +113,7 @@
             Poll::Pending
         }
     })
-    .await
+    .await;
 }
 
 /// When a client has had the time to read its last response: at once if there was none.
--- a/crates/proxy/src/client/head_scanner.rs
+++ b/crates/proxy/src/client/head_scanner.rs
@@ -37,6 +37,7 @@
 
 impl ScannedHead {
     /// Whether it said twice how long the body is.
+    #[must_use]
     pub fn is_framed_twice(&self) -> bool {
         self.framings.content_length && self.framings.transfer_encoding
     }
@@ -244,6 +245,7 @@
     }
 
     /// Whether a body was framed so that two readers may see different ends.
+    #[must_use]
     pub fn is_body_ambiguous(&self) -> bool {
         self.is_body_ambiguous
     }
--- a/crates/proxy/src/cluster/attempt_timeouts.rs
+++ b/crates/proxy/src/cluster/attempt_timeouts.rs
@@ -54,7 +54,7 @@
         sleep_until(started_at + Duration::from_nanos(after_ns)).await;
         hedge();
     }
-    pending().await
+    pending::<()>().await;
 }
 
 /// Waits until an attempt is to end for its own timeout, counted from its connection.
--- a/crates/proxy/src/cluster/serve.rs
+++ b/crates/proxy/src/cluster/serve.rs
@@ -8,7 +8,6 @@
 use mintshelf_balancer::api::{ClassId, Event, RequestId};
 use mintshelf_time::Nanos;
 use std::rc::Rc;
-use std::time::Duration;
 use tokio::time::Instant;
 
 impl ClusterRuntime {
@@ -47,7 +46,7 @@
             return Some(RequestOutcome::Failed { timed_out: false });
         }
         let response = Rc::new(PendingResponse::default());
-        let id = self.open_request(now, metadata, request, response.clone())?;
+        let id = self.open_request(now, &metadata, request, response.clone())?;
         let attempts = AttemptSet::new(response);
         let started_at = Instant::now();
         let mut waiting = WaitingClient { runtime: self, id, attempts, started_at };
@@ -69,7 +68,7 @@
     fn open_request(
         self: &Rc<Self>,
         now: Nanos,
-        metadata: RequestMetadata,
+        metadata: &RequestMetadata,
         request: UpstreamRequest,
         response: Rc<PendingResponse<RequestOutcome>>,
     ) -> Option<RequestId> {
@@ -83,7 +82,7 @@
         let settings = self.attempts.classes.get(class.index());
         let pending = PendingRequest::new(request, class, settings, deadline, response);
         let id = state.requests.insert(pending);
-        trace::request_began(&id, &state.requests, Duration::from_nanos(metadata.client_timeout));
+        trace::request_began(&id, &state.requests, metadata.client_timeout);
         state.events.push_back(Event::Request {
             id: id.clone(),
             class: metadata.class,
--- a/crates/proxy/src/cluster/socket_load.rs
+++ b/crates/proxy/src/cluster/socket_load.rs
@@ -4,6 +4,7 @@
 //! many of them are not nothing either. So of the handshakes at one server only as many stay in
 //! flight, as the module sees it, as its open sockets weigh together.
 
+use crate::budget::fraction_of;
 use mintshelf_balancer::api::ServerId;
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -14,7 +15,7 @@
 
 #[derive(Default)]
 struct ServerSockets {
-    open: u32,
+    open: usize,
     /// Ends of the attempts that stay in flight.
     unreported: Vec<EndCallback>,
 }
@@ -37,6 +38,7 @@
 
 impl SocketLoad {
     /// A cluster without sockets; each is to count for `weight` requests, 0 to 1.
+    #[must_use]
     pub fn new(weight: f64) -> Rc<Self> {
         Rc::new(SocketLoad { weight, ..SocketLoad::default() })
     }
@@ -59,7 +61,7 @@
 
     /// Makes due what is in flight beyond the weight of the open sockets.
     fn release_excess(&self, sockets: &mut ServerSockets) {
-        let load = (f64::from(sockets.open) * self.weight) as usize;
+        let load = fraction_of(sockets.open, self.weight);
         let excess = sockets.unreported.split_off(load.min(sockets.unreported.len()));
         self.due.borrow_mut().extend(excess);
     }
--- a/crates/proxy/src/cluster/state.rs
+++ b/crates/proxy/src/cluster/state.rs
@@ -1,6 +1,6 @@
 //! The decision module with the open requests and timers, changed in one turn at a time.
 
-use super::pending_requests::{AttemptEnd, PendingRequests};
+use super::pending_requests::{AttemptEnd, PendingRequest, PendingRequests};
 use super::request::RequestOutcome;
 use super::timers::TimerQueue;
 use mintshelf_balancer::api::{AttemptNumber, Class, Effect, Event, Outcome, RequestId};
@@ -31,7 +31,7 @@
 
     /// Rejects a request, with what is known of its attempts.
     pub(crate) fn reject(&mut self, id: &RequestId, retry_after: Nanos) {
-        let ran_at = self.requests.get(id).and_then(|request| request.ran_at());
+        let ran_at = self.requests.get(id).and_then(PendingRequest::ran_at);
         drop(self.requests.resolve(id, RequestOutcome::Rejected { retry_after, ran_at }));
     }
 
--- a/crates/proxy/src/cluster/trace.rs
+++ b/crates/proxy/src/cluster/trace.rs
@@ -10,6 +10,7 @@
     AttemptNumber, EndReason, EndpointState, ListKind, ListedServer, RequestId, ServerId,
 };
 use mintshelf_balancer::decide::Balancer;
+use mintshelf_time::{from_duration, Nanos, MICROSECOND, MILLISECOND};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tracing::{debug, enabled, Level};
@@ -31,13 +32,13 @@
 }
 
 /// A request was handed to the balancer.
-pub(super) fn request_began(id: &RequestId, requests: &PendingRequests, timeout: Duration) {
+pub(super) fn request_began(id: &RequestId, requests: &PendingRequests, timeout: Nanos) {
     let Some(request) = traced_request(id, requests) else { return };
     debug!(
         request = %id,
         transaction = transaction_id(request),
         class = request.class.get(),
-        timeout_ms = timeout.as_millis() as u64,
+        timeout_ms = timeout / MILLISECOND,
         "request began"
     );
 }
@@ -82,7 +83,7 @@
     elapsed: Duration,
 ) {
     let outcome = outcome.map_or("client left", outcome_name);
-    debug!(request = %id, outcome, took_ms = elapsed.as_millis() as u64, "request concluded");
+    debug!(request = %id, outcome, took_ms = from_duration(elapsed) / MILLISECOND, "request concluded");
 }
 
 /// A list was applied, which occupied a turn for `elapsed`.
@@ -94,7 +95,7 @@
         live,
         draining,
         removed,
-        took_us = elapsed.as_micros() as u64,
+        took_us = from_duration(elapsed) / MICROSECOND,
         "endpoint list applied"
     );
 }
--- a/crates/proxy/src/discovery/list.rs
+++ b/crates/proxy/src/discovery/list.rs
@@ -23,6 +23,7 @@
 impl<'a> EndpointList<'a> {
     /// Parses the body of a response. What precedes an error in it is kept, and malformed entries
     /// are left out.
+    #[must_use]
     pub fn parse(body: &'a [u8]) -> Self {
         let list = Self::parse_entries::<EndpointEntry>(body);
         if list.is_well_formed {
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -44,6 +44,7 @@
 
 impl Discovery {
     /// A service that has not been called yet.
+    #[must_use]
     pub fn new(reader: EndpointListReader, address: SocketAddr) -> Self {
         Discovery {
             reader: RefCell::new(reader),
--- a/crates/proxy/src/discovery/reader.rs
+++ b/crates/proxy/src/discovery/reader.rs
@@ -4,12 +4,12 @@
 use super::list::EndpointList;
 use super::protocol::{EndpointEntry, EntryState};
 use super::server_numbers::ServerNumbers;
-use crate::clock::nanos;
 use crate::endpoints::{stable_id, Endpoint, Endpoints};
 use crate::list_arrival::ListArrival;
 use mintshelf_balancer::api::{EndpointState, ListKind, ListedServer};
 use mintshelf_config::platform::Names;
 use mintshelf_discovery::revision::{ResetCheck, RevisionTracker, Verdict};
+use mintshelf_time::from_duration;
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -19,7 +19,8 @@
 /// The index of a name in the settings; for an unknown one, a number above all indices.
 fn name_index(names: &[String], name: &str) -> u32 {
     let index = names.iter().position(|known| known == name);
-    index.map_or_else(|| stable_id(name) | UNKNOWN_NAME, |index| index as u32)
+    let index = index.and_then(|index| u32::try_from(index).ok());
+    index.unwrap_or_else(|| stable_id(name) | UNKNOWN_NAME)
 }
 
 /// What a list changes for the balancer.
@@ -43,6 +44,7 @@
 impl EndpointListReader {
     /// A reader that knows no servers. It writes the addresses and states of listed servers to
     /// `endpoints`.
+    #[must_use]
     pub fn new(names: Names, endpoints: Endpoints) -> Self {
         let numbers = ServerNumbers::default();
         EndpointListReader { names, endpoints, numbers, revision: RevisionTracker::default() }
@@ -56,7 +58,7 @@
             cell: entry.failure_domain,
             state: entry.state.into(),
             size: entry.capacity,
-            started_at: nanos(Duration::from_millis(entry.started_at_ms)),
+            started_at: from_duration(Duration::from_millis(entry.started_at_ms)),
         }
     }
 
@@ -128,11 +130,13 @@
     }
 
     /// Follows the connection on which the lists arrive.
+    #[must_use]
     pub fn arrival(&self) -> Rc<ListArrival> {
         self.endpoints.arrival()
     }
 
     /// Revision of the last valid list; 0 before the first.
+    #[must_use]
     pub fn revision(&self) -> u64 {
         self.revision.current()
     }
--- a/crates/proxy/src/endpoints.rs
+++ b/crates/proxy/src/endpoints.rs
@@ -29,11 +29,13 @@
 
 impl Endpoints {
     /// Where a server listens, if it is listed.
+    #[must_use]
     pub fn address(&self, server: ServerId) -> Option<SocketAddr> {
         self.0.by_server.borrow().get(&server).map(|endpoint| endpoint.address)
     }
 
     /// Whether a server is listed at this address and takes new requests.
+    #[must_use]
     pub fn takes_requests(&self, server: ServerId, address: SocketAddr) -> bool {
         let endpoints = self.0.by_server.borrow();
         let endpoint = endpoints.get(&server).filter(|endpoint| endpoint.address == address);
@@ -56,16 +58,19 @@
     }
 
     /// How a change of the list arrives.
+    #[must_use]
     pub fn arrival(&self) -> Rc<ListArrival> {
         self.0.arrival.clone()
     }
 
     /// How many servers are listed.
+    #[must_use]
     pub fn len(&self) -> usize {
         self.0.by_server.borrow().len()
     }
 
     /// Whether no server is listed.
+    #[must_use]
     pub fn is_empty(&self) -> bool {
         self.0.by_server.borrow().is_empty()
     }
@@ -82,9 +87,11 @@
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
 /// A stable number for a name, the same at every sidecar (FNV-1a, folded).
+#[must_use]
 pub fn stable_id(name: &str) -> u32 {
     let hash = name
         .bytes()
         .fold(FNV_OFFSET_BASIS, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME));
-    (hash ^ (hash >> 32)) as u32
+    let [low0, low1, low2, low3, ..] = (hash ^ (hash >> 32)).to_le_bytes();
+    u32::from_le_bytes([low0, low1, low2, low3])
 }
--- a/crates/proxy/src/gateway/classify.rs
+++ b/crates/proxy/src/gateway/classify.rs
@@ -6,6 +6,7 @@
 use crate::headers::cookie_pairs;
 use hyper::body::Incoming;
 use hyper::header::{self, HeaderMap};
+use hyper::http::uri::Authority;
 use hyper::{Method, Request, StatusCode, Version};
 use mintshelf_balancer::api::{ClassId, Effect};
 use mintshelf_config::model::{Forward, Route, RouteAction, Sticky};
@@ -145,13 +146,13 @@
 /// The effect of a request: what its route states, else the graver of its class's and its
 /// method's (RFC 9110 9.2.1). An idempotent one needs its key (`has_key`). It is never taken for
 /// milder than it is: only the client of a PUT or DELETE knows what came between.
+#[must_use]
 pub fn effect_of(class: Effect, route: Option<Effect>, method: &Method, has_key: bool) -> Effect {
-    let effect = match (route, class) {
-        (Some(effect), _) => effect,
-        (None, Effect::Safe) if !method.is_safe() => Effect::Unsafe,
-        (None, effect) => effect,
+    let effect_by_method = match class {
+        Effect::Safe if !method.is_safe() => Effect::Unsafe,
+        effect => effect,
     };
-    match effect {
+    match route.unwrap_or(effect_by_method) {
         Effect::Idempotent if !has_key => Effect::Unsafe,
         effect => effect,
     }
@@ -161,7 +162,7 @@
 /// (RFC 9112 3.2). Where they differ, servers choose differently.
 fn host_of(request: &Request<Incoming>) -> Result<String, Rejection> {
     let header_host = host_header(request.headers())?;
-    let target_host = request.uri().authority().map(|authority| authority.as_str());
+    let target_host = request.uri().authority().map(Authority::as_str);
     let host = match (target_host, header_host) {
         (Some(target_host), Some(header_host))
             if !target_host.eq_ignore_ascii_case(header_host) =>
--- a/crates/proxy/src/gateway/config.rs
+++ b/crates/proxy/src/gateway/config.rs
@@ -109,7 +109,7 @@
 
     /// A number of the listener among those of the process, for as long as this lives.
     pub(crate) fn listener_id(self: &Rc<Self>) -> usize {
-        Rc::as_ptr(self) as usize
+        Rc::as_ptr(self).addr()
     }
 
     /// Puts another configuration in force; returns the one before.
--- a/crates/proxy/src/gateway/handler.rs
+++ b/crates/proxy/src/gateway/handler.rs
@@ -37,6 +37,7 @@
 
 impl GatewayHandler {
     /// A listener with these settings.
+    #[must_use]
     pub fn new(settings: GatewaySettings) -> Rc<Self> {
         let GatewaySettings { config, body_budget, stats, sockets, seed } = settings;
         let forwarder = Forwarder {
--- a/crates/proxy/src/loop_monitor.rs
+++ b/crates/proxy/src/loop_monitor.rs
@@ -25,6 +25,7 @@
 
 impl LoopMonitor {
     /// Starts to follow the event loop of this thread; in a `tokio::task::LocalSet`.
+    #[must_use]
     pub fn start() -> Self {
         let last_tick = Rc::new(Cell::new(Instant::now()));
         let task = spawn_local(run_ticks(last_tick.clone())).abort_handle();
@@ -32,6 +33,7 @@
     }
 
     /// How long what is read now may have waited, beyond the interval of ticks.
+    #[must_use]
     pub fn lag(&self) -> Duration {
         self.last_tick.get().elapsed().saturating_sub(TICK_INTERVAL)
     }
--- a/crates/proxy/src/platform/handler.rs
+++ b/crates/proxy/src/platform/handler.rs
@@ -6,7 +6,6 @@
 use crate::budget::ResourceBudget;
 use crate::client::connection::{Client, Phase};
 use crate::client::handler::{ClientRequest, RequestHandler, ResponseBody};
-use crate::clock::nanos;
 use crate::cluster::request::{RequestMetadata, RequestOutcome, UpstreamRequest};
 use crate::cluster::runtime::ClusterRuntime;
 use crate::headers::{strip_hop_by_hop, HEADERS_MAX};
@@ -20,7 +19,7 @@
 use mintshelf_balancer::api::Settings;
 use mintshelf_config::platform::Names;
 use mintshelf_retry::shutdown::ShutdownDeadlines;
-use mintshelf_time::{as_seconds, Nanos, SECOND};
+use mintshelf_time::{as_seconds, from_duration, Nanos, SECOND};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -61,7 +60,7 @@
     /// get their final responses in the time that is left. Returns when they have.
     pub async fn shut_down(&self, longest_deadline: Duration) {
         let clock = self.runtime.clock();
-        let deadlines = ShutdownDeadlines::new(clock.now(), nanos(longest_deadline));
+        let deadlines = ShutdownDeadlines::new(clock.now(), from_duration(longest_deadline));
         self.shutdown.set(Some(deadlines));
         sleep_until(clock.instant(deadlines.final_response_at())).await;
         self.runtime.resolve_all(self.restart_retry_after());
@@ -92,7 +91,7 @@
         // The client's time counts from the last byte, which may have come later than the head, or
         // before the body found capacity.
         let queued = queued.max(self.loop_monitor.lag()) + body.capacity_wait;
-        metadata.client_timeout = metadata.client_timeout.saturating_sub(nanos(queued));
+        metadata.client_timeout = metadata.client_timeout.saturating_sub(from_duration(queued));
         rewrite_head(&mut head)?;
         if let Some(rejected) = self.apply_shutdown(&mut metadata) {
             return Ok(rejected);
@@ -112,16 +111,12 @@
     fn apply_shutdown(&self, metadata: &mut RequestMetadata) -> Option<RequestOutcome> {
         let deadlines = self.shutdown.get()?;
         let now = self.runtime.clock().now();
-        match deadlines.limit_timeout(now, metadata.client_timeout) {
-            Some(client_timeout) => {
-                metadata.client_timeout = client_timeout;
-                None
-            }
-            None => {
-                let retry_after = self.restart_retry_after();
-                Some(RequestOutcome::Rejected { retry_after, ran_at: None })
-            }
+        if let Some(client_timeout) = deadlines.limit_timeout(now, metadata.client_timeout) {
+            metadata.client_timeout = client_timeout;
+            return None;
         }
+        let retry_after = self.restart_retry_after();
+        Some(RequestOutcome::Rejected { retry_after, ran_at: None })
     }
 }
 
--- a/crates/proxy/src/request_log.rs
+++ b/crates/proxy/src/request_log.rs
@@ -18,6 +18,7 @@
 
 impl RequestLog {
     /// A log without lines.
+    #[must_use]
     pub fn new(clock: &Clock) -> Self {
         let config = RateConfig {
             count: LINES_PER_SECOND,
--- a/crates/proxy/src/upstream/attempt_control.rs
+++ b/crates/proxy/src/upstream/attempt_control.rs
@@ -29,6 +29,7 @@
 
 impl AttemptControl {
     /// The control of an attempt for `client`.
+    #[must_use]
     pub fn new(client: Option<Rc<dyn ResponseRecipient>>) -> Self {
         AttemptControl { client, ..AttemptControl::default() }
     }
@@ -47,7 +48,7 @@
     /// Waits until the client is reported to have disconnected; only in the task that waits for
     /// [`AttemptControl::cancelled`].
     pub async fn client_left(&self) {
-        poll_fn(|cx| self.poll_flag(&self.has_client_left, cx)).await
+        poll_fn(|cx| self.poll_flag(&self.has_client_left, cx)).await;
     }
 
     /// Reports that the attempt has a connection.
@@ -68,7 +69,7 @@
 
     /// Waits until the attempt is cancelled; only in one task.
     pub async fn cancelled(&self) {
-        poll_fn(|cx| self.poll_flag(&self.is_cancelled, cx)).await
+        poll_fn(|cx| self.poll_flag(&self.is_cancelled, cx)).await;
     }
 
     fn poll_flag(&self, flag: &Cell<bool>, cx: &mut Context<'_>) -> Poll<()> {
--- a/crates/proxy/src/upstream/exchange.rs
+++ b/crates/proxy/src/upstream/exchange.rs
@@ -203,7 +203,7 @@
     let Some(send_by) = send_by else { return pending().await };
     sleep_until(send_by).await;
     if progress.is_sent() {
-        pending().await
+        pending::<()>().await;
     }
 }
 
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -24,9 +24,9 @@
 
 /// Largest head of a response, and the most that the library buffers each way, in bytes.
 const BUFFER_MAX: usize = 32 << 10;
-/// Part of the servers' idle timeout after which a connection is closed from this
-/// side, so that a request does not cross the server's close.
-const IDLE_SHARE: f64 = 0.8;
+/// Fraction of the servers' idle timeout after which a connection is closed from this side, so that
+/// a request does not cross the server's close.
+const IDLE_TIMEOUT_FRACTION: f64 = 0.8;
 
 /// All connections to servers, of all clusters: they share one budget of descriptors.
 pub struct ConnectionPool {
@@ -39,6 +39,7 @@
 
 impl ConnectionPool {
     /// A pool without connections.
+    #[must_use]
     pub fn new(budget: &ResourceBudget) -> Rc<Self> {
         Rc::new(ConnectionPool {
             idle: RefCell::default(),
@@ -59,7 +60,7 @@
     }
 }
 
-/// What bounds the connection of one request.
+/// The limits on the connection of one request.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct ConnectionBounds {
     /// Longest wait for a new connection, where that is less than the cluster's.
@@ -112,7 +113,7 @@
             endpoints,
             cluster,
             connect_timeout: settings.connect_timeout,
-            idle_timeout: settings.idle_timeout.mul_f64(IDLE_SHARE),
+            idle_timeout: settings.idle_timeout.mul_f64(IDLE_TIMEOUT_FRACTION),
             protocol: settings.protocol,
             counter: ConnectionCounter::new(settings.limits),
         })
--- a/crates/proxy/src/websocket/eviction.rs
+++ b/crates/proxy/src/websocket/eviction.rs
@@ -89,9 +89,9 @@
             .filter(|entry| handler_id.is_none_or(|handler_id| entry.handler_id == handler_id))
             .filter(|entry| !entry.is_draining())
             .collect();
-        let step_ns = window_ns / (drained.len() as u64).max(1);
-        for (position, entry) in drained.into_iter().enumerate() {
-            let position = position as u64;
+        let count = u64::try_from(drained.len()).unwrap_or(u64::MAX);
+        let step_ns = window_ns / count.max(1);
+        for (position, entry) in (0..).zip(drained) {
             entry.set_draining();
             // Clients come back as evenly as they were closed, and no sooner than a restart takes.
             let retry_after_s = 1 + position % 10;
--- a/crates/proxy/src/websocket/registry.rs
+++ b/crates/proxy/src/websocket/registry.rs
@@ -97,6 +97,7 @@
 impl SocketRegistry {
     /// An empty registry. `max_queued_bytes`: what all queues together may have before less is
     /// read of each connection; `seed`: a secret of the process.
+    #[must_use]
     pub fn new(max_queued_bytes: usize, seed: u64) -> Rc<Self> {
         Rc::new(SocketRegistry {
             entries: RefCell::default(),
--- a/crates/proxy/src/websocket/upgrade.rs
+++ b/crates/proxy/src/websocket/upgrade.rs
@@ -105,7 +105,7 @@
             let is_compressed = server.agreed.uses_compression();
             let seed = registry.next_seed();
             let session = Session::new(config.session.clone(), is_compressed, seed, now);
-            let handler_id = Rc::as_ptr(&handler) as usize;
+            let handler_id = Rc::as_ptr(&handler).addr();
             let location = ServerLocation { cluster, server: server.target.server };
             let tenant = owner.tenant.clone();
             let socket = registry.register(owner, handler_id, location);
--- a/crates/proxy/tests/edits.rs
+++ b/crates/proxy/tests/edits.rs
@@ -2,6 +2,7 @@
 
 use hyper::header::HeaderValue;
 use hyper::StatusCode;
+use mintshelf_admission::limit::LimitConfig;
 use mintshelf_config::model::{Respond, Route, RouteAction};
 use mintshelf_proxy::gateway::edits::rewrite_target;
 use std::sync::Arc;
@@ -18,7 +19,7 @@
         }),
         class: String::new(),
         policy: String::new(),
-        limit: Default::default(),
+        limit: LimitConfig::default(),
         effect: None,
         action: RouteAction::Respond(Respond {
             status: StatusCode::OK,
