--- a/crates/proxy/src/cluster/health_check.rs
+++ b/crates/proxy/src/cluster/health_check.rs
@@ -42,7 +42,7 @@
     /// The event of a check that took so many nanoseconds.
     fn event(self, server: ServerId, elapsed: Nanos) -> Event {
         let HealthCheckResult { outcome, load_report } = self;
-        Event::Probed { server, outcome, took: elapsed, report: load_report }
+        Event::Probed { server, outcome, elapsed, report: load_report }
     }
 }
 
--- a/crates/proxy/src/cluster/runtime.rs
+++ b/crates/proxy/src/cluster/runtime.rs
@@ -22,6 +22,7 @@
     Action, EndpointState, Event, ListKind, ListedServer, RequestId, ServerId,
 };
 use mintshelf_balancer::decide::Balancer;
+use mintshelf_config::balancer::ClusterServer;
 use mintshelf_time::Nanos;
 use std::cell::RefCell;
 use std::future::poll_fn;
@@ -96,14 +97,14 @@
     }
 
     /// Sets the complete list of servers, from elsewhere than discovery.
-    pub fn set_endpoints(self: &Rc<Self>, servers: Vec<(ListedServer, SocketAddr)>) {
+    pub fn set_endpoints(self: &Rc<Self>, servers: Vec<ClusterServer>) {
         let endpoints = &self.source.endpoints;
         endpoints.clear();
-        for (server, address) in &servers {
-            let takes_requests = server.state == EndpointState::Live;
-            endpoints.insert(server.id, Endpoint { address: *address, takes_requests });
+        for ClusterServer { listed, address } in &servers {
+            let takes_requests = listed.state == EndpointState::Live;
+            endpoints.insert(listed.id, Endpoint { address: *address, takes_requests });
         }
-        let servers = servers.into_iter().map(|(server, _)| server).collect();
+        let servers = servers.into_iter().map(|server| server.listed).collect();
         self.endpoints_listed(ListKind::Full, 0, servers);
     }
 
@@ -195,8 +196,8 @@
                     peers.send(peer, &payload);
                 }
             }
-            Action::Watch { on: true } => self.source.start_watch(self.clone()),
-            Action::Watch { on: false } => self.source.stop_watch(),
+            Action::StartWatch => self.source.start_watch(self.clone()),
+            Action::StopWatch => self.source.stop_watch(),
             Action::FetchServers => self.source.fetch(self.clone()),
             // A failure to write the log must not stop the sidecar.
             Action::Log { text } => drop(writeln!(std::io::stderr(), "{text}")),
--- a/crates/proxy/src/discovery/reader.rs
+++ b/crates/proxy/src/discovery/reader.rs
@@ -54,8 +54,8 @@
         ListedServer {
             id: self.numbers.assign(&entry.name),
             zone: name_index(&self.names.zones, &entry.zone),
-            kind: name_index(&self.names.kinds, &entry.model),
-            cell: entry.failure_domain,
+            hardware_model: name_index(&self.names.kinds, &entry.model),
+            failure_domain: entry.failure_domain,
             state: entry.state.into(),
             size: entry.capacity,
             started_at: from_duration(Duration::from_millis(entry.started_at_ms)),
--- a/crates/proxy/src/gateway/admission.rs
+++ b/crates/proxy/src/gateway/admission.rs
@@ -6,7 +6,7 @@
 use crate::clock::Clock;
 use crate::request_log::RequestLog;
 use mintshelf_admission::admission::{Admission, AdmissionConfig, LimitUsage};
-use mintshelf_admission::queue::{QueueDecision, QueueEntry, RejectReason};
+use mintshelf_admission::queue::{Enqueued, QueueDecision, QueueEntry, RejectReason};
 use mintshelf_time::Nanos;
 use std::cell::RefCell;
 use std::future::poll_fn;
@@ -219,7 +219,7 @@
             expected_latency,
         };
         let offered = self.admission.borrow_mut().enqueue(started_at, cluster, entry);
-        let Some((decision, transitions)) = offered else {
+        let Some(Enqueued { decision, transitions }) = offered else {
             return Ok(AdmittedRequest { permit: None, remaining_timeout: client_timeout });
         };
         self.waiters.notify(cluster, transitions);
