--- a/crates/proxy/src/cluster/attempt_observer.rs
+++ b/crates/proxy/src/cluster/attempt_observer.rs
@@ -1,11 +1,12 @@
-//! Who learns of attempts that did not go well: the log, and the owners of other connections to
-//! the same server.
+//! Observers of attempts' ends: the log, and the owners of other connections to a server at which
+//! an attempt broke off.
 
 use super::pending_requests::EndedAttempt;
 use crate::clock::Clock;
 use crate::endpoints::Endpoints;
 use crate::request_log::RequestLog;
 use mintshelf_balancer::api::{AttemptNumber, Outcome, RequestId, ServerId};
+use mintshelf_time::{MICROSECOND, MILLISECOND};
 use std::cell::RefCell;
 use tracing::{debug, Level};
 
@@ -51,7 +52,7 @@
             attempt = number.get() + 1,
             server = ended.server,
             ?outcome,
-            took_us = ended.took / 1_000,
+            took_us = ended.elapsed / MICROSECOND,
             "attempt concluded"
         );
         self.log_fault(number, outcome, ended, endpoints);
@@ -84,7 +85,7 @@
             endpoint,
             attempt = number.get() + 1,
             ?outcome,
-            took_ms = ended.took / 1_000_000,
+            took_ms = ended.elapsed / MILLISECOND,
             omitted,
             "attempt ended"
         );
--- a/crates/proxy/src/cluster/retry_trackers.rs
+++ b/crates/proxy/src/cluster/retry_trackers.rs
@@ -1,4 +1,4 @@
-//! What the attempts of each class may do: their timeouts, hedges and connections.
+//! The limits of the attempts of each class: their timeouts, hedges and connections.
 
 use super::attempt_timeouts::AttemptTimeouts;
 use mintshelf_balancer::api::{AttemptNumber, ClassId};
@@ -17,10 +17,11 @@
     pub(crate) max_idle: Duration,
 }
 
-/// The attempts of each class; no class on the platform, which says all of that itself.
+/// The attempts of each class; none on the platform, whose settings the decision module applies.
 pub(crate) struct RetryTrackers(Vec<RefCell<AttemptTracker>>);
 
 impl RetryTrackers {
+    /// Classes with these policies, in their order.
     pub(crate) fn new(policies: Vec<RetryPolicy>, now: Nanos) -> Self {
         let tracker = |policy| RefCell::new(AttemptTracker::new(policy, now));
         RetryTrackers(policies.into_iter().map(tracker).collect())
@@ -31,7 +32,7 @@
     }
 
     /// Counts a request.
-    pub(crate) fn begin(&self, class: ClassId) {
+    pub(crate) fn record_request(&self, class: ClassId) {
         if let Some(tracker) = self.tracker(class) {
             tracker.borrow_mut().record_request();
         }
@@ -79,9 +80,9 @@
     }
 
     /// Records how long a server took to respond, in nanoseconds.
-    pub(crate) fn responded(&self, class: ClassId, now: Nanos, took: Nanos) {
+    pub(crate) fn record_response(&self, class: ClassId, now: Nanos, elapsed: Nanos) {
         if let Some(tracker) = self.tracker(class) {
-            tracker.borrow_mut().record_response(now, took);
+            tracker.borrow_mut().record_response(now, elapsed);
         }
     }
 
@@ -91,6 +92,7 @@
         tracker.and_then(|tracker| tracker.borrow_mut().median_latency(now)).unwrap_or(0)
     }
 
+    /// Attempts that were ended for their own timeout, and hedges, of all classes.
     pub(crate) fn counts(&self) -> AttemptCounts {
         let mut counts = AttemptCounts::default();
         for tracker in &self.0 {
