--- a/crates/admission/benches/cost.rs
+++ b/crates/admission/benches/cost.rs
@@ -4,14 +4,17 @@
 use mintshelf_admission::admission::{Admission, AdmissionConfig};
 use mintshelf_admission::limit::LimitConfig;
 use mintshelf_admission::queue::{
-    FairQueue, FairQueueConfig, QueueDecision, QueueEntry, QueueTicket,
+    Enqueued, FairQueue, FairQueueConfig, QueueDecision, QueueEntry, QueueTicket,
 };
 use mintshelf_admission::rate::RateConfig;
 use mintshelf_admission::tenants::TenantResolver;
-use mintshelf_balancer::api::{Effect, Nanos};
+use mintshelf_balancer::api::Effect;
 use mintshelf_retry::attempts::AttemptTracker;
 use mintshelf_retry::policy::{HedgeDelay, HedgePolicy, RetryPolicy};
 use mintshelf_retry::schedule::{AttemptTimeout, TimeoutBounds};
+use mintshelf_time::{
+    as_float, as_milliseconds, as_seconds, from_float, Nanos, MILLISECOND, SECOND,
+};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::cmp::Reverse;
@@ -21,13 +24,11 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-const MS: Nanos = 1_000_000;
-const SECOND: Nanos = 1_000 * MS;
-const ROUNDS: u64 = 400_000;
+const ROUNDS: usize = 400_000;
 
-/// Nanoseconds a call: the least of five rounds.
-fn cost(mut call: impl FnMut(u64)) -> f64 {
-    let round = |call: &mut dyn FnMut(u64)| {
+/// Nanoseconds a call: the minimum of five rounds.
+fn cost(mut call: impl FnMut(usize)) -> f64 {
+    let round = |call: &mut dyn FnMut(usize)| {
         let begun = Instant::now();
         (0..ROUNDS).for_each(call);
         begun.elapsed().as_nanos() as f64 / ROUNDS as f64
@@ -50,8 +51,8 @@
     let mut admission = Admission::default();
     let tenants = names.iter().map(|name| (name.clone(), limit)).collect();
     let routes = [("r".into(), limit)].into();
-    let _ = admission
-        .configure(0, &AdmissionConfig { tenants, routes, clusters: [("c".into(), queue)].into() });
+    let config = AdmissionConfig { tenants, routes, clusters: [("c".into(), queue)].into() };
+    drop(admission.configure(0, &config));
     (admission, names)
 }
 
@@ -60,21 +61,22 @@
     for tenants in [1, 4, 64] {
         let (mut admission, names) = admission(tenants);
         // Every tenant is active, as under load.
-        let through = cost(|n| {
-            let (now, tenant) = (n * 10_000, &names[n as usize % tenants]);
-            let _ = black_box(admission.begin_request(now, tenant, "r"));
+        let nanos = cost(|n| {
+            let now = n as Nanos * 10_000;
+            let tenant = &names[n % tenants];
+            black_box(admission.begin_request(now, tenant, "r")).ok();
             let entry = QueueEntry {
                 tenant: tenant.clone(),
                 is_repeat: false,
                 priority_weight: 1.0,
                 deadline: now + SECOND,
-                expected_latency: MS,
+                expected_latency: MILLISECOND,
             };
             black_box(admission.enqueue(now, "c", entry));
             black_box(admission.complete(now, "c", tenant));
             admission.end_request(tenant, "r");
         });
-        println!("{through:>9.0}  tenant and route with rates, cluster's queue; {tenants} tenants");
+        println!("{nanos:>9.0}  tenant and route with rates, cluster's queue; {tenants} tenants");
     }
     let mut resolver = TenantResolver::new();
     for n in 0..64u8 {
@@ -92,21 +94,21 @@
     let policy = RetryPolicy {
         effect: Effect::Safe,
         attempt_timeout: AttemptTimeout::Adaptive,
-        timeout_bounds: TimeoutBounds { min: 50 * MS, max: 600 * MS },
+        timeout_bounds: TimeoutBounds { min: 50 * MILLISECOND, max: 600 * MILLISECOND },
         max_attempts: 3,
         hedge,
-        connect_timeout: 200 * MS,
-        idle_timeout: 15_000 * MS,
+        connect_timeout: 200 * MILLISECOND,
+        idle_timeout: 15_000 * MILLISECOND,
     };
     let mut tracker = AttemptTracker::new(policy, 0);
     println!(
         "{:>9.0}  attempt time-out, hedge delay, response recorded",
         cost(|n| {
-            let now = n * 10_000;
+            let now = n as Nanos * 10_000;
             tracker.record_request();
             black_box(tracker.attempt_timeout(now, 0));
             black_box(tracker.hedge_delay(now));
-            tracker.record_response(now, (n % 7 + 1) * MS);
+            tracker.record_response(now, (n as Nanos % 7 + 1) * MILLISECOND);
         })
     );
 }
@@ -114,12 +116,12 @@
 /// Concurrency of the queue.
 const PLACES: u32 = 20;
 /// Mean latency of a response.
-const SERVICE: Nanos = 10 * MS;
+const SERVICE: Nanos = 10 * MILLISECOND;
 const MEMBERS: usize = 4;
 /// Simulated time.
 const DURATION: Nanos = 60 * SECOND;
 
-/// What a simulation came to.
+/// The results of a simulation.
 struct Outcome {
     /// Requests served in a second, by member.
     served: [f64; MEMBERS],
@@ -127,7 +129,7 @@
     p99: Nanos,
 }
 
-/// A request of a member comes, or one that was admitted ends. Ordered by time, then by number.
+/// A request of a member arrives, or an admitted one ends. Ordered by time, then by number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Event {
     at: Nanos,
@@ -156,7 +158,7 @@
     waits: Vec<Nanos>,
 }
 
-/// What a member can claim in a second.
+/// Requests a second that a member can claim.
 fn share_per_second() -> f64 {
     f64::from(PLACES) * SECOND as f64 / SERVICE as f64 / MEMBERS as f64
 }
@@ -191,7 +193,7 @@
     }
 
     fn schedule_arrival(&mut self, now: Nanos, number: u64, member: usize) {
-        let at = now + (self.draw() / self.rates[member] * SECOND as f64) as Nanos;
+        let at = now + from_float(self.draw() / self.rates[member] * as_float(SECOND));
         self.events.push(Reverse(Event { at, number, member, is_arrival: true }));
     }
 
@@ -207,7 +209,7 @@
             self.step(event);
         }
         self.waits.sort_unstable();
-        let seconds = DURATION as f64 / SECOND as f64;
+        let seconds = as_seconds(DURATION);
         let p99 = self.waits.get(self.waits.len() * 99 / 100).copied().unwrap_or(0);
         Outcome { served: self.served.map(|served| served as f64 / seconds), p99 }
     }
@@ -217,7 +219,8 @@
         let mut admitted = Vec::new();
         let transitions = if event.is_arrival {
             self.schedule_arrival(now, self.last_number, member);
-            let (decision, transitions) = self.queue.enqueue(now, self.entry(now, member));
+            let Enqueued { decision, transitions } =
+                self.queue.enqueue(now, self.entry(now, member));
             match decision {
                 QueueDecision::Admit => admitted.push(Waiting { member, since: now }),
                 QueueDecision::Wait(ticket) => {
@@ -252,7 +255,7 @@
 
     fn admit(&mut self, now: Nanos, request: &Waiting) {
         self.last_number += 1;
-        let at = now + (self.draw() * SERVICE as f64) as Nanos;
+        let at = now + from_float(self.draw() * as_float(SERVICE));
         let number = self.last_number;
         let member = request.member;
         self.events.push(Reverse(Event { at, number, member, is_arrival: false }));
@@ -262,8 +265,8 @@
     }
 }
 
-/// Jain's index of what each was served for what it could claim: its demand, or its share of
-/// what is there if that is less (Jain, Chiu, Hawe 1984).
+/// Jain's fairness index of the requests served, relative to what each member could claim: its
+/// demand, or its share of the capacity if that is less (Jain, Chiu, Hawe 1984).
 fn jain(served: &[f64; MEMBERS], claims: &[f64; MEMBERS]) -> f64 {
     let parts: Vec<f64> = served.iter().zip(claims).map(|(got, claim)| got / claim).collect();
     let sum: f64 = parts.iter().sum();
@@ -281,12 +284,12 @@
         let half = |has_tenants| {
             let outcome = Simulation::new(multiple, has_tenants).run();
             let share = share_per_second();
-            // What the others leave of theirs is there for the first.
+            // The first may use what the others leave of their shares.
             let first = (multiple * share).min(1.3 * share);
             let claims = [first, 0.9 * share, 0.9 * share, 0.9 * share];
             let others = outcome.served[1..].iter().sum::<f64>() / 3.0;
             let index = jain(&outcome.served, &claims);
-            let p99 = outcome.p99 as f64 / MS as f64;
+            let p99 = as_milliseconds(outcome.p99);
             format!("{index:>6.3} {:>7.0} {others:>7.0} {p99:>7.1}", outcome.served[0])
         };
         println!("{multiple:>9} | {} | {}", half(false), half(true));
--- a/crates/balancer/src/api/class.rs
+++ b/crates/balancer/src/api/class.rs
@@ -1,6 +1,6 @@
 //! Request classes: their effect, their deadlines and the schedule of their retries.
 
-use super::Nanos;
+use mintshelf_time::Nanos;
 
 /// How often a request's effect may happen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -20,8 +20,8 @@
     All,
     /// Servers of one zone.
     Zone,
-    /// Servers of one cell.
-    Cell,
+    /// Servers of one failure domain.
+    FailureDomain,
 }
 
 /// A class of requests.
--- a/crates/balancer/src/api/event.rs
+++ b/crates/balancer/src/api/event.rs
@@ -1,6 +1,7 @@
 //! What a sidecar reports to its balancer.
 
-use super::{ListKind, ListedServer, Nanos, RequestId, ServerId};
+use super::{AttemptNumber, ClassId, ListKind, ListedServer, RequestId, ServerId, TenantId};
+use mintshelf_time::Nanos;
 use std::sync::Arc;
 
 /// How an attempt or a probe ended.
@@ -64,16 +65,16 @@
     Request {
         /// Its id.
         id: RequestId,
-        /// Its class, an index into [`Settings::classes`](super::Settings::classes).
-        class: u32,
+        /// Its class.
+        class: ClassId,
         /// Its tenant, if there are tenants.
-        tenant: u32,
+        tenant: TenantId,
         /// Hash of the object that it concerns.
         key: Option<u64>,
-        /// Expected work in core time, if known.
-        cost_hint: Option<Nanos>,
-        /// Marked by the client as a repeat.
-        repeat: bool,
+        /// Expected work in nanoseconds of one core, if the client states it.
+        cost_estimate: Option<Nanos>,
+        /// Whether the client has sent the request before and retries it.
+        is_client_retry: bool,
         /// How long the client waits for a response to this request.
         client_timeout: Nanos,
     },
@@ -82,8 +83,8 @@
     StreamStarted {
         /// The request.
         id: RequestId,
-        /// The attempt's number, from 0.
-        attempt: u32,
+        /// The attempt's number.
+        attempt: AttemptNumber,
     },
     /// The only attempt of a safe request is slow: a hedge may be sent.
     HedgeRequested {
@@ -94,14 +95,14 @@
     AttemptEnded {
         /// The request.
         id: RequestId,
-        /// The attempt's number, from 0.
-        attempt: u32,
+        /// The attempt's number.
+        attempt: AttemptNumber,
         /// How it ended.
         outcome: Outcome,
         /// Whether the request has ended with it.
-        finished: bool,
+        is_request_finished: bool,
         /// Time since the attempt was sent.
-        took: Nanos,
+        elapsed: Nanos,
         /// The server it went to.
         server: ServerId,
         /// A load report, in the order of the settings.
@@ -123,8 +124,8 @@
         server: ServerId,
         /// How it ended.
         outcome: Outcome,
-        /// Time since it was sent.
-        took: Nanos,
+        /// Time since the probe was sent.
+        elapsed: Nanos,
         /// A load report, in the order of the settings.
         report: Option<Vec<f64>>,
     },
--- a/crates/balancer/src/api/settings.rs
+++ b/crates/balancer/src/api/settings.rs
@@ -1,6 +1,7 @@
 //! Settings of one instance: the deployment, what it permits and what it optimizes.
 
-use super::{Class, Nanos};
+use super::Class;
+use mintshelf_time::Nanos;
 
 /// A tenant's quota.
 #[derive(Debug, Clone, PartialEq)]
@@ -67,8 +68,8 @@
     pub zone: u32,
     /// How many zones there are.
     pub zones: u32,
-    /// How many kinds of machine there are.
-    pub kinds: u32,
+    /// How many hardware models there are.
+    pub hardware_models: u32,
     /// The request classes.
     pub classes: Vec<Class>,
     /// The tenants, if any.
--- a/crates/balancer/src/decide/load_reports.rs
+++ b/crates/balancer/src/decide/load_reports.rs
@@ -1,14 +1,16 @@
 //! Load reports: when to probe for them, and how a pair is chosen by them.
 
-use super::{health, Balancer, MS, SECOND};
-use crate::api::{Action, EndReason, Nanos, ReportField, RequestId, ServerId};
+use super::retry_safety::SendPermission;
+use super::{health, Balancer};
+use crate::api::{Action, EndReason, ReportField, RequestId, ServerId};
 use crate::server_order::{AdjacentPair, ServerOrder};
 use crate::state::ProbeResult;
+use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 
 /// Requests presumed to be served concurrently by a server.
 const PRESUMED_CONCURRENCY: f64 = 6.0;
 /// Age up to which a report stands for a queue; older ones are probed for again.
-const REPORT_FRESH: Nanos = 6 * MS;
+const REPORT_FRESH: Nanos = 6 * MILLISECOND;
 /// How many ticks a request waits for the reports of its pair.
 pub(super) const REPORT_TICKS: Nanos = 4;
 /// Price of a probe (weight per request) up to which reports are probed for.
@@ -119,7 +121,7 @@
         let is_too_long = chosen.is_some_and(|index| self.expected_wait(index) > max_wait);
         match chosen {
             Some(_) if is_too_long && is_first => self.end(id, EndReason::LongQueue),
-            Some(index) if permitted.may_send => self.send(id, index),
+            Some(index) if permitted.send != SendPermission::Forbidden => self.send(id, index),
             _ => self.advance(id),
         }
     }
--- a/crates/balancer/src/decide/mod.rs
+++ b/crates/balancer/src/decide/mod.rs
@@ -4,22 +4,20 @@
 //! of their paper). Exceptions act only through which servers are eligible, how fast a server
 //! is estimated to be, whether a request is admitted and when it is attempted again.
 
-use crate::api::Nanos;
-
 mod admission;
 mod attempt_end;
-pub mod attempts;
+mod attempts;
 mod candidates;
 mod discovery;
 mod health;
+pub mod hold;
 mod load_reports;
 mod peers;
 mod rates;
+mod retry_group;
+pub mod retry_safety;
 mod speed;
 mod warm_up;
 
 pub use crate::balancer::{Balancer, ServiceSummary};
 pub use crate::server_order::{AdjacentPair, Candidates, ServerOrder};
-
-const MS: Nanos = 1_000_000;
-const SECOND: Nanos = 1_000 * MS;
--- a/crates/balancer/src/state/estimators.rs
+++ b/crates/balancer/src/state/estimators.rs
@@ -1,9 +1,10 @@
 //! Estimates that a balancer keeps of latency, traffic and overload.
 
 use super::request::{LatencySample, Request};
-use crate::api::{Nanos, Settings};
+use crate::api::Settings;
 use crate::decay::{DecayingCounter, DecayingMean};
 use crate::gossip::GossipMessage;
+use mintshelf_time::Nanos;
 
 /// Estimates of latency by class and kind of machine, as natural logs of nanoseconds.
 #[derive(Debug, Default)]
@@ -27,7 +28,7 @@
             typical: vec![None; classes],
             typical_per_work: vec![None; classes],
             samples: vec![0.0; classes],
-            kind_offset: vec![vec![0.0; settings.kinds.max(1) as usize]; classes],
+            kind_offset: vec![vec![0.0; settings.hardware_models.max(1) as usize]; classes],
             recent_ratio: DecayingMean::default(),
         }
     }
--- a/crates/balancer/src/state/server_table.rs
+++ b/crates/balancer/src/state/server_table.rs
@@ -4,7 +4,8 @@
 use super::capacity::{CapacityTotals, CountedServer};
 use super::ordered_servers::{GroupedServers, OrderKey, OrderedServers};
 use super::server::ServerState;
-use crate::api::{Class, EndpointState, Group, ListedServer, Nanos, ServerId, Settings};
+use crate::api::{Class, EndpointState, Group, ListedServer, ServerId, Settings};
+use mintshelf_time::Nanos;
 use std::collections::{BTreeSet, HashMap};
 use std::ops::{Index, IndexMut};
 
@@ -30,7 +31,7 @@
     in_service: OrderedServers,
     /// Absent unless a class has deduplication groups of that kind.
     zones: Option<GroupedServers>,
-    cells: Option<GroupedServers>,
+    failure_domains: Option<GroupedServers>,
 }
 
 impl ServerTable {
@@ -40,7 +41,7 @@
         ServerTable {
             capacity: CapacityTotals::new(now, settings.warm_up),
             zones: has_group(Group::Zone).then(GroupedServers::default),
-            cells: has_group(Group::Cell).then(GroupedServers::default),
+            failure_domains: has_group(Group::FailureDomain).then(GroupedServers::default),
             ..ServerTable::default()
         }
     }
@@ -65,9 +66,9 @@
         self.zones.as_ref()?.get(zone)
     }
 
-    /// Servers in service of a cell, in order.
-    pub(crate) fn in_cell(&self, cell: u32) -> Option<&OrderedServers> {
-        self.cells.as_ref()?.get(cell)
+    /// Servers in service of a failure domain, in order.
+    pub(crate) fn in_failure_domain(&self, domain: u32) -> Option<&OrderedServers> {
+        self.failure_domains.as_ref()?.get(domain)
     }
 
     /// Sums over the servers in service.
@@ -157,7 +158,10 @@
     /// Puts the changes since the last call into effect in the order.
     pub(crate) fn apply_changes(&mut self) {
         self.in_service.apply_changes();
-        self.zones.iter_mut().chain(&mut self.cells).for_each(GroupedServers::apply_changes);
+        self.zones
+            .iter_mut()
+            .chain(&mut self.failure_domains)
+            .for_each(GroupedServers::apply_changes);
     }
 
     /// Changes a server and what is derived from it.
@@ -177,13 +181,13 @@
         }
         self.capacity.add(self.counted(index));
         let key = self.order_key(index);
-        let ListedServer { zone, cell, .. } = self.servers[index].listed;
+        let ListedServer { zone, failure_domain, .. } = self.servers[index].listed;
         self.in_service.join(key);
         if let Some(zones) = &mut self.zones {
             zones.join(zone, key);
         }
-        if let Some(cells) = &mut self.cells {
-            cells.join(cell, key);
+        if let Some(domains) = &mut self.failure_domains {
+            domains.join(failure_domain, key);
         }
     }
 
@@ -195,13 +199,13 @@
         }
         self.capacity.remove(self.counted(index));
         let key = self.order_key(index);
-        let ListedServer { zone, cell, .. } = self.servers[index].listed;
+        let ListedServer { zone, failure_domain, .. } = self.servers[index].listed;
         self.in_service.leave(key);
         if let Some(zones) = &mut self.zones {
             zones.leave(zone, key);
         }
-        if let Some(cells) = &mut self.cells {
-            cells.leave(cell, key);
+        if let Some(domains) = &mut self.failure_domains {
+            domains.leave(failure_domain, key);
         }
     }
 
--- a/crates/balancer/tests/discovery.rs
+++ b/crates/balancer/tests/discovery.rs
@@ -2,8 +2,9 @@
 
 mod common;
 
-use common::{list, settings, TestBalancer, SECOND};
+use common::{list, settings, TestBalancer};
 use mintshelf_balancer::api::{Action, Event, ListKind, Settings};
+use mintshelf_time::SECOND;
 
 #[test]
 fn discovery_is_polled_in_time_and_again_after_failures() {
@@ -18,7 +19,7 @@
         let limit = if round == 0 { 10 * SECOND } else { 40 * SECOND };
         assert!(after < limit);
         now += after;
-        assert!(instance.handle(now, Event::Timer { token }).contains(&Action::Watch { on: true }));
+        assert!(instance.handle(now, Event::Timer { token }).contains(&Action::StartWatch));
         out = instance.handle(now, list(ListKind::Failed, Vec::new()));
     }
 }
--- a/crates/balancer/tests/safety_rules.rs
+++ b/crates/balancer/tests/safety_rules.rs
@@ -2,12 +2,12 @@
 
 mod common;
 
-use common::{
-    ended, failed, list, rejected, request, sends, server, settings, TestBalancer, MS, SECOND,
-};
+use common::{ended, failed, list, rejected, request, sends, server, settings, TestBalancer};
 use mintshelf_balancer::api::{
-    Action, Effect, EndpointState, Event, Group, ListKind, ListedServer, Nanos, Outcome, Settings,
+    Action, AttemptNumber, Effect, EndpointState, Event, Group, ListKind, ListedServer, Outcome,
+    Settings,
 };
+use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 
 #[test]
 fn retries_follow_effect_outcome_and_group() {
@@ -25,7 +25,8 @@
         for outcome in outcomes {
             let mut instance = TestBalancer::with(settings.clone(), 1..=8);
             let first = sends(&instance.handle(SECOND, request("a", class as u32, 2 * SECOND)))[0];
-            let after = instance.handle(SECOND + 20 * MS, ended("a", 0, first, outcome, false));
+            let after =
+                instance.handle(SECOND + 20 * MILLISECOND, ended("a", 0, first, outcome, false));
             let next = sends(&after);
             let what = format!("{about:?} after {outcome:?}: {after:?}");
             if outcome.never_ran() || about.effect == Effect::Safe {
@@ -36,7 +37,9 @@
                 (Effect::Unsafe, _) => assert!(failed(&after) && next.is_empty(), "{what}"),
                 (_, Group::All) => assert_eq!(next.len(), 1, "{what}"),
                 (_, Group::Zone) => assert!(next.iter().all(|n| n % 2 == first % 2), "{what}"),
-                (_, Group::Cell) => assert!(next.iter().all(|n| n % 4 == first % 4), "{what}"),
+                (_, Group::FailureDomain) => {
+                    assert!(next.iter().all(|n| n % 4 == first % 4), "{what}")
+                }
             }
         }
     }
@@ -61,14 +64,14 @@
         let mut instance = TestBalancer::with(settings.clone(), 1..=4);
         for number in 0..400u64 {
             let id = format!("f{number}");
-            let now = SECOND + number * 5 * MS;
+            let now = SECOND + number * 5 * MILLISECOND;
             for server in sends(&instance.handle(now, request(&id, 0, 2 * SECOND))) {
                 instance.handle(now, ended(&id, 0, server, Outcome::TimedOut, true));
             }
         }
         for number in 0..200u64 {
             let id = format!("k{number}");
-            let now = 3 * SECOND + number * MS;
+            let now = 3 * SECOND + number * MILLISECOND;
             let Some(server) = sends(&instance.handle(now, request(&id, 1, 9 * SECOND))).pop()
             else {
                 continue;
@@ -149,9 +152,9 @@
     assert!(instance.handle(SECOND, Event::Timer { token: 999 }).is_empty());
     assert!(instance.handle(SECOND, Event::ClientDisconnected { id: "x".into() }).is_empty());
     assert!(instance
-        .handle(SECOND, Event::StreamStarted { id: "x".into(), attempt: 3 })
+        .handle(SECOND, Event::StreamStarted { id: "x".into(), attempt: AttemptNumber::new(3) })
         .is_empty());
-    let probed = Event::Probed { server: 77, outcome: Outcome::Ok, took: 1, report: None };
+    let probed = Event::Probed { server: 77, outcome: Outcome::Ok, elapsed: 1, report: None };
     assert!(instance.handle(SECOND, probed).is_empty());
     assert!(instance.handle(SECOND, Event::Gossip { from: 9, payload: vec![1, 2] }).is_empty());
     assert!(sends(&instance.handle(SECOND, request("b", 99, SECOND))).is_empty());
@@ -162,12 +165,17 @@
 
 #[test]
 fn a_request_that_ends_drops_its_timers() {
-    for (outcome, finished) in [(Outcome::Ok, true), (Outcome::Error, false)] {
+    for (outcome, is_request_finished) in [(Outcome::Ok, true), (Outcome::Error, false)] {
         let mut instance = TestBalancer::with(settings(), 1..=4);
         // Unsafe, so that the error ends it too.
         let mut out = instance.handle(SECOND, request("a", 4, 2 * SECOND));
         let first = sends(&out)[0];
-        out.extend(instance.handle(SECOND + 20 * MS, ended("a", 0, first, outcome, finished)));
+        out.extend(
+            instance.handle(
+                SECOND + 20 * MILLISECOND,
+                ended("a", 0, first, outcome, is_request_finished),
+            ),
+        );
         let tokens = |of: fn(&Action) -> Option<u64>| out.iter().filter_map(of).collect::<Vec<_>>();
         let set = tokens(|action| match action {
             Action::SetTimer { token, .. } => Some(*token),
@@ -194,7 +202,10 @@
         _ => None,
     });
     let (after, token) = timer.unwrap();
-    instance.handle(SECOND + 10 * MS, Event::StreamStarted { id: "a".into(), attempt: 0 });
+    instance.handle(
+        SECOND + 10 * MILLISECOND,
+        Event::StreamStarted { id: "a".into(), attempt: AttemptNumber::default() },
+    );
     assert!(instance.handle(SECOND + after, Event::Timer { token }).is_empty());
     // The server that answers slowly but well is still drawn.
     let drawn = (0..200).any(|n| {
@@ -202,6 +213,7 @@
         sends(&instance.handle(SECOND + after, request(&id, 0, 2 * SECOND))).contains(&first)
     });
     assert!(drawn);
-    let after = instance.handle(SECOND + 600 * MS, ended("a", 0, first, Outcome::Reset, false));
+    let after =
+        instance.handle(SECOND + 600 * MILLISECOND, ended("a", 0, first, Outcome::Reset, false));
     assert!(sends(&after).is_empty() && failed(&after), "{after:?}");
 }
--- a/crates/mintshelf/tests/compatibility/bindings.rs
+++ b/crates/mintshelf/tests/compatibility/bindings.rs
@@ -3,7 +3,7 @@
 //! A renaming changes names here and nowhere else. Labels are fixed: fixtures refer to them.
 
 use super::fixtures::hex;
-use mintshelf_balancer::api::{Action, EndReason, EndpointState};
+use mintshelf_balancer::api::{Action, AttemptNumber, EndReason, EndpointState};
 use mintshelf_balancer::gossip::{GossipMessage, ServerObservation};
 use mintshelf_config::platform::{Names, PlatformConfig};
 use mintshelf_consensus::persistent_state::PersistentState;
@@ -27,6 +27,7 @@
 use mintshelf_quota::state_machine::{self as quota_commands, QuotaRejection, QuotaStateMachine};
 use mintshelf_simulator_adapter::host::Host;
 use mintshelf_simulator_adapter::wire::write_action;
+use mintshelf_time::{MILLISECOND, SECOND};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::fmt::Debug;
@@ -38,8 +39,6 @@
     wait_until, Daemon, Peer, Server, Sidecar, TEST_TIMEOUT as LONG,
 };
 
-const MILLISECOND: u64 = 1_000_000;
-const SECOND: u64 = 1_000 * MILLISECOND;
 const DAY: u64 = 86_400 * SECOND;
 /// The token that the replica of the store fixture grants next.
 const NEXT_TOKEN: u64 = 7;
@@ -255,8 +254,8 @@
             "  number {} zone {} model {} group {} {state} capacity {} started {} at {at}\n",
             endpoint.id,
             endpoint.zone,
-            endpoint.kind,
-            endpoint.cell,
+            endpoint.hardware_model,
+            endpoint.failure_domain,
             endpoint.size,
             endpoint.started_at
         ));
@@ -292,7 +291,7 @@
     let reason = EndReason::Overload;
     let actions = [
         ("send", Action::Send { id: "t/a".into(), server: 51, timeout_at: 900 }),
-        ("cancel", Action::Cancel { id: "t/a".into(), attempt: 2 }),
+        ("cancel", Action::Cancel { id: "t/a".into(), attempt: AttemptNumber::new(2) }),
         ("refuse", Action::Reject { id: "t/a".into(), retry_after: 700, reason }),
         ("fail", Action::Fail { id: "t/a".into(), reason }),
         ("set a timer", Action::SetTimer { after: 600, token: 4 }),
@@ -302,8 +301,8 @@
         ("tell one peer", Action::SendGossip { peer: Some(3), payload: payload.clone() }),
         ("tell all peers", Action::SendGossip { peer: None, payload }),
         ("tell nothing", Action::SendGossip { peer: None, payload: Vec::new() }),
-        ("watch", Action::Watch { on: true }),
-        ("watch no more", Action::Watch { on: false }),
+        ("watch", Action::StartWatch),
+        ("watch no more", Action::StopWatch),
         ("fetch", Action::FetchServers),
         ("log", Action::Log { text: "two\nlines".into() }),
     ];
--- a/crates/mintshelf/tests/conformance/decision_module.rs
+++ b/crates/mintshelf/tests/conformance/decision_module.rs
@@ -3,10 +3,11 @@
 use super::harness::{settings, EndedAttempt, Harness, START_TIME};
 use super::rows::{AttemptResult, OrderRow, RequestOutcome, ServerState};
 use mintshelf_balancer::api::{
-    Action, EndpointState, Event, ListKind, ListedServer, Nanos, Outcome,
+    Action, AttemptNumber, ClassId, EndpointState, Event, ListKind, ListedServer, Outcome, TenantId,
 };
 use mintshelf_balancer::decide::{Balancer, Candidates, ServerOrder};
 use mintshelf_balancer::settings::parse_settings;
+use mintshelf_time::Nanos;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -68,9 +69,18 @@
     }
 
     fn send_request(&mut self, id: &str, class: usize, client_timeout: u64) {
-        let (key, cost_hint) = (None, None);
-        let (id, class, tenant, repeat) = (id.into(), class as u32, 0, false);
-        self.handle(Event::Request { id, class, tenant, key, cost_hint, repeat, client_timeout });
+        let (key, cost_estimate) = (None, None);
+        let class = ClassId::from_index(class);
+        let (id, tenant, is_client_retry) = (id.into(), TenantId::default(), false);
+        self.handle(Event::Request {
+            id,
+            class,
+            tenant,
+            key,
+            cost_estimate,
+            is_client_retry,
+            client_timeout,
+        });
     }
 
     fn end_attempt(&mut self, ended: EndedAttempt) {
@@ -82,10 +92,18 @@
             Some(AttemptResult::Reset | AttemptResult::Malformed) => Outcome::Reset,
             Some(AttemptResult::TimedOut) => Outcome::TimedOut,
         };
-        let (id, attempt) = (ended.id.into(), ended.attempt as u32);
-        let (server, took, report) = (ended.server as u32, ended.elapsed, None);
-        let finished = ended.result.is_none();
-        self.handle(Event::AttemptEnded { id, attempt, outcome, finished, took, server, report });
+        let (id, attempt) = (ended.id.into(), AttemptNumber::from_index(ended.attempt));
+        let (server, elapsed, report) = (ended.server as u32, ended.elapsed, None);
+        let is_request_finished = ended.result.is_none();
+        self.handle(Event::AttemptEnded {
+            id,
+            attempt,
+            outcome,
+            is_request_finished,
+            elapsed,
+            server,
+            report,
+        });
     }
 
     fn attempted_servers(&self) -> Vec<u64> {
--- a/crates/mintshelf/tests/conformance/harness.rs
+++ b/crates/mintshelf/tests/conformance/harness.rs
@@ -4,14 +4,14 @@
 use super::rows::{AttemptResult, EligibilityRow, GivenRequest, RequestOutcome, ServerState};
 use super::Observed;
 use mintshelf_test_support::{config, set_deadlines};
+use mintshelf_time::MILLISECOND;
 use serde_json::{json, Value};
 use std::time::Duration;
 
-pub const MS: u64 = 1_000_000;
 /// Time at which a harness starts: later than any start of a server.
-pub const START_TIME: u64 = 1_000_000 * MS;
+pub const START_TIME: u64 = 1_000_000 * MILLISECOND;
 /// Client timeout: longer than any row takes.
-const CLIENT_TIMEOUT: u64 = 25_000 * MS;
+const CLIENT_TIMEOUT: u64 = 25_000 * MILLISECOND;
 
 /// An attempt that has ended.
 pub struct EndedAttempt<'a> {
@@ -55,7 +55,7 @@
     let nowhere = "127.0.0.1:9".parse().unwrap();
     let mut config = config(nowhere, Vec::new());
     set_deadlines(&mut config, Duration::from_secs(30));
-    config["settings"]["invariants"]["cold"] = json!(8_000 * MS);
+    config["settings"]["invariants"]["cold"] = json!(8_000 * MILLISECOND);
     config["settings"].take()
 }
 
@@ -74,7 +74,7 @@
             };
             let elapsed = match result {
                 AttemptResult::TimedOut => CLIENT_TIMEOUT,
-                _ => given.elapsed_ms * MS,
+                _ => given.elapsed_ms * MILLISECOND,
             };
             harness.advance(elapsed);
             let (id, server, result) = ("a", servers[attempt], Some(result));
@@ -92,19 +92,19 @@
 pub fn request_counts<H: Harness>(row: &EligibilityRow) -> Vec<usize> {
     let mut harness = H::start(&row.servers);
     // The grace period of rule 3 passes.
-    harness.advance(300 * MS);
+    harness.advance(300 * MILLISECOND);
     let mut counts = vec![0; row.servers.len()];
     for number in 0..300 {
         let id = number.to_string();
-        harness.send_request(&id, 0, 8_000 * MS);
+        harness.send_request(&id, 0, 8_000 * MILLISECOND);
         let servers = harness.attempted_servers();
         assert_eq!(servers.len(), number + 1, "one attempt at once");
         let server = servers[number];
         counts[server as usize] += 1;
-        harness.advance(5 * MS);
-        let elapsed = 5 * MS;
+        harness.advance(5 * MILLISECOND);
+        let elapsed = 5 * MILLISECOND;
         harness.end_attempt(EndedAttempt { id: &id, attempt: 0, server, result: None, elapsed });
-        harness.advance(5 * MS);
+        harness.advance(5 * MILLISECOND);
     }
     counts
 }
--- a/crates/proxy/src/cluster/attempt_observer.rs
+++ b/crates/proxy/src/cluster/attempt_observer.rs
@@ -1,11 +1,12 @@
-//! Who learns of attempts that did not go well: the log, and the owners of other connections to
-//! the same server.
+//! Observers of attempts' ends: the log, and the owners of other connections to a server at which
+//! an attempt broke off.
 
 use super::pending_requests::EndedAttempt;
 use crate::clock::Clock;
 use crate::endpoints::Endpoints;
 use crate::request_log::RequestLog;
-use mintshelf_balancer::api::{Outcome, RequestId, ServerId};
+use mintshelf_balancer::api::{AttemptNumber, Outcome, RequestId, ServerId};
+use mintshelf_time::{MICROSECOND, MILLISECOND};
 use std::cell::RefCell;
 use tracing::{debug, Level};
 
@@ -41,17 +42,17 @@
     pub(crate) fn attempt_ended(
         &self,
         id: &RequestId,
-        number: u32,
+        number: AttemptNumber,
         outcome: Outcome,
         ended: &EndedAttempt,
         endpoints: &Endpoints,
     ) {
         debug!(
             request = %id,
-            attempt = number + 1,
+            attempt = number.get() + 1,
             server = ended.server,
             ?outcome,
-            took_us = ended.took / 1_000,
+            took_us = ended.elapsed / MICROSECOND,
             "attempt concluded"
         );
         self.log_fault(number, outcome, ended, endpoints);
@@ -64,7 +65,7 @@
 
     fn log_fault(
         &self,
-        number: u32,
+        number: AttemptNumber,
         outcome: Outcome,
         ended: &EndedAttempt,
         endpoints: &Endpoints,
@@ -82,9 +83,9 @@
         tracing::info!(
             %cluster,
             endpoint,
-            attempt = number + 1,
+            attempt = number.get() + 1,
             ?outcome,
-            took_ms = ended.took / 1_000_000,
+            took_ms = ended.elapsed / MILLISECOND,
             omitted,
             "attempt ended"
         );
--- a/crates/proxy/src/cluster/pending_requests.rs
+++ b/crates/proxy/src/cluster/pending_requests.rs
@@ -1,18 +1,19 @@
-//! The requests that are open, with their attempts: how far each has come.
+//! The open requests of a cluster, with their attempts and the state of each.
 
 use super::pending_response::PendingResponse;
 use super::request::{RequestOutcome, UpstreamRequest};
 use crate::upstream::attempt_control::AttemptControl;
 use crate::upstream::response::UpstreamResponse;
 use hyper::header::HeaderValue;
-use mintshelf_balancer::api::{Class, Event, Nanos, Outcome, RequestId, ServerId};
+use mintshelf_balancer::api::{AttemptNumber, Class, ClassId, Event, Outcome, RequestId, ServerId};
+use mintshelf_time::Nanos;
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
 
 /// A request from its last byte to its final response and its last attempt.
 pub(crate) struct PendingRequest {
-    pub(crate) request: UpstreamRequest,
-    pub(crate) class: usize,
+    pub(crate) upstream_request: UpstreamRequest,
+    pub(crate) class: ClassId,
     /// A response that takes longer, counted from its attempt's start, is late; in nanoseconds.
     pub(crate) latency_objective: Nanos,
     pub(crate) deadline: Nanos,
@@ -20,14 +21,15 @@
     pub(crate) response: Option<Rc<PendingResponse<RequestOutcome>>>,
     pub(crate) attempts: Vec<Attempt>,
     pub(crate) attempts_in_flight: usize,
-    /// A server's response that counts as a failure, passed on if nothing better comes.
+    /// A server's response that counts as a failure, delivered if no other attempt does better.
     pub(crate) fallback: Option<UpstreamResponse>,
+    /// Whether the attempt that ended last had no response in time.
     pub(crate) timed_out: bool,
 }
 
 /// An attempt that was just added to its request.
 pub(crate) struct NewAttempt {
-    pub(crate) number: u32,
+    pub(crate) number: AttemptNumber,
     pub(crate) control: Rc<AttemptControl>,
     /// Whether another attempt is in flight at the same server.
     pub(crate) is_duplicate: bool,
@@ -36,14 +38,14 @@
 impl PendingRequest {
     /// A request without attempts.
     pub(crate) fn new(
-        request: UpstreamRequest,
-        class: usize,
+        upstream_request: UpstreamRequest,
+        class: ClassId,
         class_settings: Option<&Class>,
         deadline: Nanos,
         response: Rc<PendingResponse<RequestOutcome>>,
     ) -> Self {
         PendingRequest {
-            request,
+            upstream_request,
             class,
             latency_objective: class_settings
                 .map_or(Nanos::MAX, |settings| settings.latency_objective),
@@ -63,8 +65,8 @@
 
     /// Adds an attempt at `server`.
     pub(crate) fn add_attempt(&mut self, server: ServerId, now: Nanos) -> NewAttempt {
-        let number = self.attempts.len() as u32;
-        let control = Rc::new(AttemptControl::new(self.request.client.clone()));
+        let number = AttemptNumber::from_index(self.attempts.len());
+        let control = Rc::new(AttemptControl::new(self.upstream_request.client.clone()));
         let is_duplicate = self.in_flight().any(|attempt| attempt.server == server);
         self.attempts.push(Attempt {
             server,
@@ -104,7 +106,7 @@
 
 /// How an attempt ended.
 pub(crate) struct AttemptEnd {
-    pub(crate) number: u32,
+    pub(crate) number: AttemptNumber,
     pub(crate) outcome: Outcome,
     pub(crate) load_report: Option<Vec<f64>>,
     /// When the head of its response arrived, where that is not now.
@@ -113,17 +115,17 @@
 
 impl AttemptEnd {
     /// The end, now, of an attempt that brought no load report.
-    pub(crate) fn new(number: u32, outcome: Outcome) -> Self {
+    pub(crate) fn new(number: AttemptNumber, outcome: Outcome) -> Self {
         AttemptEnd { number, outcome, load_report: None, responded_at: None }
     }
 }
 
 /// An attempt whose end was recorded.
 pub(crate) struct EndedAttempt {
-    pub(crate) class: usize,
+    pub(crate) class: ClassId,
     pub(crate) server: ServerId,
-    /// How long it took, in nanoseconds.
-    pub(crate) took: Nanos,
+    /// How long its response took, in nanoseconds.
+    pub(crate) elapsed: Nanos,
     /// Whether that was within the class's latency objective.
     pub(crate) is_in_time: bool,
     /// The event for the decision module.
@@ -133,7 +135,7 @@
 /// A request that still waits for its response.
 pub(crate) struct WaitingRequest {
     pub(crate) id: RequestId,
-    pub(crate) class: usize,
+    pub(crate) class: ClassId,
     pub(crate) ran_at: Option<Nanos>,
 }
 
@@ -155,7 +157,7 @@
         }
     }
 
-    /// Adds a request; its id.
+    /// Adds a request; returns its id.
     pub(crate) fn insert(&mut self, request: PendingRequest) -> RequestId {
         self.last_id += 1;
         let id: RequestId = self.last_id.to_string().into();
@@ -163,18 +165,22 @@
         id
     }
 
+    /// An open request.
     pub(crate) fn get(&self, id: &RequestId) -> Option<&PendingRequest> {
         self.by_id.get(id)
     }
 
+    /// An open request, to be changed.
     pub(crate) fn get_mut(&mut self, id: &RequestId) -> Option<&mut PendingRequest> {
         self.by_id.get_mut(id)
     }
 
+    /// How many requests are open.
     pub(crate) fn len(&self) -> usize {
         self.by_id.len()
     }
 
+    /// Whether no request is open.
     pub(crate) fn is_empty(&self) -> bool {
         self.by_id.is_empty()
     }
@@ -195,8 +201,8 @@
         waiting
     }
 
-    /// Gives a client its final outcome; returns one that nobody waits for.
-    pub(crate) fn conclude(
+    /// Gives a client its final outcome; returns one that no client waits for.
+    pub(crate) fn resolve(
         &mut self,
         id: &RequestId,
         outcome: RequestOutcome,
@@ -219,6 +225,14 @@
         None
     }
 
+    /// Cancels an attempt, if it is in flight.
+    pub(crate) fn cancel_attempt(&self, id: &RequestId, number: AttemptNumber) {
+        let attempts = self.by_id.get(id).map(|request| &request.attempts);
+        if let Some(attempt) = attempts.and_then(|attempts| attempts.get(number.index())) {
+            attempt.control.cancel();
+        }
+    }
+
     /// Records that a client disconnected before its response: the attempts that have begun go
     /// on to their ends. Whether the client still waited.
     pub(crate) fn client_disconnected(&mut self, id: &RequestId) -> bool {
@@ -239,27 +253,27 @@
         now: Nanos,
     ) -> Option<EndedAttempt> {
         let request = self.by_id.get_mut(id)?;
-        let attempt = request.attempts.get_mut(end.number as usize)?;
+        let attempt = request.attempts.get_mut(end.number.index())?;
         if !attempt.is_in_flight() {
             return None;
         }
         attempt.outcome = Some(end.outcome);
         request.attempts_in_flight -= 1;
         request.timed_out = end.outcome == Outcome::TimedOut;
-        // What an attempt took is measured to the head of its response, however long the body.
-        let took = end.responded_at.unwrap_or(now).saturating_sub(attempt.sent_at);
+        // Measured to the head of its response, however long the body.
+        let elapsed = end.responded_at.unwrap_or(now).saturating_sub(attempt.sent_at);
         let server = attempt.server;
         let ended = EndedAttempt {
             class: request.class,
             server,
-            took,
-            is_in_time: took <= request.latency_objective,
+            elapsed,
+            is_in_time: elapsed <= request.latency_objective,
             event: Event::AttemptEnded {
                 id: id.clone(),
                 attempt: end.number,
                 outcome: end.outcome,
-                finished: request.response.is_none(),
-                took,
+                is_request_finished: request.response.is_none(),
+                elapsed,
                 server,
                 report: end.load_report,
             },
@@ -277,7 +291,8 @@
             return;
         }
         let removed = self.by_id.remove(id);
-        if let Some(transaction_id) = removed.and_then(|request| request.request.transaction_id) {
+        let transaction_id = removed.and_then(|request| request.upstream_request.transaction_id);
+        if let Some(transaction_id) = transaction_id {
             self.transaction_ids.remove(&transaction_id);
         }
     }
--- a/crates/proxy/src/gateway/limit_rejections.rs
+++ b/crates/proxy/src/gateway/limit_rejections.rs
@@ -4,10 +4,10 @@
 use hyper::StatusCode;
 use mintshelf_admission::admission::LimitExceeded;
 use mintshelf_admission::queue::RejectReason;
-use mintshelf_balancer::api::Nanos;
+use mintshelf_time::{Nanos, SECOND};
 
 /// Retry-After of requests that may succeed a little later, in nanoseconds.
-pub(super) const MIN_RETRY_AFTER: Nanos = 1_000_000_000;
+pub(super) const MIN_RETRY_AFTER: Nanos = SECOND;
 
 /// The rejection by a limit of a tenant or a route.
 pub(super) fn limit_rejection(exceeded: &LimitExceeded) -> Rejection {
@@ -44,7 +44,7 @@
 }
 
 /// The rejection of a body for which its tenant's quota has no bytes left. The body is not read,
-/// so nothing can come behind it on its connection.
+/// so nothing can follow it on its connection.
 pub(super) fn body_rejection() -> Rejection {
     let detail = "its tenant's bodies take all the room that it has; it has not run";
     let rejection = Rejection::new(StatusCode::TOO_MANY_REQUESTS, "tenant-room", detail);
--- a/crates/retry/tests/schedule_model.rs
+++ b/crates/retry/tests/schedule_model.rs
@@ -1,11 +1,12 @@
-//! The checker against a model that knows nothing of it: every kind of failure at every point
-//! of a schedule, and all of the extremes one after the other.
+//! The checker against an independent model: every kind of failure at every point of a schedule,
+//! and all extremes one after the other.
 
 mod common;
 
-use common::{idempotent, MS};
-use mintshelf_balancer::api::{Effect, Nanos};
+use common::idempotent;
+use mintshelf_balancer::api::Effect;
 use mintshelf_retry::schedule::{AttemptSchedule, AttemptTimeout, Backoff, RetryOn};
+use mintshelf_time::{as_float, from_float, Nanos, MILLISECOND};
 use proptest::prelude::*;
 use proptest::strategy::ValueTree;
 use proptest::test_runner::{RngSeed, TestRunner};
@@ -15,11 +16,11 @@
 enum AttemptResult {
     /// No connection, after this part of the longest wait.
     NotConnected(f64),
-    /// Connected after such a part, broken off or silent after such a part of its own time.
+    /// Connected after this part, broken or without an answer after this part of its time-out.
     Broken(f64, f64),
 }
 
-/// What a request went through: when each attempt could have had its effect.
+/// The course of a request: when each attempt could have had its effect.
 #[derive(Debug)]
 struct SimulatedRequest {
     arrivals: Vec<Nanos>,
@@ -28,7 +29,7 @@
 }
 
 fn part(duration: Nanos, fraction: f64) -> Nanos {
-    (duration as f64 * fraction) as Nanos
+    from_float(as_float(duration) * fraction)
 }
 
 /// Simulates a request by a schedule, with the results of its attempts given.
@@ -50,9 +51,9 @@
                 .initial
                 .saturating_mul(1 << (number - 1).min(20))
                 .min(schedule.backoff.max);
-            // A pause that could outlast the request is left out.
+            // A backoff that could outlast the request is omitted.
             now += if now + bound < deadline { part(bound, backoff_fractions[number]) } else { 0 };
-            // Held without a server, which ends at a part of the objective from the arrival.
+            // Held without a server, at most for a part of the objective from the arrival.
             let until = start + schedule.latency_objective / 2;
             now = now.max(start + part(until - start, hold_fraction));
         }
@@ -73,14 +74,14 @@
         };
         match *result {
             AttemptResult::NotConnected(wait) => now += part(schedule.connect_timeout, wait),
-            AttemptResult::Broken(wait, took) => {
+            AttemptResult::Broken(wait, elapsed) => {
                 let connected = now + part(schedule.connect_timeout, wait);
                 if connected >= deadline {
                     break;
                 }
                 arrivals.push(connected);
                 may_have_run = true;
-                now = (connected + part(timeout, took)).min(deadline);
+                now = (connected + part(timeout, elapsed)).min(deadline);
             }
         }
     }
@@ -100,7 +101,7 @@
     for _ in 0..=schedule.client_retries {
         let simulated = simulate(schedule, start, results, backoff_fractions, hold_fraction);
         arrivals.extend(simulated.arrivals);
-        start = simulated.ended_at + (schedule.max_retry_after as f64 * wait_fraction) as Nanos;
+        start = simulated.ended_at + from_float(as_float(schedule.max_retry_after) * wait_fraction);
     }
     arrivals
 }
@@ -154,7 +155,7 @@
     let per_try = prop_oneof![
         Just(AttemptTimeout::Deadline),
         Just(AttemptTimeout::Adaptive),
-        (50u64..12_000).prop_map(|ms| AttemptTimeout::Fixed(ms * MS)),
+        (50u64..12_000).prop_map(|ms| AttemptTimeout::Fixed(ms * MILLISECOND)),
     ];
     let retry_on = prop::sample::select(vec![RetryOn::MayHaveRun, RetryOn::NeverRan]);
     (
@@ -167,17 +168,20 @@
             let (window, client_retries, advice, latency_objective) = client;
             AttemptSchedule {
                 effect,
-                dedup_window: window * MS,
+                dedup_window: window * MILLISECOND,
                 max_attempts: attempts,
-                deadline: deadline * MS,
-                latency_objective: (latency_objective * MS).min(deadline * MS),
-                connect_timeout: connect * MS,
+                deadline: deadline * MILLISECOND,
+                latency_objective: (latency_objective * MILLISECOND).min(deadline * MILLISECOND),
+                connect_timeout: connect * MILLISECOND,
                 attempt_timeout: per_try,
-                backoff: Backoff { initial: first * MS, max: max.max(first) * MS },
+                backoff: Backoff {
+                    initial: first * MILLISECOND,
+                    max: max.max(first) * MILLISECOND,
+                },
                 retry_on,
                 is_hedged: hedged && effect == Effect::Safe,
                 allows_parallel_attempts: true,
-                max_retry_after: advice * MS,
+                max_retry_after: advice * MILLISECOND,
                 client_retries: if effect == Effect::Idempotent { client_retries } else { 0 },
                 ..idempotent()
             }
--- a/crates/simulator-adapter/src/wire/event.rs
+++ b/crates/simulator-adapter/src/wire/event.rs
@@ -2,7 +2,10 @@
 
 use super::fields::Fields;
 use super::{Problem, WireError};
-use mintshelf_balancer::api::{EndpointState, Event, ListKind, Nanos, Outcome, ServerId};
+use mintshelf_balancer::api::{
+    AttemptNumber, ClassId, EndpointState, Event, ListKind, Outcome, ServerId, TenantId,
+};
+use mintshelf_time::Nanos;
 
 const OUTCOMES: &[(&str, Outcome)] = &[
     ("delivered", Outcome::Ok),
@@ -39,9 +42,9 @@
         "resolved" => Event::AttemptEnded {
             id: fields.word("op-id")?.into(),
             outcome: fields.choice("verdict", OUTCOMES)?,
-            attempt: fields.number("leg")?,
-            finished: fields.choice("complete", BOOLEANS)?,
-            took: fields.number_or("took", 0)?,
+            attempt: AttemptNumber::new(fields.number("leg")?),
+            is_request_finished: fields.choice("complete", BOOLEANS)?,
+            elapsed: fields.number_or("took", 0)?,
             server: fields.number("server")?,
             report: fields.load_report("metrics")?,
         },
@@ -50,7 +53,7 @@
         "health" => Event::Probed {
             outcome: fields.choice("verdict", OUTCOMES)?,
             server: fields.number("server")?,
-            took: fields.number_or("took", 0)?,
+            elapsed: fields.number_or("took", 0)?,
             report: fields.load_report("metrics")?,
         },
         "peer_data" => {
@@ -62,18 +65,18 @@
 
 fn read_request(fields: &mut Fields) -> Result<Event, WireError> {
     let id = fields.word("op-id")?.into();
-    let class = fields.number("grade")?;
+    let class = ClassId::new(fields.number("grade")?);
     let key = fields.key("subject")?;
     let cost: Nanos = fields.number_or("cost", 0)?;
-    let tenant = fields.number_or("org", 0)?;
+    let tenant = TenantId::new(fields.number_or("org", 0)?);
     let attributes: u32 = fields.number_or("attrs", 0)?;
     Ok(Event::Request {
         id,
         class,
         tenant,
         key,
-        cost_hint: (attributes & HAS_COST != 0 && cost > 0).then_some(cost),
-        repeat: attributes & IS_REPEAT != 0,
+        cost_estimate: (attributes & HAS_COST != 0 && cost > 0).then_some(cost),
+        is_client_retry: attributes & IS_REPEAT != 0,
         client_timeout: fields.number("grace")?,
     })
 }
@@ -82,5 +85,5 @@
     let id = fields.word("op-id")?.into();
     let _server: ServerId = fields.number("server")?;
     let _took: Nanos = fields.number("took")?;
-    Ok(Event::StreamStarted { id, attempt: fields.number("leg")? })
+    Ok(Event::StreamStarted { id, attempt: AttemptNumber::new(fields.number("leg")?) })
 }
--- a/crates/simulator-adapter/src/wire/reader.rs
+++ b/crates/simulator-adapter/src/wire/reader.rs
@@ -3,8 +3,9 @@
 use super::event::{read_event, ENDPOINT_STATES, LIST_KINDS};
 use super::fields::Fields;
 use super::{Problem, WireError};
-use mintshelf_balancer::api::{Event, ListKind, ListedServer, Nanos, Settings};
+use mintshelf_balancer::api::{Event, ListKind, ListedServer, Settings};
 use mintshelf_balancer::settings::parse_settings;
+use mintshelf_time::Nanos;
 use std::collections::HashMap;
 use std::sync::Arc;
 
@@ -175,8 +176,8 @@
         list.entries.push(ListedServer {
             id: fields.number("server")?,
             zone: fields.number_or("rack-zone", 0)?,
-            kind: fields.number_or("shape", 0)?,
-            cell: fields.number_or("stripe", 0)?,
+            hardware_model: fields.number_or("shape", 0)?,
+            failure_domain: fields.number_or("stripe", 0)?,
             state: fields.choice("condition", ENDPOINT_STATES)?,
             size: fields.finite("size")?,
             started_at: fields.number_or("boot-time", 0)?,
--- a/crates/websocket/src/migration.rs
+++ b/crates/websocket/src/migration.rs
@@ -1,12 +1,11 @@
 //! Spreads the migrations of sockets over time: all sockets of a server that is lost or removed
-//! leave it within a window, and never in one burst at the remaining servers.
+//! leave it within a window, and do not reach the other servers in one burst.
 
-use mintshelf_balancer::api::Nanos;
+use mintshelf_time::{Nanos, MILLISECOND};
 use std::collections::BTreeMap;
 
-/// Longest time between the migrations of two sockets of a server. Few sockets need no more, so
-/// a single one leaves at once.
-pub const MAX_STEP_NS: Nanos = 20_000_000;
+/// Longest time between the migrations of two sockets of a server.
+pub const MAX_STEP_NS: Nanos = 20 * MILLISECOND;
 
 /// The migrations from one server.
 #[derive(Debug)]
@@ -25,6 +24,7 @@
 
 impl MigrationSchedule {
     /// A schedule by which the sockets of a server leave it within `window_ns`.
+    #[must_use]
     pub fn new(window_ns: Nanos) -> Self {
         MigrationSchedule { window_ns, servers: BTreeMap::new() }
     }
@@ -46,6 +46,7 @@
     }
 
     /// How many servers are being left, as of the last call to [`Self::next_slot`].
+    #[must_use]
     pub fn migrating_servers(&self) -> usize {
         self.servers.len()
     }
