--- a/crates/lease/src/client.rs
+++ b/crates/lease/src/client.rs
@@ -9,7 +9,7 @@
 /// Requests are repeated this many times within one lease duration.
 const REQUESTS_PER_DURATION: Nanos = 3;
 
-/// What the driver of a [`LeaseClient`] is to do or to note.
+/// What the driver of a [`LeaseClient`] has to do, or is notified of.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum HolderAction {
     /// Send this command to a replica; the response comes back with the same number.
@@ -19,12 +19,12 @@
         /// The command to propose.
         command: Command,
     },
-    /// The lease is held: operations may begin.
+    /// The lease was granted: operations may begin.
     Acquired {
         /// Token of the grant.
         token: Token,
     },
-    /// The lease is not held any more: all operations under it must be over.
+    /// The grant is not in force any more: all operations under it must have ended.
     Lost,
     /// The request was rejected.
     Rejected(Rejection),
@@ -33,7 +33,7 @@
 /// Why an operation may not begin.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum LeaseUnavailable {
-    /// The lease is not held.
+    /// This client does not hold the lease.
     #[error("the lease is not held")]
     NotHolder,
     /// The operation could outlast the lease.
@@ -46,14 +46,14 @@
     },
 }
 
-/// What a client wants of which lease.
+/// Which lease a client requests, and how.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct LeaseConfig {
     /// Name of the lease.
     pub lease: String,
     /// Who requests it.
     pub owner: Owner,
-    /// Lease duration that each renewal starts anew.
+    /// Lease duration, which starts again with each renewal.
     pub duration: Nanos,
     /// Error of the clocks that the duration is counted on.
     pub clock_error: ClockError,
@@ -64,7 +64,7 @@
 /// A grant that is in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct ActiveGrant {
-    /// Fencing token to show to whatever is acted upon.
+    /// Fencing token to present to the protected resource.
     pub token: Token,
     /// When the grant expires on the client's own clock.
     pub expires_at: Nanos,
@@ -89,8 +89,8 @@
     pending: Option<PendingRequest>,
     next_request_at: Nanos,
     last_request_id: u64,
-    /// When the last operation that has begun is over at the latest.
-    operations_end_at: Nanos,
+    /// When the last operation that has begun ends at the latest; `None` if none is in progress.
+    operations_end_at: Option<Nanos>,
     /// Whether the lease was requested and is not known to be released.
     needs_release: bool,
 }
@@ -109,17 +109,17 @@
             pending: None,
             next_request_at: 0,
             last_request_id,
-            operations_end_at: 0,
+            operations_end_at: None,
             needs_release: false,
         }
     }
 
     /// Begins an operation that ends within `max_duration` in any case; returns the token to
-    /// show to whatever is acted upon.
+    /// present to the protected resource.
     ///
     /// # Errors
-    /// The lease is not held for that long. The check is no proof by itself: the process may be
-    /// stopped right after it, and then only the token's check at the other end protects.
+    /// The grant is not in force for that long. The check is not sufficient by itself: the process
+    /// may be stopped right after it, and then only the resource's check of the token protects.
     pub fn begin_operation(
         &mut self,
         now: Nanos,
@@ -132,13 +132,13 @@
             let remaining = expires_at - now;
             return Err(LeaseUnavailable::ExpiresTooSoon { required: max_duration, remaining });
         }
-        self.operations_end_at = self.operations_end_at.max(ends_at);
+        self.operations_end_at = self.operations_end_at.max(Some(ends_at));
         Ok(token)
     }
 
-    /// Notes that all operations that have begun are over.
+    /// All operations that have begun have ended.
     pub fn finish_operations(&mut self) {
-        self.operations_end_at = 0;
+        self.operations_end_at = None;
     }
 
     /// Requests the lease again after it was released.
@@ -160,15 +160,15 @@
         self.grant.filter(|grant| now < grant.expires_at)
     }
 
-    /// Whether the client has released its lease and has nothing left to do.
+    /// Whether the client has released its lease and has nothing more to do.
     pub fn is_released(&self) -> bool {
         !self.is_wanted && !self.needs_release
     }
 
     /// When [`LeaseClient::tick`] has something to do.
     pub fn next_tick_at(&self) -> Nanos {
-        let operations_end_at = if self.is_wanted { 0 } else { self.operations_end_at };
-        let request_at = self.next_request_at.max(operations_end_at);
+        let release_at = self.operations_end_at.filter(|_| !self.is_wanted);
+        let request_at = self.next_request_at.max(release_at.unwrap_or(0));
         self.grant.map_or(request_at, |grant| request_at.min(grant.expires_at))
     }
 
@@ -185,7 +185,7 @@
         self.last_request_id += 1;
         self.needs_release = true;
         let request_id = self.last_request_id;
-        // The lease duration counts from here, before the request leaves. Counted from the
+        // The lease duration counts from here, before the request is sent. Counted from the
         // response, a slow one would stretch it past what the leader waits for.
         self.pending = Some(PendingRequest { request_id, sent_at: now });
         self.next_request_at = now.saturating_add(self.config.duration / REQUESTS_PER_DURATION);
@@ -197,7 +197,7 @@
             return None;
         }
         // Released with an operation in progress, the next holder would act beside it.
-        if !self.is_wanted && now < self.operations_end_at {
+        if !self.is_wanted && self.operations_end_at.is_some_and(|end| now < end) {
             return None;
         }
         let LeaseConfig { lease, owner, duration, wait, .. } = self.config.clone();
--- a/crates/lease/src/command.rs
+++ b/crates/lease/src/command.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Most leases that are held or waited for at one time.
+/// Most leases that have a holder or waiters at one time.
 pub const LEASES_MAX: usize = 1_024;
 /// Most waiters in the queue of one lease.
 pub const WAITERS_MAX: usize = 64;
@@ -45,7 +45,7 @@
         lease: String,
         /// Who requests it.
         owner: Owner,
-        /// Lease duration that each renewal starts anew.
+        /// Lease duration, which starts again with each renewal.
         duration: Nanos,
         /// Whether to join the queue while another owner holds the lease.
         wait: bool,
--- a/crates/lease/src/expiry.rs
+++ b/crates/lease/src/expiry.rs
@@ -52,8 +52,8 @@
         LeaseExpiry { clock_error, ..LeaseExpiry::default() }
     }
 
-    /// This replica is the leader from now on. Every duration counts anew: when the last renewal
-    /// was committed, only the former leader's clock knew.
+    /// This replica has become the leader. The count of each duration starts again: when the last
+    /// renewal was committed, only the former leader's clock knew.
     pub fn become_leader(&mut self, now: Nanos, leases: &Leases) {
         self.is_leader = true;
         self.holders.clear();
@@ -106,7 +106,7 @@
             let key = WaiterKey { lease: name.to_owned(), owner: waiter.owner.clone() };
             let requests = waiter.requests;
             if self.waiters.get(&key).is_none_or(|deadline| deadline.requests != requests) {
-                // A waiter that has not repeated its request for a lease duration has gone.
+                // A waiter that has not repeated its request for a lease duration has left.
                 let due_at = now.saturating_add(self.clock_error.expiry_duration(waiter.duration));
                 self.waiters.insert(key, WaiterDeadline { requests, due_at });
             }
--- a/crates/lease/src/lease.rs
+++ b/crates/lease/src/lease.rs
@@ -19,7 +19,7 @@
     pub owner: Owner,
     /// Fencing token of the grant.
     pub token: Token,
-    /// Lease duration that each renewal starts anew.
+    /// Lease duration, which starts again with each renewal.
     pub duration: Nanos,
     /// Number of renewals.
     pub renewals: u64,
@@ -57,12 +57,17 @@
     pub queue: VecDeque<Waiter>,
 }
 
+/// A position as responses state it. Queues are far shorter than its type allows.
+fn queue_position(position: usize) -> u32 {
+    u32::try_from(position).unwrap_or(u32::MAX)
+}
+
 impl Lease {
     fn is_unused(&self) -> bool {
         self.holder.is_none() && self.queue.is_empty()
     }
 
-    /// Whether the lease is free and nobody else is first in the queue.
+    /// Whether the lease is free and no other owner is first in the queue.
     fn is_available_to(&self, owner: &Owner) -> bool {
         self.holder.is_none() && self.queue.front().is_none_or(|first| first.owner == *owner)
     }
@@ -75,15 +80,16 @@
                 let waiter = &mut self.queue[position];
                 waiter.requests += 1;
                 waiter.duration = duration;
-                Some(position as u32)
+                Some(queue_position(position))
             }
             None if !wait => None,
             None if self.queue.len() >= WAITERS_MAX => {
                 return Response::Rejected(Rejection::QueueFull);
             }
             None => {
+                let position = self.queue.len();
                 self.queue.push_back(Waiter { owner: owner.clone(), requests: 1, duration });
-                Some(self.queue.len() as u32 - 1)
+                Some(queue_position(position))
             }
         };
         let holder = self.holder.as_ref().map(|holder| holder.owner.clone());
@@ -210,12 +216,12 @@
         self.leases.get_mut(name)?.holder.as_mut()
     }
 
-    /// One lease, if it is held or waited for.
+    /// One lease, if it has a holder or waiters.
     pub fn get(&self, name: &str) -> Option<&Lease> {
         self.leases.get(name)
     }
 
-    /// All leases that are held or waited for, in order of their names.
+    /// All leases that have a holder or waiters, in order of their names.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &Lease)> {
         self.leases.iter().map(|(name, lease)| (name.as_str(), lease))
     }
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -7,7 +7,7 @@
 //!   clock, less the configured clock error ([`client::LeaseClient`]);
 //! - the leader lets a lease expire only when its own monotonic clock has counted the duration,
 //!   plus that error, from after the last renewal was committed ([`expiry::LeaseExpiry`]); a new
-//!   leader counts every lease anew;
+//!   leader starts the count of every lease again;
 //! - expiry itself is a command in the log and names the renewal that it is about, so that a
 //!   renewal committed before it makes it void ([`lease::Leases`]);
 //! - each grant has a fencing token that only grows; the protected resource rejects lower ones
--- a/crates/lease/src/timing.rs
+++ b/crates/lease/src/timing.rs
@@ -35,7 +35,7 @@
 
 impl ClockError {
     /// How far a clock may be off after a duration, rounded up.
-    pub fn drift_over(self, duration: Nanos) -> Nanos {
+    fn drift_over(self, duration: Nanos) -> Nanos {
         let drift = u128::from(duration) * u128::from(self.ppm);
         u64::try_from(drift.div_ceil(1_000_000)).unwrap_or(u64::MAX)
     }
@@ -56,7 +56,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Timing {
     /// A follower without a leader's heartbeat for so long calls an election; up to twice as
-    /// long, drawn anew each time.
+    /// long, drawn again each time.
     pub election_timeout: Nanos,
     /// Interval of a leader's heartbeats.
     pub heartbeat_interval: Nanos,
--- a/crates/lease/tests/leases/expiry.rs
+++ b/crates/lease/tests/leases/expiry.rs
@@ -8,7 +8,7 @@
 use mintshelf_time::{MILLISECOND, SECOND};
 
 #[test]
-fn the_leader_counts_from_the_last_renewal_and_a_new_leader_counts_anew() {
+fn the_leader_counts_from_the_last_renewal_and_a_new_leader_starts_again() {
     let mut leases = Leases::default();
     let mut expiry = LeaseExpiry::new(ClockError { ppm: 100_000 });
     let token = granted_token(&leases.apply(&acquire(0, false)));
--- a/crates/lease/tests/leases/state_machine.rs
+++ b/crates/lease/tests/leases/state_machine.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_revoked_lease_is_not_renewed_and_stays_held_until_it_expires() {
+fn a_revoked_lease_is_not_renewed_and_keeps_its_holder_until_it_expires() {
     let mut leases = Leases::default();
     let token = granted_token(&leases.apply(&acquire(0, false)));
     leases.apply(&Command::Revoke { lease: "a".into() });
--- a/crates/lease/tests/model/case.rs
+++ b/crates/lease/tests/model/case.rs
@@ -25,7 +25,7 @@
     None,
     /// Lease durations count from the response.
     CountsFromResponse,
-    /// Clocks are taken for exact.
+    /// The clock error is ignored.
     IgnoresClockError,
     /// A new leader goes on with the former one's counts, on a clock of its own.
     KeepsFormerLeadersCounts,
@@ -77,7 +77,7 @@
     pub responses: Vec<InFlightResponse>,
     /// Step of the last request of [`Mutant::CountsFromResponse`].
     pub requested_at_step: u64,
-    pub has_held: bool,
+    pub has_been_holder: bool,
 }
 
 /// A state of the model.
@@ -151,7 +151,7 @@
             requests: Vec::new(),
             responses: Vec::new(),
             requested_at_step: 0,
-            has_held: false,
+            has_been_holder: false,
         }
     }
 }
@@ -221,7 +221,7 @@
             }),
             Property::always(TOKENS_GROW, |_, world: &World| !world.token_fell),
             Property::sometimes(PASSES_ON, |_, world: &World| {
-                world.members.iter().all(|member| member.has_held)
+                world.members.iter().all(|member| member.has_been_holder)
             }),
         ]
     }
--- a/crates/lease/tests/model/transitions.rs
+++ b/crates/lease/tests/model/transitions.rs
@@ -84,7 +84,7 @@
             })?;
         }
         member.client.handle_response(now, request_id, &response, &mut actions);
-        member.has_held |= member.client.active_grant(now).is_some();
+        member.has_been_holder |= member.client.active_grant(now).is_some();
         Some(())
     }
 
