--- a/crates/consensus-node/src/client.rs
+++ b/crates/consensus-node/src/client.rs
@@ -1,11 +1,13 @@
 //! Single requests of a member to the replicas of a fleet.
 
-use crate::frame::{decode, encode, Frame, Hello, PeerIdentity, StatusReport};
-use crate::handshake::{exchange_hello, Connection, IdentifiedConnection};
+use crate::frame::{decode, encode, Frame, FrameError, Hello, PeerIdentity, StatusReport};
+use crate::handshake::{exchange_hello, Connection, HandshakeError};
 use futures_util::{SinkExt, StreamExt};
 use mintshelf_lease::command::{Command, Owner, Response};
+use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
+use thiserror::Error;
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
@@ -16,63 +18,114 @@
 /// How often all replicas are tried in turn.
 const ROUNDS: u32 = 5;
 
+/// Why a request has no response.
+#[derive(Debug, Error)]
+pub enum RequestError {
+    /// No replica is configured.
+    #[error("no replica is configured")]
+    NoReplicas,
+    /// The replica did not respond within [`RESPONSE_TIMEOUT`].
+    #[error("no response in time")]
+    Timeout,
+    /// The connection failed.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// The peer is not a process of this fleet.
+    #[error(transparent)]
+    Handshake(#[from] HandshakeError),
+    /// The peer is a member, not a replica.
+    #[error("{0} is not a replica")]
+    NotReplica(PeerIdentity),
+    /// The replica closed the connection.
+    #[error("connection closed")]
+    Closed,
+    /// The response can't be decoded.
+    #[error(transparent)]
+    Frame(#[from] FrameError),
+    /// The replica knows no leader, or sent something else than a response.
+    #[error("the replica can't respond now")]
+    Unavailable,
+}
+
 /// Connects to one replica.
-pub(crate) async fn connect(fleet: &str, owner: Owner, replica: SocketAddr) -> Option<Connection> {
+pub(crate) async fn connect(
+    fleet: &str,
+    owner: Owner,
+    replica: SocketAddr,
+) -> Result<Connection, RequestError> {
     let hello = Hello::new(fleet, PeerIdentity::Member(owner));
-    let stream = timeout(RESPONSE_TIMEOUT, TcpStream::connect(replica)).await.ok()?.ok()?;
-    match exchange_hello(stream, &hello).await {
-        Ok(IdentifiedConnection { connection, peer: PeerIdentity::Replica(_) }) => Some(connection),
-        Ok(_) => None,
-        Err(error) => {
-            tracing::warn!(%replica, %error, "not a replica of this fleet");
-            None
-        }
+    let connecting = timeout(RESPONSE_TIMEOUT, TcpStream::connect(replica));
+    let stream = connecting.await.map_err(|_| RequestError::Timeout)??;
+    let identified = exchange_hello(stream, &hello).await.inspect_err(|error| {
+        tracing::warn!(%replica, %error, "not a replica of this fleet");
+    })?;
+    match identified.peer {
+        PeerIdentity::Replica(_) => Ok(identified.connection),
+        PeerIdentity::Member(_) => Err(RequestError::NotReplica(identified.peer)),
     }
 }
 
 /// Sends one frame and returns the next that arrives.
-async fn exchange(connection: &mut Connection, request: &Frame) -> Option<Frame> {
+async fn exchange(connection: &mut Connection, request: &Frame) -> Result<Frame, RequestError> {
     let exchange = async {
-        connection.send(encode(request)).await.ok()?;
-        let bytes = connection.next().await?.ok()?;
-        decode(&bytes).ok()
+        connection.send(encode(request)).await?;
+        let bytes = connection.next().await.ok_or(RequestError::Closed)??;
+        Ok(decode(&bytes)?)
     };
-    timeout(RESPONSE_TIMEOUT, exchange).await.ok().flatten()
+    timeout(RESPONSE_TIMEOUT, exchange).await.map_err(|_| RequestError::Timeout)?
 }
 
-/// Requests the status of one replica; `None` if it does not respond.
-pub async fn fetch_status(fleet: &str, owner: Owner, replica: SocketAddr) -> Option<StatusReport> {
+/// Requests the status of one replica.
+///
+/// # Errors
+/// The replica does not respond in time, or is not one of this fleet.
+pub async fn fetch_status(
+    fleet: &str,
+    owner: Owner,
+    replica: SocketAddr,
+) -> Result<StatusReport, RequestError> {
     let mut connection = connect(fleet, owner, replica).await?;
     match exchange(&mut connection, &Frame::StatusRequest).await? {
-        Frame::StatusResponse(report) => Some(*report),
-        _ => None,
+        Frame::StatusResponse(report) => Ok(*report),
+        _ => Err(RequestError::Unavailable),
     }
 }
 
 /// Proposes one command at each replica in turn until one has a response, in a few rounds, since
 /// an election may be in progress. The command may arrive twice, which is safe for all commands.
 ///
-/// `None` if no replica responds in time.
+/// # Errors
+/// No replica responds in time; the error is the last one's.
 pub async fn propose(
     fleet: &str,
     owner: Owner,
     replicas: &[SocketAddr],
     command: Command,
-) -> Option<Response> {
-    // Each request has a connection of its own, where no other is.
+) -> Result<Response, RequestError> {
+    // Each request has a connection of its own, so that the number need not be unique.
     let request = Frame::Request { request_id: 0, command };
+    let mut last_error = RequestError::NoReplicas;
     for _ in 0..ROUNDS {
         for replica in replicas {
-            let Some(mut connection) = connect(fleet, owner.clone(), *replica).await else {
-                continue;
-            };
-            if let Some(Frame::Response { request_id: 0, response }) =
-                exchange(&mut connection, &request).await
-            {
-                return Some(response);
+            match propose_at(fleet, owner.clone(), *replica, &request).await {
+                Ok(response) => return Ok(response),
+                Err(error) => last_error = error,
             }
         }
         sleep(NEXT_REPLICA_BACKOFF).await;
     }
-    None
+    Err(last_error)
+}
+
+async fn propose_at(
+    fleet: &str,
+    owner: Owner,
+    replica: SocketAddr,
+    request: &Frame,
+) -> Result<Response, RequestError> {
+    let mut connection = connect(fleet, owner, replica).await?;
+    match exchange(&mut connection, request).await? {
+        Frame::Response { request_id: 0, response } => Ok(response),
+        _ => Err(RequestError::Unavailable),
+    }
 }
--- a/crates/consensus-node/src/clock.rs
+++ b/crates/consensus-node/src/clock.rs
@@ -3,9 +3,12 @@
 use mintshelf_time::{Nanos, SECOND};
 use rustix::time::{clock_gettime, ClockId};
 
-/// Nanoseconds since the machine started, including the time in which it was suspended: a machine
-/// that was suspended must not take its leases for young. Setting the wall clock has no effect.
+/// Nanoseconds since the machine started. The time in which it was suspended counts too: leases
+/// expire meanwhile. Setting the wall clock has no effect.
 pub fn now() -> Nanos {
     let time = clock_gettime(ClockId::Boottime);
-    (time.tv_sec.max(0) as u64) * SECOND + time.tv_nsec.max(0) as u64
+    // Neither part is ever negative on this clock.
+    let seconds = u64::try_from(time.tv_sec).unwrap_or(0);
+    let nanos = u64::try_from(time.tv_nsec).unwrap_or(0);
+    seconds * SECOND + nanos
 }
--- a/crates/consensus-node/src/frame.rs
+++ b/crates/consensus-node/src/frame.rs
@@ -3,7 +3,7 @@
 //! The order of variants and fields is part of the format of [`VERSION`].
 
 use mintshelf_consensus::message::MESSAGE_BYTES_MAX;
-use mintshelf_consensus::replica::ReplicaStatus;
+use mintshelf_consensus::replica_status::ReplicaStatus;
 use mintshelf_lease::command::{Command, Owner, Response};
 use mintshelf_lease::lease::Lease;
 use serde::{Deserialize, Serialize};
@@ -15,7 +15,7 @@
 /// Version of the protocol; both ends of a connection must have the same.
 pub const VERSION: u32 = 1;
 /// Longest first frame of a peer, in bytes.
-pub const HELLO_BYTES_MAX: usize = 1_024;
+const HELLO_BYTES_MAX: usize = 1_024;
 
 /// Who is at the other end of a connection.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -132,11 +132,11 @@
 
 /// The codec for a peer that has not identified itself: four bytes of length, at most a
 /// [`Hello`].
-pub fn hello_codec() -> LengthDelimitedCodec {
+pub(crate) fn hello_codec() -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder().max_frame_length(HELLO_BYTES_MAX).new_codec()
 }
 
 /// Allows all frames, once the peer has identified itself.
-pub fn allow_all_frames(codec: &mut LengthDelimitedCodec) {
+pub(crate) fn allow_all_frames(codec: &mut LengthDelimitedCodec) {
     codec.set_max_frame_length(MESSAGE_BYTES_MAX + HELLO_BYTES_MAX);
 }
--- a/crates/consensus-node/src/handshake.rs
+++ b/crates/consensus-node/src/handshake.rs
@@ -84,8 +84,10 @@
     stream: TcpStream,
     own: &Hello,
 ) -> Result<IdentifiedConnection, HandshakeError> {
-    // Without it frames are only late.
-    let _ = stream.set_nodelay(true);
+    if let Err(error) = stream.set_nodelay(true) {
+        // Frames are only late without it.
+        tracing::debug!(%error, "TCP_NODELAY not set");
+    }
     let mut connection = Framed::new(stream, hello_codec());
     let exchange = async {
         connection.send(encode(own)).await?;
--- a/crates/consensus-node/src/lease_keeper.rs
+++ b/crates/consensus-node/src/lease_keeper.rs
@@ -8,7 +8,7 @@
 use futures_util::{SinkExt, StreamExt};
 use mintshelf_lease::client::{ActiveGrant, HolderAction, LeaseClient, LeaseConfig};
 use mintshelf_lease::command::Rejection;
-use mintshelf_time::{Nanos, MILLISECOND};
+use mintshelf_time::{from_duration, Nanos, MILLISECOND};
 use std::future::Future;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -31,10 +31,10 @@
     pub config: LeaseConfig,
 }
 
-/// State of a lease that is kept.
+/// State of a lease, as its keeper publishes it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct LeaseStatus {
-    /// The current grant, which is good until it expires by [`clock::now`], no longer.
+    /// The current grant. It is in force until it expires by [`clock::now`], no longer.
     pub grant: Option<ActiveGrant>,
     /// Why the last request was rejected.
     pub rejection: Option<Rejection>,
@@ -99,7 +99,13 @@
     status: &watch::Sender<LeaseStatus>,
 ) {
     let owner = request.config.owner.clone();
-    let Some(connection) = connect(&request.fleet, owner, replica).await else { return };
+    let connection = match connect(&request.fleet, owner, replica).await {
+        Ok(connection) => connection,
+        Err(error) => {
+            tracing::debug!(%replica, %error, "replica unavailable");
+            return;
+        }
+    };
     client.handle_no_response(clock::now());
     let mut session = Session { connection, client, status, waiting_since: None };
     while session.advance().await == SessionState::Open {}
@@ -127,7 +133,7 @@
             return SessionState::Over;
         }
         let now = clock::now();
-        let response_timeout = RESPONSE_TIMEOUT.as_nanos() as Nanos;
+        let response_timeout = from_duration(RESPONSE_TIMEOUT);
         let deadline = self.waiting_since.map_or(Nanos::MAX, |since| since + response_timeout);
         if deadline <= now {
             return SessionState::Over;
--- a/crates/consensus-node/src/lib.rs
+++ b/crates/consensus-node/src/lib.rs
@@ -31,11 +31,15 @@
 
 pub mod client;
 pub mod clock;
+mod connection_table;
 pub mod frame;
 pub mod handshake;
 pub mod lease_keeper;
 pub mod node;
+pub mod node_config;
+mod pending_requests;
 pub mod store;
 mod store_codec;
 pub mod store_error;
+mod store_tables;
 mod transport;
--- a/crates/consensus-node/src/node.rs
+++ b/crates/consensus-node/src/node.rs
@@ -1,47 +1,31 @@
 //! A replica as it runs: it drives the replica by the clock, by frames and by its store.
 //!
-//! It wants a thread of its own: each write is synced in place, and nothing else may wait for it.
+//! It needs a thread of its own: each write is synced in place, and nothing else may wait for it.
 
 use crate::clock;
-use crate::frame::{encode, Frame, NamedLease, PeerIdentity, StatusReport};
+use crate::connection_table::ConnectionTable;
+use crate::frame::{Frame, NamedLease, PeerIdentity, StatusReport};
+use crate::node_config::NodeConfig;
+use crate::pending_requests::{PendingRequests, Requester};
 use crate::store::Store;
 use crate::store_error::StoreError;
 use crate::transport::{self, ConnectionEvent, ConnectionId};
 use mintshelf_consensus::error::ReplicaError;
-use mintshelf_consensus::message;
+use mintshelf_consensus::message::{self, Message};
 use mintshelf_consensus::persistent_state::PersistentState;
-use mintshelf_consensus::replica::{Replica, ReplicaStatus};
-use mintshelf_consensus::write_batch::{ProposalId, ProposalResponse};
-use mintshelf_lease::command::Command;
-use mintshelf_lease::timing::Timing;
-use std::collections::{BTreeMap, HashMap};
+use mintshelf_consensus::replica::Replica;
+use mintshelf_consensus::replica_status::ReplicaStatus;
+use mintshelf_consensus::write_batch::ProposalResponse;
+use mintshelf_lease::command::{Command, Response};
 use std::future::Future;
-use std::net::SocketAddr;
 use std::time::Duration;
 use thiserror::Error;
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch};
 use tokio::time::{interval, MissedTickBehavior};
-use tokio_util::bytes::Bytes;
 
 /// Events that wait for the replica; connections wait when the queue is full.
 const EVENT_QUEUE_MAX: usize = 1_024;
-/// Requests whose responses are pending; the oldest are dropped.
-const PENDING_REQUESTS_MAX: usize = 8_192;
-
-/// The configuration of a node.
-#[derive(Debug, Clone)]
-pub struct NodeConfig {
-    /// Name of the fleet.
-    pub fleet: String,
-    /// Number of this replica, from 1.
-    pub id: u64,
-    /// Addresses of the other replicas, by number; of two replicas the one with the higher number
-    /// dials.
-    pub peers: BTreeMap<u64, SocketAddr>,
-    /// Timeouts of the fleet.
-    pub timing: Timing,
-}
 
 /// Why a node stopped.
 #[derive(Debug, Error)]
@@ -111,26 +95,12 @@
     });
 }
 
-/// An open connection.
-struct OpenConnection {
-    peer: PeerIdentity,
-    outgoing: mpsc::Sender<Bytes>,
-}
-
-/// Where a response is to go.
-struct Requester {
-    connection: ConnectionId,
-    request_id: u64,
-}
-
 /// Drives a replica by events, and by its store.
 struct Driver {
     replica: Replica,
     store: Store,
-    connections: HashMap<ConnectionId, OpenConnection>,
-    /// The last connection of each other replica; it may be closed.
-    replica_connections: BTreeMap<u64, ConnectionId>,
-    pending_requests: BTreeMap<ProposalId, Requester>,
+    connections: ConnectionTable,
+    pending_requests: PendingRequests,
 }
 
 impl Driver {
@@ -138,49 +108,32 @@
         Driver {
             replica,
             store,
-            connections: HashMap::new(),
-            replica_connections: BTreeMap::new(),
-            pending_requests: BTreeMap::new(),
+            connections: ConnectionTable::default(),
+            pending_requests: PendingRequests::default(),
         }
     }
 
     fn handle_event(&mut self, event: ConnectionEvent) -> Result<(), NodeError> {
         match event {
-            ConnectionEvent::Opened { connection, peer, outgoing } => {
-                self.open(connection, OpenConnection { peer, outgoing });
-            }
-            ConnectionEvent::Closed { connection } => {
-                self.connections.remove(&connection);
-            }
-            ConnectionEvent::Received { connection, frame } => {
-                self.handle_frame(connection, frame)?;
-            }
+            ConnectionEvent::Opened { id, connection } => self.connections.insert(id, connection),
+            ConnectionEvent::Closed { id } => self.connections.remove(id),
+            ConnectionEvent::Received { id, frame } => self.handle_frame(id, frame)?,
         }
         Ok(())
     }
 
-    fn open(&mut self, id: ConnectionId, connection: OpenConnection) {
-        // A replica has one connection: its former one is closed at the other end.
-        if let PeerIdentity::Replica(replica) = connection.peer {
-            if let Some(former) = self.replica_connections.insert(replica, id) {
-                self.connections.remove(&former);
-            }
-        }
-        self.connections.insert(id, connection);
-    }
-
     fn handle_frame(&mut self, id: ConnectionId, frame: Frame) -> Result<(), NodeError> {
-        let Some(connection) = self.connections.get(&id) else { return Ok(()) };
-        match (&connection.peer, frame) {
+        let Some(peer) = self.connections.peer(id) else { return Ok(()) };
+        match (peer, frame) {
             (PeerIdentity::Replica(_), Frame::Raft(bytes)) => self.handle_raft(id, &bytes)?,
             (PeerIdentity::Member(_), Frame::Request { request_id, command }) => {
                 self.propose(Requester { connection: id, request_id }, &command);
             }
             (PeerIdentity::Member(_), Frame::StatusRequest) => {
                 let report = self.status_report();
-                self.send(id, &Frame::StatusResponse(Box::new(report)));
+                self.connections.send(id, &Frame::StatusResponse(Box::new(report)));
             }
-            _ => self.close(id, "a frame that its sender may not send"),
+            _ => self.connections.close(id, "a frame that its sender may not send"),
         }
         Ok(())
     }
@@ -189,55 +142,40 @@
         match self.replica.handle_message(clock::now(), bytes) {
             Ok(()) => {}
             Err(error @ ReplicaError::StoreBehind { .. }) => return Err(error.into()),
-            Err(error) => self.close(id, &error.to_string()),
+            Err(error) => self.connections.close(id, &error.to_string()),
         }
         Ok(())
     }
 
     fn propose(&mut self, requester: Requester, command: &Command) {
-        let Ok(proposal) = self.replica.propose(command) else {
-            let Requester { connection, request_id } = requester;
-            self.send(connection, &Frame::Unavailable { request_id });
-            return;
-        };
-        self.pending_requests.insert(proposal, requester);
-        while self.pending_requests.len() > PENDING_REQUESTS_MAX {
-            self.pending_requests.pop_first();
+        match self.replica.propose(command) {
+            Ok(proposal) => self.pending_requests.insert(proposal, requester),
+            Err(_) => {
+                let Requester { connection, request_id } = requester;
+                self.connections.send(connection, &Frame::Unavailable { request_id });
+            }
         }
     }
 
     fn status_report(&self) -> StatusReport {
-        let is_member =
-            |connection: &&OpenConnection| matches!(connection.peer, PeerIdentity::Member(_));
         let leases = self.replica.leases().iter();
         StatusReport {
             status: self.replica.status(),
             incarnation: self.store.opened(),
-            members: self.connections.values().filter(is_member).count() as u32,
+            members: u32::try_from(self.connections.member_count()).unwrap_or(u32::MAX),
             leases: leases
                 .map(|(name, lease)| NamedLease { name: name.to_owned(), lease: lease.clone() })
                 .collect(),
         }
     }
 
-    fn close(&mut self, id: ConnectionId, reason: &str) {
-        if let Some(OpenConnection { peer, .. }) = self.connections.remove(&id) {
-            tracing::warn!(%peer, reason, "connection closed");
-        }
-    }
-
-    fn send(&self, id: ConnectionId, frame: &Frame) {
-        if let Some(connection) = self.connections.get(&id) {
-            // A frame for a full queue is dropped: its protocol repeats it.
-            let _ = connection.outgoing.try_send(encode(frame));
-        }
-    }
-
-    fn send_raft(&self, messages: Vec<message::Message>) -> Result<(), NodeError> {
+    fn send_messages(&self, messages: &[Message]) -> Result<(), NodeError> {
         for message in messages {
-            if let Some(connection) = self.replica_connections.get(&message.to) {
-                self.send(*connection, &Frame::Raft(message::encode(&message)?));
-            }
+            let Some(connection) = self.connections.replica_connection(message.to) else {
+                continue;
+            };
+            let bytes = message::encode(message).map_err(ReplicaError::from)?;
+            self.connections.send(connection, &Frame::Raft(bytes));
         }
         Ok(())
     }
@@ -245,7 +183,7 @@
     /// Writes, syncs and sends until there is nothing more to do.
     fn write_batches(&mut self) -> Result<(), NodeError> {
         while let Some(mut batch) = self.replica.next_batch(clock::now())? {
-            self.send_raft(std::mem::take(&mut batch.immediate_messages))?;
+            self.send_messages(&batch.immediate_messages)?;
             for response in std::mem::take(&mut batch.responses) {
                 self.respond(response);
             }
@@ -253,16 +191,15 @@
                 self.store.write(&batch)?;
             }
             let messages = self.replica.batch_synced(clock::now());
-            self.send_raft(messages)?;
+            self.send_messages(&messages)?;
         }
         Ok(())
     }
 
-    fn respond(&mut self, response: ProposalResponse<mintshelf_lease::command::Response>) {
+    fn respond(&mut self, response: ProposalResponse<Response>) {
         let ProposalResponse { proposal, response } = response;
-        if let Some(Requester { connection, request_id }) = self.pending_requests.remove(&proposal)
-        {
-            self.send(connection, &Frame::Response { request_id, response });
-        }
+        let Some(requester) = self.pending_requests.remove(&proposal) else { return };
+        let Requester { connection, request_id } = requester;
+        self.connections.send(connection, &Frame::Response { request_id, response });
     }
 }
--- a/crates/consensus-node/src/store.rs
+++ b/crates/consensus-node/src/store.rs
@@ -4,33 +4,25 @@
 //! A batch is synced before [`Store::write`] returns; what depends on it may be sent after that.
 //! The file says whose it is: fleet, replica and how often it was opened.
 
-use crate::store_codec::{EncodedBatch, EncodedState, ENTRIES, STATE};
+use crate::store_codec::{EncodedBatch, EncodedState};
 use crate::store_error::{Damage, StoreError};
+use crate::store_tables::{
+    ENTRIES, FLEET_KEY, FORMAT, FORMAT_KEY, NUMBERS, OPENED_KEY, REPLICA_KEY, STATE,
+};
 use mintshelf_consensus::persistent_state::PersistentState;
 use mintshelf_consensus::write_batch::WriteBatch;
 use redb::{
     Builder, Database, Durability, ReadableDatabase, ReadableTable, StorageBackend,
-    TableDefinition, WriteTransaction,
+    WriteTransaction,
 };
 use std::fs::{self, File, OpenOptions};
 use std::path::{Path, PathBuf};
 
 /// Name of the file in a replica's directory.
 pub const FILE: &str = "voter.redb";
-/// Version of what the file holds.
-pub(crate) const FORMAT: u64 = 1;
 /// Memory for pages, in bytes.
 const CACHE_BYTES: usize = 4 << 20;
 
-const NUMBERS: TableDefinition<&str, u64> = TableDefinition::new("numbers");
-
-/// Key of [`STATE`].
-const FLEET: &str = "fleet";
-/// Keys of [`NUMBERS`].
-const FORMAT_KEY: &str = "form";
-const REPLICA: &str = "voter";
-const OPENED: &str = "opened";
-
 /// Whose store it is.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Identity {
@@ -86,7 +78,7 @@
         let is_new = !path.exists();
         let file = open_file(&path).map_err(|error| StoreError::io(&path, error))?;
         let metadata = file.metadata().map_err(|error| StoreError::io(&path, error))?;
-        // A file that was truncated to nothing is not new: the database would begin anew in it.
+        // A file that was truncated to nothing is not new: the database would start empty in it.
         if !is_new && metadata.len() == 0 {
             return Err(StoreError::damaged(&path, Damage::Empty));
         }
@@ -138,13 +130,13 @@
                 Ok(numbers.get(key)?.map(|value| value.value()))
             };
             let state = transaction.open_table(STATE)?;
-            let fleet = state.get(FLEET)?.map(|fleet| fleet.value().to_vec());
+            let fleet = state.get(FLEET_KEY)?.map(|fleet| fleet.value().to_vec());
             // Created here, so that reading finds all tables.
             transaction.open_table(ENTRIES)?;
             Ok(Header {
                 format: number(FORMAT_KEY)?,
-                replica: number(REPLICA)?,
-                opened: number(OPENED)?,
+                replica: number(REPLICA_KEY)?,
+                opened: number(OPENED_KEY)?,
                 fleet,
             })
         })
@@ -170,10 +162,10 @@
         self.transact(|transaction| {
             let mut numbers = transaction.open_table(NUMBERS)?;
             numbers.insert(FORMAT_KEY, FORMAT)?;
-            numbers.insert(REPLICA, identity.replica)?;
-            numbers.insert(OPENED, self.opened)?;
+            numbers.insert(REPLICA_KEY, identity.replica)?;
+            numbers.insert(OPENED_KEY, self.opened)?;
             let mut state = transaction.open_table(STATE)?;
-            state.insert(FLEET, identity.fleet.as_bytes())?;
+            state.insert(FLEET_KEY, identity.fleet.as_bytes())?;
             Ok(())
         })
     }
--- a/crates/consensus-node/src/store_codec.rs
+++ b/crates/consensus-node/src/store_codec.rs
@@ -1,18 +1,12 @@
-//! The tables of a store, and the encoding of what they hold.
+//! The encoding of what a store holds.
 
 use crate::store_error::Damage;
+use crate::store_tables::{ENTRIES, HARD_STATE_KEY, SNAPSHOT_KEY, STATE};
 use mintshelf_consensus::persistent_state::PersistentState;
 use mintshelf_consensus::write_batch::WriteBatch;
 use protobuf::{Message, ProtobufError};
 use raft::eraftpb::{Entry, HardState, Snapshot};
-use redb::{ReadTransaction, ReadableTable, TableDefinition, WriteTransaction};
-
-pub(crate) const ENTRIES: TableDefinition<u64, &[u8]> = TableDefinition::new("entries");
-pub(crate) const STATE: TableDefinition<&str, &[u8]> = TableDefinition::new("state");
-
-/// Keys of [`STATE`].
-const SNAPSHOT: &str = "snapshot";
-const HARD_STATE: &str = "hard";
+use redb::{ReadTransaction, ReadableTable, WriteTransaction};
 
 /// An entry of the log.
 struct EncodedEntry {
@@ -57,7 +51,7 @@
         let mut state = transaction.open_table(STATE)?;
         if let Some(snapshot) = &self.snapshot {
             log.retain(|_, _| false)?;
-            state.insert(SNAPSHOT, snapshot.as_slice())?;
+            state.insert(SNAPSHOT_KEY, snapshot.as_slice())?;
         }
         if let Some(first) = self.entries.first() {
             log.retain_in(first.index.., |_, _| false)?;
@@ -66,11 +60,11 @@
             log.insert(entry.index, entry.bytes.as_slice())?;
         }
         if let Some(hard_state) = &self.hard_state {
-            state.insert(HARD_STATE, hard_state.as_slice())?;
+            state.insert(HARD_STATE_KEY, hard_state.as_slice())?;
         }
         if let Some(EncodedCompaction { index, snapshot }) = &self.compaction {
             log.retain_in(..=*index, |_, _| false)?;
-            state.insert(SNAPSHOT, snapshot.as_slice())?;
+            state.insert(SNAPSHOT_KEY, snapshot.as_slice())?;
         }
         Ok(())
     }
@@ -94,7 +88,11 @@
             let (_, entry) = item?;
             entries.push(entry.value().to_vec());
         }
-        Ok(EncodedState { hard_state: read(HARD_STATE)?, snapshot: read(SNAPSHOT)?, entries })
+        Ok(EncodedState {
+            hard_state: read(HARD_STATE_KEY)?,
+            snapshot: read(SNAPSHOT_KEY)?,
+            entries,
+        })
     }
 
     /// Decodes the state; `None` if there is none.
--- a/crates/consensus-node/src/store_error.rs
+++ b/crates/consensus-node/src/store_error.rs
@@ -1,6 +1,6 @@
 //! Why a replica's store can't be used.
 
-use crate::store::FORMAT;
+use crate::store_tables::FORMAT;
 use mintshelf_consensus::error::StoredStateError;
 use std::io;
 use std::path::{Path, PathBuf};
--- a/crates/consensus-node/src/transport.rs
+++ b/crates/consensus-node/src/transport.rs
@@ -6,7 +6,8 @@
 use crate::handshake::{
     exchange_hello, Connection, HandshakeError, IdentifiedConnection, HELLO_TIMEOUT,
 };
-use crate::node::NodeConfig;
+use crate::node_config::NodeConfig;
+use futures_util::stream::{SplitSink, SplitStream};
 use futures_util::{SinkExt, StreamExt};
 use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 use rand_core::{RngCore, SeedableRng};
@@ -32,25 +33,40 @@
 /// Longest backoff between two attempts to reach a replica.
 const DIAL_BACKOFF_MAX: Nanos = SECOND;
 
-/// Number of a connection, unique in the life of a node.
+/// Identifies a connection among all that a node has ever had.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub(crate) struct ConnectionId(u64);
-
-impl ConnectionId {
-    fn accepted(number: u64) -> Self {
-        ConnectionId(number << 1)
-    }
+pub(crate) enum ConnectionId {
+    /// A connection that was accepted.
+    Accepted {
+        /// Number among the accepted ones, from 1.
+        number: u64,
+    },
+    /// A connection that was dialed.
+    Dialed {
+        /// Number of the replica at the other end.
+        replica: u64,
+        /// Number among the connections to that replica, from 1.
+        number: u64,
+    },
+}
 
-    fn dialed(replica: u64, number: u64) -> Self {
-        ConnectionId((replica << 40 | number) << 1 | 1)
-    }
+/// A connection that frames can be sent on.
+#[derive(Debug)]
+pub(crate) struct OpenedConnection {
+    /// Who is at the other end.
+    pub(crate) peer: PeerIdentity,
+    /// Where frames to the peer are queued; dropped, it closes the connection.
+    pub(crate) outgoing: mpsc::Sender<Bytes>,
 }
 
-/// What happens to connections.
+/// What happens to a connection.
 pub(crate) enum ConnectionEvent {
-    Opened { connection: ConnectionId, peer: PeerIdentity, outgoing: mpsc::Sender<Bytes> },
-    Received { connection: ConnectionId, frame: Frame },
-    Closed { connection: ConnectionId },
+    /// It is open, and its peer has identified itself.
+    Opened { id: ConnectionId, connection: OpenedConnection },
+    /// A frame has arrived.
+    Received { id: ConnectionId, frame: Frame },
+    /// It is closed.
+    Closed { id: ConnectionId },
 }
 
 /// Spawns the tasks of all connections. They end when the set is dropped.
@@ -90,11 +106,11 @@
             continue;
         }
         last_number += 1;
-        let id = ConnectionId::accepted(last_number);
+        let id = ConnectionId::Accepted { number: last_number };
         let (config, events) = (config.clone(), events.clone());
         connections.spawn(async move {
             match accept_peer(stream, &config).await {
-                Ok(identified) => serve(id, identified, events).await,
+                Ok(identified) => serve(id, identified, &events).await,
                 Err(error) => tracing::warn!(%address, %error, "peer rejected"),
             }
         });
@@ -139,8 +155,8 @@
                     Ok(identified) => {
                         backoff = DIAL_BACKOFF_MIN;
                         last_error = None;
-                        let connection = ConnectionId::dialed(*id, last_number);
-                        serve(connection, identified, events.clone()).await;
+                        let connection = ConnectionId::Dialed { replica: *id, number: last_number };
+                        serve(connection, identified, events).await;
                     }
                     Err(error) => self.log_once(&error, &mut last_error),
                 }
@@ -174,27 +190,24 @@
 async fn serve(
     id: ConnectionId,
     identified: IdentifiedConnection,
-    events: mpsc::Sender<ConnectionEvent>,
+    events: &mpsc::Sender<ConnectionEvent>,
 ) {
     let IdentifiedConnection { connection, peer } = identified;
     let (outgoing, queue) = mpsc::channel(OUTGOING_QUEUE_MAX);
-    let opened = ConnectionEvent::Opened { connection: id, peer: peer.clone(), outgoing };
-    if events.send(opened).await.is_err() {
+    let opened = OpenedConnection { peer: peer.clone(), outgoing };
+    if events.send(ConnectionEvent::Opened { id, connection: opened }).await.is_err() {
         return;
     }
     let (sink, stream) = connection.split();
     tokio::select! {
         () = write_frames(sink, queue) => {}
-        () = read_frames(id, &peer, stream, &events) => {}
+        () = read_frames(id, &peer, stream, events) => {}
     }
-    // Without a receiver the node is gone.
-    let _ = events.send(ConnectionEvent::Closed { connection: id }).await;
+    // Without a receiver the node has stopped, and its table of connections with it.
+    events.send(ConnectionEvent::Closed { id }).await.ok();
 }
 
-async fn write_frames(
-    mut sink: futures_util::stream::SplitSink<Connection, Bytes>,
-    mut queue: mpsc::Receiver<Bytes>,
-) {
+async fn write_frames(mut sink: SplitSink<Connection, Bytes>, mut queue: mpsc::Receiver<Bytes>) {
     while let Some(bytes) = queue.recv().await {
         if !matches!(timeout(WRITE_TIMEOUT, sink.send(bytes)).await, Ok(Ok(()))) {
             return;
@@ -205,7 +218,7 @@
 async fn read_frames(
     id: ConnectionId,
     peer: &PeerIdentity,
-    mut stream: futures_util::stream::SplitStream<Connection>,
+    mut stream: SplitStream<Connection>,
     events: &mpsc::Sender<ConnectionEvent>,
 ) {
     while let Some(Ok(bytes)) = stream.next().await {
@@ -216,7 +229,7 @@
                 return;
             }
         };
-        if events.send(ConnectionEvent::Received { connection: id, frame }).await.is_err() {
+        if events.send(ConnectionEvent::Received { id, frame }).await.is_err() {
             return;
         }
     }
--- a/crates/consensus-node/tests/nodes/fleet.rs
+++ b/crates/consensus-node/tests/nodes/fleet.rs
@@ -1,10 +1,11 @@
 //! A fleet of three nodes, each on a thread, and members of it.
 
 use mintshelf_consensus::persistent_state::PersistentState;
-use mintshelf_consensus::replica::ReplicaStatus;
+use mintshelf_consensus::replica_status::ReplicaStatus;
 use mintshelf_consensus_node::clock;
 use mintshelf_consensus_node::lease_keeper::{keep_lease, LeaseRequest, LeaseStatus};
-use mintshelf_consensus_node::node::{Node, NodeConfig, NodeError};
+use mintshelf_consensus_node::node::{Node, NodeError};
+use mintshelf_consensus_node::node_config::NodeConfig;
 use mintshelf_consensus_node::store::{Identity, OpenedStore, Store, StoreContent};
 use mintshelf_lease::client::{ActiveGrant, LeaseConfig};
 use mintshelf_lease::command::Owner;
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -31,11 +31,16 @@
 
 #![forbid(unsafe_code)]
 
+mod election_timeout;
 pub mod error;
+mod lease_state_machine;
 mod log;
 pub mod message;
 mod message_check;
 pub mod persistent_state;
+mod proposer;
+mod raft_config;
 pub mod replica;
+pub mod replica_status;
 pub mod state_machine;
 pub mod write_batch;
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -4,7 +4,8 @@
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
 use raft::{Error, GetEntriesContext, RaftState, Result, Storage, StorageError};
 
-/// A snapshot, the entries after it and the hard state.
+/// A snapshot, the entries after it and the hard state. The indexes of the entries are
+/// consecutive.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Log {
     pub(crate) hard_state: HardState,
@@ -13,6 +14,11 @@
     entries: Vec<Entry>,
 }
 
+/// Number of entries from one index up to another; 0 if that is lower.
+fn entries_between(first: u64, end: u64) -> usize {
+    usize::try_from(end.saturating_sub(first)).unwrap_or(usize::MAX)
+}
+
 impl Log {
     /// The empty log of a new fleet.
     pub(crate) fn new_fleet(replica_ids: &[u64]) -> Self {
@@ -42,13 +48,14 @@
         self.snapshot.get_metadata().index
     }
 
+    /// Index of the last entry, or of the snapshot if there is none after it.
     fn end_index(&self) -> u64 {
-        self.snapshot_index() + self.entries.len() as u64
+        self.entries.last().map_or(self.snapshot_index(), |entry| entry.index)
     }
 
     /// Position in `entries` of an index after the snapshot.
     fn position(&self, index: u64) -> usize {
-        index.saturating_sub(self.snapshot_index() + 1) as usize
+        entries_between(self.snapshot_index() + 1, index)
     }
 
     /// The entries after the snapshot.
@@ -60,7 +67,7 @@
     fn append(&mut self, entries: &[Entry]) {
         let Some(first) = entries.first() else { return };
         self.entries.truncate(self.position(first.index));
-        let compacted = (self.snapshot_index() + 1).saturating_sub(first.index) as usize;
+        let compacted = entries_between(first.index, self.snapshot_index() + 1);
         self.entries.extend(entries.iter().skip(compacted).cloned());
     }
 
@@ -104,7 +111,7 @@
     pub(crate) fn compact(&mut self, snapshot: &Snapshot) {
         let index = snapshot.get_metadata().index;
         if index > self.snapshot_index() && index <= self.end_index() {
-            self.entries.drain(..(index - self.snapshot_index()) as usize);
+            self.entries.drain(..entries_between(self.snapshot_index(), index));
             self.snapshot = snapshot.clone();
         }
     }
--- a/crates/consensus/src/message_check.rs
+++ b/crates/consensus/src/message_check.rs
@@ -3,8 +3,9 @@
 //! The raft library takes for granted, and panics without: kinds of messages that replicas send
 //! each other, consecutive entries, and no commit index beyond the log.
 
-use crate::error::{MessageError, ReplicaError};
+use crate::error::ReplicaError;
 use crate::log::Log;
+use crate::message::MessageError;
 use crate::state_machine::{decode_snapshot, StateMachine};
 use raft::eraftpb::{ConfState, Entry, EntryType, Message, MessageType};
 use raft::{Raft, StateRole};
--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -6,50 +6,25 @@
 //! messages that [`Replica::batch_synced`] returns. What depends on the write leaves with that
 //! call and not before.
 
-use crate::error::{MessageError, ReplicaError, StoredStateError};
+use crate::election_timeout::ElectionTimeout;
+use crate::error::{ReplicaError, StoredStateError};
 use crate::log::Log;
 use crate::message;
 use crate::message_check::{check_address, check_content};
 use crate::persistent_state::PersistentState;
+use crate::proposer::{EncodedProposal, Proposer};
+use crate::raft_config::raft_config;
+use crate::replica_status::ReplicaStatus;
 use crate::state_machine::{decode_snapshot, StateMachine};
 use crate::write_batch::{ProposalId, ProposalResponse, WriteBatch};
 use mintshelf_lease::lease::Leases;
 use mintshelf_lease::timing::Timing;
 use mintshelf_time::Nanos;
 use raft::eraftpb::{Entry, Message, MessageType, Snapshot};
-use raft::{Config, RawNode, StateRole};
-use rand_core::{RngCore, SeedableRng};
-use rand_pcg::Pcg32;
-use serde::{Deserialize, Serialize};
+use raft::{RawNode, StateRole};
 
 /// Number of entries after the last snapshot from which a new one is made.
 pub const SNAPSHOT_ENTRIES: usize = 1_024;
-/// Most bytes of entries that are proposed and not committed.
-const UNCOMMITTED_BYTES_MAX: u64 = 1 << 20;
-/// Most bytes of entries in one message.
-const APPEND_BYTES_MAX: u64 = 256 << 10;
-/// Most messages in flight to one follower.
-const IN_FLIGHT_MAX: usize = 64;
-
-/// What a replica reports of itself.
-///
-/// Frames between processes hold it in the postcard format: the order of the fields is part of
-/// that format.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ReplicaStatus {
-    /// Its number.
-    pub id: u64,
-    /// Its current term.
-    pub term: u64,
-    /// Number of the leader; 0 if none is known.
-    pub leader: u64,
-    /// Whether it is the leader itself.
-    pub is_leader: bool,
-    /// Index of the last entry that it has applied.
-    pub applied_index: u64,
-    /// Index of the last entry that it knows to be committed.
-    pub committed_index: u64,
-}
 
 /// A write in progress, and what follows it.
 struct PendingWrite {
@@ -59,46 +34,19 @@
     restored_index: Option<u64>,
 }
 
-/// The election timeout that was drawn for one term and role.
-struct ElectionTimeout {
-    term: u64,
-    role: StateRole,
-    ticks: usize,
-}
-
 /// One replica of a state machine; of leases, if none is named.
 pub struct Replica<M: StateMachine = Leases> {
     raft_node: RawNode<Log>,
     state_machine: M,
     local_state: M::LocalState,
     pending_write: Option<PendingWrite>,
-    rng: Pcg32,
     election_timeout: ElectionTimeout,
-    incarnation: u64,
-    last_sequence: u64,
+    proposer: Proposer,
     applied_index: u64,
     tick_interval: Nanos,
     last_tick_at: Option<Nanos>,
 }
 
-fn raft_config(id: u64, applied: u64, timing: &Timing) -> Config {
-    let election_ticks = (timing.election_timeout / timing.heartbeat_interval) as usize;
-    Config {
-        id,
-        applied,
-        election_tick: election_ticks,
-        heartbeat_tick: 1,
-        min_election_tick: election_ticks,
-        max_election_tick: 2 * election_ticks,
-        check_quorum: true,
-        pre_vote: true,
-        max_size_per_msg: APPEND_BYTES_MAX,
-        max_inflight_msgs: IN_FLIGHT_MAX,
-        max_uncommitted_size: UNCOMMITTED_BYTES_MAX,
-        ..Config::default()
-    }
-}
-
 impl<M: StateMachine> Replica<M> {
     /// Starts a replica from its persistent state. `incarnation` differs from those of all its
     /// former starts.
@@ -122,15 +70,13 @@
             state_machine,
             local_state: M::new_local_state(timing.clock_error),
             pending_write: None,
-            rng: Pcg32::seed_from_u64(incarnation),
-            election_timeout: ElectionTimeout { term: 0, role: StateRole::Follower, ticks: 0 },
-            incarnation,
-            last_sequence: 0,
+            election_timeout: ElectionTimeout::new(incarnation),
+            proposer: Proposer::new(id, incarnation),
             applied_index,
             tick_interval: timing.heartbeat_interval,
             last_tick_at: None,
         };
-        replica.draw_election_timeout();
+        replica.election_timeout.apply(&mut replica.raft_node.raft);
         Ok(replica)
     }
 
@@ -145,29 +91,19 @@
         let is_due = |at: Nanos| now >= at.saturating_add(self.tick_interval);
         if self.last_tick_at.is_none_or(is_due) {
             self.last_tick_at = Some(now);
-            self.draw_election_timeout();
+            self.election_timeout.apply(&mut self.raft_node.raft);
             self.raft_node.tick();
         }
         self.update_role(now);
-        for command in M::due_commands(now, &mut self.local_state) {
-            // A lost proposal is repeated by the state machine's own timers.
-            let _ = self.propose(&command);
-        }
+        self.propose_due_commands(now);
     }
 
-    /// The library draws each election timeout from the thread's generator; drawn here instead, a
-    /// seed determines it.
-    fn draw_election_timeout(&mut self) {
-        let raft = &mut self.raft_node.raft;
-        let drawn = &mut self.election_timeout;
-        if drawn.term != raft.term || drawn.role != raft.state || drawn.ticks == 0 {
-            let min_ticks = raft.election_timeout();
-            let extra_ticks = self.rng.next_u32() as usize % min_ticks.max(1);
-            drawn.term = raft.term;
-            drawn.role = raft.state;
-            drawn.ticks = min_ticks + extra_ticks;
+    fn propose_due_commands(&mut self, now: Nanos) {
+        for command in M::due_commands(now, &mut self.local_state) {
+            // One that is not accepted is due again by the state machine's own timers, like one
+            // that is lost later.
+            self.propose(&command).ok();
         }
-        raft.set_randomized_election_timeout(drawn.ticks);
     }
 
     fn is_leader(&self) -> bool {
@@ -191,19 +127,12 @@
     /// # Errors
     /// [`ReplicaError::Unavailable`]: no leader is known, or too many proposals are in flight.
     pub fn propose(&mut self, command: &M::Command) -> Result<ProposalId, ReplicaError> {
-        self.last_sequence += 1;
-        let proposal = ProposalId {
-            replica: self.raft_node.raft.id,
-            incarnation: self.incarnation,
-            sequence: self.last_sequence,
-        };
-        let context = postcard::to_allocvec(&proposal).map_err(MessageError::Command)?;
-        let data = postcard::to_allocvec(command).map_err(MessageError::Command)?;
+        let EncodedProposal { id, context, data } = self.proposer.encode(command)?;
         self.raft_node.propose(context, data).map_err(|error| match error {
             raft::Error::ProposalDropped => ReplicaError::Unavailable,
             error => ReplicaError::Raft(error),
         })?;
-        Ok(proposal)
+        Ok(id)
     }
 
     /// Takes a message of another replica.
@@ -287,21 +216,13 @@
             let Ok(command) = postcard::from_bytes::<M::Command>(&entry.data) else { continue };
             let response = self.state_machine.apply(&command);
             self.state_machine.command_applied(now, &command, &mut self.local_state);
-            if let Some(proposal) = self.own_proposal(entry) {
+            if let Some(proposal) = self.proposer.own_proposal(entry) {
                 responses.push(ProposalResponse { proposal, response });
             }
         }
         responses
     }
 
-    /// The proposal of an entry, if it was made here.
-    fn own_proposal(&self, entry: &Entry) -> Option<ProposalId> {
-        let proposal: ProposalId = postcard::from_bytes(&entry.context).ok()?;
-        let is_own =
-            proposal.replica == self.raft_node.raft.id && proposal.incarnation == self.incarnation;
-        is_own.then_some(proposal)
-    }
-
     /// Makes a snapshot where the log has become long. Only what is applied may go into it.
     fn compact(&mut self) -> Option<Snapshot> {
         let log = self.raft_node.mut_store();
--- a/crates/consensus/src/state_machine.rs
+++ b/crates/consensus/src/state_machine.rs
@@ -1,8 +1,5 @@
 //! The state machine that replicas agree on, and the local state that goes with it at one replica.
 
-use mintshelf_lease::command::{Command, Response};
-use mintshelf_lease::expiry::LeaseExpiry;
-use mintshelf_lease::lease::Leases;
 use mintshelf_lease::timing::ClockError;
 use mintshelf_time::Nanos;
 use serde::{de::DeserializeOwned, Serialize};
@@ -28,7 +25,7 @@
     /// Updates the local state after a command has been applied.
     fn command_applied(&self, now: Nanos, command: &Self::Command, local: &mut Self::LocalState);
 
-    /// This replica is the leader from now on: all durations count anew.
+    /// This replica has become the leader: the count of each duration starts again.
     fn become_leader(&self, now: Nanos, local: &mut Self::LocalState);
 
     /// This replica is not the leader any more.
@@ -48,37 +45,3 @@
     }
     postcard::from_bytes(data)
 }
-
-impl StateMachine for Leases {
-    type Command = Command;
-    type Response = Response;
-    type LocalState = LeaseExpiry;
-
-    fn new_local_state(clock_error: ClockError) -> LeaseExpiry {
-        LeaseExpiry::new(clock_error)
-    }
-
-    fn apply(&mut self, command: &Command) -> Response {
-        Leases::apply(self, command)
-    }
-
-    fn command_applied(&self, now: Nanos, command: &Command, local: &mut LeaseExpiry) {
-        local.command_applied(now, self, command.lease());
-    }
-
-    fn become_leader(&self, now: Nanos, local: &mut LeaseExpiry) {
-        local.become_leader(now, self);
-    }
-
-    fn step_down(local: &mut LeaseExpiry) {
-        local.step_down();
-    }
-
-    fn is_leader(local: &LeaseExpiry) -> bool {
-        local.is_leader()
-    }
-
-    fn due_commands(now: Nanos, local: &mut LeaseExpiry) -> Vec<Command> {
-        local.due_commands(now)
-    }
-}
--- a/crates/consensus/tests/simulation.rs
+++ b/crates/consensus/tests/simulation.rs
@@ -29,7 +29,7 @@
     crashes: u64,
     leaderships: usize,
     violations: Vec<SeedViolation>,
-    /// Seeds in which nobody acts at the end, without faults.
+    /// Seeds in which no holder acts at the end, without faults.
     idle_seeds: Vec<u64>,
 }
 
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn clocks_taken_for_exact_are_found() {
+fn ignoring_the_clock_error_is_found() {
     // A leader that stays, and holders that are cut off from it while their clocks run slow.
     let mutant = SimulationConfig {
         mutant: Mutant::IgnoresClockError,
--- a/crates/mintshelf/src/fleet/leases.rs
+++ b/crates/mintshelf/src/fleet/leases.rs
@@ -105,11 +105,11 @@
     let command = Command::Revoke { lease: lease.clone() };
     let replicas = replica_addresses(&fleet);
     match runtime.block_on(propose(&fleet.fleet, command_owner(&fleet), &replicas, command)) {
-        Some(Response::Done) => {
+        Ok(Response::Done) => {
             println!("'{lease}' is not renewed any more, and ends with its span");
             Ok(())
         }
-        Some(Response::Rejected(rejection)) => Err(CommandError::Rejected { lease, rejection }),
+        Ok(Response::Rejected(rejection)) => Err(CommandError::Rejected { lease, rejection }),
         _ => Err(CommandError::NoResponse),
     }
 }
--- a/crates/mintshelf/src/fleet/query.rs
+++ b/crates/mintshelf/src/fleet/query.rs
@@ -1,13 +1,13 @@
 //! What the commands share: the fleet of an operator's file, and the status of its replicas.
 
 use super::error::CommandError;
+use crate::random::random_number;
 use crate::{config_file, runtime};
 use mintshelf_config::model::FleetConfig;
 use mintshelf_consensus_node::client::fetch_status;
 use mintshelf_consensus_node::frame::StatusReport;
 use mintshelf_consensus_node::store::Identity;
 use mintshelf_lease::command::Owner;
-use std::hash::{BuildHasher, Hasher, RandomState};
 use std::net::SocketAddr;
 use std::path::Path;
 
@@ -32,7 +32,8 @@
 
 /// The owner that a command acts as, with an incarnation of its own.
 pub fn command_owner(fleet: &FleetConfig) -> Owner {
-    let incarnation = RandomState::new().build_hasher().finish() >> 32;
+    // Numbers of requests begin with the incarnation, in the upper half of their bits.
+    let incarnation = random_number() >> 32;
     Owner { member: fleet.name.clone(), incarnation }
 }
 
@@ -55,7 +56,8 @@
         let reports = runtime.block_on(async {
             let mut reports = Vec::new();
             for task in tasks {
-                reports.push(task.await.ok().flatten());
+                // Why a replica does not respond makes no difference to the commands.
+                reports.push(task.await.ok().and_then(Result::ok));
             }
             reports
         });
--- a/crates/mintshelf/src/fleet/replica_thread.rs
+++ b/crates/mintshelf/src/fleet/replica_thread.rs
@@ -3,7 +3,8 @@
 use super::query::store_identity;
 use crate::runtime;
 use mintshelf_config::model::FleetConfig;
-use mintshelf_consensus_node::node::{Node, NodeConfig, NodeError};
+use mintshelf_consensus_node::node::{Node, NodeError};
+use mintshelf_consensus_node::node_config::NodeConfig;
 use mintshelf_consensus_node::store::{OpenedStore, Store, StoreContent};
 use mintshelf_consensus_node::store_error::StoreError;
 use std::collections::BTreeMap;
@@ -77,8 +78,8 @@
     fn drop(&mut self) {
         drop(self.stop.take());
         if let Some(thread) = self.thread.take() {
-            // A panic of the replica was reported by its thread.
-            let _ = thread.join();
+            // A panic of the replica was printed by its thread.
+            thread.join().ok();
         }
     }
 }
@@ -135,6 +136,7 @@
 ) -> Result<(), StopError> {
     runtime.block_on(async {
         let listener = tokio::net::TcpListener::from_std(listener)?;
+        // The sender is dropped to stop the node.
         let stop = async { drop(stopped.await) };
         Ok(node(listener).run(stop).await?)
     })
--- a/crates/mintshelf/src/main.rs
+++ b/crates/mintshelf/src/main.rs
@@ -11,6 +11,7 @@
 mod log;
 mod metrics;
 mod platform;
+mod random;
 mod service;
 
 use clap::{Parser, Subcommand, ValueEnum};
--- a/crates/mintshelf/tests/compatibility/bindings.rs
+++ b/crates/mintshelf/tests/compatibility/bindings.rs
@@ -7,7 +7,8 @@
 use mintshelf_balancer::gossip::{GossipMessage, ServerObservation};
 use mintshelf_config::platform::{Names, PlatformConfig};
 use mintshelf_consensus::persistent_state::PersistentState;
-use mintshelf_consensus::replica::{Replica, ReplicaStatus};
+use mintshelf_consensus::replica::Replica;
+use mintshelf_consensus::replica_status::ReplicaStatus;
 use mintshelf_consensus::state_machine::StateMachine;
 use mintshelf_consensus::write_batch::ProposalId;
 use mintshelf_consensus_node::frame::{
