--- a/crates/mintshelf/tests/compatibility/bindings.rs
+++ b/crates/mintshelf/tests/compatibility/bindings.rs
@@ -167,13 +167,13 @@
 }
 
 fn batch() -> AllocationBatch {
-    let request = |member, demand, is_leaving| AllocationRequest {
+    let request = |member, demand, is_release| AllocationRequest {
         owner: owner(member, 3),
         sequence: 300,
         demand,
         weight: 2,
         confirmed_grant: 5,
-        is_leaving,
+        is_release,
     };
     let expired = vec![GrantExpired { owner: owner("gamma", 7), grant: 400 }];
     AllocationBatch {
--- a/crates/quota/benches/quota.rs
+++ b/crates/quota/benches/quota.rs
@@ -26,7 +26,7 @@
     /// start.
     served: f64,
     /// From the move of the demand until its new owner is allowed 0.9 of what the old one was.
-    move_duration: Option<Nanos>,
+    transfer_duration: Option<Nanos>,
     messages: u64,
     message_bytes: u64,
     entries: u64,
@@ -108,9 +108,9 @@
                 allowed_steps += 1.0;
                 allowed_before = allowed;
             }
-            let has_moved = self.now >= move_at && allowed * 10 >= allowed_before * 9;
-            if has_moved && self.measurements.move_duration.is_none() {
-                self.measurements.move_duration = Some(self.now - move_at);
+            let is_transferred = self.now >= move_at && allowed * 10 >= allowed_before * 9;
+            if is_transferred && self.measurements.transfer_duration.is_none() {
+                self.measurements.transfer_duration = Some(self.now - move_at);
             }
         }
         self.measurements.served = allowed_sum / allowed_steps / self.quota.total as f64;
@@ -222,10 +222,11 @@
         let quota = quota(total, floor, members);
         quota.check().expect("a quota that can be kept");
         let measurements = Simulation::new(quota, members as usize).run();
-        let moved = measurements.move_duration;
-        let moved = moved.map_or("never".into(), |duration| (duration / MILLISECOND).to_string());
+        let transferred_in = measurements.transfer_duration;
+        let transferred_in =
+            transferred_in.map_or("never".into(), |duration| (duration / MILLISECOND).to_string());
         println!(
-            "| {members} | {total} | {floor} | {}/1000 | {:.3} | {:.4} | {moved} |",
+            "| {members} | {total} | {floor} | {}/1000 | {:.3} | {:.4} | {transferred_in} |",
             quota.headroom_per_mille,
             measurements.served,
             1.0 / members as f64,
--- a/crates/quota/src/allocation.rs
+++ b/crates/quota/src/allocation.rs
@@ -29,8 +29,8 @@
     /// Number of a grant: the member uses no more than that, and will not go back to an earlier
     /// one. 0 for none.
     pub confirmed_grant: u64,
-    /// Whether it uses nothing over its floor, and will not again.
-    pub is_leaving: bool,
+    /// Whether it releases all its grants: it uses nothing over its floor, and will not again.
+    pub is_release: bool,
 }
 
 /// A grant, and all earlier ones to its owner, have expired by the leader's count.
--- a/crates/quota/src/client.rs
+++ b/crates/quota/src/client.rs
@@ -1,4 +1,4 @@
-//! A member's side of one quota: requests grants, and says how much may be used.
+//! A member's side of one quota: requests grants, and tells how much may be used.
 
 use crate::allocation::{AllocationRequest, AllocationResponse, Grant};
 use crate::config::Quota;
@@ -28,7 +28,8 @@
     sent_at: Nanos,
 }
 
-/// What may be in use at once, or a second. Whoever admits requests reads it without waiting.
+/// Units that may be in use at once, or acquired in a second. Whoever admits requests reads it
+/// without waiting.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Limit {
     /// Units that may be used now.
@@ -64,7 +65,8 @@
     active: Option<ActiveGrant>,
     /// Number of the last grant that the use fits.
     confirmed_grant: u64,
-    is_leaving: bool,
+    /// Whether the member has given up its grants.
+    is_released: bool,
     /// From then on the floor may be used.
     floor_from: Nanos,
 }
@@ -85,7 +87,7 @@
             next_request_at: 0,
             active: None,
             confirmed_grant: 0,
-            is_leaving: false,
+            is_released: false,
             floor_from: started_at.saturating_add(former_use),
         }
     }
@@ -111,7 +113,7 @@
     /// What may be used. To be read again when it expires, and after each response.
     pub fn limit(&self, now: Nanos) -> Limit {
         let floor = self.floor_at(now);
-        match self.active.filter(|active| now < active.expires_at && !self.is_leaving) {
+        match self.active.filter(|active| now < active.expires_at && !self.is_released) {
             Some(ActiveGrant { grant, expires_at }) => Limit {
                 units: floor.saturating_add(grant.units),
                 expires_at,
@@ -124,9 +126,9 @@
         }
     }
 
-    /// Gives up the grant: from now on the floor alone may be used.
-    pub fn leave(&mut self) {
-        self.is_leaving = true;
+    /// Releases the grant: from now on the floor alone may be used.
+    pub fn release(&mut self) {
+        self.is_released = true;
         self.next_request_at = 0;
     }
 
@@ -134,20 +136,20 @@
     pub fn tick(&mut self, now: Nanos, used: u64) -> Option<AllocationRequest> {
         self.confirm(now, used);
         let is_over_floor = used > self.floor_at(now);
-        if now < self.next_request_at || self.is_leaving && is_over_floor {
+        if now < self.next_request_at || self.is_released && is_over_floor {
             return None;
         }
         self.last_sequence += 1;
-        // The grant's duration counts from here, before the request leaves: counted from the
+        // The grant's duration counts from here, before the request is sent: counted from the
         // response, a slow one would stretch it past what the leader waits for.
         self.sent_requests.push_back(SentRequest { sequence: self.last_sequence, sent_at: now });
         if self.sent_requests.len() > SENT_REQUESTS_MAX {
             self.sent_requests.pop_front();
         }
-        // Leaving is repeated once a grant's duration has passed, should the request be lost; then
+        // A release is repeated once a grant's duration has passed, should the request be lost; then
         // the grants have expired in any case.
         let duration = self.quota.grant_duration;
-        let interval = if self.is_leaving { duration } else { duration / REQUESTS_PER_GRANT };
+        let interval = if self.is_released { duration } else { duration / REQUESTS_PER_GRANT };
         self.next_request_at = now.saturating_add(interval);
         Some(AllocationRequest {
             owner: self.owner.clone(),
@@ -155,7 +157,7 @@
             demand: self.demand,
             weight: self.weight,
             confirmed_grant: self.confirmed_grant,
-            is_leaving: self.is_leaving,
+            is_release: self.is_released,
         })
     }
 
@@ -171,12 +173,12 @@
     /// Takes a response. One to an older request than the last that had a response is ignored, and
     /// so is one to a former incarnation.
     pub fn handle_response(&mut self, now: Nanos, response: &AllocationResponse) {
-        let is_answered = |request: &&SentRequest| request.sequence == response.sequence;
-        let request = self.sent_requests.iter().find(is_answered).copied();
+        let has_response_for = |request: &&SentRequest| request.sequence == response.sequence;
+        let request = self.sent_requests.iter().find(has_response_for).copied();
         let Some(request) = request.filter(|_| response.owner == self.owner) else { return };
         let duration = self.quota.clock_error.holder_duration(self.quota.grant_duration);
         let expires_at = request.sent_at.saturating_add(duration);
-        if self.is_leaving || now >= expires_at {
+        if self.is_released || now >= expires_at {
             return;
         }
         self.sent_requests.retain(|other| other.sequence > request.sequence);
--- a/crates/quota/src/config.rs
+++ b/crates/quota/src/config.rs
@@ -1,4 +1,4 @@
-//! A quota as an operator configures it, and the check that it can be kept.
+//! A quota as an operator configures it, and the check that it can be enforced.
 
 use mintshelf_lease::timing::ClockError;
 use mintshelf_time::{Nanos, MILLISECOND, SECOND};
@@ -29,9 +29,9 @@
     pub floor: u64,
     /// Most processes that run at one time.
     pub max_members: u64,
-    /// Part of what is over the floors that is set aside for members that join, in thousandths.
+    /// Part of [`Quota::grantable`] that is set aside for members that join, in thousandths.
     pub headroom_per_mille: u64,
-    /// How long a grant is good.
+    /// How long a grant is in force.
     pub grant_duration: Nanos,
     /// How long a unit may stay in use after it was acquired: a request's longest time. 0 for
     /// rates.
@@ -40,7 +40,7 @@
     pub clock_error: ClockError,
 }
 
-/// Why a quota can't be kept, with the sum.
+/// Why a quota can't be enforced, with the figures.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum QuotaError {
     /// Members without a leader would together use more than the total.
@@ -75,7 +75,7 @@
 }
 
 impl Quota {
-    /// Checks that the quota can be kept.
+    /// Checks that the quota can be enforced.
     ///
     /// # Errors
     /// The first reason why not.
@@ -112,6 +112,8 @@
     /// join.
     pub fn divided(&self) -> u64 {
         let grantable = u128::from(self.grantable());
-        (grantable * u128::from(1_000 - self.headroom_per_mille.min(1_000)) / 1_000) as u64
+        let divided_per_mille = u128::from(1_000 - self.headroom_per_mille.min(1_000));
+        // Never more than what is grantable.
+        u64::try_from(grantable * divided_per_mille / 1_000).unwrap_or(u64::MAX)
     }
 }
--- a/crates/quota/src/ledger.rs
+++ b/crates/quota/src/ledger.rs
@@ -13,6 +13,8 @@
 /// duration, there are more than a few only while neither confirmations nor expiries are
 /// committed.
 pub const GRANTS_MAX: usize = 8;
+/// Most incarnations of one member that have accounts at one time, on average.
+const ACCOUNTS_PER_MEMBER_MAX: u64 = 2;
 
 /// What is known of one incarnation of one member.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -21,7 +23,8 @@
     sequence: u64,
     demand: u64,
     weight: u32,
-    is_leaving: bool,
+    /// Whether its owner has released its grants.
+    is_released: bool,
     /// Each of these may be in use, oldest first.
     grants: Vec<Grant>,
 }
@@ -38,7 +41,7 @@
     }
 
     /// The oldest grant that may be in use.
-    pub fn oldest(&self) -> Option<Grant> {
+    pub(crate) fn oldest(&self) -> Option<Grant> {
         self.grants.first().copied()
     }
 
@@ -51,7 +54,7 @@
         self.grants.push(grant);
     }
 
-    /// Accepts a request, unless it is an old copy, whose demand and use are no longer so.
+    /// Accepts a request, unless it is an old copy: its demand and its use are out of date.
     fn accept(&mut self, request: &AllocationRequest) -> bool {
         if request.sequence <= self.sequence {
             return false;
@@ -60,10 +63,10 @@
         self.demand = request.demand;
         self.weight = request.weight;
         self.confirm(request.confirmed_grant);
-        if request.is_leaving {
+        if request.is_release {
             self.grants.clear();
         }
-        self.is_leaving = request.is_leaving;
+        self.is_released = request.is_release;
         true
     }
 
@@ -151,7 +154,7 @@
 
     /// Applies a committed batch; returns the responses to its requests. An owner beyond the
     /// number of accounts gets none, and has no floor either: the operator's number of members
-    /// was wrong.
+    /// is too low.
     pub fn apply(&mut self, batch: &AllocationBatch) -> Vec<AllocationResponse> {
         for expired in &batch.expired {
             self.expire(expired);
@@ -162,7 +165,7 @@
                 open.push(OpenRequest { owner: request.owner.clone(), sequence: request.sequence });
             }
         }
-        self.accounts.retain(|_, account| !(account.is_leaving && account.grants.is_empty()));
+        self.accounts.retain(|_, account| !(account.is_released && account.grants.is_empty()));
         self.grant(open)
     }
 
@@ -175,15 +178,21 @@
         }
     }
 
-    /// Notes a request; returns whether it is to be granted something.
+    /// Most accounts, former incarnations included: they keep theirs until their grants expire,
+    /// beside the new ones.
+    fn max_accounts(&self) -> usize {
+        let max_accounts = self.quota.max_members.saturating_mul(ACCOUNTS_PER_MEMBER_MAX);
+        usize::try_from(max_accounts).unwrap_or(usize::MAX)
+    }
+
+    /// Updates the account of a request's owner; returns whether it is to be granted something.
     fn accept(&mut self, request: &AllocationRequest) -> bool {
-        // Former incarnations keep their accounts until their grants expire, beside the new ones.
-        let is_full = self.accounts.len() as u64 >= self.quota.max_members.saturating_mul(2);
+        let is_full = self.accounts.len() >= self.max_accounts();
         if is_full && !self.accounts.contains_key(&request.owner) {
             return false;
         }
         let account = self.accounts.entry(request.owner.clone()).or_default();
-        account.accept(request) && !request.is_leaving
+        account.accept(request) && !request.is_release
     }
 
     fn grant(&mut self, open: Vec<OpenRequest>) -> Vec<AllocationResponse> {
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -2,7 +2,7 @@
 //! have at a tenant, a route, a cluster or an endpoint, allocated to them by demand.
 //!
 //! No I/O and no clock; time is an argument. A member's **grant** is a part of the quota that
-//! expires. All members together never use more than the quota, whoever is cut off, stopped,
+//! expires. All members together never use more than the quota, whoever is isolated, stopped,
 //! killed or restarted, and whichever replica is the leader:
 //!
 //! - a grant counts as used until its holder has confirmed that it uses no more, or until it has
@@ -10,7 +10,7 @@
 //! - a holder counts its grant's duration from before it sent its request
 //!   ([`client::QuotaClient`]), the leader from after the grant was committed, plus the clock
 //!   error and the time for which a unit that was acquired at the last moment may still be in use
-//!   ([`request_collector::RequestCollector`]); a new leader counts anew;
+//!   ([`request_collector::RequestCollector`]); a new leader starts its count again;
 //! - a member without any responses is left with its **floor**, which needs no consensus: floors
 //!   times the largest number of members are set aside ([`config::Quota::check`]);
 //! - one entry of the log carries the requests of all members since the last
--- a/crates/quota/src/max_min.rs
+++ b/crates/quota/src/max_min.rs
@@ -1,10 +1,10 @@
-//! Division by demand: weighted max-min fairness in whole numbers.
+//! Division by demand: weighted max-min fairness in integers.
 //!
 //! No member gets more than it demands, and what one does not need is divided among the others by
 //! weight, until all have enough or nothing is left (Bertsekas and Gallager, "Data Networks",
 //! 6.5.2, progressive filling). Sums are exact: no rounding grants a unit more than there is.
 
-/// A part less than this much smaller than the current one is not worth a change, as a divisor.
+/// A grant is not reduced by this part of itself or less, as a divisor.
 const HYSTERESIS_DIVISOR: u64 = 8;
 
 /// What one member demands.
@@ -22,8 +22,8 @@
     }
 }
 
-/// Indexes of the demands, by units for their weight: once one of them can't be met in full, none
-/// behind it can.
+/// Indexes of the demands, in order of units per weight: after the first that can't be met in
+/// full, none can.
 fn by_units_per_weight(demands: &[Demand]) -> Vec<usize> {
     let mut order: Vec<usize> = (0..demands.len()).collect();
     order.sort_by(|left, right| {
@@ -39,22 +39,22 @@
 pub fn weighted_max_min(total: u64, demands: &[Demand]) -> Vec<u64> {
     let mut parts = vec![0; demands.len()];
     let order = by_units_per_weight(demands);
-    let mut left = u128::from(total);
+    let mut remaining = u128::from(total);
     let mut weights: u128 = demands.iter().map(Demand::weight).sum();
     let mut met = 0;
     for index in &order {
         let demand = &demands[*index];
-        if u128::from(demand.units) * weights > left * demand.weight() {
+        if u128::from(demand.units) * weights > remaining * demand.weight() {
             break;
         }
         parts[*index] = demand.units;
-        left -= u128::from(demand.units);
+        remaining -= u128::from(demand.units);
         weights -= demand.weight();
         met += 1;
     }
     let mut unmet = order[met..].to_vec();
     unmet.sort_unstable();
-    divide_by_weight(left, weights, demands, &unmet, &mut parts);
+    divide_by_weight(remaining, weights, demands, &unmet, &mut parts);
     parts
 }
 
@@ -74,17 +74,18 @@
         weights_so_far += demand.weight();
         let divided_so_far = total * weights_so_far / weights.max(1);
         let part = (divided_so_far - divided).min(u128::from(demand.units));
-        parts[*index] = part as u64;
+        // Never more than the demand.
+        parts[*index] = u64::try_from(part).unwrap_or(u64::MAX);
         divided += part;
     }
 }
 
-/// The next grant of a member that has `current` units, where its part is `target`. A little less
-/// is not worth a change: it would only go to and fro with every count of demands.
+/// The next grant of a member that has `current` units, where its part is `target`. It is
+/// not reduced by a little: it would follow every small change of the demands.
 pub fn with_hysteresis(current: u64, target: u64) -> u64 {
-    let is_little_less =
+    let is_slightly_less =
         target < current && target > 0 && current - target <= current / HYSTERESIS_DIVISOR;
-    if is_little_less {
+    if is_slightly_less {
         current
     } else {
         target
--- a/crates/quota/src/replica_selector.rs
+++ b/crates/quota/src/replica_selector.rs
@@ -1,5 +1,5 @@
 //! Which replica a member sends its requests to: up to 2,000 members spread over three or five
-//! replicas, moved when one fails, without a rush on those that are left.
+//! replicas, and over the others when one fails, without a rush on them.
 
 use mintshelf_lease::command::Owner;
 use mintshelf_time::{Nanos, MILLISECOND, SECOND};
@@ -15,7 +15,7 @@
 /// Last bound of the backoff.
 const BACKOFF_MAX: Nanos = 5 * SECOND;
 /// Number of doublings after which the bound is the last in any case.
-const DOUBLINGS_MAX: u32 = 8;
+const DOUBLINGS_MAX: usize = 8;
 /// A member that is not at its preferred replica returns to it after this, or up to twice as long.
 const RETURN_INTERVAL: Nanos = 30 * SECOND;
 
@@ -29,7 +29,7 @@
     /// When the first request without a response so far was sent.
     waiting_since: Option<Nanos>,
     /// Replicas given up since the last response.
-    failures: u32,
+    failures: usize,
     /// End of the backoff.
     not_before: Nanos,
     /// When the member returns to its preferred replica.
@@ -118,14 +118,14 @@
         self.waiting_since = None;
         self.position = (self.position + 1) % self.order.len();
         self.failures = self.failures.saturating_add(1);
-        let replicas = self.order.len() as u32;
+        let replicas = self.order.len();
         if self.failures.is_multiple_of(replicas) {
             self.back_off(now, self.failures / replicas - 1);
         }
     }
 
     /// Draws a backoff: members that lost a replica together would otherwise return together.
-    fn back_off(&mut self, now: Nanos, doublings: u32) {
+    fn back_off(&mut self, now: Nanos, doublings: usize) {
         let bound = (BACKOFF_MIN << doublings.min(DOUBLINGS_MAX)).min(BACKOFF_MAX);
         let backoff = self.draw_below(bound);
         self.not_before = self.not_before.max(now.saturating_add(backoff));
--- a/crates/quota/src/request_collector.rs
+++ b/crates/quota/src/request_collector.rs
@@ -9,6 +9,10 @@
 use mintshelf_time::Nanos;
 use std::collections::BTreeMap;
 
+/// Most requests in one batch: of each member, one of its current and one of its former
+/// incarnation.
+const REQUESTS_MAX: u64 = 2 * MEMBERS_MAX;
+
 /// One grant whose duration is counted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct GrantDeadline {
@@ -52,8 +56,8 @@
 }
 
 impl RequestCollector {
-    /// This replica is the leader from now on. Every duration counts anew: when a grant was
-    /// committed, only the former leader's clock knew.
+    /// This replica has become the leader. The count of each duration starts again: when a grant
+    /// was committed, only the former leader's clock knew.
     pub fn become_leader(&mut self, now: Nanos, ledger: &Ledger) {
         self.is_leader = true;
         self.deadlines.clear();
@@ -74,7 +78,7 @@
     /// Collects a request for the next batch; of one owner's the last counts. Returns whether it
     /// was accepted: it is not if it is an old copy, or from more owners than there can be.
     pub fn add_request(&mut self, request: AllocationRequest) -> bool {
-        let is_full = self.requests.len() as u64 >= MEMBERS_MAX * 2;
+        let is_full = self.requests.len() as u64 >= REQUESTS_MAX;
         if is_full && !self.requests.contains_key(&request.owner) {
             return false;
         }
--- a/crates/quota/src/state_machine.rs
+++ b/crates/quota/src/state_machine.rs
@@ -67,7 +67,8 @@
 /// Why a quota is not in force.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum QuotaRejection {
-    /// It can't be kept; the text of the [`QuotaError`], since other versions may have others.
+    /// It can't be enforced. The text of the [`QuotaError`]: the stored bytes are read by other
+    /// versions, which may have other errors.
     Invalid(String),
     /// Members count by its former settings already: it needs a name of its own.
     IncompatibleChange,
--- a/crates/quota/src/token_bucket.rs
+++ b/crates/quota/src/token_bucket.rs
@@ -49,7 +49,7 @@
     }
 
     /// Sets a newer limit: under a larger one the bucket fills up from its content, under a
-    /// smaller one it keeps no more than its capacity.
+    /// smaller one its content is cut to the capacity.
     pub fn set_limit(&mut self, now: Nanos, limit: Limit) {
         self.update(now);
         self.limit = limit;
--- a/crates/quota/src/usage.rs
+++ b/crates/quota/src/usage.rs
@@ -16,7 +16,7 @@
 struct Window {
     /// Most units in use at once.
     peak: u64,
-    /// Acquisitions that were rejected for want of a unit.
+    /// Acquisitions that were rejected since no unit was free.
     rejected: u64,
 }
 
@@ -107,14 +107,14 @@
         }
     }
 
-    /// Rejected acquisitions count for as much of a window as a unit is in use: a hundred short
-    /// requests do not demand a hundred units.
+    /// A rejected acquisition counts for the part of a window in which a unit is in use: a hundred
+    /// short requests do not demand a hundred units.
     fn window_demand(&self, window: &Window) -> u64 {
         let use_duration = u128::from(self.mean_use_duration.max(1));
         let rejected_use = u128::from(window.rejected) * use_duration;
-        // Rejected clients come again: one unit at least for any of them, and no more than one
-        // each.
+        // Rejected clients retry: one unit at least for all of them, and at most one for each.
         let units = rejected_use.div_ceil(u128::from(self.window_duration));
-        window.peak.saturating_add((units as u64).min(window.rejected))
+        let units = u64::try_from(units).unwrap_or(u64::MAX);
+        window.peak.saturating_add(units.min(window.rejected))
     }
 }
--- a/crates/quota/tests/config.rs
+++ b/crates/quota/tests/config.rs
@@ -1,11 +1,11 @@
-//! Which quotas can be kept.
+//! Which quotas can be enforced.
 
 use mintshelf_lease::timing::ClockError;
 use mintshelf_quota::config::{Quota, QuotaError};
 use mintshelf_time::{MILLISECOND, SECOND};
 
 #[test]
-fn a_quota_that_can_not_be_kept_is_rejected_with_the_sum() {
+fn a_quota_that_can_not_be_enforced_is_rejected_with_the_figures() {
     let good = Quota {
         total: 100,
         floor: 2,
--- a/crates/quota/tests/ledger.rs
+++ b/crates/quota/tests/ledger.rs
@@ -24,7 +24,7 @@
 
 fn request(owner: &Owner, sequence: u64, demand: u64, confirmed_grant: u64) -> AllocationRequest {
     let owner = owner.clone();
-    AllocationRequest { owner, sequence, demand, weight: 1, confirmed_grant, is_leaving: false }
+    AllocationRequest { owner, sequence, demand, weight: 1, confirmed_grant, is_release: false }
 }
 
 fn apply(ledger: &mut Ledger, requests: Vec<AllocationRequest>) -> Vec<Grant> {
@@ -99,12 +99,12 @@
 }
 
 #[test]
-fn a_member_that_leaves_is_forgotten_at_once() {
+fn a_member_that_releases_its_grants_is_removed_at_once() {
     let member = owner("a", 1);
     let mut ledger = Ledger::new(QUOTA);
     apply(&mut ledger, vec![request(&member, 1, 500, 0)]);
-    let leaving = AllocationRequest { is_leaving: true, ..request(&member, 2, 0, 0) };
-    assert!(apply(&mut ledger, vec![leaving]).is_empty());
+    let release = AllocationRequest { is_release: true, ..request(&member, 2, 0, 0) };
+    assert!(apply(&mut ledger, vec![release]).is_empty());
     assert_eq!((ledger.used(), ledger.accounts().count()), (0, 0));
 }
 
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn a_new_leader_counts_each_grant_anew() {
+fn a_new_leader_starts_the_count_of_each_grant_again() {
     let member = owner("a", 1);
     let mut ledger = Ledger::new(QUOTA);
     let mut collector = RequestCollector::default();
--- a/crates/quota/tests/max_min.rs
+++ b/crates/quota/tests/max_min.rs
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_little_less_is_not_worth_a_change() {
+fn a_grant_is_not_reduced_by_a_little() {
     let next = [(0, 1), (9, 0), (100, 80), (100, 95), (100, 110), (7, 6)]
         .map(|(current, target)| with_hysteresis(current, target));
     assert_eq!(next, [1, 0, 80, 100, 110, 6]);
--- a/crates/quota/tests/model/case.rs
+++ b/crates/quota/tests/model/case.rs
@@ -11,7 +11,7 @@
 use stateright::{Model, Property};
 
 pub const WITHIN_QUOTA: &str = "never more than the quota";
-const EACH_HAS_MOST: &str = "each has most of it at some time";
+const EACH_HAS_MAJORITY: &str = "each has most of it at some time";
 
 /// A step of true time.
 const STEP: Nanos = 100 * MILLISECOND;
@@ -37,7 +37,7 @@
     FreesOnShrink,
     /// What a former incarnation holds is free when the next one requests.
     FreesFormerIncarnation,
-    /// Clocks are taken for exact.
+    /// The clock error is ignored.
     IgnoresClockError,
 }
 
@@ -63,7 +63,7 @@
     pub expires_at: Nanos,
     pub request: Option<AllocationRequest>,
     pub response: Option<AllocationResponse>,
-    pub has_had_most: bool,
+    pub has_had_majority: bool,
 }
 
 /// A state of the model.
@@ -159,7 +159,7 @@
             expires_at: 0,
             request: None,
             response: None,
-            has_had_most: false,
+            has_had_majority: false,
         }
     }
 }
@@ -237,8 +237,8 @@
                 let used: u64 = world.members.iter().map(|member| member.used).sum();
                 used + killed <= QUOTA.total
             }),
-            Property::sometimes(EACH_HAS_MOST, |_, world: &World| {
-                world.members.iter().all(|member| member.has_had_most)
+            Property::sometimes(EACH_HAS_MAJORITY, |_, world: &World| {
+                world.members.iter().all(|member| member.has_had_majority)
             }),
         ]
     }
--- a/crates/quota/tests/model/transitions.rs
+++ b/crates/quota/tests/model/transitions.rs
@@ -55,7 +55,7 @@
         let response = member.response.take()?;
         member.client.handle_response(now, &response);
         member.acquire_all(now);
-        member.has_had_most |= member.used > 1;
+        member.has_had_majority |= member.used > 1;
         Some(())
     }
 }
@@ -97,8 +97,8 @@
     }
 
     pub fn restart_member(&self, world: &mut World) {
-        let has_had_most = world.members[0].has_had_most;
-        let restarted = Member { has_had_most, ..self.member(0, 2, world.step) };
+        let has_had_majority = world.members[0].has_had_majority;
+        let restarted = Member { has_had_majority, ..self.member(0, 2, world.step) };
         let killed = std::mem::replace(&mut world.members[0], restarted);
         world.killed = Some(killed.client);
     }
--- a/crates/quota/tests/replicas/main.rs
+++ b/crates/quota/tests/replicas/main.rs
@@ -19,7 +19,7 @@
 use seeds::seed_count;
 
 #[test]
-fn with_replicas_that_agree_by_raft_the_quota_is_kept_and_used() {
+fn with_raft_replicas_the_quota_is_never_exceeded_and_is_used() {
     let mut leaders = 0;
     let mut kills = 0;
     let mut max_used = 0;
--- a/crates/quota/tests/simulation/config.rs
+++ b/crates/quota/tests/simulation/config.rs
@@ -26,7 +26,7 @@
     KeepsFormerLeadersCounts,
     /// What was acquired at the last moment is not waited for.
     IgnoresUseDuration,
-    /// Clocks are taken for exact.
+    /// The clock error is ignored.
     IgnoresClockError,
     /// A member counts its grant from the response.
     CountsFromResponse,
--- a/crates/quota/tests/simulation/main.rs
+++ b/crates/quota/tests/simulation/main.rs
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn clocks_taken_for_exact_are_found() {
+fn ignoring_the_clock_error_is_found() {
     let mut config = SimulationConfig {
         mutant: Mutant::IgnoresClockError,
         one_demands: false,
