--- a/crates/mintshelf/src/explain/attempts.rs
+++ b/crates/mintshelf/src/explain/attempts.rs
@@ -1,7 +1,7 @@
 //! The attempts that a request may make at a cluster, and their schedule as a time line.
 
+use super::forwarded_request::ForwardedRequest;
 use super::report::Report;
-use super::settings::ForwardedRequest;
 use mintshelf_balancer::api::Effect;
 use mintshelf_config::balancer::attempt_schedule;
 use mintshelf_config::model::{Class, Cluster};
--- /dev/null
+++ b/crates/mintshelf/src/explain/request.rs
@@ -0,0 +1,77 @@
+//! The request that is explained, as the command line gives it.
+
+use http::uri::InvalidUri;
+use http::{header, HeaderMap, HeaderName, HeaderValue, Method, Uri};
+use mintshelf_routing::{RequestView, TableError};
+use thiserror::Error;
+
+/// Why a request cannot be explained.
+#[derive(Debug, Error)]
+pub enum ExplainError {
+    /// A header is not a name, a colon and a value.
+    #[error("header '{0}': write it as in -H 'name: value'")]
+    Header(String),
+    /// The method is not one of HTTP.
+    #[error("method '{0}': is not a method")]
+    Method(String),
+    /// The URL cannot be parsed.
+    #[error("URL '{url}': {source}")]
+    Url {
+        /// The URL as it was given.
+        url: String,
+        /// Why it cannot be parsed.
+        source: InvalidUri,
+    },
+    /// The routes of the file contradict each other.
+    #[error(transparent)]
+    Routes(#[from] TableError),
+}
+
+/// A request to explain.
+pub(super) struct Request {
+    pub(super) method: Method,
+    /// The URL as it was given.
+    pub(super) url: String,
+    uri: Uri,
+    pub(super) headers: HeaderMap,
+}
+
+impl Request {
+    /// Parses the parts of a command line.
+    ///
+    /// # Errors
+    /// The first part that cannot be parsed.
+    pub(super) fn parse(method: &str, url: &str, headers: &[String]) -> Result<Self, ExplainError> {
+        let headers = parse_headers(headers)?;
+        let parsed = method.parse();
+        let method = parsed.map_err(|_| ExplainError::Method(method.to_string()))?;
+        let invalid_url = |source| ExplainError::Url { url: url.to_string(), source };
+        let uri = url.parse().map_err(invalid_url)?;
+        Ok(Request { method, url: url.to_string(), uri, headers })
+    }
+
+    /// The host of the URL, else that of the `Host` header, else an empty name.
+    pub(super) fn host(&self) -> String {
+        let stated = self.headers.get(header::HOST).and_then(|host| host.to_str().ok());
+        let authority = self.uri.authority().map(|authority| authority.as_str());
+        authority.or(stated).unwrap_or_default().to_string()
+    }
+
+    /// The request as routes match it, with the host that [`Request::host`] returned.
+    pub(super) fn view<'a>(&'a self, host: &'a str) -> RequestView<'a> {
+        let target = self.uri.path_and_query().map_or("/", |target| target.as_str());
+        RequestView::new(host, target, &self.method, &self.headers)
+    }
+}
+
+fn parse_headers(headers: &[String]) -> Result<HeaderMap, ExplainError> {
+    let mut parsed = HeaderMap::new();
+    for header in headers {
+        let invalid = || ExplainError::Header(header.clone());
+        let (name, value) = header.split_once(':').ok_or_else(invalid)?;
+        let name: HeaderName = name.trim().parse().map_err(|_| invalid())?;
+        let value: HeaderValue = value.trim().parse().map_err(|_| invalid())?;
+        parsed.append(name, value);
+    }
+    Ok(parsed)
+}
--- a/crates/mintshelf/src/explain/settings.rs
+++ b/crates/mintshelf/src/explain/settings.rs
@@ -1,51 +1,26 @@
 //! The settings that apply to a request by its route, class, clusters and limits.
 
 use super::attempts::explain_attempts;
+use super::forwarded_request::ForwardedRequest;
 use super::report::Report;
-use super::Request;
+use super::request::Request;
 use humantime::format_duration;
 use mintshelf_balancer::api::Effect;
 use mintshelf_config::balancer::effective_timeout;
-use mintshelf_config::model::{Class, Cluster, Route, RouteAction, WebSocket};
+use mintshelf_config::model::{Cluster, RouteAction, WebSocket};
 use mintshelf_proxy::gateway::classify::effect_of;
 use mintshelf_retry::duration::format_nanos;
 use mintshelf_websocket::session::Resume;
 use std::time::Duration;
 
-/// A route that forwards, and the class that its request belongs to.
-pub(super) struct ForwardedRequest<'a> {
-    pub(super) route_index: usize,
-    pub(super) route: &'a Route,
-    pub(super) class: &'a Class,
-    pub(super) effect: Effect,
-}
-
-impl ForwardedRequest<'_> {
-    /// The field of the request's class.
-    pub(super) fn class_field(&self, key: &str) -> String {
-        format!("classes.{}.{key}", self.route.class)
-    }
-
-    /// The fields that state a setting of the class: the route's override, then the class.
-    pub(super) fn override_fields(&self, key: &str) -> Vec<String> {
-        vec![format!("routes[{}].overrides.{key}", self.route_index), self.class_field(key)]
-    }
-
-    /// The same, then the defaults.
-    pub(super) fn all_fields(&self, key: &str) -> Vec<String> {
-        let mut fields = self.override_fields(key);
-        fields.push(format!("defaults.{key}"));
-        fields
-    }
-}
-
 /// Appends what a route does with a request, and the settings that apply.
 pub(super) fn explain_route(report: &mut Report, route_index: usize, request: &Request) {
     let config = report.config();
     let route = &config.routes[route_index];
-    let listeners = match route.listeners.is_empty() {
-        true => "all listeners".to_string(),
-        false => route.listeners.join(", "),
+    let listeners = if route.listeners.is_empty() {
+        "all listeners".to_string()
+    } else {
+        route.listeners.join(", ")
     };
     report.line(format_args!("on {listeners}"));
     let forward = match &route.action {
