--- a/crates/mintshelf/src/daemon.rs
+++ b/crates/mintshelf/src/daemon.rs
@@ -1,105 +1,66 @@
 //! The daemon: serves by an operator's file until the next valid version is applied.
 
-mod apply;
+mod acceptor;
+mod applied_config;
 mod clusters;
 mod listeners;
+mod reload_counts;
 mod reload_error;
-mod status;
+mod serving;
+mod startup_settings;
 
 use crate::config_file;
-use clusters::RunningCluster;
-use listeners::OpenListener;
-use mintshelf_config::model::{FleetConfig, OperatorConfig, ProcessLimits, SOCKET_QUEUE_SHARE};
+use crate::random::random_number;
+use acceptor::ClientAcceptor;
+use applied_config::AppliedConfig;
+pub use clusters::{ClusterAttempts, ClusterUsage};
+use clusters::{ClusterSet, IDLE_CHECK_INTERVAL};
+use listeners::{HandlerResources, ListenerSet, OpenListener, LISTENER_LINGER};
+use mintshelf_admission::slots::SlotConfig;
+use mintshelf_balancer::api::ServerId;
+use mintshelf_config::admission::{admission_config, slot_config};
+use mintshelf_config::balancer::to_nanos;
+use mintshelf_config::model::OperatorConfig;
 use mintshelf_proxy::budget::ResourceBudget;
-use mintshelf_proxy::client::connection::ClientTimeouts;
+use mintshelf_proxy::client::handler::RequestHandler;
 use mintshelf_proxy::client::registry::Clients;
 use mintshelf_proxy::gateway::admission::AdmissionController;
 use mintshelf_proxy::gateway::stats::ProxyStats;
 use mintshelf_proxy::upstream::pool::ConnectionPool;
 use mintshelf_proxy::websocket::registry::SocketRegistry;
+use reload_counts::ReloadCounts;
 pub use reload_error::ReloadError;
-pub use status::ClusterUsage;
-use std::cell::{Cell, RefCell};
-use std::collections::BTreeMap;
-use std::hash::{BuildHasher, Hasher, RandomState};
-use std::net::SocketAddr;
+use serde_json::Value;
+use serving::{listener_routes, SharedSettings};
+use startup_settings::StartupSettings;
+use std::cell::RefCell;
 use std::path::PathBuf;
 use std::rc::Rc;
-use std::time::{Duration, SystemTime};
+use tokio::net::TcpListener;
 use tokio::time::{sleep, timeout};
 use tokio_util::sync::CancellationToken;
 
-/// Time for which a listener that is closed goes on accepting: connections on their way are
-/// answered, and told to close.
-const LISTENER_LINGER: Duration = Duration::from_millis(500);
-/// Time between two checks whether the last request has ended.
-const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-
-/// The daemon: the applied configuration, and what outlives a reload.
+/// The daemon: wires what a configuration consists of, and what outlives a reload.
 pub struct Daemon {
     /// The operator's file.
     path: PathBuf,
-    state: RefCell<State>,
-    budget: ResourceBudget,
-    /// Limits of tenants, routes and clusters, and their usage.
-    pub admission: Rc<AdmissionController>,
-    connections: Rc<ConnectionPool>,
-    client_timeouts: ClientTimeouts,
+    /// `None` until the first configuration is applied.
+    applied: RefCell<Option<AppliedConfig>>,
+    clusters: RefCell<ClusterSet>,
+    listeners: RefCell<ListenerSet>,
+    acceptor: ClientAcceptor,
     startup: StartupSettings,
+    reloads: ReloadCounts,
     /// Cancelled when the daemon shuts down.
     shutdown: CancellationToken,
+    /// Limits of tenants, routes and clusters, and their usage.
+    pub admission: Rc<AdmissionController>,
     /// All open WebSocket connections.
     pub sockets: Rc<SocketRegistry>,
     /// All connections of clients.
     pub clients: Rc<Clients>,
     /// Counters of requests and responses.
     pub stats: Rc<ProxyStats>,
-    reloads: ReloadCounts,
-    /// Keeps the ids of two runs apart.
-    seed: u64,
-}
-
-/// What a configuration in force consists of.
-#[derive(Default)]
-struct State {
-    config: Option<OperatorConfig>,
-    applied_at: Option<SystemTime>,
-    listeners: BTreeMap<SocketAddr, OpenListener>,
-    clusters: BTreeMap<String, RunningCluster>,
-}
-
-/// Settings that cannot change while the program runs, as the first configuration has them.
-#[derive(PartialEq)]
-struct StartupSettings {
-    limits: ProcessLimits,
-    admin: Option<SocketAddr>,
-    fleet: Option<FleetConfig>,
-}
-
-impl StartupSettings {
-    fn of(config: &OperatorConfig) -> Self {
-        StartupSettings {
-            limits: config.limits.clone(),
-            admin: config.admin,
-            fleet: config.fleet.clone(),
-        }
-    }
-}
-
-/// Reloads by their result.
-#[derive(Default)]
-struct ReloadCounts {
-    applied: Cell<u64>,
-    rejected: Cell<u64>,
-}
-
-/// A number from the random numbers of the operating system.
-fn random_number() -> u64 {
-    RandomState::new().build_hasher().finish()
-}
-
-fn increment(count: &Cell<u64>) {
-    count.set(count.get() + 1);
 }
 
 impl Daemon {
@@ -108,39 +69,57 @@
     /// # Errors
     /// The configuration cannot be applied.
     pub fn start(path: PathBuf, config: OperatorConfig) -> Result<Rc<Self>, ReloadError> {
-        let budget =
-            ResourceBudget::new(config.limits.file_descriptors, config.limits.memory_bytes);
-        let socket_queue_bytes = config.limits.memory_bytes as f64 * SOCKET_QUEUE_SHARE;
-        let daemon = Rc::new(Daemon {
-            path,
-            state: RefCell::default(),
-            connections: ConnectionPool::new(&budget),
-            budget,
-            admission: Rc::default(),
-            client_timeouts: client_timeouts(&config),
-            sockets: SocketRegistry::new(socket_queue_bytes as usize, random_number()),
-            startup: StartupSettings::of(&config),
-            shutdown: CancellationToken::new(),
-            clients: Rc::default(),
-            stats: Rc::default(),
-            reloads: ReloadCounts::default(),
-            seed: random_number(),
-        });
+        let daemon = Rc::new(Daemon::new(path, &config));
         daemon.apply(config)?;
         Ok(daemon)
     }
 
+    fn new(path: PathBuf, config: &OperatorConfig) -> Self {
+        let startup = StartupSettings::of(config);
+        let limits = &startup.limits;
+        let budget = Rc::new(ResourceBudget::new(limits.file_descriptors, limits.memory_bytes));
+        let clients: Rc<Clients> = Rc::default();
+        let stats: Rc<ProxyStats> = Rc::default();
+        let sockets = SocketRegistry::new(startup.socket_queue_bytes(), random_number());
+        let connections = ConnectionPool::new(&budget);
+        let seed = random_number();
+        let acceptor = ClientAcceptor::new(config, clients.clone(), budget.clone());
+        let clusters = ClusterSet::new(connections, sockets.clone(), limits.stream_timeout, seed);
+        let listeners = ListenerSet::new(HandlerResources {
+            acceptor: acceptor.clone(),
+            bodies: budget.bodies.clone(),
+            stats: stats.clone(),
+            sockets: sockets.clone(),
+            socket_drain: limits.websocket_drain,
+            seed,
+        });
+        Daemon {
+            path,
+            applied: RefCell::default(),
+            clusters: RefCell::new(clusters),
+            listeners: RefCell::new(listeners),
+            acceptor,
+            startup,
+            reloads: ReloadCounts::default(),
+            shutdown: CancellationToken::new(),
+            admission: Rc::default(),
+            sockets,
+            clients,
+            stats,
+        }
+    }
+
     /// Reads the file again and applies it; one that is rejected changes nothing.
     pub fn reload(&self) {
         let read = config_file::read(&self.path).map_err(ReloadError::from);
         let file = self.path.display();
         match read.and_then(|config| self.apply(config)) {
             Ok(()) => {
-                increment(&self.reloads.applied);
+                self.reloads.count_applied();
                 tracing::info!(%file, "configuration applied");
             }
             Err(error) => {
-                increment(&self.reloads.rejected);
+                self.reloads.count_rejected();
                 let lines = error.lines();
                 lines.iter().for_each(|line| tracing::error!("{line}"));
                 tracing::error!(%file, errors = lines.len(), "configuration rejected");
@@ -148,43 +127,105 @@
         }
     }
 
+    /// Applies a configuration, completely or not at all. It happens in one turn of the event
+    /// loop, so that no request sees a part of it.
+    fn apply(&self, config: OperatorConfig) -> Result<(), ReloadError> {
+        let routes = listener_routes(&config)?;
+        let mut sockets = self.listeners.borrow().open_new_sockets(&config)?;
+        // Nothing below can fail.
+        self.clusters.borrow_mut().apply(&config);
+        let listeners = &mut *self.listeners.borrow_mut();
+        listeners.close_removed(&config);
+        let admission = self.apply_limits(&config);
+        let handles = self.clusters.borrow().handles();
+        let shared = SharedSettings::new(&config, handles, admission);
+        for listener_routes in routes {
+            let listener = listener_routes.listener;
+            let serving = Rc::new(shared.serving(listener_routes));
+            let socket = sockets.remove(&listener.address);
+            listeners.apply(listener, serving, socket);
+        }
+        if self.startup != StartupSettings::of(&config) {
+            tracing::warn!("limits, admin and fleet are in force from the next start on");
+        }
+        self.applied.replace(Some(AppliedConfig::new(config)));
+        Ok(())
+    }
+
+    /// Applies the limits of a configuration; returns their controller if it has any.
+    fn apply_limits(&self, config: &OperatorConfig) -> Option<Rc<AdmissionController>> {
+        let admission = admission_config(config);
+        self.admission.configure(&admission);
+        let capacity = self.startup.limits.max_websockets;
+        self.sockets.configure(SlotConfig { capacity, ..slot_config(config) });
+        (!admission.is_empty()).then(|| self.admission.clone())
+    }
+
+    /// Serves a handler at a listener that is not of the configuration, until the shutdown.
+    pub fn serve(&self, handler: Rc<impl RequestHandler>, listener: TcpListener) {
+        self.acceptor.accept(handler, listener, self.shutdown.clone());
+    }
+
     /// Shuts down gracefully: no further client is accepted, and open requests are answered.
     pub async fn shut_down(&self) {
         self.shutdown.cancel();
-        let listeners = std::mem::take(&mut self.state.borrow_mut().listeners);
-        listeners.values().for_each(|listener| listener.draining.cancel());
-        self.sockets.drain(None, self.socket_drain_ns());
+        let listeners = self.listeners.borrow_mut().drain_all();
+        self.drain_sockets();
         sleep(LISTENER_LINGER).await;
         // Those whose handshake was under way.
-        self.sockets.drain(None, self.socket_drain_ns());
-        listeners.values().for_each(|listener| listener.accepting.abort());
+        self.drain_sockets();
+        listeners.iter().for_each(OpenListener::stop_accepting);
         let all_idle = async {
             while !self.is_idle() {
                 sleep(IDLE_CHECK_INTERVAL).await;
             }
         };
         // Clients that neither send nor leave are not waited for beyond their timeouts.
-        let timeouts = &self.client_timeouts;
-        let max_wait = timeouts.busy + timeouts.idle + self.startup.limits.websocket_drain;
-        let _ = timeout(max_wait, all_idle).await;
+        let max_wait = self.acceptor.max_connection_end() + self.startup.limits.websocket_drain;
+        if timeout(max_wait, all_idle).await.is_err() {
+            tracing::debug!("shutdown complete with connections open");
+        }
+    }
+
+    fn drain_sockets(&self) {
+        self.sockets.drain(None, to_nanos(self.startup.limits.websocket_drain));
     }
 
     /// Whether no request and no connection of a client is open.
     fn is_idle(&self) -> bool {
-        let clusters = &self.state.borrow().clusters;
-        clusters.values().all(RunningCluster::is_idle) && self.clients.is_empty()
+        self.clusters.borrow().is_idle() && self.clients.is_empty()
+    }
+
+    /// Reloads by their result: as the metric's label and the count.
+    pub fn reloads(&self) -> [(&'static str, u64); 2] {
+        self.reloads.by_label()
+    }
+
+    /// Requests by route since the start, also of routes that are no longer in force.
+    pub fn requests_by_route(&self) -> Vec<(String, u64)> {
+        self.listeners.borrow().requests_by_route()
+    }
+
+    /// The levels of each cluster.
+    pub fn cluster_usage(&self) -> Vec<ClusterUsage> {
+        self.clusters.borrow().usage()
+    }
+
+    /// The counts of each cluster's attempts.
+    pub fn cluster_attempts(&self) -> Vec<ClusterAttempts> {
+        self.clusters.borrow().attempts()
+    }
+
+    /// The address of a cluster's endpoint; empty if it is no longer listed.
+    pub fn endpoint_address(&self, cluster: &str, server: ServerId) -> String {
+        let address = self.clusters.borrow().endpoint_address(cluster, server);
+        address.map_or(String::new(), |address| address.to_string())
     }
-}
 
-fn client_timeouts(config: &OperatorConfig) -> ClientTimeouts {
-    let limits = &config.limits;
-    let longest_deadline = config.classes.values().map(|class| class.deadline).max();
-    ClientTimeouts {
-        receive: limits.head_timeout,
-        idle: limits.idle_timeout,
-        // Each byte that passes starts it again, so that it bounds silence and not size.
-        busy: longest_deadline.unwrap_or_default() + limits.stream_timeout,
-        is_extended_by_progress: true,
-        allows_half_close: !limits.abort_on_close,
+    /// The applied configuration, for `/-/config`.
+    pub fn applied_config(&self) -> Value {
+        let applied = self.applied.borrow();
+        let Some(applied) = &*applied else { return Value::Null };
+        applied.to_json(&self.path, &self.listeners.borrow(), &self.clusters.borrow())
     }
 }
--- a/crates/mintshelf/src/daemon/clusters.rs
+++ b/crates/mintshelf/src/daemon/clusters.rs
@@ -1,6 +1,6 @@
-//! Clusters: each runs its own instance of the decision module.
+//! The clusters of the applied configuration: each runs its own instance of the decision module.
 
-use super::{Daemon, State, IDLE_CHECK_INTERVAL};
+use mintshelf_balancer::api::{ListedServer, ServerId};
 use mintshelf_config::balancer::{balancer_config, BalancerConfig};
 use mintshelf_config::model::{Cluster, OperatorConfig};
 use mintshelf_config::platform::Names;
@@ -8,14 +8,48 @@
 use mintshelf_proxy::cluster::spec::ClusterSpec;
 use mintshelf_proxy::gateway::config::ClusterHandle;
 use mintshelf_proxy::upstream::connection_limits::ClusterLimits;
+use mintshelf_proxy::upstream::pool::ConnectionPool;
 use mintshelf_proxy::upstream::response::{PlainProtocol, UpstreamProtocol};
-use std::collections::HashSet;
+use mintshelf_proxy::websocket::registry::SocketRegistry;
+use mintshelf_recovery::Phase;
+use std::collections::{BTreeMap, HashMap, HashSet};
+use std::net::SocketAddr;
 use std::rc::Rc;
+use std::time::Duration;
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::sleep;
 
+/// Time between two checks whether the last request has ended.
+pub(super) const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+
+/// Levels of one cluster.
+pub struct ClusterUsage {
+    /// Its name.
+    pub cluster: String,
+    /// Requests that have no response yet.
+    pub open_requests: usize,
+    /// Timers that are set for them.
+    pub timers: usize,
+    /// Endpoints in its list.
+    pub endpoints: usize,
+    /// Whether it is out or recovers.
+    pub phase: Phase,
+    /// Clients whose `Retry-After` has not passed yet.
+    pub expected_clients: u64,
+}
+
+/// Counts of one cluster's attempts.
+pub struct ClusterAttempts {
+    /// Its name.
+    pub cluster: String,
+    /// Attempts that were ended by their own timeout.
+    pub timed_out: u64,
+    /// Hedges that were sent.
+    pub hedged: u64,
+}
+
 /// A cluster of the applied configuration.
-pub(super) struct RunningCluster {
+struct RunningCluster {
     handle: Rc<ClusterHandle>,
     config: BalancerConfig,
     protocol: UpstreamProtocol,
@@ -24,24 +58,35 @@
 }
 
 impl RunningCluster {
-    /// What requests hold of the cluster.
-    pub(super) fn handle(&self) -> Rc<ClusterHandle> {
-        self.handle.clone()
+    fn runtime(&self) -> &Rc<ClusterRuntime> {
+        &self.handle.runtime
     }
 
-    /// The cluster's runtime.
-    pub(super) fn runtime(&self) -> &Rc<ClusterRuntime> {
-        &self.handle.runtime
+    /// Whether no request is open at the cluster.
+    fn is_idle(&self) -> bool {
+        self.runtime().is_idle()
     }
 
-    /// The settings that the cluster runs with.
-    pub(super) fn config(&self) -> &BalancerConfig {
-        &self.config
+    fn usage(&self, name: &str) -> ClusterUsage {
+        let usage = self.runtime().usage();
+        let recovery = self.runtime().recovery_status();
+        ClusterUsage {
+            cluster: name.to_string(),
+            open_requests: usage.requests,
+            timers: usage.timers,
+            endpoints: self.config.servers.len(),
+            phase: recovery.map_or(Phase::Normal, |recovery| recovery.phase),
+            expected_clients: recovery.map_or(0, |recovery| recovery.expected_clients),
+        }
     }
 
-    /// Whether no request is open at the cluster.
-    pub(super) fn is_idle(&self) -> bool {
-        self.runtime().is_idle()
+    fn attempts(&self, name: &str) -> ClusterAttempts {
+        let counts = self.runtime().attempt_counts();
+        ClusterAttempts {
+            cluster: name.to_string(),
+            timed_out: counts.timed_out,
+            hedged: counts.hedged,
+        }
     }
 
     /// Whether the cluster can go on with this configuration, with its endpoints at most changed.
@@ -50,11 +95,64 @@
     }
 }
 
-impl Daemon {
-    /// Applies the clusters of a configuration. One whose settings have not changed goes on with all
-    /// that it has learned; changed endpoints reach it like any other list.
-    pub(super) fn apply_clusters(&self, state: &mut State, config: &OperatorConfig) {
-        let mut previous = std::mem::take(&mut state.clusters);
+/// The clusters of the applied configuration, and what they share.
+pub(super) struct ClusterSet {
+    clusters: BTreeMap<String, RunningCluster>,
+    connections: Rc<ConnectionPool>,
+    sockets: Rc<SocketRegistry>,
+    /// Longest silence within a response.
+    stream_timeout: Duration,
+    /// Distinguishes the ids of this run from those of others.
+    seed: u64,
+}
+
+impl ClusterSet {
+    /// Creates an empty set.
+    pub(super) fn new(
+        connections: Rc<ConnectionPool>,
+        sockets: Rc<SocketRegistry>,
+        stream_timeout: Duration,
+        seed: u64,
+    ) -> Self {
+        ClusterSet { clusters: BTreeMap::new(), connections, sockets, stream_timeout, seed }
+    }
+
+    /// What requests hold of each cluster.
+    pub(super) fn handles(&self) -> HashMap<String, Rc<ClusterHandle>> {
+        let clusters = self.clusters.iter();
+        clusters.map(|(name, running)| (name.clone(), running.handle.clone())).collect()
+    }
+
+    /// Whether no request is open at any cluster.
+    pub(super) fn is_idle(&self) -> bool {
+        self.clusters.values().all(RunningCluster::is_idle)
+    }
+
+    /// The levels of each cluster.
+    pub(super) fn usage(&self) -> Vec<ClusterUsage> {
+        self.clusters.iter().map(|(name, running)| running.usage(name)).collect()
+    }
+
+    /// The counts of each cluster's attempts.
+    pub(super) fn attempts(&self) -> Vec<ClusterAttempts> {
+        self.clusters.iter().map(|(name, running)| running.attempts(name)).collect()
+    }
+
+    /// The address of a cluster's endpoint, if it is listed.
+    pub(super) fn endpoint_address(&self, cluster: &str, server: ServerId) -> Option<SocketAddr> {
+        self.clusters.get(cluster)?.runtime().address(server)
+    }
+
+    /// The endpoints of each cluster, by its name.
+    pub(super) fn endpoints(&self) -> impl Iterator<Item = (&str, &[(ListedServer, SocketAddr)])> {
+        let clusters = self.clusters.iter();
+        clusters.map(|(name, running)| (name.as_str(), running.config.servers.as_slice()))
+    }
+
+    /// Applies the clusters of a configuration. One whose settings have not changed goes on with
+    /// all that it has learned; changed endpoints reach it like any other list.
+    pub(super) fn apply(&mut self, config: &OperatorConfig) {
+        let mut previous = std::mem::take(&mut self.clusters);
         for (name, cluster) in &config.clusters {
             let balancer = balancer_config(config, name, cluster);
             let protocol = self.protocol(cluster);
@@ -67,7 +165,7 @@
                     self.start_cluster(name, balancer, protocol)
                 }
             };
-            state.clusters.insert(name.clone(), running);
+            self.clusters.insert(name.clone(), running);
         }
         previous.into_values().for_each(|running| self.retire(running));
     }
@@ -76,7 +174,7 @@
         UpstreamProtocol::Plain(PlainProtocol {
             failure_statuses: cluster.failure_statuses.clone(),
             never_ran_header: cluster.never_ran_header.clone(),
-            stall_timeout: self.startup.limits.stream_timeout,
+            stall_timeout: self.stream_timeout,
         })
     }
 
@@ -141,8 +239,9 @@
         }
     }
 
-    /// Lets a cluster that is no longer in force end its requests, then stops it. Its WebSocket connections
-    /// migrate to the cluster that replaces it, where their routes allow that, or are closed.
+    /// Lets a cluster that is no longer in force end its requests, then stops it. Its WebSocket
+    /// connections migrate to the cluster that replaces it, where their routes allow that, or are
+    /// closed.
     fn retire(&self, running: RunningCluster) {
         let sockets = self.sockets.clone();
         let number = running.runtime().number();
--- a/crates/mintshelf/src/daemon/listeners.rs
+++ b/crates/mintshelf/src/daemon/listeners.rs
@@ -1,48 +1,96 @@
-//! Listeners: accepting clients, and closing listeners that a configuration no longer has.
+//! The listeners of the applied configuration: opened, reconfigured in place, and closed.
 
-use super::{Daemon, ReloadError, State, LISTENER_LINGER};
+use super::acceptor::ClientAcceptor;
+use super::reload_error::ReloadError;
 use mintshelf_config::balancer::to_nanos;
 use mintshelf_config::model::{Listener, OperatorConfig};
-use mintshelf_proxy::client::handler::RequestHandler;
-use mintshelf_proxy::client::listener::{listen, ClientListener};
+use mintshelf_proxy::client::listener::listen;
 use mintshelf_proxy::gateway::config::ServingConfig;
 use mintshelf_proxy::gateway::handler::GatewayHandler;
-use std::collections::HashMap;
+use mintshelf_proxy::gateway::stats::ProxyStats;
+use mintshelf_proxy::websocket::registry::SocketRegistry;
+use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
 use tokio::net::TcpListener;
+use tokio::sync::Semaphore;
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::sleep;
 use tokio_util::sync::CancellationToken;
 
+/// Time for which a listener that is closed goes on accepting: connections on their way are
+/// answered, and asked to close.
+pub(super) const LISTENER_LINGER: Duration = Duration::from_millis(500);
+
 /// A listener of the applied configuration.
 pub(super) struct OpenListener {
     /// Serves its requests.
-    pub(super) handler: Rc<GatewayHandler>,
+    handler: Rc<GatewayHandler>,
     /// Its name in the configuration.
-    pub(super) name: String,
+    name: String,
     /// The task that accepts connections.
-    pub(super) accepting: AbortHandle,
+    accepting: AbortHandle,
     /// Cancelled when its connections have to close.
-    pub(super) draining: CancellationToken,
+    draining: CancellationToken,
 }
 
-impl Daemon {
-    /// Serves a handler at a listener that is not of the configuration, until the shutdown.
-    pub fn serve(&self, handler: Rc<impl RequestHandler>, listener: TcpListener) {
-        self.accept(handler, listener, self.shutdown.clone());
+impl OpenListener {
+    /// Accepts no further connection.
+    pub(super) fn stop_accepting(&self) {
+        self.accepting.abort();
     }
+}
 
-    fn accept<H: RequestHandler>(
-        &self,
-        handler: Rc<H>,
-        listener: TcpListener,
-        draining: CancellationToken,
-    ) -> AbortHandle {
-        let clients = self.clients.clone();
-        let timeouts = self.client_timeouts;
-        let inbound = ClientListener::new(handler, clients, &self.budget, timeouts, draining);
-        spawn_local(async move { inbound.accept(listener).await }).abort_handle()
+/// The listeners of the applied configuration, and what their handlers share.
+pub(super) struct ListenerSet {
+    listeners: BTreeMap<SocketAddr, OpenListener>,
+    handlers: HandlerResources,
+}
+
+/// What the handlers of all listeners share.
+pub(super) struct HandlerResources {
+    pub(super) acceptor: ClientAcceptor,
+    /// Bytes of requests' bodies in memory.
+    pub(super) bodies: Arc<Semaphore>,
+    pub(super) stats: Rc<ProxyStats>,
+    pub(super) sockets: Rc<SocketRegistry>,
+    /// Time within which the WebSocket connections of a closed listener end.
+    pub(super) socket_drain: Duration,
+    /// Distinguishes the ids of this run from those of others.
+    pub(super) seed: u64,
+}
+
+impl ListenerSet {
+    /// Creates an empty set.
+    pub(super) fn new(handlers: HandlerResources) -> Self {
+        ListenerSet { listeners: BTreeMap::new(), handlers }
+    }
+
+    /// Name and address of each listener.
+    pub(super) fn names(&self) -> impl Iterator<Item = (&str, &SocketAddr)> {
+        let listeners = self.listeners.iter();
+        listeners.map(|(address, listener)| (listener.name.as_str(), address))
+    }
+
+    /// Requests by route since the start, also of routes that are no longer in force.
+    pub(super) fn requests_by_route(&self) -> Vec<(String, u64)> {
+        let mut requests = self.handlers.stats.routes.borrow().clone();
+        for listener in self.listeners.values() {
+            for (route, count) in listener.handler.config().hits() {
+                *requests.entry(route.to_string()).or_default() += count;
+            }
+        }
+        requests.into_iter().collect()
+    }
+
+    /// Removes all listeners, whose connections close after their open requests. They go on
+    /// accepting until they are stopped.
+    pub(super) fn drain_all(&mut self) -> Vec<OpenListener> {
+        let listeners: Vec<_> = std::mem::take(&mut self.listeners).into_values().collect();
+        listeners.iter().for_each(|listener| listener.draining.cancel());
+        listeners
     }
 
     /// Opens the sockets of listeners that are not open yet.
@@ -50,8 +98,7 @@
         &self,
         config: &OperatorConfig,
     ) -> Result<HashMap<SocketAddr, TcpListener>, ReloadError> {
-        let state = self.state.borrow();
-        let is_new = |listener: &&Listener| !state.listeners.contains_key(&listener.address);
+        let is_new = |listener: &&Listener| !self.listeners.contains_key(&listener.address);
         let mut sockets = HashMap::new();
         for Listener { name, address, .. } in config.listeners.iter().filter(is_new) {
             let socket = listen(*address).map_err(|source| ReloadError::Listener {
@@ -65,62 +112,56 @@
     }
 
     /// Closes the listeners that a configuration no longer has: what is open at them is answered.
-    pub(super) fn close_removed_listeners(&self, state: &mut State, config: &OperatorConfig) {
+    pub(super) fn close_removed(&mut self, config: &OperatorConfig) {
         let is_removed = |address: &SocketAddr| {
             config.listeners.iter().all(|listener| listener.address != *address)
         };
-        let removed: Vec<_> = state.listeners.keys().copied().filter(is_removed).collect();
+        let removed: Vec<_> = self.listeners.keys().copied().filter(is_removed).collect();
         for address in removed {
-            if let Some(listener) = state.listeners.remove(&address) {
-                self.close_listener(listener);
+            if let Some(listener) = self.listeners.remove(&address) {
+                self.close(listener);
             }
         }
     }
 
-    fn close_listener(&self, listener: OpenListener) {
+    fn close(&self, listener: OpenListener) {
         listener.draining.cancel();
         let listener_id = listener.handler.listener_id();
-        self.sockets.drain(Some(listener_id), self.socket_drain_ns());
+        self.handlers.sockets.drain(Some(listener_id), to_nanos(self.handlers.socket_drain));
         spawn_local(async move {
             sleep(LISTENER_LINGER).await;
-            listener.accepting.abort();
+            listener.stop_accepting();
         });
     }
 
     /// Serves requests at a listener with these settings from now on, at a socket that was opened
     /// for it if it is new.
-    pub(super) fn apply_listener(
-        &self,
-        state: &mut State,
+    pub(super) fn apply(
+        &mut self,
         listener: &Listener,
         serving: Rc<ServingConfig>,
         socket: Option<TcpListener>,
     ) {
-        if let Some(open) = state.listeners.get_mut(&listener.address) {
+        if let Some(open) = self.listeners.get_mut(&listener.address) {
             open.handler.replace_config(serving);
             open.name = listener.name.clone();
         } else if let Some(socket) = socket {
-            let open = self.start_listener(listener, serving, socket);
-            state.listeners.insert(listener.address, open);
+            let open = self.start(listener, serving, socket);
+            self.listeners.insert(listener.address, open);
         }
     }
 
-    fn start_listener(
+    fn start(
         &self,
         listener: &Listener,
         serving: Rc<ServingConfig>,
         socket: TcpListener,
     ) -> OpenListener {
-        let bodies = self.budget.bodies.clone();
-        let stats = self.stats.clone();
-        let handler = GatewayHandler::new(serving, bodies, stats, self.sockets.clone(), self.seed);
+        let HandlerResources { acceptor, bodies, stats, sockets, seed, .. } = &self.handlers;
+        let (bodies, stats, sockets) = (bodies.clone(), stats.clone(), sockets.clone());
+        let handler = GatewayHandler::new(serving, bodies, stats, sockets, *seed);
         let draining = CancellationToken::new();
-        let accepting = self.accept(handler.clone(), socket, draining.clone());
+        let accepting = acceptor.accept(handler.clone(), socket, draining.clone());
         OpenListener { handler, name: listener.name.clone(), accepting, draining }
     }
-
-    /// Time within which WebSocket connections are closed at a shutdown, in nanoseconds.
-    pub(super) fn socket_drain_ns(&self) -> u64 {
-        to_nanos(self.startup.limits.websocket_drain)
-    }
 }
