--- a/crates/mintshelf/src/fleet/lease_guard.rs
+++ b/crates/mintshelf/src/fleet/lease_guard.rs
@@ -17,6 +17,10 @@
 const EXIT_LOST: u8 = 74;
 /// Exit code where the command can't be executed, as shells have it.
 const EXIT_NOT_EXECUTABLE: u8 = 127;
+/// Exit code of a process that a signal has ended, less the number of the signal.
+const EXIT_SIGNAL_BASE: u8 = 128;
+/// Exit code of a process whose status names neither a code nor a signal.
+const EXIT_UNKNOWN: u8 = 1;
 /// The command is terminated when this part of the lease duration is left.
 const TERMINATE_PART: u64 = 4;
 /// The command is killed when this part of the lease duration is left.
@@ -35,9 +39,11 @@
 /// The exit code of a process, as shells have it.
 pub fn exit_code_of(status: ExitStatus) -> u8 {
     match (status.code(), status.signal()) {
-        (Some(code), _) => code as u8,
-        (None, Some(signal)) => 128u8.wrapping_add(signal as u8),
-        (None, None) => 1,
+        (Some(code), _) => u8::try_from(code).unwrap_or(EXIT_UNKNOWN),
+        (None, Some(signal)) => {
+            u8::try_from(signal).map_or(EXIT_UNKNOWN, |signal| EXIT_SIGNAL_BASE + signal)
+        }
+        (None, None) => EXIT_UNKNOWN,
     }
 }
 
@@ -53,7 +59,7 @@
         .process_group(0)
         .spawn();
     match child {
-        Ok(child) => ExitCode::from(guard(child, config, &renewals())),
+        Ok(child) => ExitCode::from(Guard::new(child, config).run(&renewals())),
         Err(error) => {
             eprintln!("mintshelf: the command: {error}");
             ExitCode::FAILURE
@@ -61,7 +67,7 @@
     }
 }
 
-/// Times of expiry from the input. The channel is closed when the holder is gone.
+/// Times of expiry from the input. The channel is closed when the holder has ended.
 fn renewals() -> mpsc::Receiver<Nanos> {
     let (sender, receiver) = mpsc::channel();
     thread::spawn(move || {
@@ -77,43 +83,82 @@
     receiver
 }
 
-/// Waits for the command, or ends it in time; returns the exit code.
-fn guard(mut child: Child, config: &GuardConfig, renewals: &mpsc::Receiver<Nanos>) -> u8 {
-    let group = Pid::from_child(&child);
-    let mut expires_at = config.expires_at;
-    let mut is_terminated = false;
-    loop {
-        if let Ok(Some(status)) = child.try_wait() {
-            // Its children end with it: the lease is released next.
-            let _ = kill_process_group(group, Signal::KILL);
-            let is_cut_short = is_terminated && !status.success();
-            return if is_cut_short { EXIT_LOST } else { exit_code_of(status) };
+/// A command that runs in a process group of its own, and the lease that it runs under.
+struct Guard {
+    child: Child,
+    group: Pid,
+    /// Lease duration.
+    duration: Nanos,
+    /// When the lease expires by [`clock::now`].
+    expires_at: Nanos,
+    /// Whether the command was asked to terminate.
+    is_terminated: bool,
+}
+
+impl Guard {
+    fn new(child: Child, config: &GuardConfig) -> Self {
+        let GuardConfig { duration, expires_at } = *config;
+        let group = Pid::from_child(&child);
+        Guard { child, group, duration, expires_at, is_terminated: false }
+    }
+
+    /// Waits for the command, or ends it in time; returns the exit code.
+    fn run(mut self, renewals: &mpsc::Receiver<Nanos>) -> u8 {
+        loop {
+            if let Some(exit_code) = self.exit_code() {
+                return exit_code;
+            }
+            let is_holder_alive = self.receive_renewal(renewals);
+            let remaining = self.expires_at.saturating_sub(clock::now());
+            if !is_holder_alive || remaining < self.duration / KILL_PART {
+                self.kill();
+                return EXIT_LOST;
+            }
+            if remaining < self.duration / TERMINATE_PART && !self.is_terminated {
+                self.is_terminated = true;
+                self.signal_group(Signal::TERM);
+            }
         }
-        let is_holder_gone = match renewals.recv_timeout(CHECK_INTERVAL) {
+    }
+
+    /// The exit code, once the command has ended.
+    fn exit_code(&mut self) -> Option<u8> {
+        let status = self.child.try_wait().ok().flatten()?;
+        // Its children end with it: the lease is released next.
+        self.signal_group(Signal::KILL);
+        let is_cut_short = self.is_terminated && !status.success();
+        Some(if is_cut_short { EXIT_LOST } else { exit_code_of(status) })
+    }
+
+    /// Waits for a renewal, for [`CHECK_INTERVAL`] at most; returns whether the holder is alive.
+    fn receive_renewal(&mut self, renewals: &mpsc::Receiver<Nanos>) -> bool {
+        match renewals.recv_timeout(CHECK_INTERVAL) {
             Ok(renewed) => {
-                expires_at = expires_at.max(renewed);
-                false
+                self.expires_at = self.expires_at.max(renewed);
+                true
             }
-            Err(mpsc::RecvTimeoutError::Disconnected) => true,
-            Err(mpsc::RecvTimeoutError::Timeout) => false,
-        };
-        let remaining = expires_at.saturating_sub(clock::now());
-        if is_holder_gone || remaining < config.duration / KILL_PART {
-            let _ = kill_process_group(group, Signal::KILL);
-            let _ = child.wait();
-            return EXIT_LOST;
-        }
-        if remaining < config.duration / TERMINATE_PART && !is_terminated {
-            is_terminated = true;
-            let _ = kill_process_group(group, Signal::TERM);
+            Err(mpsc::RecvTimeoutError::Timeout) => true,
+            Err(mpsc::RecvTimeoutError::Disconnected) => false,
         }
     }
+
+    fn kill(&mut self) {
+        self.signal_group(Signal::KILL);
+        // Its exit status makes no difference any more.
+        self.child.wait().ok();
+    }
+
+    /// Sends a signal to the command and its children. It fails if all have ended already.
+    fn signal_group(&self, signal: Signal) {
+        kill_process_group(self.group, signal).ok();
+    }
 }
 
 /// The last stage before the command: from here on it dies with its guard.
 pub fn stage_main(guard: u32, command: &[OsString]) -> ExitCode {
     let death_signal = set_parent_process_death_signal(Some(Signal::KILL));
-    let parent = getppid().map(|pid| pid.as_raw_nonzero().get() as u32);
+    let parent = getppid().and_then(|pid| u32::try_from(pid.as_raw_nonzero().get()).ok());
+    // Without its parent, no guard would end the command in time.
     if death_signal.is_err() || parent != Some(guard) {
         eprintln!("mintshelf: the command: its guard is gone");
         return ExitCode::from(EXIT_LOST);
--- a/crates/mintshelf/src/fleet/lease_run.rs
+++ b/crates/mintshelf/src/fleet/lease_run.rs
@@ -2,7 +2,7 @@
 //!
 //! Three processes: the holder requests the lease and renews it; the guard beside it
 //! ([`super::lease_guard`]) ends the command's process group when the last renewal that it was
-//! notified of expires, or when the holder is gone; the command dies with the guard. So a holder
+//! notified of expires, or when the holder has ended; the command dies with the guard. So a holder
 //! that is stopped or killed leaves no command behind, and neither does a guard.
 
 use super::error::CommandError;
@@ -13,7 +13,7 @@
 use mintshelf_consensus_node::lease_keeper::{keep_lease, LeaseRequest, LeaseStatus};
 use mintshelf_lease::client::{ActiveGrant, LeaseConfig};
 use mintshelf_lease::command::{Owner, DURATION_MAX};
-use mintshelf_time::{Nanos, MILLISECOND};
+use mintshelf_time::{from_duration, Nanos, MILLISECOND};
 use std::ffi::OsString;
 use std::io::Write;
 use std::os::unix::process::CommandExt;
@@ -59,8 +59,7 @@
 pub fn run(config: &Path, options: RunOptions) -> Result<ExitCode, CommandError> {
     let fleet = load_fleet(config)?;
     let RunOptions { lease, wait, duration, command } = options;
-    let duration =
-        duration.map_or(fleet.timing.lease_duration, |duration| duration.as_nanos() as Nanos);
+    let duration = duration.map_or(fleet.timing.lease_duration, from_duration);
     if !(DURATION_MIN..=DURATION_MAX).contains(&duration) {
         return Err(CommandError::InvalidDuration);
     }
@@ -90,6 +89,7 @@
     };
     let (publisher, mut status) = watch::channel(LeaseStatus::default());
     let (stop, stopped) = oneshot::channel::<()>();
+    // The sender is dropped to stop the keeper.
     let keeper = tokio::spawn(keep_lease(request, publisher, async { drop(stopped.await) }));
     let acquire_timeout = guarded.wait.max(ACQUIRE_TIMEOUT_MIN);
     let outcome = timeout(acquire_timeout, wait_for_outcome(&mut status)).await.unwrap_or_default();
@@ -108,7 +108,8 @@
     };
     // Released only now: the command and its process group have ended.
     drop(stop);
-    let _ = timeout(RELEASE_TIMEOUT, keeper).await;
+    // A lease that is not released in time expires.
+    timeout(RELEASE_TIMEOUT, keeper).await.ok();
     exit_code
 }
 
@@ -137,7 +138,8 @@
         .spawn()
         .map_err(CommandError::Guard)?;
     if guard.stdin.is_none() {
-        let _ = guard.kill();
+        // If it can't be killed it ends by itself when the lease expires.
+        guard.kill().ok();
         return Err(CommandError::GuardInput);
     }
     Ok(guard)
