--- a/crates/mintshelf/src/demo.rs
+++ b/crates/mintshelf/src/demo.rs
@@ -81,6 +81,7 @@
 async fn end(duration: Option<Duration>) {
     match duration {
         Some(duration) => sleep(duration).await,
+        // Without the signal it ends at once.
         None => drop(tokio::signal::ctrl_c().await),
     }
 }
--- a/crates/mintshelf/src/demo/client.rs
+++ b/crates/mintshelf/src/demo/client.rs
@@ -51,7 +51,8 @@
         let Ok(response) = sender.send_request(request).await else { return };
         let is_good = response.status() == StatusCode::OK;
         add(if is_good { &stats.good } else { &stats.bad }, 1);
-        add(&stats.total_ms, started.elapsed().as_millis() as u64);
+        let elapsed_ms = u64::try_from(started.elapsed().as_millis()).unwrap_or(u64::MAX);
+        add(&stats.total_ms, elapsed_ms);
         drop(response);
         sleep(REQUEST_INTERVAL).await;
         if sender.ready().await.is_err() {
--- a/crates/mintshelf/src/fleet/init.rs
+++ b/crates/mintshelf/src/fleet/init.rs
@@ -15,7 +15,7 @@
     if !matches!(content, StoreContent::Empty) {
         return Err(CommandError::AlreadyInitialized { directory: directory.to_owned() });
     }
-    let replica_ids: Vec<u64> = (1..=fleet.voters.len() as u64).collect();
+    let replica_ids: Vec<u64> = (1..).zip(&fleet.voters).map(|(id, _)| id).collect();
     store.initialize(&PersistentState::new_fleet(&replica_ids))?;
     println!("voter '{}' of fleet '{}' begins in {}", fleet.name, fleet.fleet, directory.display());
     Ok(())
--- a/crates/mintshelf/src/fleet/status.rs
+++ b/crates/mintshelf/src/fleet/status.rs
@@ -57,8 +57,9 @@
 
 fn leader_name<'a>(fleet: &'a FleetConfig, status: &FleetStatus) -> Option<&'a str> {
     let leader = status.leader().ok()?;
-    let index = (leader.status.id as usize).checked_sub(1)?;
-    fleet.voters.get(index).map(|voter| voter.name.as_str())
+    // Replicas are numbered from 1 in the order of the file.
+    let mut voters = (1..).zip(&fleet.voters);
+    voters.find(|(id, _)| *id == leader.status.id).map(|(_, voter)| voter.name.as_str())
 }
 
 fn replica_output<'a>(
--- a/crates/mintshelf/src/log.rs
+++ b/crates/mintshelf/src/log.rs
@@ -15,7 +15,7 @@
     source: ParseError,
 }
 
-/// Whether the environment asks for a log. The platform's sidecar writes none unless it does.
+/// Whether the environment requests a log. The platform's sidecar writes none otherwise.
 pub fn is_requested() -> bool {
     env::var_os(LEVELS_VARIABLE).is_some()
 }
@@ -31,10 +31,12 @@
         .parse(&levels)
         .map_err(|source| LevelsError { levels, source })?;
     let lines = tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr);
-    // A second start in one process leaves the first in place.
-    let _ = match as_json {
-        true => lines.json().try_init(),
-        false => lines.with_ansi(false).with_target(false).try_init(),
+    let started = if as_json {
+        lines.json().try_init()
+    } else {
+        lines.with_ansi(false).with_target(false).try_init()
     };
+    // It fails only if the log was started before, which stays in place.
+    started.ok();
     Ok(())
 }
