--- a/crates/consensus-node/src/clock.rs
+++ b/crates/consensus-node/src/clock.rs
@@ -5,6 +5,7 @@
 
 /// Nanoseconds since the machine started. The time in which it was suspended counts too: leases
 /// expire meanwhile. Setting the wall clock has no effect.
+#[must_use]
 pub fn now() -> Nanos {
     let time = clock_gettime(ClockId::Boottime);
     // Neither part is ever negative on this clock.
--- a/crates/consensus-node/src/handshake.rs
+++ b/crates/consensus-node/src/handshake.rs
@@ -53,6 +53,7 @@
 
 impl Hello {
     /// The hello of a process of a fleet.
+    #[must_use]
     pub fn new(fleet: &str, sender: PeerIdentity) -> Self {
         Hello { version: VERSION, fleet: fleet.to_owned(), sender }
     }
--- a/crates/consensus-node/src/node.rs
+++ b/crates/consensus-node/src/node.rs
@@ -148,13 +148,13 @@
     }
 
     fn propose(&mut self, requester: Requester, command: &Command) {
-        match self.replica.propose(command) {
-            Ok(proposal) => self.pending_requests.insert(proposal, requester),
-            Err(_) => {
-                let Requester { connection, request_id } = requester;
-                self.connections.send(connection, &Frame::Unavailable { request_id });
-            }
-        }
+        let Ok(proposal) = self.replica.propose(command) else {
+            // Another replica may know the leader.
+            let Requester { connection, request_id } = requester;
+            self.connections.send(connection, &Frame::Unavailable { request_id });
+            return;
+        };
+        self.pending_requests.insert(proposal, requester);
     }
 
     fn status_report(&self) -> StatusReport {
--- a/crates/consensus-node/src/store.rs
+++ b/crates/consensus-node/src/store.rs
@@ -119,6 +119,7 @@
 
     /// How often this store was opened, this time included: an incarnation that no former start
     /// from this directory had.
+    #[must_use]
     pub fn opened(&self) -> u64 {
         self.opened
     }
--- a/crates/consensus/src/persistent_state.rs
+++ b/crates/consensus/src/persistent_state.rs
@@ -13,6 +13,7 @@
 
 impl PersistentState {
     /// The state that all replicas of a new fleet begin with. Replicas are numbered from 1.
+    #[must_use]
     pub fn new_fleet(replica_ids: &[u64]) -> Self {
         PersistentState { log: Log::new_fleet(replica_ids) }
     }
--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -150,10 +150,9 @@
             return Ok(());
         }
         match self.raft_node.step(message) {
-            // A response to a request of a former incarnation.
-            Err(raft::Error::StepPeerNotFound | raft::Error::ProposalDropped) => {}
+            // The errors are responses to requests of a former incarnation.
+            Ok(()) | Err(raft::Error::StepPeerNotFound | raft::Error::ProposalDropped) => {}
             Err(error) => return Err(error.into()),
-            Ok(()) => {}
         }
         self.update_role(now);
         Ok(())
--- a/crates/lease/src/client.rs
+++ b/crates/lease/src/client.rs
@@ -97,6 +97,7 @@
 
 impl LeaseClient {
     /// Creates a client that requests the lease at its first tick.
+    #[must_use]
     pub fn new(config: LeaseConfig) -> Self {
         // The incarnation is part of each number, so that a response to a request of a former
         // incarnation is not taken for one to this one's.
@@ -156,16 +157,19 @@
     }
 
     /// The grant that is in force now.
+    #[must_use]
     pub fn active_grant(&self, now: Nanos) -> Option<ActiveGrant> {
         self.grant.filter(|grant| now < grant.expires_at)
     }
 
     /// Whether the client has released its lease and has nothing more to do.
+    #[must_use]
     pub fn is_released(&self) -> bool {
         !self.is_wanted && !self.needs_release
     }
 
     /// When [`LeaseClient::tick`] has something to do.
+    #[must_use]
     pub fn next_tick_at(&self) -> Nanos {
         let release_at = self.operations_end_at.filter(|_| !self.is_wanted);
         let request_at = self.next_request_at.max(release_at.unwrap_or(0));
--- a/crates/lease/src/command.rs
+++ b/crates/lease/src/command.rs
@@ -104,6 +104,7 @@
 
 impl Command {
     /// Name of the lease that the command is about.
+    #[must_use]
     pub fn lease(&self) -> &str {
         match self {
             Command::Acquire { lease, .. }
--- a/crates/lease/src/expiry.rs
+++ b/crates/lease/src/expiry.rs
@@ -48,6 +48,7 @@
 
 impl LeaseExpiry {
     /// Creates the counts of a replica that is not the leader.
+    #[must_use]
     pub fn new(clock_error: ClockError) -> Self {
         LeaseExpiry { clock_error, ..LeaseExpiry::default() }
     }
@@ -69,6 +70,7 @@
     }
 
     /// Whether this replica counts as the leader.
+    #[must_use]
     pub fn is_leader(&self) -> bool {
         self.is_leader
     }
@@ -132,6 +134,7 @@
     }
 
     /// When [`LeaseExpiry::due_commands`] has something next.
+    #[must_use]
     pub fn next_due_at(&self) -> Option<Nanos> {
         let holders = self.holders.values().map(|deadline| deadline.due_at);
         let waiters = self.waiters.values().map(|deadline| deadline.due_at);
--- a/crates/lease/src/fence.rs
+++ b/crates/lease/src/fence.rs
@@ -81,6 +81,7 @@
     }
 
     /// The highest token seen for a resource; 0 for none.
+    #[must_use]
     pub fn highest(&self, resource: &str) -> Token {
         self.highest.get(resource).copied().unwrap_or(0)
     }
--- a/crates/lease/src/lease.rs
+++ b/crates/lease/src/lease.rs
@@ -217,6 +217,7 @@
     }
 
     /// One lease, if it has a holder or waiters.
+    #[must_use]
     pub fn get(&self, name: &str) -> Option<&Lease> {
         self.leases.get(name)
     }
@@ -227,6 +228,7 @@
     }
 
     /// Token of the last grant; 0 before the first.
+    #[must_use]
     pub fn last_token(&self) -> Token {
         self.last_token
     }
--- a/crates/lease/src/timing.rs
+++ b/crates/lease/src/timing.rs
@@ -42,11 +42,13 @@
 
     /// How long a holder may rely on a lease: at most `duration` of true time, on the fastest or
     /// the slowest clock allowed.
+    #[must_use]
     pub fn holder_duration(self, duration: Nanos) -> Nanos {
         duration.saturating_sub(self.drift_over(duration))
     }
 
     /// How long the leader waits before a lease expires: at least `duration` of true time.
+    #[must_use]
     pub fn expiry_duration(self, duration: Nanos) -> Nanos {
         duration.saturating_add(self.drift_over(duration))
     }
--- a/crates/mintshelf/src/check.rs
+++ b/crates/mintshelf/src/check.rs
@@ -8,12 +8,9 @@
 
 /// Prints the problems of a file, as lines or as a JSON array; returns the exit code.
 pub fn run(path: &Path, as_json: bool) -> ExitCode {
-    let error = match config_file::read(path) {
-        Ok(_) => {
-            print_problems(&[], as_json);
-            return ExitCode::SUCCESS;
-        }
-        Err(error) => error,
+    let Err(error) = config_file::read(path) else {
+        print_problems(&[], as_json);
+        return ExitCode::SUCCESS;
     };
     match &error {
         ConfigError::Unreadable { .. } => eprintln!("mintshelf: {error}"),
--- a/crates/mintshelf/src/daemon/startup_settings.rs
+++ b/crates/mintshelf/src/daemon/startup_settings.rs
@@ -21,6 +21,11 @@
     }
 
     /// Most bytes that all WebSocket connections together may have queued.
+    #[allow(
+        clippy::cast_possible_truncation,
+        clippy::cast_sign_loss,
+        reason = "a part of a size is positive and not larger"
+    )]
     pub(super) fn socket_queue_bytes(&self) -> usize {
         (self.limits.memory_bytes as f64 * SOCKET_QUEUE_SHARE) as usize
     }
--- a/crates/mintshelf/src/explain.rs
+++ b/crates/mintshelf/src/explain.rs
@@ -8,7 +8,7 @@
 
 use crate::config_file;
 use crate::EXIT_UNUSABLE;
-use mintshelf_config::model::OperatorConfig;
+use mintshelf_config::model::{OperatorConfig, Route};
 use mintshelf_routing::{RequestView, RouteTable};
 use report::Report;
 use request::{ExplainError, Request};
@@ -55,15 +55,12 @@
 
 fn explain_selection(report: &mut Report, request: &Request, selected: Option<usize>) {
     let Request { method, url, .. } = request;
-    match selected.map(|index| &report.config().routes[index]) {
-        Some(route) => report.line(format_args!(
-            "{method} {url} takes route '{}' (line {})",
-            route.name, route.line
-        )),
-        None => {
-            report.line(format_args!("{method} {url} takes no route: it is answered 404, no-route"))
-        }
-    }
+    let Some(index) = selected else {
+        report.line(format_args!("{method} {url} takes no route: it is answered 404, no-route"));
+        return;
+    };
+    let Route { name, line, .. } = &report.config().routes[index];
+    report.line(format_args!("{method} {url} takes route '{name}' (line {line})"));
 }
 
 /// Why each of the other routes is not taken.
--- a/crates/mintshelf/src/explain/request.rs
+++ b/crates/mintshelf/src/explain/request.rs
@@ -1,6 +1,6 @@
 //! The request that is explained, as the command line gives it.
 
-use http::uri::InvalidUri;
+use http::uri::{Authority, InvalidUri};
 use http::{header, HeaderMap, HeaderName, HeaderValue, Method, Uri};
 use mintshelf_routing::{RequestView, TableError};
 use thiserror::Error;
@@ -53,7 +53,7 @@
     /// The host of the URL, else that of the `Host` header, else an empty name.
     pub(super) fn host(&self) -> String {
         let stated = self.headers.get(header::HOST).and_then(|host| host.to_str().ok());
-        let authority = self.uri.authority().map(|authority| authority.as_str());
+        let authority = self.uri.authority().map(Authority::as_str);
         authority.or(stated).unwrap_or_default().to_string()
     }
 
--- a/crates/mintshelf/src/fleet/lease_run.rs
+++ b/crates/mintshelf/src/fleet/lease_run.rs
@@ -12,7 +12,7 @@
 use mintshelf_config::model::FleetConfig;
 use mintshelf_consensus_node::lease_keeper::{keep_lease, LeaseRequest, LeaseStatus};
 use mintshelf_lease::client::{ActiveGrant, LeaseConfig};
-use mintshelf_lease::command::{Owner, DURATION_MAX};
+use mintshelf_lease::command::{Owner, Rejection, DURATION_MAX};
 use mintshelf_time::{from_duration, Nanos, MILLISECOND};
 use std::ffi::OsString;
 use std::io::Write;
@@ -93,18 +93,12 @@
     let keeper = tokio::spawn(keep_lease(request, publisher, async { drop(stopped.await) }));
     let acquire_timeout = guarded.wait.max(ACQUIRE_TIMEOUT_MIN);
     let outcome = timeout(acquire_timeout, wait_for_outcome(&mut status)).await.unwrap_or_default();
-    let exit_code = match outcome.grant {
-        Some(grant) => {
-            let mut guard = spawn_guard(&guarded, grant)?;
-            watch_guard(&mut guard, &mut status, grant).await
-        }
-        None => {
-            let reason = outcome
-                .rejection
-                .map_or("not got in time".into(), |rejection| rejection.to_string());
-            eprintln!("mintshelf: lease '{}': {reason}", guarded.lease);
-            Ok(EXIT_NOT_ACQUIRED)
-        }
+    let exit_code = if let Some(grant) = outcome.grant {
+        let mut guard = spawn_guard(&guarded, grant)?;
+        watch_guard(&mut guard, &mut status, grant).await
+    } else {
+        print_not_acquired(&guarded.lease, outcome.rejection);
+        Ok(EXIT_NOT_ACQUIRED)
     };
     // Released only now: the command and its process group have ended.
     drop(stop);
@@ -113,6 +107,11 @@
     exit_code
 }
 
+fn print_not_acquired(lease: &str, rejection: Option<Rejection>) {
+    let reason = rejection.map_or("not got in time".into(), |rejection| rejection.to_string());
+    eprintln!("mintshelf: lease '{lease}': {reason}");
+}
+
 /// Waits until the lease is granted or rejected.
 async fn wait_for_outcome(status: &mut watch::Receiver<LeaseStatus>) -> LeaseStatus {
     loop {
--- a/crates/mintshelf/src/metrics.rs
+++ b/crates/mintshelf/src/metrics.rs
@@ -123,7 +123,7 @@
     let migrated = Metric::new("sockets_moved", "WebSockets that went on at another server");
     registry.counters(migrated, "cluster", counts(&stats.migrated));
     let closed = stats.closed.iter().map(|((closed_by, code), count)| {
-        let closed_by = closed_by_label(closed_by).to_string();
+        let closed_by = closed_by_label(*closed_by).to_string();
         ([("by", closed_by), ("code", code.to_string())], *count)
     });
     let help = "WebSockets ended, by who ended them and with which code";
@@ -137,7 +137,7 @@
     registry.counters(socket_bytes, "from", bytes);
 }
 
-fn closed_by_label(closed_by: &ClosedBy) -> &'static str {
+fn closed_by_label(closed_by: ClosedBy) -> &'static str {
     match closed_by {
         ClosedBy::Client => "client",
         ClosedBy::Server => "server",
--- a/crates/quota/src/allocation.rs
+++ b/crates/quota/src/allocation.rs
@@ -53,6 +53,7 @@
 
 impl AllocationBatch {
     /// Whether there is nothing to apply.
+    #[must_use]
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty() && self.expired.is_empty()
     }
--- a/crates/quota/src/client.rs
+++ b/crates/quota/src/client.rs
@@ -42,6 +42,7 @@
 
 impl Limit {
     /// Units that may be used at a time.
+    #[must_use]
     pub fn units_at(&self, now: Nanos) -> u64 {
         if now < self.expires_at {
             self.units
@@ -75,6 +76,7 @@
     /// Creates the client of an incarnation that starts at `started_at`. It may use its floor
     /// only when a unit's longest use has passed since: servers may still work on what its former
     /// incarnation sent under the same floor.
+    #[must_use]
     pub fn new(owner: Owner, quota: Quota, weight: u32, started_at: Nanos) -> Self {
         let former_use = quota.clock_error.expiry_duration(quota.max_use_duration);
         QuotaClient {
@@ -111,6 +113,7 @@
     }
 
     /// What may be used. To be read again when it expires, and after each response.
+    #[must_use]
     pub fn limit(&self, now: Nanos) -> Limit {
         let floor = self.floor_at(now);
         match self.active.filter(|active| now < active.expires_at && !self.is_released) {
@@ -186,6 +189,7 @@
     }
 
     /// When [`QuotaClient::tick`] has a request to send.
+    #[must_use]
     pub fn next_request_at(&self) -> Nanos {
         self.next_request_at
     }
--- a/crates/quota/src/config.rs
+++ b/crates/quota/src/config.rs
@@ -104,12 +104,14 @@
 
     /// Units that can be granted: the total less all floors, whether their members run or not. 0
     /// if the quota does not pass its check.
+    #[must_use]
     pub fn grantable(&self) -> u64 {
         self.total.saturating_sub(self.floor.saturating_mul(self.max_members))
     }
 
     /// Units of [`Quota::grantable`] that are divided by demand; the others are for members that
     /// join.
+    #[must_use]
     pub fn divided(&self) -> u64 {
         let grantable = u128::from(self.grantable());
         let divided_per_mille = u128::from(1_000 - self.headroom_per_mille.min(1_000));
--- a/crates/quota/src/ledger.rs
+++ b/crates/quota/src/ledger.rs
@@ -31,11 +31,13 @@
 
 impl Account {
     /// Most units that the owner may be using over its floor.
+    #[must_use]
     pub fn used(&self) -> u64 {
         self.grants.iter().map(|grant| grant.units).max().unwrap_or(0)
     }
 
     /// The last grant.
+    #[must_use]
     pub fn last(&self) -> Option<Grant> {
         self.grants.last().copied()
     }
@@ -116,11 +118,13 @@
 
 impl Ledger {
     /// A ledger without grants.
+    #[must_use]
     pub fn new(quota: Quota) -> Self {
         Ledger { quota, accounts: BTreeMap::new(), last_grant: 0 }
     }
 
     /// The quota.
+    #[must_use]
     pub fn quota(&self) -> &Quota {
         &self.quota
     }
@@ -143,6 +147,7 @@
     }
 
     /// The account of one owner.
+    #[must_use]
     pub fn account(&self, owner: &Owner) -> Option<&Account> {
         self.accounts.get(owner)
     }
--- a/crates/quota/src/max_min.rs
+++ b/crates/quota/src/max_min.rs
@@ -82,6 +82,7 @@
 
 /// The next grant of a member that has `current` units, where its part is `target`. It is
 /// not reduced by a little: it would follow every small change of the demands.
+#[must_use]
 pub fn with_hysteresis(current: u64, target: u64) -> u64 {
     let is_slightly_less =
         target < current && target > 0 && current - target <= current / HYSTERESIS_DIVISOR;
--- a/crates/quota/src/replica_selector.rs
+++ b/crates/quota/src/replica_selector.rs
@@ -40,6 +40,7 @@
 impl ReplicaSelector {
     /// Selects among a number of replicas, at least one. The order follows from the member's
     /// name, so that a restart does not change it.
+    #[must_use]
     pub fn new(owner: &Owner, replicas: usize) -> Self {
         let mut order: Vec<usize> = (0..replicas.max(1)).collect();
         // Rendezvous hashing: the members of a replica that fails spread evenly over the others.
@@ -77,6 +78,7 @@
     }
 
     /// When [`ReplicaSelector::select`] may return something else.
+    #[must_use]
     pub fn next_change_at(&self, now: Nanos) -> Nanos {
         if now < self.not_before {
             return self.not_before;
--- a/crates/quota/src/request_collector.rs
+++ b/crates/quota/src/request_collector.rs
@@ -71,6 +71,7 @@
     }
 
     /// Whether this replica counts as the leader.
+    #[must_use]
     pub fn is_leader(&self) -> bool {
         self.is_leader
     }
--- a/crates/quota/src/session_table.rs
+++ b/crates/quota/src/session_table.rs
@@ -25,6 +25,7 @@
 
 impl SessionTable {
     /// Creates the table of one of `replicas`, for `members` in all.
+    #[must_use]
     pub fn new(members: usize, replicas: usize, session_timeout: Nanos) -> Self {
         let max_sessions = (members * CAPACITY_FACTOR).div_ceil(replicas.max(1)).max(1);
         SessionTable {
@@ -68,11 +69,13 @@
     }
 
     /// Number of sessions.
+    #[must_use]
     pub fn len(&self) -> usize {
         self.sessions.len()
     }
 
     /// Whether there are no sessions.
+    #[must_use]
     pub fn is_empty(&self) -> bool {
         self.sessions.is_empty()
     }
--- a/crates/quota/src/state_machine.rs
+++ b/crates/quota/src/state_machine.rs
@@ -93,11 +93,13 @@
 
 impl QuotaStateMachine {
     /// The leases.
+    #[must_use]
     pub fn leases(&self) -> &Leases {
         &self.leases
     }
 
     /// The accounts of a quota.
+    #[must_use]
     pub fn ledger(&self, quota: &str) -> Option<&Ledger> {
         self.quotas.get(quota)
     }
--- a/crates/quota/src/token_bucket.rs
+++ b/crates/quota/src/token_bucket.rs
@@ -23,6 +23,7 @@
     /// Creates an empty bucket that its rate, in requests a second, fills in `fill_duration`.
     /// Empty, since a process that restarts again and again would otherwise have a burst each
     /// time.
+    #[must_use]
     pub fn new(now: Nanos, limit: Limit, fill_duration: Nanos) -> Self {
         TokenBucket { limit, fill_duration, parts: 0, updated_at: now }
     }
--- a/crates/quota/src/usage.rs
+++ b/crates/quota/src/usage.rs
@@ -37,6 +37,7 @@
 impl Usage {
     /// Creates a usage of nothing. Demand is counted by windows, best of a third of a grant's
     /// duration.
+    #[must_use]
     pub fn new(now: Nanos, limit: Limit, window_duration: Nanos) -> Self {
         let window_duration = window_duration.max(1);
         Usage {
@@ -55,6 +56,7 @@
     }
 
     /// Units in use now.
+    #[must_use]
     pub fn used(&self) -> u64 {
         self.used
     }
