--- a/crates/consensus-node/src/connection_table.rs
+++ b/crates/consensus-node/src/connection_table.rs
@@ -1,7 +1,7 @@
 //! The open connections of a node, and the frames that are sent on them.
 
+use crate::connection::{ConnectionId, OpenedConnection};
 use crate::frame::{encode, Frame, PeerIdentity};
-use crate::transport::{ConnectionId, OpenedConnection};
 use std::collections::{BTreeMap, HashMap};
 
 /// The open connections of a node. Each belongs to a replica or a member; a replica has one at
--- a/crates/consensus-node/src/lib.rs
+++ b/crates/consensus-node/src/lib.rs
@@ -31,7 +31,9 @@
 
 pub mod client;
 pub mod clock;
+mod connection;
 mod connection_table;
+mod dialer;
 pub mod frame;
 pub mod handshake;
 pub mod lease_keeper;
--- a/crates/consensus-node/src/node.rs
+++ b/crates/consensus-node/src/node.rs
@@ -3,13 +3,14 @@
 //! It needs a thread of its own: each write is synced in place, and nothing else may wait for it.
 
 use crate::clock;
+use crate::connection::{ConnectionEvent, ConnectionId};
 use crate::connection_table::ConnectionTable;
 use crate::frame::{Frame, NamedLease, PeerIdentity, StatusReport};
 use crate::node_config::NodeConfig;
 use crate::pending_requests::{PendingRequests, Requester};
 use crate::store::Store;
 use crate::store_error::StoreError;
-use crate::transport::{self, ConnectionEvent, ConnectionId};
+use crate::transport;
 use mintshelf_consensus::error::ReplicaError;
 use mintshelf_consensus::message::{self, Message};
 use mintshelf_consensus::persistent_state::PersistentState;
--- a/crates/consensus-node/src/node_config.rs
+++ b/crates/consensus-node/src/node_config.rs
@@ -1,5 +1,6 @@
 //! The configuration of a node.
 
+use crate::frame::{Hello, PeerIdentity};
 use mintshelf_lease::timing::Timing;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,3 +18,10 @@
     /// Timeouts of the fleet.
     pub timing: Timing,
 }
+
+impl NodeConfig {
+    /// The hello of this replica.
+    pub(crate) fn hello(&self) -> Hello {
+        Hello::new(&self.fleet, PeerIdentity::Replica(self.id))
+    }
+}
--- a/crates/consensus-node/src/pending_requests.rs
+++ b/crates/consensus-node/src/pending_requests.rs
@@ -1,6 +1,6 @@
 //! The requests of members whose responses are pending.
 
-use crate::transport::ConnectionId;
+use crate::connection::ConnectionId;
 use mintshelf_consensus::write_batch::ProposalId;
 use std::collections::BTreeMap;
 
