--- a/crates/mintshelf/tests/compatibility/bindings.rs
+++ b/crates/mintshelf/tests/compatibility/bindings.rs
@@ -24,8 +24,9 @@
 use mintshelf_quota::allocation::{
     AllocationBatch, AllocationRequest, AllocationResponse, Grant, GrantExpired,
 };
+use mintshelf_quota::command::{self as quota_commands, QuotaRejection};
 use mintshelf_quota::config::Quota;
-use mintshelf_quota::state_machine::{self as quota_commands, QuotaRejection, QuotaStateMachine};
+use mintshelf_quota::state_machine::QuotaStateMachine;
 use mintshelf_simulator_adapter::host::Host;
 use mintshelf_simulator_adapter::wire::write_action;
 use mintshelf_time::{MILLISECOND, SECOND};
--- a/crates/quota/src/ledger.rs
+++ b/crates/quota/src/ledger.rs
@@ -8,6 +8,7 @@
 use mintshelf_lease::command::Owner;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
+use thiserror::Error;
 
 /// Most grants to one owner that may be in use at one time. With three requests in each grant's
 /// duration, there are more than a few only while neither confirmations nor expiries are
@@ -108,6 +109,11 @@
     }
 }
 
+/// A change of a quota to which its members can't be switched.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
+#[error("only total and headroom of a quota can be changed")]
+pub struct IncompatibleChange;
+
 /// The accounts of one quota.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Ledger {
@@ -129,16 +135,18 @@
         &self.quota
     }
 
-    /// Changes total or headroom; returns whether nothing else differs, and the change is made.
-    /// Members have the other settings from their own files, and count by them already. Of a
-    /// smaller total, grants of the larger one stay in use until they are confirmed or expire.
-    pub fn change(&mut self, quota: Quota) -> bool {
+    /// Changes total or headroom. Of a smaller total, grants of the larger one stay in use until
+    /// they are confirmed or expire.
+    ///
+    /// # Errors
+    /// Another setting differs: members have it from their own files, and count by it already.
+    pub fn change(&mut self, quota: Quota) -> Result<(), IncompatibleChange> {
         let Quota { total, headroom_per_mille, .. } = quota;
-        let is_compatible = Quota { total, headroom_per_mille, ..self.quota } == quota;
-        if is_compatible {
-            self.quota = quota;
+        if quota != (Quota { total, headroom_per_mille, ..self.quota }) {
+            return Err(IncompatibleChange);
         }
-        is_compatible
+        self.quota = quota;
+        Ok(())
     }
 
     /// All accounts, in order of their owners.
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -53,8 +53,10 @@
 
 pub mod allocation;
 pub mod client;
+pub mod command;
 pub mod config;
 pub mod ledger;
+pub mod local_state;
 pub mod max_min;
 pub mod replica_selector;
 pub mod request_collector;
--- /dev/null
+++ b/crates/quota/src/local_state.rs
@@ -0,0 +1,95 @@
+//! What one replica collects and counts of leases and quotas, without replication.
+
+use crate::allocation::AllocationRequest;
+use crate::command::{Command, QuotaBatch, QUOTAS_MAX};
+use crate::ledger::Ledger;
+use crate::request_collector::RequestCollector;
+use mintshelf_lease::command as lease;
+use mintshelf_lease::expiry::LeaseExpiry;
+use mintshelf_lease::lease::Leases;
+use mintshelf_lease::timing::ClockError;
+use mintshelf_time::Nanos;
+use std::collections::BTreeMap;
+
+/// What one replica collects of its members, and counts while it is the leader.
+#[derive(Debug, Clone)]
+pub struct LocalState {
+    lease_expiry: LeaseExpiry,
+    /// By the name of the quota.
+    collectors: BTreeMap<String, RequestCollector>,
+}
+
+impl LocalState {
+    /// Creates the state of a replica that is not the leader.
+    pub(crate) fn new(clock_error: ClockError) -> Self {
+        LocalState { lease_expiry: LeaseExpiry::new(clock_error), collectors: BTreeMap::new() }
+    }
+
+    /// Collects a member's request for the next batch; returns whether it was accepted.
+    pub fn add_request(&mut self, quota: &str, request: AllocationRequest) -> bool {
+        if !self.collectors.contains_key(quota) && self.collectors.len() >= QUOTAS_MAX {
+            return false;
+        }
+        self.collectors.entry(quota.to_owned()).or_default().add_request(request)
+    }
+
+    /// A command about leases has been applied.
+    pub(crate) fn lease_command_applied(
+        &mut self,
+        now: Nanos,
+        leases: &Leases,
+        command: &lease::Command,
+    ) {
+        self.lease_expiry.command_applied(now, leases, command.lease());
+    }
+
+    /// A batch has been applied to the ledger of a quota.
+    pub(crate) fn batch_applied(&mut self, now: Nanos, quota: &str, ledger: &Ledger) {
+        let collector = self.collectors.entry(quota.to_owned()).or_default();
+        // The quota may have been created since this replica became the leader.
+        if self.lease_expiry.is_leader() && !collector.is_leader() {
+            collector.become_leader(now, ledger);
+        }
+        collector.batch_applied(now, ledger);
+    }
+
+    /// This replica has become the leader.
+    pub(crate) fn become_leader(
+        &mut self,
+        now: Nanos,
+        leases: &Leases,
+        quotas: &BTreeMap<String, Ledger>,
+    ) {
+        self.lease_expiry.become_leader(now, leases);
+        for (name, ledger) in quotas {
+            self.collectors.entry(name.clone()).or_default().become_leader(now, ledger);
+        }
+    }
+
+    /// This replica is not the leader any more.
+    pub(crate) fn step_down(&mut self) {
+        self.lease_expiry.step_down();
+        self.collectors.values_mut().for_each(RequestCollector::step_down);
+    }
+
+    /// Whether this replica counts as the leader.
+    pub(crate) fn is_leader(&self) -> bool {
+        self.lease_expiry.is_leader()
+    }
+
+    /// The commands that are to be proposed now.
+    pub(crate) fn due_commands(&mut self, now: Nanos) -> Vec<Command> {
+        let lease_commands = self.lease_expiry.due_commands(now);
+        let mut commands: Vec<Command> = lease_commands.into_iter().map(Command::Lease).collect();
+        let mut batches = Vec::new();
+        for (quota, collector) in &mut self.collectors {
+            if let Some(batch) = collector.next_batch(now) {
+                batches.push(QuotaBatch { quota: quota.clone(), batch });
+            }
+        }
+        if !batches.is_empty() {
+            commands.push(Command::Allocate(batches));
+        }
+        commands
+    }
+}
--- a/crates/quota/tests/replicas/main.rs
+++ b/crates/quota/tests/replicas/main.rs
@@ -11,10 +11,9 @@
 
 use cluster::{Cluster, QUOTA};
 use mintshelf_consensus::state_machine::StateMachine;
+use mintshelf_quota::command::{Command, QuotaBatch, QuotaRejection, Response};
 use mintshelf_quota::config::Quota;
-use mintshelf_quota::state_machine::{
-    Command, QuotaBatch, QuotaRejection, QuotaStateMachine, Response,
-};
+use mintshelf_quota::state_machine::QuotaStateMachine;
 use mintshelf_time::SECOND;
 use seeds::seed_count;
 
--- a/crates/quota/tests/replicas/network.rs
+++ b/crates/quota/tests/replicas/network.rs
@@ -4,7 +4,7 @@
 use mintshelf_consensus::message::{self, encode};
 use mintshelf_consensus::write_batch::ProposalResponse;
 use mintshelf_quota::allocation::{AllocationRequest, AllocationResponse};
-use mintshelf_quota::state_machine::{QuotaResponse, Response};
+use mintshelf_quota::command::{QuotaResponse, Response};
 use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 
 /// A message; replicas and members are given by their indexes.
