--- a/crates/admission/src/tenants.rs
+++ b/crates/admission/src/tenants.rs
@@ -6,7 +6,7 @@
 use std::net::IpAddr;
 use std::rc::Rc;
 
-/// The name of the tenant of all requests that belong to no other.
+/// The name of the tenant of all requests that belong to no other one.
 pub const OTHER_TENANTS: &str = "others";
 
 /// The tenants by what identifies them.
@@ -43,6 +43,7 @@
 
 impl TenantResolver {
     /// Starts without tenants.
+    #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
@@ -93,6 +94,7 @@
 }
 
 /// Whether two networks have an address in common.
+#[must_use]
 pub fn networks_overlap(one: &IpNet, other: &IpNet) -> bool {
     one.contains(other) || other.contains(one)
 }
--- a/crates/config/src/problem.rs
+++ b/crates/config/src/problem.rs
@@ -1,5 +1,5 @@
-//! What is wrong with an operator's file: where, which safety rule it would break, and the
-//! remedy.
+//! Problems of an operator's file: the place, the message, the remedy, and the safety rule that
+//! would be broken.
 
 use std::fmt;
 
@@ -16,6 +16,7 @@
 
 impl SafetyRule {
     /// Its number in the README.
+    #[must_use]
     pub fn number(self) -> u8 {
         match self {
             SafetyRule::NoLostRequest => 1,
@@ -105,13 +106,15 @@
 
 impl<'text> LineIndex<'text> {
     /// Finds the lines of a text.
+    #[must_use]
     pub fn new(text: &'text str) -> Self {
         let line_feeds = text.bytes().enumerate().filter(|(_, byte)| *byte == b'\n');
         let later_lines = line_feeds.map(|(offset, _)| offset + 1);
         LineIndex { text, line_starts: std::iter::once(0).chain(later_lines).collect() }
     }
 
-    /// The place of the byte with this offset; of the end of the text for one behind it.
+    /// The place of the byte with this offset, or the end of the text for an offset behind it.
+    #[must_use]
     pub fn place(&self, offset: usize) -> LineColumn {
         let offset = offset.min(self.text.len());
         let line = self.line_starts.partition_point(|start| *start <= offset);
--- a/crates/mintshelf/src/daemon.rs
+++ b/crates/mintshelf/src/daemon.rs
@@ -19,7 +19,6 @@
 use mintshelf_admission::slots::SlotConfig;
 use mintshelf_balancer::api::ServerId;
 use mintshelf_config::admission::{admission_config, slot_config};
-use mintshelf_config::balancer::to_nanos;
 use mintshelf_config::model::OperatorConfig;
 use mintshelf_proxy::budget::ResourceBudget;
 use mintshelf_proxy::client::handler::RequestHandler;
@@ -28,6 +27,7 @@
 use mintshelf_proxy::gateway::stats::ProxyStats;
 use mintshelf_proxy::upstream::pool::ConnectionPool;
 use mintshelf_proxy::websocket::registry::SocketRegistry;
+use mintshelf_time::from_duration;
 use reload_counts::ReloadCounts;
 pub use reload_error::ReloadError;
 use serde_json::Value;
@@ -188,7 +188,7 @@
     }
 
     fn drain_sockets(&self) {
-        self.sockets.drain(None, to_nanos(self.startup.limits.websocket_drain));
+        self.sockets.drain(None, from_duration(self.startup.limits.websocket_drain));
     }
 
     /// Whether no request and no connection of a client is open.
--- a/crates/mintshelf/src/daemon/applied_config.rs
+++ b/crates/mintshelf/src/daemon/applied_config.rs
@@ -2,11 +2,10 @@
 
 use super::clusters::ClusterSet;
 use super::listeners::ListenerSet;
-use mintshelf_balancer::api::ListedServer;
+use mintshelf_config::balancer::ClusterServer;
 use mintshelf_config::model::{OperatorConfig, Route, RouteAction};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
-use std::net::SocketAddr;
 use std::path::Path;
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -65,6 +64,6 @@
     shown.collect()
 }
 
-fn endpoint_json((server, address): &(ListedServer, SocketAddr)) -> Value {
-    json!({"address": address.to_string(), "weight": server.size})
+fn endpoint_json(server: &ClusterServer) -> Value {
+    json!({"address": server.address.to_string(), "weight": server.listed.size})
 }
--- a/crates/mintshelf/src/daemon/clusters.rs
+++ b/crates/mintshelf/src/daemon/clusters.rs
@@ -1,7 +1,7 @@
 //! The clusters of the applied configuration: each runs its own instance of the decision module.
 
-use mintshelf_balancer::api::{ListedServer, ServerId};
-use mintshelf_config::balancer::{balancer_config, BalancerConfig};
+use mintshelf_balancer::api::ServerId;
+use mintshelf_config::balancer::{balancer_config, BalancerConfig, ClusterServer};
 use mintshelf_config::model::{Cluster, OperatorConfig};
 use mintshelf_config::platform::Names;
 use mintshelf_proxy::cluster::runtime::ClusterRuntime;
@@ -144,7 +144,7 @@
     }
 
     /// The endpoints of each cluster, by its name.
-    pub(super) fn endpoints(&self) -> impl Iterator<Item = (&str, &[(ListedServer, SocketAddr)])> {
+    pub(super) fn endpoints(&self) -> impl Iterator<Item = (&str, &[ClusterServer])> {
         let clusters = self.clusters.iter();
         clusters.map(|(name, running)| (name.as_str(), running.config.servers.as_slice()))
     }
@@ -186,7 +186,7 @@
         if running.config.servers != config.servers {
             let runtime = running.runtime();
             runtime.set_endpoints(config.servers.clone());
-            let servers = config.servers.iter().map(|(server, _)| server.id).collect();
+            let servers = config.servers.iter().map(|server| server.listed.id).collect();
             let reason = "its server leaves the cluster";
             self.sockets.retain_servers(runtime.number(), &servers, reason);
             running.config = config;
--- a/crates/mintshelf/src/daemon/listeners.rs
+++ b/crates/mintshelf/src/daemon/listeners.rs
@@ -2,13 +2,13 @@
 
 use super::acceptor::ClientAcceptor;
 use super::reload_error::ReloadError;
-use mintshelf_config::balancer::to_nanos;
 use mintshelf_config::model::{Listener, OperatorConfig};
 use mintshelf_proxy::client::listener::listen;
 use mintshelf_proxy::gateway::config::ServingConfig;
-use mintshelf_proxy::gateway::handler::GatewayHandler;
+use mintshelf_proxy::gateway::handler::{GatewayHandler, GatewaySettings};
 use mintshelf_proxy::gateway::stats::ProxyStats;
 use mintshelf_proxy::websocket::registry::SocketRegistry;
+use mintshelf_time::from_duration;
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -127,7 +127,7 @@
     fn close(&self, listener: OpenListener) {
         listener.draining.cancel();
         let listener_id = listener.handler.listener_id();
-        self.handlers.sockets.drain(Some(listener_id), to_nanos(self.handlers.socket_drain));
+        self.handlers.sockets.drain(Some(listener_id), from_duration(self.handlers.socket_drain));
         spawn_local(async move {
             sleep(LISTENER_LINGER).await;
             listener.stop_accepting();
@@ -158,8 +158,13 @@
         socket: TcpListener,
     ) -> OpenListener {
         let HandlerResources { acceptor, bodies, stats, sockets, seed, .. } = &self.handlers;
-        let (bodies, stats, sockets) = (bodies.clone(), stats.clone(), sockets.clone());
-        let handler = GatewayHandler::new(serving, bodies, stats, sockets, *seed);
+        let handler = GatewayHandler::new(GatewaySettings {
+            config: serving,
+            body_budget: bodies.clone(),
+            stats: stats.clone(),
+            sockets: sockets.clone(),
+            seed: *seed,
+        });
         let draining = CancellationToken::new();
         let accepting = acceptor.accept(handler.clone(), socket, draining.clone());
         OpenListener { handler, name: listener.name.clone(), accepting, draining }
--- a/crates/proxy/src/platform/handler.rs
+++ b/crates/proxy/src/platform/handler.rs
@@ -1,16 +1,16 @@
 //! The platform's requests to its one cluster, each from its head to the response.
 
-use super::metadata::{missing_transaction_id, read_metadata, TRANSACTION_ID};
+use super::metadata::{missing_transaction_id, read_metadata};
 use super::rejection::RejectedRequest;
 use super::request_body::read_body;
 use crate::budget::ResourceBudget;
 use crate::client::connection::{Client, Phase};
 use crate::client::handler::{ClientRequest, RequestHandler, ResponseBody};
-use crate::clock::nanos;
 use crate::cluster::request::{RequestMetadata, RequestOutcome, UpstreamRequest};
 use crate::cluster::runtime::ClusterRuntime;
 use crate::headers::{strip_hop_by_hop, HEADERS_MAX};
 use crate::loop_monitor::LoopMonitor;
+use crate::platform_protocol::{READY_PATH, TRANSACTION_ID};
 use bytes::Bytes;
 use hyper::body::Incoming;
 use hyper::header::{self, HeaderValue};
@@ -19,7 +19,7 @@
 use mintshelf_balancer::api::Settings;
 use mintshelf_config::platform::Names;
 use mintshelf_retry::shutdown::ShutdownDeadlines;
-use mintshelf_time::{as_seconds, Nanos, SECOND};
+use mintshelf_time::{as_seconds, from_duration, Nanos, SECOND};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -27,8 +27,6 @@
 use tokio::sync::Semaphore;
 use tokio::time::sleep_until;
 
-/// Path that answers whether this sidecar takes requests.
-const READY_PATH: &str = "/-/ready";
 /// A client that is rejected during the shutdown may retry after this, in nanoseconds: the next
 /// process has started by then.
 const RESTART_RETRY_AFTER: Nanos = SECOND;
@@ -62,19 +60,19 @@
     /// get their final responses in the time that is left. Returns when they have.
     pub async fn shut_down(&self, longest_deadline: Duration) {
         let clock = self.runtime.clock();
-        let deadlines = ShutdownDeadlines::new(clock.now(), nanos(longest_deadline));
+        let deadlines = ShutdownDeadlines::new(clock.now(), from_duration(longest_deadline));
         self.shutdown.set(Some(deadlines));
         sleep_until(clock.instant(deadlines.final_response_at())).await;
-        self.runtime.conclude_all(self.restart_retry_after());
+        self.runtime.resolve_all(self.restart_retry_after());
     }
 
     fn restart_retry_after(&self) -> Nanos {
         RESTART_RETRY_AFTER.min(self.settings.max_retry_after)
     }
 
-    /// Reads a request completely and gets it its final outcome. The stages of its way: its head,
-    /// its body, the shutdown's deadlines, the decision module. The client has waited for up to
-    /// `queued` since it sent the request.
+    /// Reads a request completely and returns its final outcome. Its stages are its head, its body,
+    /// the shutdown's deadlines and the decision module. The client has waited for up to `queued`
+    /// since it sent the request.
     async fn handle(
         &self,
         client: &Rc<Client>,
@@ -93,13 +91,13 @@
         // The client's time counts from the last byte, which may have come later than the head, or
         // before the body found capacity.
         let queued = queued.max(self.loop_monitor.lag()) + body.capacity_wait;
-        metadata.client_timeout = metadata.client_timeout.saturating_sub(nanos(queued));
+        metadata.client_timeout = metadata.client_timeout.saturating_sub(from_duration(queued));
         rewrite_head(&mut head)?;
         if let Some(rejected) = self.apply_shutdown(&mut metadata) {
             return Ok(rejected);
         }
         let request = UpstreamRequest {
-            request: Request::from_parts(head, body.body),
+            message: Request::from_parts(head, body.body),
             transaction_id: Some(transaction_id),
             body_permit: body.permit,
             client: Some(client.clone()),
@@ -113,16 +111,12 @@
     fn apply_shutdown(&self, metadata: &mut RequestMetadata) -> Option<RequestOutcome> {
         let deadlines = self.shutdown.get()?;
         let now = self.runtime.clock().now();
-        match deadlines.limit_timeout(now, metadata.client_timeout) {
-            Some(client_timeout) => {
-                metadata.client_timeout = client_timeout;
-                None
-            }
-            None => {
-                let retry_after = self.restart_retry_after();
-                Some(RequestOutcome::Rejected { retry_after, ran_at: None })
-            }
+        if let Some(client_timeout) = deadlines.limit_timeout(now, metadata.client_timeout) {
+            metadata.client_timeout = client_timeout;
+            return None;
         }
+        let retry_after = self.restart_retry_after();
+        Some(RequestOutcome::Rejected { retry_after, ran_at: None })
     }
 }
 
@@ -187,7 +181,7 @@
     }
 }
 
-/// The response to a request that breaks the protocol: what comes behind it on its connection
+/// The response to a request that breaks the protocol. It closes the connection: what follows on it
 /// can't be trusted either.
 fn rejected_response(rejected: &RejectedRequest) -> Response<ResponseBody> {
     let mut response = text_response(rejected.status, rejected.body());
