--- a/crates/retry/src/violation.rs
+++ b/crates/retry/src/violation.rs
@@ -137,27 +137,16 @@
                 "the cluster does not allow two attempts of one request at a time"
             }
             SafetyViolation::RetryAfterWindow { attempt, at, sum } => {
-                let arrival = format_nanos(*at);
-                let window = format_nanos(schedule.dedup_window);
-                return format!(
-                    "attempt {attempt} could reach a server at {arrival} ({sum}); the window is \
-                     {window}"
-                );
+                return describe_late_arrival(&format!("attempt {attempt}"), *at, sum, schedule);
             }
             SafetyViolation::ClientRetryAfterWindow { at, sum } => {
-                let arrival = format_nanos(*at);
-                let window = format_nanos(schedule.dedup_window);
-                return format!(
-                    "a client's own retry could reach a server at {arrival} ({sum}); the window is \
-                     {window}"
-                );
+                return describe_late_arrival("a client's own retry", *at, sum, schedule);
             }
             SafetyViolation::AttemptTimeoutOverDeadline => {
-                let deadline = format_nanos(schedule.deadline);
-                return format!("one try may take longer than the whole request, {deadline}");
+                return describe_long_timeout(schedule);
             }
             SafetyViolation::AttemptCannotStart { attempt, start } => {
-                return describe_attempt_that_cannot_start(*attempt, *start, schedule.deadline);
+                return describe_attempt_that_cannot_start(*attempt, *start, schedule);
             }
             SafetyViolation::UselessAttemptTimeout => {
                 "no attempt may follow one that ran out of its own time"
@@ -167,10 +156,30 @@
     }
 }
 
-fn describe_attempt_that_cannot_start(attempt: u32, start: Nanos, deadline: Nanos) -> String {
+fn describe_late_arrival(
+    request: &str,
+    at: Nanos,
+    sum: &str,
+    schedule: &AttemptSchedule,
+) -> String {
+    let arrival = format_nanos(at);
+    let window = format_nanos(schedule.dedup_window);
+    format!("{request} could reach a server at {arrival} ({sum}); the window is {window}")
+}
+
+fn describe_long_timeout(schedule: &AttemptSchedule) -> String {
+    let deadline = format_nanos(schedule.deadline);
+    format!("one try may take longer than the whole request, {deadline}")
+}
+
+fn describe_attempt_that_cannot_start(
+    attempt: u32,
+    start: Nanos,
+    schedule: &AttemptSchedule,
+) -> String {
     let earlier_attempts = attempt - 1;
     let start = format_nanos(start);
-    let deadline = format_nanos(deadline);
+    let deadline = format_nanos(schedule.deadline);
     format!(
         "attempt {attempt} cannot fit: {earlier_attempts} x per-try-timeout is {start}, and the \
          deadline {deadline}"
