--- a/crates/fleet-simulator/benches/days.rs
+++ b/crates/fleet-simulator/benches/days.rs
@@ -1,5 +1,5 @@
 //! The standard scenarios on virtual time: `cargo bench -p mintshelf-fleet-simulator --bench days`.
-//! Seeds are printed; a row comes out the same every time.
+//! Seeds are printed; the same seed gives the same row.
 
 use mintshelf_fleet_simulator::{simulate, standard_scenario, Report, Slice, StandardScenario};
 use std::ops::Range;
@@ -7,31 +7,35 @@
 
 const SIDECARS: usize = 300;
 const SEEDS: [u64; 3] = [1, 2, 3];
-/// Seconds that are counted: the first ones are a start that has no price.
+/// Seconds that are counted: the first ones, in which the fleet starts, are not.
 const COUNTED: Range<u64> = 2..28;
 
 fn print_header() {
     println!("{SIDECARS} sidecars, {} servers, seeds {SEEDS:?}, seconds {COUNTED:?}", SIDECARS / 2);
-    println!("served: worth in time over worth asked; least: the same in the worst 5 s; then what");
     println!(
-        "connections, crossings, calls for lists and waste cost; refused: of all tries; twice:\n\
-         effects, and answers lost\n"
+        "served: weight earned in time over weight requested; min: the same in the worst 5 s;"
+    );
+    println!(
+        "conn, cross, calls, waste: cost of connections, zone crossings, discovery calls and\n\
+         wasted work; rejected: of all requests; reqs: requests of a client; rules: effects\n\
+         repeated, and \
+         responses lost; drain: sends after a drain; over: warming servers overloaded\n"
     );
     println!(
         "{:<6} {:>4} {:>7} {:>6} {:>7} {:>7} {:>7} {:>7} {:>8} {:>6} {:>5} {:>5} {:>5} {:>6}",
-        "day",
+        "kind",
         "seed",
         "served",
-        "least",
+        "min",
         "conn",
         "cross",
         "calls",
         "waste",
-        "refused",
-        "tries",
-        "twice",
+        "rejected",
+        "reqs",
+        "rules",
         "drain",
-        "fell",
+        "over",
         "real s"
     );
 }
@@ -43,7 +47,7 @@
 }
 
 fn print_row(kind: StandardScenario, seed: u64) {
-    let begun = Instant::now();
+    let started = Instant::now();
     let report = simulate(&standard_scenario(kind, seed, SIDECARS));
     let requests_per_first = 1.0 / share(&report, |slice| slice.first_requests);
     let windows = COUNTED.start..COUNTED.end - 4;
@@ -63,7 +67,7 @@
         report.repeated_unsafe + report.repeated_idempotent + report.lost,
         report.sends_after_drain,
         report.overloaded_servers,
-        begun.elapsed().as_secs_f64(),
+        started.elapsed().as_secs_f64(),
     );
 }
 
--- a/crates/fleet-simulator/benches/storm.rs
+++ b/crates/fleet-simulator/benches/storm.rs
@@ -1,6 +1,6 @@
 //! Outages on virtual time, with the recovery package and without, side by side:
-//! `cargo bench -p mintshelf-fleet-simulator`. Seeds are printed; a row comes out the same every
-//! time.
+//! `cargo bench -p mintshelf-fleet-simulator`. The seed is printed; the same seed gives the same
+//! rows.
 
 use mintshelf_fleet_simulator::{simulate, Fault, FaultKind, Report, RetryBehavior, Scenario};
 use mintshelf_time::{MILLISECOND, SECOND};
@@ -38,15 +38,20 @@
 }
 
 fn print_header() {
-    println!("50 sidecars, 6 servers that can do 1.5 times the usual, seed {SEED}");
+    println!("50 sidecars, 6 servers with 1.5 times the capacity for the baseline, seed {SEED}");
     println!(
-        "tries, work, connects: most in a second after the return, in multiples of the usual;"
+        "reqs, work, conns: maximum in a second after the outage, in multiples of the baseline;"
     );
-    println!("calm: seconds until 95% of the usual worth is earned for good; worth: of what was");
-    println!("asked from the outage to a minute after; fell: servers pushed over while cold; twice: effects\n");
-    let half = "tries   work  conns   calm  worth   fell  twice";
+    println!(
+        "normal: seconds until the share earned stays above 95% of the baseline; earned: share of"
+    );
+    println!(
+        "the weight requested from the outage to a minute after; over: warming servers overloaded;"
+    );
+    println!("twice: effects repeated\n");
+    let columns = " reqs   work  conns normal earned   over  twice";
     println!("{:<34} | {:<47} | with the recovery package", "", "the decision module alone");
-    println!("{:<34} | {half} | {half}", "");
+    println!("{:<34} | {columns} | {columns}", "");
 }
 
 /// The servers crash together and return one by one, a second apart.
@@ -68,12 +73,12 @@
     let slow_start = Scenario { warm_up: 8 * SECOND, ..warm.clone() };
     let crash = slow_start.clone().with_outage(FaultKind::Crash, OUTAGE_FROM, end);
     let partition = warm.with_outage(FaultKind::Partition, OUTAGE_FROM, end);
-    print_row(&name("silence"), &partition, end);
-    print_row(&name("crash, cold"), &crash, end);
+    print_row(&name("partition"), &partition, end);
+    print_row(&name("crash"), &crash, end);
     if seconds == 10 {
         print_row(&name("one by one"), &staged(&slow_start, end), end);
         let again = crash.with_outage(FaultKind::Crash, end + 2, end + 5);
-        print_row(&name("again"), &again, end + 5);
+        print_row(&name("crash twice"), &again, end + 5);
     }
 }
 
@@ -82,9 +87,9 @@
     for rate in [340.0, 1_500.0] {
         for seconds in [2, 10, 60] {
             for (retry, name) in [
-                (RetryBehavior::Immediate, "at once"),
-                (RetryBehavior::Backoff(100 * MILLISECOND), "pause"),
-                (RetryBehavior::HonorAdvice, "honour"),
+                (RetryBehavior::Immediate, "immediate"),
+                (RetryBehavior::Backoff(100 * MILLISECOND), "backoff"),
+                (RetryBehavior::HonorAdvice, "advice"),
             ] {
                 print_outages(rate, seconds, retry, name);
             }
--- a/crates/fleet-simulator/src/discovery.rs
+++ b/crates/fleet-simulator/src/discovery.rs
@@ -2,7 +2,7 @@
 
 use crate::fleet::DiscoveryConfig;
 use mintshelf_balancer::api::{EndpointState, ListedServer, ServerId};
-use mintshelf_time::{Nanos, SECOND};
+use mintshelf_time::{as_float, from_float, Nanos, SECOND};
 use std::collections::BTreeMap;
 
 /// The discovery service of the simulated site.
@@ -28,7 +28,7 @@
 }
 
 impl DiscoveryService {
-    /// A service with the initial servers, which nobody watches.
+    /// A service with the initial servers, without watches.
     pub(crate) fn new(
         config: DiscoveryConfig,
         sidecars: usize,
@@ -38,19 +38,19 @@
         DiscoveryService { config, endpoints, watches: vec![false; sidecars], free_at: 0 }
     }
 
-    /// How long after a change the service learns of it, by a uniform number.
+    /// How long after a change the service learns of it; `uniform` is a number in [0, 1).
     pub(crate) fn notice_delay(&self, uniform: f64) -> Nanos {
         let DiscoveryConfig { min_notice, max_notice, .. } = self.config;
-        min_notice + (uniform * max_notice.saturating_sub(min_notice) as f64) as Nanos
+        min_notice + from_float(uniform * as_float(max_notice.saturating_sub(min_notice)))
     }
 
-    /// Takes a call, which fails if it would wait for longer than the timeout.
+    /// Accepts a call, which fails if it would wait longer than the timeout.
     pub(crate) fn call(&mut self, now: Nanos) -> CallResult {
         let begins_at = self.free_at.max(now);
         if begins_at - now > self.config.timeout {
             return CallResult { ends_at: now + self.config.timeout, is_answered: false };
         }
-        self.free_at = begins_at + (SECOND as f64 / self.config.calls_per_second) as Nanos;
+        self.free_at = begins_at + from_float(as_float(SECOND) / self.config.calls_per_second);
         CallResult { ends_at: self.free_at, is_answered: true }
     }
 
@@ -59,8 +59,8 @@
         self.watches[sidecar] = is_watching;
     }
 
-    /// Applies a change and returns who is to be notified. A sidecar's delay is the same for
-    /// every change, so that none overtakes an older one.
+    /// Applies a change and returns the sidecars to notify. The delay of a sidecar is the same for
+    /// all changes, so that no notification overtakes an earlier one.
     pub(crate) fn apply(&mut self, entry: ListedServer) -> Vec<Notification> {
         if entry.state == EndpointState::Removed {
             self.endpoints.remove(&entry.id);
--- a/crates/fleet-simulator/src/fleet.rs
+++ b/crates/fleet-simulator/src/fleet.rs
@@ -4,8 +4,8 @@
 use mintshelf_time::Nanos;
 use std::ops::Range;
 
-/// What a fleet goes through. By default nothing: sidecars know their servers from the start,
-/// all have the same traffic, and clients wait as long as their class says.
+/// Changes and conditions of a fleet. By default there are none: sidecars know their servers from
+/// the start, all have the same traffic, and clients wait as long as their class states.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct FleetConfig {
     /// Traffic of the busiest sidecar relative to the least busy, as a power of ten: 0 for the
@@ -25,19 +25,19 @@
     pub zones: u32,
     /// How servers slow down under many requests; absent, they don't.
     pub thrashing: Option<Thrashing>,
-    /// Spread of the work of a class: sigma of a lognormal; 0 for the default, an Erlang
+    /// Spread of the work of a class: sigma of a lognormal distribution; absent for an Erlang
     /// distribution of two stages.
-    pub work_sigma: f64,
-    /// Queue of a server, in multiples of its concurrency; 0 for the default of four.
-    pub queue_multiple: usize,
-    /// Whether sidecars know the prices of side effects.
+    pub work_sigma: Option<f64>,
+    /// Queue of a server, in multiples of its concurrency; four if absent.
+    pub queue_multiple: Option<usize>,
+    /// Whether the settings of sidecars have prices of side effects.
     pub has_prices: bool,
 }
 
 impl FleetConfig {
     /// The zone of a sidecar, or of a server of the initial list.
     pub(crate) fn zone(&self, number: usize) -> u32 {
-        number as u32 % self.zones.max(1)
+        u32::try_from(number).unwrap_or(u32::MAX) % self.zones.max(1)
     }
 }
 
--- a/crates/fleet-simulator/src/lib.rs
+++ b/crates/fleet-simulator/src/lib.rs
@@ -1,5 +1,5 @@
-//! Simulates a fleet on virtual time: many sidecars, each with its own balancer and recovery,
-//! servers that queue, warm up and can be overloaded, and clients that retry, in one process.
+//! Simulates a fleet on virtual time in one process: many sidecars, each with its own balancer and
+//! recovery, servers that queue, warm up and can be overloaded, and clients that retry.
 //!
 //! A run is determined by its [`Scenario`], which includes the seed of all random numbers.
 //!
@@ -14,6 +14,7 @@
 
 mod discovery;
 mod fleet;
+mod numbers;
 mod report;
 mod scenario;
 mod server;
--- a/crates/fleet-simulator/src/report.rs
+++ b/crates/fleet-simulator/src/report.rs
@@ -1,6 +1,7 @@
 //! The results of a run.
 
-use mintshelf_time::{Nanos, SECOND};
+use crate::numbers::{index, steps};
+use mintshelf_time::{as_float, Nanos, SECOND};
 use std::ops::Range;
 
 /// Price of a new connection, as a share of all weight at one for every first request.
@@ -16,7 +17,7 @@
 pub const SLICE_DURATION: Nanos = SECOND / 10;
 /// Slices of a second.
 const SLICES_PER_SECOND: usize = 10;
-/// Last slices of a run, in which requests have no time to be served.
+/// Number of the last slices of a run, in which requests have no time to be served.
 const UNFINISHED_SLICES: usize = 30;
 
 /// Counts of one tenth of a second.
@@ -42,7 +43,7 @@
     pub rejected_by_ramp: u64,
     /// Requests failed.
     pub failed: u64,
-    /// Clients that were advised to retry in this slice.
+    /// Clients that were advised to retry at a time within this slice.
     pub advised_retries: u64,
     /// First requests.
     pub first_requests: u64,
@@ -63,7 +64,7 @@
     pub repeated_unsafe: u64,
     /// Effects of idempotent requests that happened twice.
     pub repeated_idempotent: u64,
-    /// Requests that had more or less than one final response while their client waited.
+    /// Requests that did not have exactly one final response while their client waited.
     pub lost: u64,
     /// Attempts sent while another of the same request was in flight, or past the limit.
     pub excess_attempts: u64,
@@ -79,7 +80,7 @@
     pub digest: u64,
 }
 
-/// What side effects cost, each as a share of the requested weight.
+/// The cost of side effects, each as a share of the requested weight.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SideEffectCosts {
     /// New connections.
@@ -96,11 +97,9 @@
     /// The slices of some seconds.
     #[must_use]
     pub fn seconds(&self, seconds: Range<u64>) -> &[Slice] {
-        let index = |second: u64| {
-            let slice = (second * SECOND / SLICE_DURATION) as usize;
-            slice.min(self.slices.len())
-        };
-        &self.slices[index(seconds.start)..index(seconds.end)]
+        let slice_index =
+            |second: u64| steps(second * SECOND, SLICE_DURATION).min(self.slices.len());
+        &self.slices[slice_index(seconds.start)..slice_index(seconds.end)]
     }
 
     /// Sum of a quantity over some seconds.
@@ -114,7 +113,7 @@
         served_share(self.seconds(seconds))
     }
 
-    /// What the side effects of some seconds cost.
+    /// The cost of the side effects of some seconds.
     #[must_use]
     pub fn costs(&self, seconds: Range<u64>) -> SideEffectCosts {
         let first_requests = self.sum(seconds.clone(), |slice| slice.first_requests as f64);
@@ -133,14 +132,14 @@
     #[must_use]
     pub fn max_connects(&self, seconds: Range<u64>) -> u32 {
         let of_server = |by_second: &Vec<u32>| {
-            let end = (seconds.end as usize).min(by_second.len());
-            let part = by_second.get(seconds.start as usize..end);
+            let end = index(seconds.end).min(by_second.len());
+            let part = by_second.get(index(seconds.start)..end);
             part.and_then(|part| part.iter().copied().max()).unwrap_or(0)
         };
         self.connects_by_server.iter().map(of_server).max().unwrap_or(0)
     }
 
-    /// The maximum of a quantity over any second (any ten slices in a row) from one on, as a
+    /// The maximum of a quantity over any second (any ten slices in a row) from `from_second`, as a
     /// multiple of its mean over the baseline seconds.
     pub fn peak(
         &self,
@@ -155,7 +154,8 @@
         sums.fold(0.0, f64::max) / mean.max(1e-9)
     }
 
-    /// Seconds from one on until, for good, 95% of the baseline seconds' share is served.
+    /// Seconds from `from_second` until the served share stays above 95% of that of the baseline
+    /// seconds.
     #[must_use]
     pub fn recovery_seconds(&self, baseline: Range<u64>, from_second: u64) -> f64 {
         let baseline = self.served_share(baseline);
@@ -163,7 +163,8 @@
         let after = &after[..after.len().saturating_sub(UNFINISHED_SLICES)];
         let mut seconds = after.windows(SLICES_PER_SECOND);
         let last_bad = seconds.rposition(|second| served_share(second) < 0.95 * baseline);
-        last_bad.map_or(0.0, |slice| (slice + 1) as f64 * SLICE_DURATION as f64 / SECOND as f64)
+        last_bad
+            .map_or(0.0, |slice| (slice + 1) as f64 * as_float(SLICE_DURATION) / as_float(SECOND))
     }
 }
 
--- a/crates/fleet-simulator/src/scenario.rs
+++ b/crates/fleet-simulator/src/scenario.rs
@@ -72,8 +72,8 @@
     CLASSES.iter().map(|class| class.share * class.work).sum()
 }
 
-/// What clients do when they are rejected or have no response. Each retries at most twice, and
-/// never where an unsafe request may have run.
+/// How clients retry when they are rejected or have no response. Each retries at most twice, and
+/// never if an unsafe request may have run.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum RetryBehavior {
     /// They don't retry.
@@ -129,7 +129,7 @@
     pub duration: Nanos,
     /// Faults of servers.
     pub faults: Vec<Fault>,
-    /// What clients do.
+    /// How clients retry.
     pub retry: RetryBehavior,
     /// The recovery ramp; absent for the balancer without the recovery package.
     pub ramp: Option<Nanos>,
@@ -137,7 +137,7 @@
     pub max_retry_after: Nanos,
     /// How long a started server warms up.
     pub warm_up: Nanos,
-    /// The fraction of its capacity from which it does.
+    /// The fraction of its capacity at which it starts.
     pub initial_capacity: f64,
     /// Changes of the fleet, and the site's special conditions.
     pub fleet: FleetConfig,
--- a/crates/fleet-simulator/src/server.rs
+++ b/crates/fleet-simulator/src/server.rs
@@ -1,22 +1,24 @@
 //! A server: concurrency, a queue, warm-up, and overload while it warms up.
 
 use crate::fleet::Thrashing;
+use crate::numbers::truncate;
 use crate::scenario::{mean_work, FaultKind, Scenario};
 use mintshelf_balancer::api::{AttemptNumber, RequestId};
 use mintshelf_balancer::decay::DecayingCounter;
-use mintshelf_time::{Nanos, MILLISECOND, SECOND};
+use mintshelf_time::{as_float, from_float, Nanos, MILLISECOND, SECOND};
 use std::collections::{HashMap, VecDeque};
 
 /// First requests a second of a server for each six of its concurrency.
 const REQUESTS_PER_CONCURRENCY: f64 = 40.0;
-/// Queue of a server, in multiples of its concurrency.
+/// Queue of a server in multiples of its concurrency, unless the scenario states another.
 const QUEUE_MULTIPLE: usize = 4;
-/// A warming server is overloaded when it is sent this multiple of its capacity ..
+/// Multiple of its present capacity that overloads a warming server.
 const OVERLOAD_MULTIPLE: f64 = 3.0;
-/// .. for this long.
+/// How long that multiple must last.
 const OVERLOAD_DURATION: Nanos = SECOND;
-/// Memory of what a server is sent: mean age in nanoseconds, and its half-life.
-const LOAD_MEMORY_NS: f64 = 0.5 * SECOND as f64;
+/// Mean age of the work in the load of a server.
+const LOAD_MEAN_AGE: Nanos = SECOND / 2;
+/// Half-life of the load of a server: the mean age times ln 2.
 const LOAD_HALF_LIFE: Nanos = 346_573_590;
 /// Latency of the network between any two hosts, one way.
 pub(crate) const ONE_WAY_LATENCY: Nanos = MILLISECOND / 4;
@@ -42,13 +44,13 @@
     pub(crate) ends_at: Nanos,
 }
 
-/// A job that is done, and the one that starts in its place.
+/// A job that has ended, and the one that starts next.
 pub(crate) struct FinishedJob {
     pub(crate) job: Job,
     pub(crate) next: Option<StartedJob>,
 }
 
-/// What happens to a job that arrives.
+/// The result of the arrival of a job.
 pub(crate) enum Arrival {
     Started(StartedJob),
     Queued,
@@ -56,7 +58,7 @@
     Rejected,
     /// No process listens.
     ConnectionRefused,
-    /// Nothing comes back, ever.
+    /// There is never a response.
     NoResponse,
 }
 
@@ -77,9 +79,9 @@
     started_at: Option<Nanos>,
     warm_up: Nanos,
     initial_capacity: f64,
-    /// Work sent to it of late.
+    /// Work sent to it recently.
     load: DecayingCounter,
-    /// Since when that overloads it.
+    /// Since when its load exceeds its capacity too far.
     overloaded_since: Option<Nanos>,
     thrashing: Option<Thrashing>,
     /// Whether it rejects all new jobs.
@@ -102,19 +104,16 @@
         let servers = scenario.servers as f64;
         let concurrency = (rate / REQUESTS_PER_CONCURRENCY / servers * 6.0).ceil().max(2.0);
         let unit_seconds = concurrency * servers / (mean_work() * scenario.capacity * rate);
-        let unit_ns = unit_seconds * SECOND as f64;
-        ServerSize { concurrency: concurrency as usize, unit_ns }
+        let unit_ns = unit_seconds * as_float(SECOND);
+        ServerSize { concurrency: truncate(concurrency), unit_ns }
     }
 }
 
 impl Server {
-    /// A server that has been up for long.
+    /// A server that is warm.
     pub(crate) fn new(scenario: &Scenario, zone: u32) -> Self {
         let concurrency = ServerSize::of(scenario).concurrency;
-        let queue_multiple = match scenario.fleet.queue_multiple {
-            0 => QUEUE_MULTIPLE,
-            multiple => multiple,
-        };
+        let queue_multiple = scenario.fleet.queue_multiple.unwrap_or(QUEUE_MULTIPLE);
         Server {
             concurrency,
             max_queue: concurrency * queue_multiple,
@@ -172,7 +171,7 @@
         self.overloaded_since = None;
     }
 
-    /// Takes an attempt in.
+    /// Accepts an attempt.
     pub(crate) fn accept(&mut self, now: Nanos, job: Job) -> Arrival {
         if self.is_crashed() {
             return Arrival::ConnectionRefused;
@@ -214,18 +213,18 @@
         running.into_iter().map(|(_, job)| job).chain(self.queue.drain(..)).collect()
     }
 
-    /// Fraction of its capacity that it has.
+    /// Fraction of its full capacity that it has now.
     fn warmth(&self, now: Nanos) -> f64 {
         let Some(started_at) = self.started_at.filter(|_| self.warm_up > 0) else { return 1.0 };
-        let progress = now.saturating_sub(started_at) as f64 / self.warm_up as f64;
+        let progress = as_float(now.saturating_sub(started_at)) / as_float(self.warm_up);
         (self.initial_capacity + (1.0 - self.initial_capacity) * progress).min(1.0)
     }
 
     fn record_load(&mut self, now: Nanos, work: Nanos) {
-        self.load.add(now, LOAD_HALF_LIFE, work as f64);
+        self.load.add(now, LOAD_HALF_LIFE, as_float(work));
         let capacity = self.concurrency as f64 * self.warmth(now);
-        let is_excessive =
-            self.warmth(now) < 1.0 && self.load.sum / LOAD_MEMORY_NS > OVERLOAD_MULTIPLE * capacity;
+        let is_excessive = self.warmth(now) < 1.0
+            && self.load.sum / as_float(LOAD_MEAN_AGE) > OVERLOAD_MULTIPLE * capacity;
         self.overloaded_since = is_excessive.then(|| self.overloaded_since.unwrap_or(now));
     }
 
@@ -233,12 +232,12 @@
         self.last_number += 1;
         let slowdowns = self.faults.iter().map(|fault| match fault.kind {
             FaultKind::Slow(factor) => factor,
-            _ => 1.0,
+            FaultKind::Crash | FaultKind::Partition | FaultKind::Hang(_) => 1.0,
         });
         let slowdown: f64 = slowdowns.product();
-        let duration = job.work as f64 * slowdown * self.thrashing_factor() / self.warmth(now);
+        let duration = as_float(job.work) * slowdown * self.thrashing_factor() / self.warmth(now);
         self.running.insert(self.last_number, job);
-        StartedJob { number: self.last_number, ends_at: now + duration as Nanos }
+        StartedJob { number: self.last_number, ends_at: now + from_float(duration) }
     }
 
     fn thrashing_factor(&self) -> f64 {
--- a/crates/fleet-simulator/src/sidecar/connections.rs
+++ b/crates/fleet-simulator/src/sidecar/connections.rs
@@ -2,12 +2,12 @@
 
 use mintshelf_time::{Nanos, SECOND};
 
-/// Idle connections that are kept to each server.
+/// Upper bound of the idle connections to each server.
 const MAX_IDLE: usize = 16;
-/// Longest time that one is kept.
+/// Longest time for which a connection may be idle and still be reused.
 const IDLE_TIMEOUT: Nanos = 12 * SECOND;
 
-/// Since when each connection is idle, by server.
+/// The idle connections by server, each with the time since when it is idle.
 #[derive(Default)]
 pub(super) struct IdleConnections {
     by_server: Vec<Vec<Nanos>>,
@@ -24,7 +24,7 @@
         idle.pop().is_some()
     }
 
-    /// Keeps a connection, unless there are enough.
+    /// Adds a connection, unless there are enough.
     pub(super) fn add(&mut self, now: Nanos, server: usize) {
         if self.by_server.len() <= server {
             self.by_server.resize(server + 1, Vec::new());
--- a/crates/fleet-simulator/src/sidecar/mod.rs
+++ b/crates/fleet-simulator/src/sidecar/mod.rs
@@ -1,8 +1,13 @@
-//! A sidecar: a balancer and recovery, with what the real proxy does for them.
+//! A simulated sidecar: a balancer and recovery, with the part of the proxy that serves them.
 
+mod action;
 mod connections;
+mod requests;
 mod settings;
 
+pub(crate) use action::{Reply, SidecarAction};
+pub(crate) use requests::RequestOwner;
+
 use crate::scenario::{Scenario, CLASSES, DEDUP_WINDOW};
 use connections::IdleConnections;
 use mintshelf_balancer::api::{
@@ -12,88 +17,18 @@
 use mintshelf_balancer::decide::Balancer;
 use mintshelf_recovery::{OutageSignal, Recovery};
 use mintshelf_time::{Nanos, MILLISECOND, SECOND};
+use requests::{EndedAttempt, RequestTable};
 use settings::settings;
-use std::collections::{HashMap, VecDeque};
+use std::collections::HashMap;
 
-/// Maximum number of attempts of one request.
-const MAX_ATTEMPTS: u32 = 3;
 /// Longest wait for a connection.
 pub(crate) const CONNECT_TIMEOUT: Nanos = 200 * MILLISECOND;
 
-/// The response to a client.
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) enum Reply {
-    Served,
-    /// The request may be repeated after this time; 0 for no advice.
-    Rejected(Nanos),
-    /// The same, by the recovery ramp.
-    RejectedByRamp(Nanos),
-    /// The request may or may not have run.
-    Failed,
-}
-
-/// What a sidecar asks of the simulation.
-pub(crate) enum SidecarAction {
-    Send {
-        id: RequestId,
-        /// The attempt's number, from 0.
-        attempt: AttemptNumber,
-        server: ServerId,
-        timeout_at: Nanos,
-    },
-    /// Stop waiting for an attempt.
-    Cancel {
-        id: RequestId,
-        attempt: AttemptNumber,
-    },
-    Reply {
-        client: usize,
-        reply: Reply,
-    },
-    SetTimer {
-        at: Nanos,
-        token: u64,
-    },
-    CloseIdle {
-        server: ServerId,
-    },
-    /// Call discovery, to watch it.
-    Watch,
-}
-
-struct Attempt {
-    server: ServerId,
-    sent_at: Nanos,
-    has_ended: bool,
-}
-
-struct PendingRequest {
-    owner: RequestOwner,
-    deadline: Nanos,
-    /// Whether the client awaits a final response.
-    is_open: bool,
-    attempts: Vec<Attempt>,
-}
-
-impl PendingRequest {
-    fn has_attempt_in_flight(&self) -> bool {
-        self.attempts.iter().any(|attempt| !attempt.has_ended)
-    }
-}
-
-/// The client of a request, and its class.
-#[derive(Debug, Clone, Copy)]
-pub(crate) struct RequestOwner {
-    pub(crate) client: usize,
-    pub(crate) class: usize,
-}
-
 /// A simulated sidecar. Its methods append to the actions that [`Self::take_actions`] returns.
 pub(crate) struct Sidecar {
     balancer: Balancer,
     recovery: Option<Recovery>,
-    requests: HashMap<RequestId, PendingRequest>,
-    events: VecDeque<Event>,
+    requests: RequestTable,
     actions: Vec<SidecarAction>,
     last_request: u64,
     idle_connections: IdleConnections,
@@ -120,8 +55,7 @@
         let mut sidecar = Sidecar {
             balancer,
             recovery: scenario.ramp.map(|ramp| Recovery::new(seed, ramp, max_retry_after)),
-            requests: HashMap::new(),
-            events: VecDeque::new(),
+            requests: RequestTable::default(),
             actions: Vec::new(),
             last_request: incarnation << 32,
             idle_connections: IdleConnections::default(),
@@ -162,7 +96,7 @@
         self.idle_connections.take(now, server)
     }
 
-    /// Keeps an idle connection to a server.
+    /// Adds an idle connection to a server.
     pub(crate) fn add_idle(&mut self, now: Nanos, server: usize) {
         self.idle_connections.add(now, server);
     }
@@ -174,15 +108,12 @@
 
     /// The clients that await a final response, in order.
     pub(crate) fn open_clients(&self) -> Vec<usize> {
-        let open = self.requests.values().filter(|request| request.is_open);
-        let mut clients: Vec<usize> = open.map(|request| request.owner.client).collect();
-        clients.sort_unstable();
-        clients
+        self.requests.open_clients()
     }
 
     /// The client and class of a request.
     pub(crate) fn owner(&self, id: &RequestId) -> Option<RequestOwner> {
-        self.requests.get(id).map(|request| request.owner)
+        self.requests.owner(id)
     }
 
     /// Handles a client's request; returns its id unless the recovery ramp rejects it.
@@ -200,9 +131,7 @@
         }
         self.last_request += 1;
         let id: RequestId = self.last_request.to_string().into();
-        let deadline = now + client_timeout;
-        let request = PendingRequest { owner, deadline, is_open: true, attempts: Vec::new() };
-        self.requests.insert(id.clone(), request);
+        self.requests.open(id.clone(), owner, now + client_timeout);
         let event = Event::Request {
             id: id.clone(),
             class: ClassId::from_index(class),
@@ -216,14 +145,11 @@
         Some(id)
     }
 
-    /// Handles the departure of a client.
+    /// Handles the disconnect of a client.
     pub(crate) fn handle_disconnect(&mut self, now: Nanos, id: &RequestId) {
-        let Some(request) = self.requests.get_mut(id).filter(|request| request.is_open) else {
-            return;
-        };
-        request.is_open = false;
-        self.forget_if_done(id);
-        self.post(now, Event::ClientDisconnected { id: id.clone() });
+        if self.requests.close(id).is_some() {
+            self.post(now, Event::ClientDisconnected { id: id.clone() });
+        }
     }
 
     /// Handles the end of an attempt; each ends once, and a later end has no effect.
@@ -234,70 +160,52 @@
         number: AttemptNumber,
         outcome: Outcome,
     ) {
-        let Some(request) = self.requests.get_mut(id) else { return };
-        let attempt = request.attempts.get_mut(number.index());
-        let Some(attempt) = attempt.filter(|attempt| !attempt.has_ended) else { return };
-        attempt.has_ended = true;
-        let server = attempt.server;
-        let took = now - attempt.sent_at;
-        let is_served = request.is_open && outcome == Outcome::Ok;
-        let RequestOwner { client, class } = request.owner;
-        if is_served {
-            request.is_open = false;
+        let ended = self.requests.end_attempt(now, id, number, outcome);
+        let Some(ended) = ended else { return };
+        if ended.is_served {
+            let client = ended.owner.client;
             self.actions.push(SidecarAction::Reply { client, reply: Reply::Served });
         }
-        let finished = !request.is_open;
-        let in_time = took <= CLASSES[class].latency_objective;
-        if let Some(recovery) = &mut self.recovery {
-            if is_served {
-                recovery.retry_after.record_served(now);
-            }
-            if let Some(signal) = OutageSignal::from_outcome(outcome, in_time) {
-                recovery.ramp.record(now, signal);
-            }
-        }
-        self.forget_if_done(id);
-        let id = id.clone();
-        let attempt = number;
-        let report = None;
+        self.record_in_recovery(now, &ended, outcome);
         let end = Event::AttemptEnded {
-            id,
-            attempt,
+            id: id.clone(),
+            attempt: number,
             outcome,
-            is_request_finished: finished,
-            elapsed: took,
-            server,
-            report,
+            is_request_finished: ended.is_request_finished,
+            elapsed: ended.elapsed,
+            server: ended.server,
+            report: None,
         };
         self.post(now, end);
     }
 
+    fn record_in_recovery(&mut self, now: Nanos, ended: &EndedAttempt, outcome: Outcome) {
+        let Some(recovery) = &mut self.recovery else { return };
+        if ended.is_served {
+            recovery.retry_after.record_served(now);
+        }
+        let is_in_time = ended.elapsed <= CLASSES[ended.owner.class].latency_objective;
+        if let Some(signal) = OutageSignal::from_outcome(outcome, is_in_time) {
+            recovery.ramp.record(now, signal);
+        }
+    }
+
     /// Handles a timer that fired.
     pub(crate) fn handle_timer(&mut self, now: Nanos, token: u64) {
         self.post(now, Event::Timer { token });
     }
 
-    /// Retry-after advice for a rejected request, 0 without the recovery package.
-    fn advise(&mut self, now: Nanos, class: usize) -> Nanos {
+    /// Retry-after advice for a rejected request, if there is the recovery package.
+    fn advise(&mut self, now: Nanos, class: usize) -> Option<Nanos> {
         let window = (CLASSES[class].effect == Effect::Idempotent).then_some(DEDUP_WINDOW);
-        let recovery = self.recovery.as_mut();
-        recovery.map_or(0, |recovery| recovery.retry_after.advise_seconds(now, window) * SECOND)
-    }
-
-    fn forget_if_done(&mut self, id: &RequestId) {
-        let request = self.requests.get(id);
-        if request.is_some_and(|request| !request.is_open && !request.has_attempt_in_flight()) {
-            self.requests.remove(id);
-        }
+        let recovery = self.recovery.as_mut()?;
+        Some(recovery.retry_after.advise_seconds(now, window) * SECOND)
     }
 
     fn post(&mut self, now: Nanos, event: Event) {
-        self.events.push_back(event);
-        while let Some(event) = self.events.pop_front() {
-            let mut actions = Vec::new();
-            self.balancer.handle(now, event, &mut actions);
-            self.perform(now, actions);
-        }
+        let mut actions = Vec::new();
+        self.balancer.handle(now, event, &mut actions);
+        self.perform(now, actions);
     }
 
     fn perform(&mut self, now: Nanos, actions: Vec<Action>) {
@@ -308,7 +216,7 @@
                     self.actions.push(SidecarAction::Cancel { id, attempt });
                 }
                 Action::Reject { id, retry_after, .. } => self.reject(now, &id, retry_after),
-                Action::Fail { id, .. } => self.conclude(&id, Reply::Failed),
+                Action::Fail { id, .. } => self.reply(&id, Reply::Failed),
                 Action::SetTimer { after, token } => {
                     self.actions.push(SidecarAction::SetTimer { at: now + after, token });
                 }
@@ -316,8 +224,7 @@
                     self.actions.push(SidecarAction::CloseIdle { server });
                 }
                 Action::StartWatch => self.actions.push(SidecarAction::Watch),
-                // A dropped timer that fires has no effect; the settings permit none of the
-                // others.
+                // A dropped timer that fires has no effect. The settings permit none of the others.
                 Action::DropTimer { .. }
                 | Action::Probe { .. }
                 | Action::SendGossip { .. }
@@ -330,34 +237,31 @@
 
     /// Rejects a request, with the advice of the recovery package in place of the balancer's.
     fn reject(&mut self, now: Nanos, id: &RequestId, retry_after: Nanos) {
-        let class = self.requests.get(id).map_or(0, |request| request.owner.class);
+        let class = self.requests.owner(id).map_or(0, |owner| owner.class);
         let retry_after = match self.recovery {
             Some(_) => self.advise(now, class),
-            None => retry_after,
+            None => (retry_after > 0).then_some(retry_after),
         };
-        self.conclude(id, Reply::Rejected(retry_after));
+        self.reply(id, Reply::Rejected(retry_after));
     }
 
-    fn conclude(&mut self, id: &RequestId, reply: Reply) {
-        let Some(request) = self.requests.get_mut(id).filter(|request| request.is_open) else {
-            return;
-        };
-        request.is_open = false;
-        let client = request.owner.client;
-        self.actions.push(SidecarAction::Reply { client, reply });
-        self.forget_if_done(id);
+    /// Sends the final response to a request, unless its client no longer awaits one.
+    fn reply(&mut self, id: &RequestId, reply: Reply) {
+        if let Some(RequestOwner { client, .. }) = self.requests.close(id) {
+            self.actions.push(SidecarAction::Reply { client, reply });
+        }
     }
 
     fn send(&mut self, now: Nanos, id: RequestId, server: ServerId, timeout_at: Nanos) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
-        let attempt = AttemptNumber::from_index(request.attempts.len());
-        let is_excess = request.has_attempt_in_flight() || attempt.get() >= MAX_ATTEMPTS;
-        self.excess_attempts += u64::from(is_excess);
-        request.attempts.push(Attempt { server, sent_at: now, has_ended: false });
+        let Some(begun) = self.requests.begin_attempt(now, &id, server) else { return };
+        if begun.is_excess {
+            self.excess_attempts += 1;
+        }
         let timeout_at = match timeout_at {
-            0 => request.deadline,
-            at => at.min(request.deadline),
+            0 => begun.deadline,
+            at => at.min(begun.deadline),
         };
+        let attempt = begun.number;
         self.actions.push(SidecarAction::Send { id, attempt, server, timeout_at });
     }
 }
--- a/crates/fleet-simulator/src/sidecar/settings.rs
+++ b/crates/fleet-simulator/src/sidecar/settings.rs
@@ -1,6 +1,7 @@
 //! Settings of the balancers of a scenario.
 
-use super::{CONNECT_TIMEOUT, MAX_ATTEMPTS};
+use super::requests::MAX_ATTEMPTS;
+use super::CONNECT_TIMEOUT;
 use crate::scenario::{Scenario, TrafficClass, CLASSES, DEDUP_WINDOW};
 use mintshelf_balancer::api::{Backoff, Class, Group, Objective, Prices, Settings, SizeKind};
 use mintshelf_time::{MILLISECOND, SECOND};
@@ -36,8 +37,8 @@
 /// The settings of one sidecar.
 pub(super) fn settings(scenario: &Scenario, sidecar: usize) -> Settings {
     Settings {
-        self_index: sidecar as u32,
-        instances: scenario.sidecars as u32,
+        self_index: u32::try_from(sidecar).unwrap_or(u32::MAX),
+        instances: u32::try_from(scenario.sidecars).unwrap_or(u32::MAX),
         zone: scenario.fleet.zone(sidecar),
         zones: scenario.fleet.zones.max(1),
         must_poll: scenario.fleet.discovery.is_some(),
--- a/crates/fleet-simulator/src/simulation/clients.rs
+++ b/crates/fleet-simulator/src/simulation/clients.rs
@@ -4,18 +4,20 @@
 use crate::scenario::{RetryBehavior, CLASSES};
 use crate::sidecar::{Reply, RequestOwner};
 use mintshelf_balancer::api::{Effect, RequestId};
-use mintshelf_time::{Nanos, MILLISECOND, SECOND};
+use mintshelf_time::{as_float, from_float, Nanos, MILLISECOND, SECOND};
 
 /// Retries of a client after its first request.
 pub(super) const MAX_RETRIES: u32 = 2;
-/// A client waits this much longer than its sidecar.
+/// How much longer a client waits than its sidecar.
 const TIMEOUT_SLACK: Nanos = 100 * MILLISECOND;
-/// Delay of a retry that honours advice and had none.
+/// Delay of a retry by a client that honors advice and was given none.
 pub(super) const DEFAULT_RETRY_DELAY: Nanos = 100 * MILLISECOND;
+/// Shortest backoff of a retry, as a multiple of the mean.
+const MIN_BACKOFF_FACTOR: f64 = 0.5;
 /// Delay of an immediate retry.
 const IMMEDIATE_RETRY_DELAY: Nanos = MILLISECOND;
 
-/// A client with one thing to do, for which it may send several requests.
+/// A client with one operation, for which it may send several requests.
 pub(super) struct Client {
     pub(super) class: usize,
     sidecar: usize,
@@ -39,7 +41,7 @@
     fn timeout(&self) -> Nanos {
         let class = &CLASSES[self.class];
         match self.early_timeout {
-            Some(part) => (class.latency_objective as f64 * part) as Nanos,
+            Some(part) => from_float(as_float(class.latency_objective) * part),
             None => class.deadline,
         }
     }
@@ -78,8 +80,8 @@
         let burst = self.scenario.fleet.burst.as_ref();
         let burst = burst.filter(|burst| burst.during.contains(&elapsed));
         let rate = self.scenario.requests_per_second * burst.map_or(1.0, |burst| burst.factor);
-        let gap = -(1.0 - self.draw()).ln() / rate * SECOND as f64;
-        self.events.schedule(self.now + gap as Nanos, Event::ClientArrives);
+        let gap = from_float(-(1.0 - self.draw()).ln() / rate * as_float(SECOND));
+        self.events.schedule(self.now + gap, Event::ClientArrives);
     }
 
     fn draw_class(&mut self) -> usize {
@@ -132,7 +134,7 @@
         self.perform_actions(sidecar);
     }
 
-    /// A client gives up if it still waits; its sidecar owed it a response before that.
+    /// A client gives up if it still waits. Its request is lost: the response was due before.
     pub(super) fn on_client_timeout(&mut self, client: usize, requests: u32) {
         let state = &mut self.clients[client];
         if !state.is_waiting || state.requests != requests {
@@ -179,7 +181,7 @@
         }
     }
 
-    /// Whether a retry does no harm.
+    /// Whether a retry is safe.
     fn may_retry(&self, client: usize, reply: Reply) -> bool {
         match reply {
             Reply::Served => false,
@@ -190,18 +192,20 @@
 
     fn schedule_retry(&mut self, client: usize, reply: Reply) {
         let advice = match reply {
-            Reply::Rejected(after) | Reply::RejectedByRamp(after) => after,
-            Reply::Served | Reply::Failed => 0,
+            Reply::Rejected(advice) | Reply::RejectedByRamp(advice) => advice,
+            Reply::Served | Reply::Failed => None,
         };
-        let delay = match self.scenario.retry {
-            RetryBehavior::Never => return,
-            RetryBehavior::Immediate => IMMEDIATE_RETRY_DELAY,
-            RetryBehavior::Backoff(mean) => (mean as f64 * (0.5 + self.draw())) as Nanos,
-            RetryBehavior::HonorAdvice if advice > 0 => {
+        let delay = match (self.scenario.retry, advice) {
+            (RetryBehavior::Never, _) => return,
+            (RetryBehavior::Immediate, _) => IMMEDIATE_RETRY_DELAY,
+            (RetryBehavior::Backoff(mean), _) => {
+                from_float(as_float(mean) * (MIN_BACKOFF_FACTOR + self.draw()))
+            }
+            (RetryBehavior::HonorAdvice, Some(advice)) => {
                 self.slice_at(self.now + advice).advised_retries += 1;
                 advice
             }
-            RetryBehavior::HonorAdvice => DEFAULT_RETRY_DELAY,
+            (RetryBehavior::HonorAdvice, None) => DEFAULT_RETRY_DELAY,
         };
         self.events.schedule(self.now + delay, Event::ClientSends(client));
     }
--- a/crates/fleet-simulator/src/simulation/event.rs
+++ b/crates/fleet-simulator/src/simulation/event.rs
@@ -16,7 +16,7 @@
     ClientTimesOut { client: usize, requests: u32 },
     /// An attempt reaches a server.
     JobArrives { server: usize, job: Job },
-    /// A server has done a job.
+    /// A server has completed a job.
     JobEnds { server: usize, number: u64 },
     /// A sidecar learns how an attempt ended.
     AttemptEnds { sidecar: usize, id: RequestId, attempt: AttemptNumber, outcome: Outcome },
@@ -24,7 +24,7 @@
     TimerFires { sidecar: usize, incarnation: u64, token: u64 },
     /// A fault begins, by its index in the scenario.
     FaultBegins(usize),
-    /// A fault ends, likewise.
+    /// A fault ends, by its index in the scenario.
     FaultEnds(usize),
     /// An overloaded server restarts.
     ServerRestarts { server: usize },
--- a/crates/fleet-simulator/src/simulation/fleet.rs
+++ b/crates/fleet-simulator/src/simulation/fleet.rs
@@ -8,13 +8,18 @@
 use crate::server::Server;
 use crate::sidecar::Sidecar;
 use mintshelf_balancer::api::{Effect, EndpointState, ListKind, ListedServer, ServerId};
-use mintshelf_time::Nanos;
+use mintshelf_time::{as_float, from_float, Nanos};
 
 /// Spreads the sidecars' traffic: the fractional part of √2, whose multiples are uniform.
 const SKEW_ROOT: f64 = 0.414_213_562_373_095;
 
+/// The id of a server with this index.
+fn server_id(index: usize) -> ServerId {
+    ServerId::try_from(index).unwrap_or(ServerId::MAX)
+}
+
 fn entry(id: usize, zone: u32, state: EndpointState, started_at: Nanos) -> ListedServer {
-    let id = id as ServerId;
+    let id = server_id(id);
     ListedServer { id, zone, state, size: 1.0, started_at, ..ListedServer::default() }
 }
 
@@ -24,7 +29,7 @@
     (0..scenario.servers).map(listed).collect()
 }
 
-/// The traffic of the sidecars up to each: spread over powers of ten, in no order.
+/// The traffic of each sidecar and all before it: spread over powers of ten, in no order.
 pub(super) fn cumulative_load(scenario: &Scenario) -> Vec<f64> {
     let load = |sidecar: usize| {
         let position = (sidecar as f64 * SKEW_ROOT).fract();
@@ -68,8 +73,8 @@
         let servers = release.servers.len();
         let duration = release.until.saturating_sub(release.from);
         for (position, server) in release.servers.clone().enumerate() {
-            let step = (position * steps / servers.max(1)) as u64;
-            let step_at = duration * step / (steps as u64 - 1).max(1);
+            let step = position * steps / servers.max(1);
+            let step_at = duration * step as u64 / (steps as u64 - 1).max(1);
             let begins_at = BEGIN + release.from + step_at;
             self.events.schedule(begins_at, Event::ServerDrains(server));
             self.events.schedule(begins_at + release.drain, Event::ServerEnds(server));
@@ -92,7 +97,7 @@
         self.announce(self.servers.len() - 1, EndpointState::Live, self.now);
     }
 
-    /// Has discovery learn of a change of a server after a while.
+    /// Schedules that discovery learns of a change of a server.
     pub(super) fn announce(&mut self, server: usize, state: EndpointState, started_at: Nanos) {
         let uniform = self.draw();
         let Some(discovery) = &self.discovery else { return };
@@ -140,7 +145,7 @@
         self.perform_actions(sidecar);
     }
 
-    /// A sidecar is killed: its requests break off, and their clients retry once it is back.
+    /// A sidecar is killed: its requests are interrupted, and their clients retry once it is back.
     pub(super) fn on_killed(&mut self, sidecar: usize, restart_at: Nanos) {
         let process = &mut self.processes[sidecar];
         process.incarnation += 1;
@@ -152,7 +157,7 @@
             self.report.interrupted += 1;
             let is_unsafe = CLASSES[state.class].effect == Effect::Unsafe;
             if !is_unsafe && state.requests <= MAX_RETRIES {
-                let delay = (self.draw() * DEFAULT_RETRY_DELAY as f64) as Nanos;
+                let delay = from_float(self.draw() * as_float(DEFAULT_RETRY_DELAY));
                 self.events.schedule(restart_at + delay, Event::ClientSends(client));
             }
         }
--- a/crates/fleet-simulator/src/simulation/mod.rs
+++ b/crates/fleet-simulator/src/simulation/mod.rs
@@ -7,6 +7,7 @@
 mod sidecars;
 
 use crate::discovery::DiscoveryService;
+use crate::numbers::steps;
 use crate::report::{Report, Slice, SLICE_DURATION};
 use crate::scenario::Scenario;
 use crate::server::{Server, ServerSize};
@@ -42,10 +43,10 @@
     processes: Vec<Process>,
     servers: Vec<Server>,
     clients: Vec<Client>,
-    /// Traffic of the sidecars up to each.
+    /// Traffic of each sidecar and all before it.
     cumulative_load: Vec<f64>,
     discovery: Option<DiscoveryService>,
-    /// Spread of the work of a class, with mean 1.
+    /// Distribution of the work of a class, with mean 1; absent for the default.
     work_spread: Option<LogNormal<f64>>,
     /// When each client's idempotent request first ran, as known to all servers.
     first_run_at: HashMap<usize, Nanos>,
@@ -75,10 +76,9 @@
 
 impl<'a> Simulation<'a> {
     fn new(scenario: &'a Scenario) -> Self {
-        let slices = (scenario.duration / SLICE_DURATION) as usize;
+        let slices = steps(scenario.duration, SLICE_DURATION);
         let known = fleet::initial_servers(scenario);
-        let sigma = scenario.fleet.work_sigma;
-        let spread = || LogNormal::new(-sigma * sigma / 2.0, sigma).ok();
+        let work_spread = |sigma: f64| LogNormal::new(-sigma * sigma / 2.0, sigma).ok();
         let server = |number| Server::new(scenario, scenario.fleet.zone(number));
         let discovery = scenario.fleet.discovery;
         Simulation {
@@ -93,7 +93,7 @@
             cumulative_load: fleet::cumulative_load(scenario),
             discovery: discovery
                 .map(|config| DiscoveryService::new(config, scenario.sidecars, &known)),
-            work_spread: if sigma > 0.0 { spread() } else { None },
+            work_spread: scenario.fleet.work_sigma.and_then(work_spread),
             first_run_at: HashMap::new(),
             unit_ns: ServerSize::of(scenario).unit_ns,
             report: Report { slices: vec![Slice::default(); slices], ..Report::default() },
@@ -153,7 +153,7 @@
     }
 
     fn slice_at(&mut self, at: Nanos) -> &mut Slice {
-        let slice = (at.saturating_sub(BEGIN) / SLICE_DURATION) as usize;
+        let slice = steps(at.saturating_sub(BEGIN), SLICE_DURATION);
         let last = self.report.slices.len() - 1;
         &mut self.report.slices[slice.min(last)]
     }
--- a/crates/fleet-simulator/src/simulation/servers.rs
+++ b/crates/fleet-simulator/src/simulation/servers.rs
@@ -72,7 +72,7 @@
         self.servers[server].start(self.now);
     }
 
-    /// Breaks off all jobs of a server, and its connections.
+    /// Resets all jobs and connections of a server.
     pub(super) fn crash(&mut self, server: usize) {
         for job in self.servers[server].drop_jobs() {
             self.respond(server, job, Outcome::Reset);
--- a/crates/fleet-simulator/src/simulation/sidecars.rs
+++ b/crates/fleet-simulator/src/simulation/sidecars.rs
@@ -1,16 +1,17 @@
 //! What sidecars do: sends, replies, timers and calls to discovery.
 
 use super::{Event, Simulation, BEGIN};
+use crate::numbers::steps;
 use crate::scenario::{mean_work, CLASSES};
 use crate::server::{Job, ONE_WAY_LATENCY};
 use crate::sidecar::{RequestOwner, SidecarAction, CONNECT_TIMEOUT};
 use mintshelf_balancer::api::{AttemptNumber, Outcome, RequestId, ServerId};
-use mintshelf_time::{Nanos, MILLISECOND, SECOND};
+use mintshelf_time::{from_float, Nanos, MILLISECOND, SECOND};
 use rand_distr::Distribution;
 
-/// Time after a drain was announced in which sends are allowed, with slack.
+/// Time after the notification of a drain in which sends are allowed, with slack.
 const DRAIN_GRACE: Nanos = 250 * MILLISECOND + 50 * MILLISECOND;
-/// Trips over the network before a request is sent on a new connection, and with it.
+/// Trips over the network until a request on a new connection arrives, the handshake included.
 const NEW_CONNECTION_TRIPS: u64 = 3;
 
 /// An attempt that a sidecar sends.
@@ -81,7 +82,7 @@
         let Some(RequestOwner { client, class }) = self.sidecars[sidecar].owner(&id) else {
             return;
         };
-        let work = (CLASSES[class].work * self.unit_ns * self.draw_work_factor()) as Nanos;
+        let work = from_float(CLASSES[class].work * self.unit_ns * self.draw_work_factor());
         let is_new_connection = !self.sidecars[sidecar].take_idle(self.now, server);
         self.check_drain(sidecar, server_id);
         self.count_send(sidecar, server, class, is_new_connection);
@@ -111,7 +112,9 @@
     fn check_drain(&mut self, sidecar: usize, server: ServerId) {
         let notified_at = self.sidecars[sidecar].drain_notified_at(server);
         let is_late = notified_at.is_some_and(|at| self.now > at + DRAIN_GRACE);
-        self.report.sends_after_drain += u64::from(is_late);
+        if is_late {
+            self.report.sends_after_drain += 1;
+        }
     }
 
     fn count_send(&mut self, sidecar: usize, server: usize, class: usize, is_new: bool) {
@@ -120,14 +123,18 @@
         }
         let crosses_zones = self.servers[server].zone != self.scenario.fleet.zone(sidecar);
         let slice = self.slice();
-        slice.cross_zone += u64::from(crosses_zones);
         slice.attempts += 1;
         slice.work += CLASSES[class].work / mean_work();
-        slice.connects += u64::from(is_new);
+        if crosses_zones {
+            slice.cross_zone += 1;
+        }
+        if is_new {
+            slice.connects += 1;
+        }
     }
 
     fn count_connect(&mut self, server: usize) {
-        let second = ((self.now - BEGIN) / SECOND) as usize;
+        let second = steps(self.now - BEGIN, SECOND);
         let connects = &mut self.report.connects_by_server;
         connects.resize(connects.len().max(server + 1), Vec::new());
         let by_second = &mut connects[server];
--- a/crates/fleet-simulator/src/standard.rs
+++ b/crates/fleet-simulator/src/standard.rs
@@ -3,9 +3,10 @@
 use crate::fleet::{
     Burst, DiscoveryConfig, EarlyTimeouts, FleetConfig, Release, Restart, Thrashing,
 };
+use crate::numbers::truncate;
 use crate::scenario::{Fault, FaultKind, RetryBehavior, Scenario};
 use crate::uniform;
-use mintshelf_time::{Nanos, MILLISECOND, SECOND};
+use mintshelf_time::{from_seconds, Nanos, MILLISECOND, SECOND};
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use std::ops::Range;
@@ -80,10 +81,6 @@
     builder.scenario
 }
 
-fn duration(seconds: f64) -> Nanos {
-    (seconds * SECOND as f64) as Nanos
-}
-
 /// The scenario that is being built, with its source of random numbers.
 struct Builder {
     rng: Pcg64Mcg,
@@ -104,10 +101,10 @@
             sidecars,
             servers: (sidecars / 2).max(8),
             capacity: 1.0 / builder.draw(0.45, 0.6),
-            retry: RetryBehavior::Backoff(duration(builder.draw(0.02, 0.16))),
+            retry: RetryBehavior::Backoff(from_seconds(builder.draw(0.02, 0.16))),
             ramp: None,
             max_retry_after: 2 * SECOND,
-            warm_up: duration(builder.draw(3.4, 8.4)),
+            warm_up: from_seconds(builder.draw(3.4, 8.4)),
             initial_capacity: builder.draw(0.3, 0.57),
             fleet,
             ..ordinary
@@ -122,9 +119,9 @@
 
     fn draw_discovery(&mut self, sidecars: usize) -> DiscoveryConfig {
         DiscoveryConfig {
-            min_notice: duration(0.78),
-            max_notice: duration(self.draw(1.5, 4.8)),
-            spread: duration(self.draw(0.15, 0.59)),
+            min_notice: from_seconds(0.78),
+            max_notice: from_seconds(self.draw(1.5, 4.8)),
+            spread: from_seconds(self.draw(0.15, 0.59)),
             calls_per_second: sidecars as f64 * self.draw(0.1, 0.3),
             timeout: SECOND,
         }
@@ -139,8 +136,8 @@
             discovery: Some(discovery),
             zones: 2,
             thrashing: Some(Thrashing { from_multiple, slowdown }),
-            queue_multiple: 16,
-            work_sigma: self.draw(1.1, 1.4),
+            queue_multiple: Some(16),
+            work_sigma: Some(self.draw(1.1, 1.4)),
             has_prices: true,
             ..FleetConfig::default()
         }
@@ -148,19 +145,19 @@
 
     /// Adds the release of a share of the servers, over some seconds, in steps.
     fn add_release(&mut self, share: f64, seconds: f64, steps: usize, drain_seconds: f64) {
-        let servers = 0..(self.scenario.servers as f64 * share) as usize;
+        let servers = 0..truncate(self.scenario.servers as f64 * share);
         self.scenario.fleet.releases.push(Release {
             from: BEGIN,
-            until: BEGIN + duration(seconds),
+            until: BEGIN + from_seconds(seconds),
             steps,
             servers,
-            drain: duration(drain_seconds),
-            start_delay: duration(2.5),
+            drain: from_seconds(drain_seconds),
+            start_delay: from_seconds(2.5),
         });
     }
 
     fn add_fault(&mut self, servers: Range<usize>, seconds: f64, kind: FaultKind) {
-        let until = BEGIN + duration(seconds);
+        let until = BEGIN + from_seconds(seconds);
         self.scenario.faults.push(Fault { from: BEGIN, until, servers, kind });
     }
 
@@ -185,7 +182,7 @@
     fn mass_restart(&mut self) {
         self.add_release(0.35, 9.0, 4, 3.0);
         let sidecars = 0..self.scenario.sidecars * 7 / 10;
-        let at = BEGIN + duration(self.draw(1.0, 3.0));
+        let at = BEGIN + from_seconds(self.draw(1.0, 3.0));
         self.scenario.fleet.restarts.push(Restart { at, downtime: 500 * MILLISECOND, sidecars });
         let factor = self.draw(3.0, 6.0);
         self.add_fault(self.last_eighth(), 8.0, FaultKind::Slow(factor));
@@ -200,8 +197,8 @@
     fn partition(&mut self) {
         self.add_fault(0..self.scenario.servers / 5, 6.0, FaultKind::Partition);
         if let Some(discovery) = &mut self.scenario.fleet.discovery {
-            discovery.min_notice += duration(6.0);
-            discovery.max_notice += duration(6.0);
+            discovery.min_notice += from_seconds(6.0);
+            discovery.max_notice += from_seconds(6.0);
         }
         self.add_release(0.1, 1.0, 1, 3.0);
     }
