--- a/crates/proxy/src/cluster/trace.rs
+++ b/crates/proxy/src/cluster/trace.rs
@@ -10,6 +10,7 @@
     AttemptNumber, EndReason, EndpointState, ListKind, ListedServer, RequestId, ServerId,
 };
 use mintshelf_balancer::decide::Balancer;
+use mintshelf_time::{from_duration, Nanos, MICROSECOND, MILLISECOND};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tracing::{debug, enabled, Level};
@@ -26,18 +27,18 @@
 
 /// The id that the client gave a request; empty where it gave none.
 fn transaction_id(request: &PendingRequest) -> &str {
-    let id = request.request.transaction_id.as_ref().map(HeaderValue::to_str);
+    let id = request.upstream_request.transaction_id.as_ref().map(HeaderValue::to_str);
     id.and_then(Result::ok).unwrap_or_default()
 }
 
 /// A request was handed to the balancer.
-pub(super) fn request_began(id: &RequestId, requests: &PendingRequests, timeout: Duration) {
+pub(super) fn request_began(id: &RequestId, requests: &PendingRequests, timeout: Nanos) {
     let Some(request) = traced_request(id, requests) else { return };
     debug!(
         request = %id,
         transaction = transaction_id(request),
         class = request.class.get(),
-        timeout_ms = timeout.as_millis() as u64,
+        timeout_ms = timeout / MILLISECOND,
         "request began"
     );
 }
@@ -54,7 +55,7 @@
     );
 }
 
-/// An attempt was begun, or found nowhere to go.
+/// An attempt was started; without an address it ends at once.
 pub(super) fn attempt_began(
     id: &RequestId,
     number: AttemptNumber,
@@ -75,14 +76,18 @@
     }
 }
 
-/// A client got its final outcome, or had left before it.
-pub(super) fn request_concluded(id: &RequestId, outcome: Option<&RequestOutcome>, took: Duration) {
+/// A client got its final outcome, or had disconnected before it.
+pub(super) fn request_concluded(
+    id: &RequestId,
+    outcome: Option<&RequestOutcome>,
+    elapsed: Duration,
+) {
     let outcome = outcome.map_or("client left", outcome_name);
-    debug!(request = %id, outcome, took_ms = took.as_millis() as u64, "request concluded");
+    debug!(request = %id, outcome, took_ms = from_duration(elapsed) / MILLISECOND, "request concluded");
 }
 
-/// A list was applied, which took `took` of one turn.
-pub(super) fn list_applied(kind: ListKind, version: u64, changes: ListChanges, took: Duration) {
+/// A list was applied, which occupied a turn for `elapsed`.
+pub(super) fn list_applied(kind: ListKind, version: u64, changes: ListChanges, elapsed: Duration) {
     let ListChanges { live, draining, removed } = changes;
     debug!(
         ?kind,
@@ -90,7 +95,7 @@
         live,
         draining,
         removed,
-        took_us = took.as_micros() as u64,
+        took_us = from_duration(elapsed) / MICROSECOND,
         "endpoint list applied"
     );
 }
--- a/crates/proxy/src/loop_monitor.rs
+++ b/crates/proxy/src/loop_monitor.rs
@@ -11,12 +11,12 @@
 /// A tick that takes longer is followed by another at once.
 const LATE_TICK: Duration = Duration::from_millis(10);
 
-/// Measures by a periodic task for how long the event loop has not got round to its work.
+/// Measures by a periodic task for how long the event loop has not processed what arrived.
 ///
 /// At each tick the task yields. The loop then polls the sockets, wakes their tasks, and this task
-/// behind them; tasks run in the order in which they were woken. So all that had come before the
-/// tick has been read when the task runs again, and the tick counts from its begin. That holds for a task of its own
-/// alone: the future that the loop blocks on is polled before all tasks.
+/// after them; tasks run in the order in which they were woken. So all that had arrived before the
+/// tick has been read when the task runs again, and the tick counts from its begin. Only a task of
+/// its own can rely on that: the future that the loop blocks on is polled before all tasks.
 #[derive(Debug)]
 pub struct LoopMonitor {
     last_tick: Rc<Cell<Instant>>,
@@ -25,6 +25,7 @@
 
 impl LoopMonitor {
     /// Starts to follow the event loop of this thread; in a `tokio::task::LocalSet`.
+    #[must_use]
     pub fn start() -> Self {
         let last_tick = Rc::new(Cell::new(Instant::now()));
         let task = spawn_local(run_ticks(last_tick.clone())).abort_handle();
@@ -32,6 +33,7 @@
     }
 
     /// How long what is read now may have waited, beyond the interval of ticks.
+    #[must_use]
     pub fn lag(&self) -> Duration {
         self.last_tick.get().elapsed().saturating_sub(TICK_INTERVAL)
     }
--- a/crates/proxy/src/websocket/registry.rs
+++ b/crates/proxy/src/websocket/registry.rs
@@ -97,6 +97,7 @@
 impl SocketRegistry {
     /// An empty registry. `max_queued_bytes`: what all queues together may have before less is
     /// read of each connection; `seed`: a secret of the process.
+    #[must_use]
     pub fn new(max_queued_bytes: usize, seed: u64) -> Rc<Self> {
         Rc::new(SocketRegistry {
             entries: RefCell::default(),
@@ -151,8 +152,8 @@
     /// above its own is evicted, so that a later call may succeed.
     pub fn reserve(self: &Rc<Self>, owner: &SlotOwner) -> Result<SlotReservation, SlotUnavailable> {
         let now = self.clock.now();
-        let taken = self.slots.borrow_mut().acquire(now, owner);
-        match taken {
+        let acquired = self.slots.borrow_mut().acquire(now, owner);
+        match acquired {
             Ok(()) => Ok(SlotReservation { registry: self.clone(), owner: owner.clone() }),
             Err(rejected) => {
                 if let Some(tenant) = rejected.reclaim_from {
