--- a/crates/balancer/src/api/action.rs
+++ b/crates/balancer/src/api/action.rs
@@ -1,4 +1,4 @@
-//! What a balancer asks of its sidecar.
+//! Actions: what a balancer has its sidecar do.
 
 use super::{AttemptNumber, RequestId, ServerId};
 use mintshelf_time::Nanos;
--- a/crates/balancer/src/balancer/attempts.rs
+++ b/crates/balancer/src/balancer/attempts.rs
@@ -21,9 +21,9 @@
 }
 
 impl Balancer {
-    pub(super) fn on_request(&mut self, id: RequestId, request: Request, arrival: Arrival) {
+    pub(super) fn on_request(&mut self, id: &RequestId, request: Request, arrival: Arrival) {
         let class = request.class;
-        if class.index() >= self.settings.classes.len() || self.requests.contains_key(&id) {
+        if class.index() >= self.settings.classes.len() || self.requests.contains_key(id) {
             return;
         }
         self.count_arrival(&request, arrival);
@@ -33,15 +33,15 @@
         let is_futile = self.admission.is_futile(self.now, &request, &self.settings, latency);
         self.requests.insert(id.clone(), request);
         if is_futile {
-            self.end(&id, EndReason::Futile);
+            self.end(id, EndReason::Futile);
             return;
         }
         let over_quota = || self.tenants.over_quota_share(&self.settings, self.now, arrival.tenant);
         let probability = self.admission.reject_probability(class, over_quota);
         if self.rng.draw() < probability {
-            self.end(&id, EndReason::Overload);
+            self.end(id, EndReason::Overload);
         } else {
-            self.advance(&id);
+            self.advance(id);
         }
     }
 
@@ -156,11 +156,10 @@
         let retry_after = if gives_advice { self.settings.max_retry_after } else { 0 };
         // A client that returns after the deduplication window would have the request run twice.
         let may_reject = self.permitted_actions(request, self.now + retry_after).may_reject;
-        let id = id.clone();
         self.actions.push(match may_reject {
             true => Action::Reject { id: id.clone(), retry_after, reason },
             false => Action::Fail { id: id.clone(), reason },
         });
-        self.close(&id);
+        self.close(id);
     }
 }
--- a/crates/balancer/src/balancer/mod.rs
+++ b/crates/balancer/src/balancer/mod.rs
@@ -154,7 +154,7 @@
                 ..
             } => {
                 let request = Request::new(class, cost_estimate, self.now, client_timeout);
-                self.on_request(id, request, Arrival { tenant, is_client_retry });
+                self.on_request(&id, request, Arrival { tenant, is_client_retry });
             }
             Event::StreamStarted { id, .. } => {
                 if let Some(request) = self.requests.get_mut(&id) {
@@ -195,10 +195,11 @@
         if kind != ListKind::Cached {
             self.discovery.on_answer();
         }
-        let lists = &mut self.endpoint_lists;
-        let closed = lists.apply(self.now, kind, entries, &mut self.servers, &mut self.rng);
+        let servers = &mut self.servers;
+        let out_of_service =
+            self.endpoint_lists.apply(self.now, kind, entries, servers, &mut self.rng);
         // Idle connections to these are of no use, and cost both sides file descriptors.
-        self.actions.extend(closed.into_iter().map(|server| Action::CloseIdle { server }));
+        self.actions.extend(out_of_service.into_iter().map(|server| Action::CloseIdle { server }));
         self.orders.invalidate();
     }
 
--- a/crates/balancer/src/decay.rs
+++ b/crates/balancer/src/decay.rs
@@ -1,6 +1,6 @@
 //! Sums and means with exponential decay: each part loses half its weight in a half-life.
 
-use mintshelf_time::Nanos;
+use mintshelf_time::{as_float, Nanos};
 
 /// A sum that decays exponentially.
 #[derive(Debug, Clone, Copy, Default)]
@@ -14,8 +14,8 @@
     /// The sum that is left at `now`.
     #[must_use]
     pub fn get(&self, now: Nanos, half_life: Nanos) -> f64 {
-        let elapsed = now.saturating_sub(self.updated_at) as f64;
-        self.sum * (-elapsed / half_life as f64).exp2()
+        let elapsed = as_float(now.saturating_sub(self.updated_at));
+        self.sum * (-elapsed / as_float(half_life)).exp2()
     }
 
     /// Adds a value at `now`.
--- a/crates/balancer/src/decide/candidates.rs
+++ b/crates/balancer/src/decide/candidates.rs
@@ -114,9 +114,14 @@
     let in_service = servers.in_service().len().max(1);
     let connections = f64::from(settings.instances) / in_service as f64;
     let cost = settings.prices.connection * connections / PRICED_CONNECTIONS;
-    let affordable = (MAX_SERVER_COST / cost) as usize;
+    let affordable = whole_count(MAX_SERVER_COST / cost);
     let min = affordable.clamp(MIN_PRICED_SUBSET_SERVERS, MIN_SUBSET_SERVERS);
-    ((uses / MIN_CONNECTION_USES) as usize).max(min)
+    whole_count(uses / MIN_CONNECTION_USES).max(min)
+}
+
+/// A calculated number of servers without its fraction; 0 if it is negative or no number.
+fn whole_count(servers: f64) -> usize {
+    servers as usize
 }
 
 /// Servers of the request's group: those of its order not yet tried, else others not yet tried,
--- a/crates/balancer/src/decide/endpoint_lists.rs
+++ b/crates/balancer/src/decide/endpoint_lists.rs
@@ -11,11 +11,11 @@
 /// out of reach; then a warm-up too many does little harm.
 const IMPLAUSIBLE_AGE: Nanos = 60 * SECOND;
 /// Largest hash, rounded up: a hash divided by it is below 1.
-const HASH_SPAN: f64 = 1.9e19;
-/// Ranks are whole numbers: this many for each unit of the random variable.
+const HASH_RANGE: f64 = 1.9e19;
+/// Ranks are integers: this many for each unit of the random variable.
 const RANKS_PER_UNIT: f64 = 1e12;
 
-/// What the lists so far have told of all servers together.
+/// What is known from all lists so far together.
 #[derive(Debug)]
 pub(crate) struct EndpointLists {
     self_index: u32,
@@ -138,7 +138,7 @@
     /// the own zone, according to the price of crossing zones.
     fn order_rank(&self, entry: &ListedServer) -> u64 {
         let own = hash(u64::from(self.self_index) + 1);
-        let uniform = hash(hash(u64::from(entry.id)) ^ own) as f64 / HASH_SPAN;
+        let uniform = hash(hash(u64::from(entry.id)) ^ own) as f64 / HASH_RANGE;
         let penalty = self.zone_preference.penalty(entry.zone);
         (-uniform.ln() * penalty.sqrt() * RANKS_PER_UNIT) as u64
     }
--- a/crates/balancer/src/decide/retry_safety.rs
+++ b/crates/balancer/src/decide/retry_safety.rs
@@ -117,7 +117,7 @@
     }
 }
 
-/// Whether the deadline and the limits on attempts leave room for one more.
+/// Whether the deadline and the limits on attempts permit one more.
 fn may_attempt(class: &Class, limits: AttemptLimits, request: &RequestProgress, at: Nanos) -> bool {
     let max_attempts = class.max_attempts.min(limits.max_attempts) as usize;
     let may_be_parallel = limits.allows_parallel_attempts || !request.has_attempt_in_flight;
--- a/crates/balancer/src/decide/traffic.rs
+++ b/crates/balancer/src/decide/traffic.rs
@@ -53,7 +53,7 @@
     }
 
     /// Requests served a second by a unit of capacity: the rate over all servers is no measure of
-    /// one server once some of them have gone out of service.
+    /// one server once some of them are out of service.
     pub(crate) fn served_per_capacity(&self, now: Nanos, total_capacity: f64) -> f64 {
         let presumed = PRESUMED_SERVED_SHARE * self.arrivals_per_second(now) / total_capacity;
         self.served_per_capacity.get(now, RATE_HALF_LIFE) / RATE_MEMORY_SECONDS + presumed
--- a/crates/balancer/src/gossip.rs
+++ b/crates/balancer/src/gossip.rs
@@ -17,6 +17,8 @@
 const MEAN_STEPS: f64 = 40.0;
 /// Unit of an encoded count.
 const COUNT_STEPS: f64 = 64.0;
+/// Counts below this count as it, as divisors.
+const MIN_COUNT: f64 = 1e-9;
 
 /// Observations that one instance hands to another.
 #[derive(Debug, Clone, Default, PartialEq)]
@@ -86,7 +88,8 @@
 
 impl ServerObservation {
     fn encode(&self) -> [u8; SERVER_BYTES] {
-        let mean = (self.sum / self.count.max(1e-9) * MEAN_STEPS).round() as i8 as u8;
+        let mean = (self.sum / self.count.max(MIN_COUNT) * MEAN_STEPS).round() as i8;
+        let [mean] = mean.to_le_bytes();
         let count = ((self.count * COUNT_STEPS).round() as u16).to_le_bytes();
         let id = self.server.to_le_bytes();
         [id[0], id[1], id[2], id[3], mean, count[0], count[1]]
@@ -96,7 +99,7 @@
         let bytes: [u8; SERVER_BYTES] = bytes.try_into().ok()?;
         let [id0, id1, id2, id3, mean, count0, count1] = bytes;
         let count = f64::from(u16::from_le_bytes([count0, count1])) / COUNT_STEPS;
-        let mean = f64::from(mean as i8) / MEAN_STEPS;
+        let mean = f64::from(i8::from_le_bytes([mean])) / MEAN_STEPS;
         let server = u32::from_le_bytes([id0, id1, id2, id3]);
         Some(ServerObservation { server, sum: mean * count, count })
     }
--- a/crates/balancer/src/rng.rs
+++ b/crates/balancer/src/rng.rs
@@ -23,7 +23,7 @@
         (self.draw() * length as f64) as usize
     }
 
-    /// A uniform whole number below `bound`; 0 if that is 0.
+    /// A uniform integer below `bound`; 0 if that is 0.
     pub fn draw_below(&mut self, bound: u32) -> u32 {
         (self.draw() * f64::from(bound)) as u32
     }
--- a/crates/balancer/src/settings/mod.rs
+++ b/crates/balancer/src/settings/mod.rs
@@ -7,7 +7,7 @@
     Tenant,
 };
 use document::{ClassEntry, ObjectiveEntry, PricesEntry, SettingsDocument, TenantEntry};
-use mintshelf_time::Nanos;
+use mintshelf_time::{from_float, Nanos};
 use thiserror::Error;
 
 /// Retry credits that each request adds on the platform, whose document has no key for it.
@@ -61,8 +61,8 @@
         self_index: document.self_index,
         instances: document.instances.max(1),
         zone: document.zone,
-        zones: (document.zones.len() as u32).max(1),
-        hardware_models: (document.hardware_models.len() as u32).max(1),
+        zones: count(&document.zones),
+        hardware_models: count(&document.hardware_models),
         classes,
         tenants: document.tenants.iter().map(tenant).collect(),
         over_quota_weight: document.over_quota_weight,
@@ -96,10 +96,15 @@
     })
 }
 
+/// How many there are of what is named; 1 if nothing is.
+fn count(names: &[String]) -> u32 {
+    u32::try_from(names.len()).unwrap_or(u32::MAX).max(1)
+}
+
 /// Converts a duration in nanoseconds; a float holds spans of up to a few centuries well enough.
 fn duration(key: &'static str, value: f64) -> Result<Nanos, SettingsError> {
     if (0.0..1e19).contains(&value) {
-        Ok(value as Nanos)
+        Ok(from_float(value))
     } else {
         Err(SettingsError::InvalidDuration { key, value })
     }
--- a/crates/balancer/src/state/capacity.rs
+++ b/crates/balancer/src/state/capacity.rs
@@ -1,7 +1,7 @@
-//! Sums over the servers in service, kept up to date by each change: a sum made anew for each
+//! Sums over the servers in service, updated by each change: to sum over all servers for each
 //! request would cost work in proportion to the fleet.
 
-use mintshelf_time::Nanos;
+use mintshelf_time::{as_float, Nanos};
 use std::collections::BTreeMap;
 
 /// Larger listed sizes count as this: one absurd size must not drown the others' in rounding.
@@ -73,7 +73,7 @@
             return self.warming_size;
         }
         let elapsed = self.warming_size * self.seconds(now) - self.warming_starts;
-        elapsed.max(0.0) * NANOS_PER_SECOND / self.warm_up as f64
+        elapsed.max(0.0) * NANOS_PER_SECOND / as_float(self.warm_up)
     }
 
     /// Counts a server.
@@ -142,6 +142,6 @@
     }
 
     fn seconds(&self, at: Nanos) -> f64 {
-        (at as f64 - self.origin as f64) / NANOS_PER_SECOND
+        (as_float(at) - as_float(self.origin)) / NANOS_PER_SECOND
     }
 }
--- a/crates/balancer/src/state/ordered_servers.rs
+++ b/crates/balancer/src/state/ordered_servers.rs
@@ -1,4 +1,4 @@
-//! Servers in service in this instance's order, kept sorted as servers join and leave.
+//! Servers in service in this instance's order, which stays sorted as servers join and leave.
 
 use crate::api::ServerId;
 use std::collections::{BTreeSet, HashMap};
--- a/crates/balancer/tests/admission.rs
+++ b/crates/balancer/tests/admission.rs
@@ -150,8 +150,8 @@
     assert!(late[3..].iter().sum::<u64>() < 20, "rejections outlive the overload: {late:?}");
 }
 
-/// The level goes by time. Moved by ended attempts alone, an instance that rejects most
-/// sees few, and would go on for long.
+/// The reject level decays by time. Moved by ended attempts alone, an instance that rejects most
+/// requests sees few, and would go on rejecting for long.
 #[test]
 fn an_instance_that_rejected_most_forgets_an_overload_in_seconds() {
     let mut during = 0.0;
@@ -200,7 +200,7 @@
     assert!(!hurried(&mut instance, "z", 2 * SECOND), "all the time there is");
 }
 
-/// Where answers always come late, a client that waits all its class allows is not turned away.
+/// Where answers always come late, a client that waits all its class allows is not rejected.
 #[test]
 fn slow_classes_are_served() {
     let mut instance = TestBalancer::with(settings(), 0..6);
--- a/crates/balancer/tests/common/fleet.rs
+++ b/crates/balancer/tests/common/fleet.rs
@@ -15,8 +15,8 @@
 const START: Nanos = 20 * SECOND;
 /// How long it warms up.
 pub const WARM_UP: Nanos = 8 * SECOND;
-/// When traffic that is held comes, and servers that are lost later leave.
-const HELD_UNTIL: Nanos = START + 3 * SECOND;
+/// When delayed traffic arrives, and servers that are lost later leave.
+const DELAYED_UNTIL: Nanos = START + 3 * SECOND;
 /// Shortest time of a response.
 const MIN_LATENCY: Nanos = 40 * MILLISECOND;
 /// Longest wait in a server's queue.
@@ -32,7 +32,7 @@
     /// A tenth of the instances have half of it.
     Uneven,
     /// Nothing for three seconds after the start, then all that waited.
-    Held,
+    Delayed,
     /// Half of the instances are new processes when the server starts.
     Restarted,
     /// Nine in eleven of the warm servers leave at the start: all that they carried needs a
@@ -156,7 +156,7 @@
 
     /// Tells all instances of servers that started or left.
     fn announce_changes(&mut self, now: Nanos) {
-        if self.fleet.shape == Shape::LostLater && now >= HELD_UNTIL && !self.has_lost {
+        if self.fleet.shape == Shape::LostLater && now >= DELAYED_UNTIL && !self.has_lost {
             self.has_lost = true;
             let draining = |server: &ListedServer| ListedServer {
                 state: EndpointState::Draining,
@@ -225,8 +225,8 @@
 
     fn schedule_next(&mut self, now: Nanos, instance: usize, number: u64) {
         let mut at = now + self.draw_gap(instance);
-        if self.fleet.shape == Shape::Held && (START..HELD_UNTIL).contains(&at) {
-            at = HELD_UNTIL + (self.draw() * 200.0) as Nanos * MILLISECOND;
+        if self.fleet.shape == Shape::Delayed && (START..DELAYED_UNTIL).contains(&at) {
+            at = DELAYED_UNTIL + (self.draw() * 200.0) as Nanos * MILLISECOND;
         }
         self.arrivals.push(Reverse(Arrival { at, number, instance }));
     }
--- a/crates/balancer/tests/ejection.rs
+++ b/crates/balancer/tests/ejection.rs
@@ -57,11 +57,11 @@
 
 #[test]
 fn a_dead_server_is_ejected_whether_the_others_fail_now_and_then_or_not() {
-    for (share, most) in [(0.0, 4), (0.02, 5), (0.1, 9), (0.2, 14)] {
+    for (share, max_sends) in [(0.0, 4), (0.02, 5), (0.1, 9), (0.2, 14)] {
         let mut breaks = chance(12, share);
         let sent = play(22, |server, second| breaks() || server == 2 && second >= 20.0);
         let after = sent[2].iter().filter(|second| **second >= 20.0).count();
-        assert!(after <= most, "{share}: {after} sends to a dead server");
+        assert!(after <= max_sends, "{share}: {after} sends to a dead server");
         assert!(sent[2].len() > 300, "{share}: it had its part before");
     }
 }
@@ -71,14 +71,17 @@
     let mut instance = TestBalancer::with(Settings { max_attempts: 1, ..settings() }, 0..6);
     let dead = |server: ServerId| server < 3;
     // Three of six fail until they are ejected; then one request at each other stays open.
-    let mut held = [false; 6];
+    let mut has_open_request = [false; 6];
     let mut late = Vec::new();
     for n in 0..120 {
         let now = SECOND + n * 5 * MILLISECOND;
         let id = n.to_string();
         let actions = instance.handle(now, request(&id, 0, 2 * SECOND));
         let Some(&server) = sends(&actions).first() else { continue };
-        if n >= 100 && !dead(server) && !std::mem::replace(&mut held[server as usize], true) {
+        if n >= 100
+            && !dead(server)
+            && !std::mem::replace(&mut has_open_request[server as usize], true)
+        {
             late.extend(actions.iter().filter_map(|action| match action {
                 Action::SetTimer { token, .. } => Some(*token),
                 _ => None,
@@ -88,7 +91,7 @@
         let outcome = if dead(server) { Outcome::ConnectFailed } else { Outcome::Ok };
         instance.handle(now + MILLISECOND, ended(&id, 0, server, outcome, !dead(server)));
     }
-    assert_eq!(held, [false, false, false, true, true, true]);
+    assert_eq!(has_open_request, [false, false, false, true, true, true]);
     let now = SECOND + 120 * 5 * MILLISECOND;
     late.into_iter().for_each(|token| drop(instance.handle(now, Event::Timer { token })));
     let mut out = 0;
--- a/crates/balancer/tests/generated_events.rs
+++ b/crates/balancer/tests/generated_events.rs
@@ -16,7 +16,8 @@
 impl Numbers {
     /// A number below `bound`.
     fn below(&mut self, bound: u64) -> u64 {
-        self.0 = self.0.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+        self.0 =
+            self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 33) % bound
     }
 }
--- a/crates/balancer/tests/large_fleets.rs
+++ b/crates/balancer/tests/large_fleets.rs
@@ -10,14 +10,14 @@
 use rustix::time::{clock_gettime, ClockId};
 use std::collections::{HashMap, HashSet};
 
-/// Servers of a usual fleet, and of the largest one.
-const USUAL: u32 = 200;
+/// Servers of an ordinary fleet, and of the largest one.
+const ORDINARY: u32 = 200;
 const LARGE: u32 = 3_200;
 /// Measurements of each fleet; the least of them counts, since other processes only add to one.
 const ROUNDS: usize = 5;
 /// Requests, or changes of the list, in one measurement.
 const STEPS: u64 = 200;
-/// Highest cost at the large fleet, in multiples of that at the usual one. Caches hold less of a
+/// Highest cost at the large fleet, in multiples of that at the ordinary one. Caches hold less of a
 /// larger table; work that grew with it would cost sixteen times as much.
 const MAX_RATIO: f64 = 3.0;
 
@@ -34,15 +34,15 @@
     thread_cpu_ns() - before
 }
 
-/// The least cost of `measure` at the large fleet over that at the usual one, measured in turns.
+/// The least cost of `measure` at the large fleet over that at the ordinary one, measured in turns.
 fn ratio(measure: impl Fn(u32) -> u64) -> f64 {
-    let mut usual = u64::MAX;
+    let mut ordinary = u64::MAX;
     let mut large = u64::MAX;
     for _ in 0..ROUNDS {
-        usual = usual.min(measure(USUAL));
+        ordinary = ordinary.min(measure(ORDINARY));
         large = large.min(measure(LARGE));
     }
-    large as f64 / usual as f64
+    large as f64 / ordinary as f64
 }
 
 fn fleet(count: u32, started_at: Nanos) -> Vec<ListedServer> {
@@ -188,7 +188,7 @@
     }
 }
 
-/// The fleet as the lists state it, summed anew each time.
+/// The fleet as the lists state it, summed over all servers each time.
 #[derive(Default)]
 struct Model(HashMap<ServerId, ModelServer>);
 
@@ -223,9 +223,9 @@
 }
 
 proptest! {
-    /// What is kept up to date by changes is what a sum over all servers gives.
+    /// Sums that are updated by changes are those over all servers.
     #[test]
-    fn the_sums_that_are_kept_are_those_of_all_servers(
+    fn the_updated_sums_are_those_over_all_servers(
         updates in prop::collection::vec(
             (any::<bool>(), prop::collection::vec((1u32..200, 0u8..6, 0u64..4), 0..60), 1u64..4_000),
             1..30,
@@ -234,7 +234,7 @@
         let settings = settings();
         let mut instance = TestBalancer::new(settings.clone()).0;
         let mut model = Model::default();
-        let mut gone = HashSet::new();
+        let mut removed_ids = HashSet::new();
         let mut now = 20 * SECOND;
         for (is_full, changed, elapsed_ms) in updates {
             now += elapsed_ms * MILLISECOND;
@@ -247,7 +247,7 @@
                 };
                 let started_at = if age == 0 { 0 } else { now - age * 3 * SECOND };
                 // What was removed may have been forgotten or not: it does not come back here.
-                if !gone.contains(&id) && entries.iter().all(|entry| entry.id != id) {
+                if !removed_ids.contains(&id) && entries.iter().all(|entry| entry.id != id) {
                     entries.push(ListedServer { state, started_at, ..server(id) });
                 }
             }
@@ -255,7 +255,7 @@
             instance.handle(now, list(kind, entries.clone()));
             model.apply(now, kind, &entries, settings.warm_up);
             let removed = model.0.iter().filter(|(_, known)| known.state == EndpointState::Removed);
-            gone.extend(removed.map(|(id, _)| *id));
+            removed_ids.extend(removed.map(|(id, _)| *id));
             let live = model.0.values().filter(|server| server.state == EndpointState::Live);
             let capacity: f64 = live.clone().map(|server| server.capacity(now, &settings)).sum();
             let summary = instance.balancer.service_summary();
--- a/crates/balancer/tests/safety_rules.rs
+++ b/crates/balancer/tests/safety_rules.rs
@@ -38,7 +38,7 @@
                 (_, Group::All) => assert_eq!(next.len(), 1, "{what}"),
                 (_, Group::Zone) => assert!(next.iter().all(|n| n % 2 == first % 2), "{what}"),
                 (_, Group::FailureDomain) => {
-                    assert!(next.iter().all(|n| n % 4 == first % 4), "{what}")
+                    assert!(next.iter().all(|n| n % 4 == first % 4), "{what}");
                 }
             }
         }
--- a/crates/balancer/tests/server_order.rs
+++ b/crates/balancer/tests/server_order.rs
@@ -12,7 +12,8 @@
 fn uniform(seed: u64) -> impl FnMut() -> f64 {
     let mut state = seed;
     move || {
-        state = state.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+        state =
+            state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (state >> 11) as f64 / (1u64 << 53) as f64
     }
 }
@@ -55,7 +56,7 @@
 }
 
 #[test]
-fn a_server_that_joins_or_leaves_moves_epsilon() {
+fn a_server_that_joins_or_leaves_changes_epsilon() {
     let three = order(&[2.0, 2.0, 2.0]);
     let four = order(&[2.0, 2.0, 2.0, 0.3]);
     assert!(four.epsilon() < three.epsilon());
--- a/crates/balancer/tests/slow_start.rs
+++ b/crates/balancer/tests/slow_start.rs
@@ -51,7 +51,7 @@
         for shape in [
             Shape::Even,
             Shape::Uneven,
-            Shape::Held,
+            Shape::Delayed,
             Shape::Restarted,
             Shape::Lost,
             Shape::LostLater,
--- a/crates/discovery/src/revision.rs
+++ b/crates/discovery/src/revision.rs
@@ -6,9 +6,9 @@
 
 use std::time::Duration;
 
-/// A lower revision is accepted when complete lists have gone on having lower revisions for so
-/// long. A replica that only lags has caught up by then. A longer time would not leave enough of
-/// the 4 s within which the platform wants changes to be followed after discovery has moved.
+/// How long complete lists must go on having lower revisions before a lower one is accepted. A
+/// replica that only lags has caught up by then. A longer time would not leave enough of the 4 s
+/// within which the platform wants changes to be followed after discovery has changed its address.
 pub const RESET_CONFIRMATION: Duration = Duration::from_millis(1_000);
 /// Time between the calls while a reset is to be confirmed.
 pub const RESET_POLL_INTERVAL: Duration = Duration::from_millis(350);
@@ -22,8 +22,8 @@
     Suspect,
 }
 
-/// What is asked for while a reset is to be confirmed. Complete lists of a large fleet are long,
-/// and all sidecars ask at one time: changes do where they show as much.
+/// What is requested while a reset is to be confirmed. Complete lists of a large fleet are long,
+/// and all sidecars request them at one time: changes are enough where they show as much.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ResetCheck {
     /// The complete list.
@@ -60,6 +60,7 @@
 
 impl RevisionTracker {
     /// The revision that was accepted last; 0 before the first.
+    #[must_use]
     pub fn current(&self) -> u64 {
         self.current
     }
@@ -89,7 +90,7 @@
         Verdict::Suspect
     }
 
-    /// What to ask for next at `now`, after a response was suspect.
+    /// What to request next at `now`, after a response was suspect.
     #[must_use]
     pub fn reset_check(&self, now: Duration) -> ResetCheck {
         let is_open =
--- a/crates/discovery/src/watch.rs
+++ b/crates/discovery/src/watch.rs
@@ -45,7 +45,8 @@
 }
 
 impl WatchState {
-    /// How long the next poll asks the service to wait for changes.
+    /// How long the service is to wait for changes before it answers the next poll.
+    #[must_use]
     pub fn poll_timeout(&self) -> Duration {
         if self.is_established {
             POLL_TIMEOUT
@@ -55,6 +56,7 @@
     }
 
     /// How much longer than [`Self::poll_timeout`] its response may take to begin.
+    #[must_use]
     pub fn response_grace(&self) -> Duration {
         if self.is_established {
             RESPONSE_GRACE
--- a/crates/discovery/tests/notification_deadline.rs
+++ b/crates/discovery/tests/notification_deadline.rs
@@ -162,7 +162,7 @@
         (0..answered_calls).for_each(|_| sidecar.answer(RESPONSE_TIME));
         let dead_since = sidecar.now;
         sidecar.fail(Fault::NoResponse);
-        // The call after it may be refused or reset; then all calls are answered.
+        // The call after it may be rejected or reset; then all calls are answered.
         if !matches!(next_fault, Fault::NoResponse | Fault::ConnectTimeout) {
             sidecar.fail(match next_fault {
                 Fault::ResetAfterMs(millis) => Fault::ResetAfterMs(millis / 4),
