--- a/crates/balancer/src/api/settings.rs
+++ b/crates/balancer/src/api/settings.rs
@@ -1,6 +1,6 @@
 //! Settings of one instance: the deployment, what it permits and what it optimizes.
 
-use super::Class;
+use super::{Class, ClassId};
 use mintshelf_time::Nanos;
 
 /// A tenant's quota.
@@ -134,6 +134,21 @@
 }
 
 impl Settings {
+    /// The settings of a class, which must be one of [`Self::class_ids`].
+    pub(crate) fn class(&self, id: ClassId) -> &Class {
+        &self.classes[id.index()]
+    }
+
+    /// Whether there is a class of this number.
+    pub(crate) fn has_class(&self, id: ClassId) -> bool {
+        id.index() < self.classes.len()
+    }
+
+    /// The numbers of all classes.
+    pub(crate) fn class_ids(&self) -> impl Iterator<Item = ClassId> {
+        (0..self.classes.len()).map(ClassId::from_index)
+    }
+
     /// The value of a field in a load report, if the report has it.
     #[must_use]
     pub fn report_value(&self, report: &[f64], field: ReportField) -> Option<f64> {
--- a/crates/balancer/src/balancer/attempt_results.rs
+++ b/crates/balancer/src/balancer/attempt_results.rs
@@ -125,8 +125,10 @@
         let is_retryable = outcome != Outcome::Rejected && !request.is_streaming();
         if is_retryable && self.retry_budget.pay(price) {
             match self.draw_backoff(id) {
-                0 => self.advance(id),
-                after => self.set_request_timer(after, id, Timer::HoldExpired(id.clone())),
+                None => self.advance(id),
+                Some(after) => {
+                    self.set_request_timer(after, id, Timer::HoldExpired(id.clone()));
+                }
             }
         } else if !self.requests[id].has_attempt_in_flight() {
             self.end(id, EndReason::NoRetry);
@@ -136,14 +138,15 @@
     /// Delay before a further attempt: full jitter below the exponential bound, so that
     /// requests that failed together don't return together. There is none where the bound
     /// might outlast the request.
-    fn draw_backoff(&mut self, id: &RequestId) -> Nanos {
-        let Some(request) = self.requests.get(id) else { return 0 };
-        let class = &self.settings.classes[request.class.index()];
+    fn draw_backoff(&mut self, id: &RequestId) -> Option<Nanos> {
+        let request = self.requests.get(id)?;
+        let class = self.settings.class(request.class);
         let bound = class.backoff.bound(request.attempts().len());
         if bound == 0 || self.now + bound >= request.deadline {
-            return 0;
+            return None;
         }
-        from_float(self.rng.draw() * as_float(bound))
+        let delay = from_float(self.rng.draw() * as_float(bound));
+        Some(delay).filter(|delay| *delay > 0)
     }
 
     /// Counts a silent attempt as congestion: its time-out may come long after an overload began.
@@ -156,7 +159,7 @@
         let Some(index) = self.servers.index_of(awaited.server) else { return };
         // If what was sent later is served, there is no queue: one class is at fault, and the
         // others keep the server. A lone heavy request costs its class the server for a while.
-        let objective = self.settings.classes[awaited.class.index()].latency_objective;
+        let objective = self.settings.class(awaited.class).latency_objective;
         let later = awaited.sent_at + objective / LATER_RESPONSE_OBJECTIVE_PARTS;
         let server = &mut self.servers[index];
         if server.last_served_sent_at > later {
--- a/crates/balancer/src/balancer/attempts.rs
+++ b/crates/balancer/src/balancer/attempts.rs
@@ -23,7 +23,7 @@
 impl Balancer {
     pub(super) fn on_request(&mut self, id: &RequestId, request: Request, arrival: Arrival) {
         let class = request.class;
-        if class.index() >= self.settings.classes.len() || self.requests.contains_key(id) {
+        if !self.settings.has_class(class) || self.requests.contains_key(id) {
             return;
         }
         self.count_arrival(&request, arrival);
@@ -61,7 +61,7 @@
             return;
         }
         let request = &self.requests[id];
-        let class = &self.settings.classes[request.class.index()];
+        let class = self.settings.class(request.class);
         let may_send = self.permitted_actions(request, self.now).send != SendPermission::Forbidden;
         if may_send && self.now < hold_until(class, request.arrived_at, request.deadline) {
             self.set_request_timer(HOLD_RETRY_INTERVAL, id, Timer::HoldExpired(id.clone()));
@@ -93,7 +93,7 @@
     fn draw_candidates(&mut self, id: &RequestId) -> Option<Candidates> {
         let request = self.requests.get(id)?;
         let permission = self.permitted_actions(request, self.now).send;
-        let group = self.settings.classes[request.class.index()].group;
+        let group = self.settings.class(request.class).group;
         let group = RetryGroup::new(permission, group, &self.servers)?;
         let context = SelectionContext {
             now: self.now,
@@ -133,14 +133,14 @@
 
     fn overdue_after(&self, request: &Request, index: usize) -> Nanos {
         let model = self.estimators.hardware_model(&self.servers[index]);
-        let class = &self.settings.classes[request.class.index()];
+        let class = self.settings.class(request.class);
         overdue_after(&self.estimators.latency, class, request, model)
     }
 
     /// Sends a hedge beside a slow first attempt, if the class and the retry budget allow it.
     pub(super) fn on_hedge_requested(&mut self, id: &RequestId) {
         let Some(request) = self.requests.get(id) else { return };
-        let is_safe = self.settings.classes[request.class.index()].effect == Effect::Safe;
+        let is_safe = self.settings.class(request.class).effect == Effect::Safe;
         let may_hedge = is_safe && request.has_one_in_flight() && self.retry_budget.covers(1.0);
         if may_hedge && self.try_send(id) {
             self.retry_budget.pay(1.0);
--- a/crates/balancer/src/balancer/mod.rs
+++ b/crates/balancer/src/balancer/mod.rs
@@ -241,7 +241,7 @@
 
     /// What the safety rules permit for a request at the time `at`.
     fn permitted_actions(&self, request: &Request, at: Nanos) -> PermittedActions {
-        let class = &self.settings.classes[request.class.index()];
+        let class = self.settings.class(request.class);
         permitted_actions(class, AttemptLimits::new(&self.settings), &request.progress(), at)
     }
 
--- a/crates/balancer/src/decide/admission.rs
+++ b/crates/balancer/src/decide/admission.rs
@@ -162,15 +162,14 @@
         settings: &Settings,
         latency: &LatencyModel,
     ) -> bool {
-        let index = request.class.index();
-        let class = &settings.classes[index];
-        if latency.samples(index) <= FUTILE_MIN_SAMPLES {
+        let class = settings.class(request.class);
+        if latency.samples(request.class) <= FUTILE_MIN_SAMPLES {
             return false;
         }
         let remaining = request.deadline.saturating_sub(now);
         if remaining < class.latency_objective {
             let factor = (OVERLOAD_LATENCY_POWER * self.reject_level).exp();
-            if as_float(remaining) < latency.present(now, index) * factor {
+            if as_float(remaining) < latency.present(now, request.class) * factor {
                 return true;
             }
         }
@@ -183,17 +182,17 @@
     /// Divides the reject level among the classes: the least weight per unit of work first
     /// where the objective gains by it, else all alike.
     fn divide_among_classes(&mut self, settings: &Settings, latency: &LatencyModel) {
-        let classes = self.class_mix.len();
         let mix = &self.class_mix;
-        let work = shares(classes, |class| mix[class] * latency.typical(class));
+        let work = shares(settings, |class| mix[class.index()] * latency.typical(class));
         let weighted_by = if settings.is_weighted_by_work { &work } else { mix };
-        let weight =
-            shares(classes, |class| settings.classes[class].priority_weight * weighted_by[class]);
+        let weight = shares(settings, |class| {
+            settings.class(class).priority_weight * weighted_by[class.index()]
+        });
         let density = |class: usize| weight[class] / work[class].max(MIN_DIVISOR);
-        let mut by_density: Vec<usize> = (0..classes).collect();
+        let mut by_density: Vec<usize> = (0..mix.len()).collect();
         by_density.sort_by(|one, other| density(*one).total_cmp(&density(*other)));
         let low = by_density[0];
-        let high = by_density[classes - 1];
+        let high = by_density[mix.len() - 1];
         let Objective { overall, worst_window, worst_class, .. } = settings.objective;
         let gain = (overall + worst_window) * work[low] * (density(high) - density(low));
         let rejects_least_dense_first = gain > worst_class;
@@ -213,7 +212,7 @@
 }
 
 /// Shares of the classes in the sum of a quantity.
-fn shares(classes: usize, quantity: impl Fn(usize) -> f64) -> Vec<f64> {
-    let sum: f64 = (0..classes).map(&quantity).sum();
-    (0..classes).map(|class| quantity(class) / sum.max(MIN_DIVISOR)).collect()
+fn shares(settings: &Settings, quantity: impl Fn(ClassId) -> f64) -> Vec<f64> {
+    let sum: f64 = settings.class_ids().map(&quantity).sum();
+    settings.class_ids().map(|class| quantity(class) / sum.max(MIN_DIVISOR)).collect()
 }
--- a/crates/balancer/src/decide/candidates.rs
+++ b/crates/balancer/src/decide/candidates.rs
@@ -91,7 +91,7 @@
         }
         let size = subset_size(context, servers);
         let chosen = healthy_servers(servers, size, now);
-        let classes = 0..context.settings.classes.len();
+        let classes = context.settings.class_ids();
         self.by_class = classes.map(|class| context.class_order(servers, class, &chosen)).collect();
         self.refreshed_at = now;
         self.is_stale = false;
@@ -153,10 +153,9 @@
 impl SelectionContext<'_> {
     /// The order for a class: the chosen servers that are not ejected for it, or all of them if
     /// most are, since then it is the requests that are heavy.
-    fn class_order(&self, servers: &ServerTable, class: usize, chosen: &[usize]) -> ServerOrder {
-        let id = ClassId::from_index(class);
+    fn class_order(&self, servers: &ServerTable, class: ClassId, chosen: &[usize]) -> ServerOrder {
         let is_ejected =
-            |index: &&usize| servers[**index].health.is_ejected_for_class(id, self.now);
+            |index: &&usize| servers[**index].health.is_ejected_for_class(class, self.now);
         let ignores_ejections = 2 * chosen.iter().filter(is_ejected).count() > chosen.len();
         let members = chosen.iter().filter(|index| ignores_ejections || !is_ejected(index));
         self.order(servers, class, members.copied())
@@ -171,17 +170,17 @@
         request: &Request,
     ) -> ServerOrder {
         members.retain(|index| self.estimators.may_send(self.now, servers, *index));
-        let expected = members.iter().map(|index| self.expected_latency(servers, *index, request));
-        let least = expected.fold(f64::INFINITY, f64::min);
+        let latency = |index: &usize| self.expected_latency(servers, *index, request);
+        let least = members.iter().filter_map(latency).fold(f64::INFINITY, f64::min);
         let max = least.max(self.max_latency(request)) * LATENCY_TOLERANCE;
-        members.retain(|index| self.expected_latency(servers, *index, request) <= max);
-        self.order(servers, request.class.index(), members.into_iter())
+        members.retain(|index| latency(index).is_none_or(|latency| latency <= max));
+        self.order(servers, request.class, members.into_iter())
     }
 
     fn order(
         &self,
         servers: &ServerTable,
-        class: usize,
+        class: ClassId,
         members: impl Iterator<Item = usize>,
     ) -> ServerOrder {
         let speed = |index| self.estimators.speed_for(self.now, class, &servers[index]);
@@ -197,7 +196,9 @@
         let max_latency = self.max_latency(request);
         let mut is_eligible = |index| {
             self.estimators.may_send(self.now, servers, index)
-                && self.expected_latency(servers, index, request) <= max_latency
+                && self
+                    .expected_latency(servers, index, request)
+                    .is_none_or(|latency| latency <= max_latency)
         };
         match drawn {
             Candidates::One(index) => is_eligible(index),
@@ -207,11 +208,16 @@
 
     /// Expected latency in nanoseconds up to which a server is eligible for a request.
     fn max_latency(&self, request: &Request) -> f64 {
-        let class = &self.settings.classes[request.class.index()];
+        let class = self.settings.class(request.class);
         as_float(class.latency_objective) * ELIGIBLE_OBJECTIVE_FRACTION
     }
 
-    fn expected_latency(&self, servers: &ServerTable, index: usize, request: &Request) -> f64 {
+    fn expected_latency(
+        &self,
+        servers: &ServerTable,
+        index: usize,
+        request: &Request,
+    ) -> Option<f64> {
         self.estimators.expected_latency(self.now, &servers[index], request)
     }
 }
--- a/crates/balancer/src/decide/estimators.rs
+++ b/crates/balancer/src/decide/estimators.rs
@@ -3,7 +3,7 @@
 use super::latency_model::LatencyModel;
 use super::slow_start::SlowStart;
 use super::traffic::TrafficRates;
-use crate::api::{Settings, SizeKind};
+use crate::api::{ClassId, Settings, SizeKind};
 use crate::state::{Request, ServerState, ServerTable};
 use mintshelf_time::Nanos;
 
@@ -87,7 +87,7 @@
 
     /// Speed of a server for a class: how its hardware model suits this class, against how it
     /// suits all.
-    pub(crate) fn speed_for(&self, now: Nanos, class: usize, server: &ServerState) -> f64 {
+    pub(crate) fn speed_for(&self, now: Nanos, class: ClassId, server: &ServerState) -> f64 {
         let model = self.hardware_model(server);
         let offset = self.latency.model_offset(class, model);
         let fit = match self.size_kind {
@@ -98,16 +98,16 @@
         self.speed(now, server) * fit.exp()
     }
 
-    /// Expected latency in nanoseconds of a request of known work at a server; 0 if unknown.
+    /// Expected latency in nanoseconds of a request of known work at a server; `None` if unknown.
     pub(crate) fn expected_latency(
         &self,
         now: Nanos,
         server: &ServerState,
         request: &Request,
-    ) -> f64 {
-        let slowness = self.latency.slowness(now, &server.latency);
-        self.latency.for_work(request.class, request.log_work, self.hardware_model(server))
-            * slowness.exp()
+    ) -> Option<f64> {
+        let model = self.hardware_model(server);
+        let expected = self.latency.for_work(request.class, request.log_work, model)?;
+        Some(expected * self.latency.slowness(now, &server.latency).exp())
     }
 
     /// Capacity of all servers in service, in units of listed size.
--- a/crates/balancer/src/decide/latency_model.rs
+++ b/crates/balancer/src/decide/latency_model.rs
@@ -158,35 +158,39 @@
     }
 
     /// Typical latency of a class in nanoseconds; a part of its objective until one was observed.
-    pub(crate) fn typical(&self, class: usize) -> f64 {
-        let class = &self.classes[class];
-        class.typical.map_or(class.presumed, f64::exp)
+    pub(crate) fn typical(&self, class: ClassId) -> f64 {
+        self.classes[class.index()].typical()
     }
 
     /// Mean over the classes of their typical latencies, in nanoseconds.
     pub(crate) fn mean_typical(&self) -> f64 {
-        let sum: f64 = (0..self.classes.len()).map(|class| self.typical(class)).sum();
+        let sum: f64 = self.classes.iter().map(ClassLatency::typical).sum();
         sum / self.classes.len() as f64
     }
 
     /// Typical latency of a class on a hardware model, in nanoseconds.
-    pub(crate) fn typical_on(&self, class: usize, model: usize) -> f64 {
-        self.typical(class) * self.classes[class].model_offsets[model].exp()
+    pub(crate) fn typical_on(&self, class: ClassId, model: usize) -> f64 {
+        self.typical(class) * self.model_offset(class, model).exp()
     }
 
     /// Present latency of a class in nanoseconds: its typical one times the recent ratio of all.
-    pub(crate) fn present(&self, now: Nanos, class: usize) -> f64 {
+    pub(crate) fn present(&self, now: Nanos, class: ClassId) -> f64 {
         let ratio = self.recent_ratio.get(now, RECENT_RATIO_HALF_LIFE, RECENT_RATIO_PRIOR_SAMPLES);
         self.typical(class) * ratio.exp()
     }
 
-    /// Typical latency in nanoseconds of a request of known work on a hardware model; 0 if that
-    /// is unknown.
-    pub(crate) fn for_work(&self, class: ClassId, log_work: Option<f64>, model: usize) -> f64 {
+    /// Typical latency in nanoseconds of a request of known work on a hardware model; `None` if
+    /// that is unknown.
+    pub(crate) fn for_work(
+        &self,
+        class: ClassId,
+        log_work: Option<f64>,
+        model: usize,
+    ) -> Option<f64> {
         let class = &self.classes[class.index()];
         let offset = class.model_offsets[model];
-        let known = log_work.zip(class.typical_per_work);
-        known.map_or(0.0, |(log_work, per_work)| (log_work + per_work + offset).exp())
+        let (log_work, per_work) = log_work.zip(class.typical_per_work)?;
+        Some((log_work + per_work + offset).exp())
     }
 
     /// Typical latency in nanoseconds of a request of known work on the fastest hardware model;
@@ -199,13 +203,13 @@
     }
 
     /// Number of served attempts of a class that were observed.
-    pub(crate) fn samples(&self, class: usize) -> f64 {
-        self.classes[class].samples
+    pub(crate) fn samples(&self, class: ClassId) -> f64 {
+        self.classes[class.index()].samples
     }
 
     /// What a hardware model adds to the log latency of a class.
-    pub(crate) fn model_offset(&self, class: usize, model: usize) -> f64 {
-        self.classes[class].model_offsets[model]
+    pub(crate) fn model_offset(&self, class: ClassId, model: usize) -> f64 {
+        self.classes[class.index()].model_offsets[model]
     }
 
     /// Mean over the classes of what a hardware model adds to their log latencies.
@@ -216,6 +220,11 @@
 }
 
 impl ClassLatency {
+    /// Typical latency in nanoseconds.
+    fn typical(&self) -> f64 {
+        self.typical.map_or(self.presumed, f64::exp)
+    }
+
     /// Moves the typical latencies and the offset of the hardware model towards a sample; returns
     /// the sample's bounded log ratio to the typical latency. With the work known, that ratio is
     /// of the latency over work: the rest of the time is due to the server.
--- a/crates/balancer/src/decide/load_reports.rs
+++ b/crates/balancer/src/decide/load_reports.rs
@@ -2,7 +2,7 @@
 
 use super::estimators::Estimators;
 use super::server_report::ReportFreshness;
-use crate::api::{ReportField, RequestId, Settings};
+use crate::api::{ClassId, ReportField, RequestId, Settings};
 use crate::server_order::AdjacentPair;
 use crate::state::{ServerState, ServerTable};
 use mintshelf_time::{as_float, Nanos};
@@ -119,11 +119,10 @@
 /// Longest wait at a server, in nanoseconds: one bound for all classes, or long objectives crowd
 /// out short ones.
 pub(crate) fn max_wait(settings: &Settings, estimators: &Estimators) -> f64 {
-    let spare = |class: usize| {
-        let objective = as_float(settings.classes[class].latency_objective);
+    let spare = |class: ClassId| {
+        let objective = as_float(settings.class(class).latency_objective);
         let reserved = RESERVED_LATENCY_MULTIPLE * estimators.latency.typical(class);
         (objective - reserved).max(MIN_SPARE_OBJECTIVE_FRACTION * objective)
     };
-    let classes = 0..settings.classes.len();
-    classes.map(spare).fold(f64::INFINITY, f64::min) * MAX_WAIT_SPARE_FRACTION
+    settings.class_ids().map(spare).fold(f64::INFINITY, f64::min) * MAX_WAIT_SPARE_FRACTION
 }
