--- a/crates/balancer/src/balancer/attempt_results.rs
+++ b/crates/balancer/src/balancer/attempt_results.rs
@@ -5,7 +5,7 @@
 use crate::decide::admission::Congestion;
 use crate::decide::estimators::Estimators;
 use crate::decide::latency_model::{LatencyBound, LatencySample};
-use crate::state::{AttemptRecord, Timer};
+use crate::state::{AttemptRecord, ServerIndex, Timer};
 use mintshelf_time::{as_float, from_float, Nanos};
 
 /// What a rejection by a full queue counts as, of a congested attempt.
@@ -72,7 +72,7 @@
         is_unresponsive
     }
 
-    fn record_served(&mut self, index: usize, ended: &AttemptRecord, elapsed: Nanos) {
+    fn record_served(&mut self, index: ServerIndex, ended: &AttemptRecord, elapsed: Nanos) {
         self.servers[index].record_served(ended.sent_at);
         self.learn(index, ended, elapsed, LatencyBound::Exact);
         self.servers[index].health.record_success();
@@ -83,7 +83,13 @@
         self.estimators.traffic.count_served(self.now, per_capacity);
     }
 
-    fn learn(&mut self, index: usize, ended: &AttemptRecord, elapsed: Nanos, bound: LatencyBound) {
+    fn learn(
+        &mut self,
+        index: ServerIndex,
+        ended: &AttemptRecord,
+        elapsed: Nanos,
+        bound: LatencyBound,
+    ) {
         let AttemptRecord { class, log_work, .. } = *ended;
         let sample = LatencySample { class, log_work, elapsed, bound };
         let model = self.estimators.hardware_model(&self.servers[index]);
@@ -92,18 +98,18 @@
     }
 
     /// Records a failure of a server, which may eject it.
-    pub(super) fn record_failure(&mut self, index: usize, weight: f64) {
+    pub(super) fn record_failure(&mut self, index: ServerIndex, weight: f64) {
         let is_ejected = self.servers[index].health.record_failure(self.now, weight);
         self.on_health_changed(index, is_ejected);
     }
 
     /// Records a fault of a server, which ejects it.
-    pub(super) fn record_fault(&mut self, index: usize) {
+    pub(super) fn record_fault(&mut self, index: ServerIndex) {
         let is_ejected = self.servers[index].health.record_fault(self.now);
         self.on_health_changed(index, is_ejected);
     }
 
-    fn on_health_changed(&mut self, index: usize, is_ejected: bool) {
+    fn on_health_changed(&mut self, index: ServerIndex, is_ejected: bool) {
         if is_ejected {
             self.servers.suspect(index);
             self.orders.invalidate();
@@ -178,7 +184,7 @@
 
     /// Whether a server was silent for half of an attempt while others responded: it is
     /// unresponsive, since an overloaded one would answer what came before.
-    fn is_unresponsive(&self, index: usize, sent_at: Nanos) -> bool {
+    fn is_unresponsive(&self, index: ServerIndex, sent_at: Nanos) -> bool {
         let half = self.now - self.now.saturating_sub(sent_at) / 2;
         self.settings.is_silence_local
             && self.servers[index].last_response_at < half
--- a/crates/balancer/src/balancer/attempts.rs
+++ b/crates/balancer/src/balancer/attempts.rs
@@ -9,7 +9,7 @@
 use crate::decide::retry_group::RetryGroup;
 use crate::decide::retry_safety::SendPermission;
 use crate::server_order::{AdjacentPair, Candidates};
-use crate::state::{Request, Timer};
+use crate::state::{Request, ServerIndex, Timer};
 use mintshelf_time::Nanos;
 
 /// What a request counts as in the traffic.
@@ -90,7 +90,7 @@
 
     /// Draws the candidates for the next attempt of a request; `None` if none is permitted or no
     /// server is eligible.
-    fn draw_candidates(&mut self, id: &RequestId) -> Option<Candidates> {
+    fn draw_candidates(&mut self, id: &RequestId) -> Option<Candidates<ServerIndex>> {
         let request = self.requests.get(id)?;
         let permission = self.permitted_actions(request, self.now).send;
         let group = self.settings.class(request.class).group;
@@ -104,7 +104,7 @@
     }
 
     /// Probes both servers of a pair and has the request wait for their reports.
-    fn probe_pair(&mut self, id: &RequestId, pair: AdjacentPair) {
+    fn probe_pair(&mut self, id: &RequestId, pair: AdjacentPair<ServerIndex>) {
         let Some(request) = self.requests.get_mut(id) else { return };
         request.awaited_pair = Some(pair);
         let remaining = request.deadline.saturating_sub(self.now);
@@ -117,7 +117,7 @@
     }
 
     /// Sends an attempt of a request to a server.
-    pub(super) fn send(&mut self, id: &RequestId, index: usize) {
+    pub(super) fn send(&mut self, id: &RequestId, index: ServerIndex) {
         let Some(request) = self.requests.get_mut(id) else { return };
         let server = self.servers[index].listed.id;
         let attempt = request.record_send(server, self.now);
@@ -131,7 +131,7 @@
         }
     }
 
-    fn overdue_after(&self, request: &Request, index: usize) -> Nanos {
+    fn overdue_after(&self, request: &Request, index: ServerIndex) -> Nanos {
         let model = self.estimators.hardware_model(&self.servers[index]);
         let class = self.settings.class(request.class);
         overdue_after(&self.estimators.latency, class, request, model)
--- a/crates/balancer/src/balancer/reports.rs
+++ b/crates/balancer/src/balancer/reports.rs
@@ -5,13 +5,14 @@
 use crate::decide::load_reports;
 use crate::decide::retry_safety::SendPermission;
 use crate::server_order::AdjacentPair;
+use crate::state::ServerIndex;
 
 /// Weight of a failed probe, as a failure of its server.
 const PROBE_FAILURE_WEIGHT: f64 = 0.5;
 
 impl Balancer {
     /// Probes a server for its load, unless that was done just now.
-    pub(super) fn probe(&mut self, index: usize) {
+    pub(super) fn probe(&mut self, index: ServerIndex) {
         let server = &mut self.servers[index];
         if server.is_live() && server.report.begin_probe(self.now) {
             self.actions.push(Action::Probe { server: server.listed.id });
@@ -30,7 +31,7 @@
         }
     }
 
-    fn on_report(&mut self, index: usize, values: &[f64]) {
+    fn on_report(&mut self, index: ServerIndex, values: &[f64]) {
         let reports = &mut self.load_reports;
         let estimators = &self.estimators;
         let settings = &self.settings;
@@ -59,12 +60,12 @@
     }
 
     /// The pair whose reports an open request waits for.
-    fn awaited_pair(&self, id: &RequestId) -> Option<AdjacentPair> {
+    fn awaited_pair(&self, id: &RequestId) -> Option<AdjacentPair<ServerIndex>> {
         let open = self.requests.get(id).filter(|request| !request.is_finished())?;
         open.awaited_pair
     }
 
-    fn choose_of_pair(&mut self, id: &RequestId, pair: &AdjacentPair) {
+    fn choose_of_pair(&mut self, id: &RequestId, pair: &AdjacentPair<ServerIndex>) {
         let Some(request) = self.requests.get_mut(id) else { return };
         request.awaited_pair = None;
         let is_first = request.attempts().is_empty();
@@ -81,7 +82,7 @@
     }
 
     /// Whether the expected wait at a server is longer than any class can afford.
-    fn is_queue_too_long(&self, index: usize) -> bool {
+    fn is_queue_too_long(&self, index: ServerIndex) -> bool {
         let mean_speed = self.orders.mean_speed();
         let server = &self.servers[index];
         let wait = load_reports::expected_wait(&self.estimators, server, mean_speed, self.now);
@@ -89,7 +90,7 @@
     }
 
     /// The better server of a pair if it is eligible, else the other one if that is.
-    fn join_eligible(&mut self, pair: &AdjacentPair) -> Option<usize> {
+    fn join_eligible(&mut self, pair: &AdjacentPair<ServerIndex>) -> Option<ServerIndex> {
         let queues = load_reports::queues(&self.servers, pair, self.now);
         let first = pair.join(|| self.rng.draw(), queues);
         let other = if pair.servers[0] == first { pair.servers[1] } else { pair.servers[0] };
--- a/crates/balancer/src/decide/candidates.rs
+++ b/crates/balancer/src/decide/candidates.rs
@@ -7,7 +7,7 @@
 use crate::api::{ClassId, Settings};
 use crate::rng::Rng;
 use crate::server_order::{Candidates, ServerOrder};
-use crate::state::{Request, ServerTable};
+use crate::state::{Request, ServerIndex, ServerTable};
 use mintshelf_time::{as_float, Nanos, MILLISECOND, SECOND};
 
 /// The orders are refreshed at least this often, since speeds drift.
@@ -41,7 +41,7 @@
 #[derive(Debug)]
 pub(crate) struct ClassOrders {
     /// One order for each class; empty until first refreshed.
-    by_class: Vec<ServerOrder>,
+    by_class: Vec<ServerOrder<ServerIndex>>,
     refreshed_at: Nanos,
     /// Whether they must be refreshed before the next use.
     is_stale: bool,
@@ -71,7 +71,7 @@
         rng: &mut Rng,
         request: &Request,
         group: RetryGroup,
-    ) -> Option<Candidates> {
+    ) -> Option<Candidates<ServerIndex>> {
         self.refresh(context, servers);
         let order = &self.by_class[request.class.index()];
         if request.attempts().is_empty() {
@@ -99,7 +99,7 @@
 }
 
 /// The first healthy servers in service, up to `max` of them.
-fn healthy_servers(servers: &mut ServerTable, max: usize, now: Nanos) -> Vec<usize> {
+fn healthy_servers(servers: &mut ServerTable, max: usize, now: Nanos) -> Vec<ServerIndex> {
     let total_size = servers.capacity().size();
     let filter = HealthFilter::new(total_size, servers.unhealthy(now), now);
     let in_service = servers.in_service().iter();
@@ -128,22 +128,23 @@
 /// else any.
 fn untried_servers(
     servers: &ServerTable,
-    order: &[usize],
+    order: &[ServerIndex],
     request: &Request,
     group: RetryGroup,
-) -> Vec<usize> {
-    let is_untried = |index: &usize| {
+) -> Vec<ServerIndex> {
+    let is_untried = |index: &ServerIndex| {
         let id = servers[*index].listed.id;
         request.attempts().iter().all(|attempt| attempt.server != id)
     };
-    let is_in_group = |index: &usize| group.contains(&servers[*index].listed);
+    let is_in_group = |index: &ServerIndex| group.contains(&servers[*index].listed);
     let in_order = order.iter().copied().filter(is_in_group).filter(is_untried);
-    let in_order: Vec<usize> = in_order.collect();
+    let in_order: Vec<ServerIndex> = in_order.collect();
     if !in_order.is_empty() {
         return in_order;
     }
     let Some(group) = group.servers(servers) else { return Vec::new() };
-    let untried: Vec<usize> = group.iter().filter(is_untried).take(MAX_FALLBACK_SERVERS).collect();
+    let untried: Vec<ServerIndex> =
+        group.iter().filter(is_untried).take(MAX_FALLBACK_SERVERS).collect();
     if !untried.is_empty() {
         return untried;
     }
@@ -153,9 +154,14 @@
 impl SelectionContext<'_> {
     /// The order for a class: the chosen servers that are not ejected for it, or all of them if
     /// most are, since then it is the requests that are heavy.
-    fn class_order(&self, servers: &ServerTable, class: ClassId, chosen: &[usize]) -> ServerOrder {
+    fn class_order(
+        &self,
+        servers: &ServerTable,
+        class: ClassId,
+        chosen: &[ServerIndex],
+    ) -> ServerOrder<ServerIndex> {
         let is_ejected =
-            |index: &&usize| servers[**index].health.is_ejected_for_class(class, self.now);
+            |index: &&ServerIndex| servers[**index].health.is_ejected_for_class(class, self.now);
         let ignores_ejections = 2 * chosen.iter().filter(is_ejected).count() > chosen.len();
         let members = chosen.iter().filter(|index| ignores_ejections || !is_ejected(index));
         self.order(servers, class, members.copied())
@@ -166,11 +172,11 @@
     fn fallback_order(
         &self,
         servers: &mut ServerTable,
-        mut members: Vec<usize>,
+        mut members: Vec<ServerIndex>,
         request: &Request,
-    ) -> ServerOrder {
+    ) -> ServerOrder<ServerIndex> {
         members.retain(|index| self.estimators.may_send(self.now, servers, *index));
-        let latency = |index: &usize| self.expected_latency(servers, *index, request);
+        let latency = |index: &ServerIndex| self.expected_latency(servers, *index, request);
         let least = members.iter().filter_map(latency).fold(f64::INFINITY, f64::min);
         let max = least.max(self.max_latency(request)) * LATENCY_TOLERANCE;
         members.retain(|index| latency(index).is_none_or(|latency| latency <= max));
@@ -181,8 +187,8 @@
         &self,
         servers: &ServerTable,
         class: ClassId,
-        members: impl Iterator<Item = usize>,
-    ) -> ServerOrder {
+        members: impl Iterator<Item = ServerIndex>,
+    ) -> ServerOrder<ServerIndex> {
         let speed = |index| self.estimators.speed_for(self.now, class, &servers[index]);
         ServerOrder::new(members.map(|index| (index, speed(index))))
     }
@@ -190,7 +196,7 @@
     fn are_eligible(
         &self,
         servers: &mut ServerTable,
-        drawn: Candidates,
+        drawn: Candidates<ServerIndex>,
         request: &Request,
     ) -> bool {
         let max_latency = self.max_latency(request);
@@ -215,7 +221,7 @@
     fn expected_latency(
         &self,
         servers: &ServerTable,
-        index: usize,
+        index: ServerIndex,
         request: &Request,
     ) -> Option<f64> {
         self.estimators.expected_latency(self.now, &servers[index], request)
--- a/crates/balancer/src/decide/estimators.rs
+++ b/crates/balancer/src/decide/estimators.rs
@@ -4,7 +4,7 @@
 use super::slow_start::SlowStart;
 use super::traffic::TrafficRates;
 use crate::api::{ClassId, Settings, SizeKind};
-use crate::state::{Request, ServerState, ServerTable};
+use crate::state::{Request, ServerIndex, ServerState, ServerTable};
 use mintshelf_time::Nanos;
 
 /// Power of the latency ratio in a server's speed: above 1, load leaves an overloaded server.
@@ -125,7 +125,12 @@
 
     /// Whether a request may be sent to a server: it is in service and, while it warms up, has
     /// credit left. Every send is decided here.
-    pub(crate) fn may_send(&self, now: Nanos, servers: &mut ServerTable, index: usize) -> bool {
+    pub(crate) fn may_send(
+        &self,
+        now: Nanos,
+        servers: &mut ServerTable,
+        index: ServerIndex,
+    ) -> bool {
         let server = &servers[index];
         if !server.is_live() {
             return false;
--- a/crates/balancer/src/decide/load_reports.rs
+++ b/crates/balancer/src/decide/load_reports.rs
@@ -4,7 +4,7 @@
 use super::server_report::ReportFreshness;
 use crate::api::{ClassId, ReportField, RequestId, Settings};
 use crate::server_order::AdjacentPair;
-use crate::state::{ServerState, ServerTable};
+use crate::state::{ServerIndex, ServerState, ServerTable};
 use mintshelf_time::{as_float, Nanos};
 
 /// Requests presumed to be served concurrently by a server.
@@ -59,7 +59,7 @@
         settings: &Settings,
         estimators: &Estimators,
         servers: &mut ServerTable,
-        index: usize,
+        index: ServerIndex,
         values: &[f64],
     ) -> bool {
         let Some(queue) = settings.reported_queue(values) else { return false };
@@ -81,13 +81,21 @@
 }
 
 /// Whether both servers of a pair have fresh reports.
-pub(crate) fn have_reports(servers: &ServerTable, pair: &AdjacentPair, now: Nanos) -> bool {
+pub(crate) fn have_reports(
+    servers: &ServerTable,
+    pair: &AdjacentPair<ServerIndex>,
+    now: Nanos,
+) -> bool {
     pair.servers.iter().all(|index| servers[*index].report.is_fresh(now))
 }
 
 /// Queues that stand for a pair: if both reports are fresh, the reported ones with the requests
 /// sent since, else this instance's own requests in flight.
-pub(crate) fn queues(servers: &ServerTable, pair: &AdjacentPair, now: Nanos) -> [f64; 2] {
+pub(crate) fn queues(
+    servers: &ServerTable,
+    pair: &AdjacentPair<ServerIndex>,
+    now: Nanos,
+) -> [f64; 2] {
     let are_reported = have_reports(servers, pair, now);
     pair.servers.map(|index| {
         let server = &servers[index];
--- a/crates/balancer/src/server_order.rs
+++ b/crates/balancer/src/server_order.rs
@@ -1,5 +1,5 @@
-//! The line of servers of He and Down's limited-choice paper (section 4): servers of unequal
-//! speed in an order, of which each request compares two adjacent ones.
+//! The server order of He and Down's limited-choice paper (section 4): servers of unequal speed,
+//! of which each request compares two adjacent ones.
 
 /// Share of requests that go to a server without a comparison (the paper's p).
 const DEDICATED_SHARE: f64 = 0.05;
@@ -8,20 +8,27 @@
 /// Minimum speed, in place of speeds that are not positive numbers.
 const MIN_SPEED: f64 = 1e-9;
 
-/// An order of servers with their shares, pairs and tie probabilities.
-#[derive(Debug, Clone, Default)]
-pub struct ServerOrder {
-    members: Vec<usize>,
+/// An order of servers with their shares, pairs and tie probabilities. `Server` is what servers
+/// are referred to by.
+#[derive(Debug, Clone)]
+pub struct ServerOrder<Server = usize> {
+    members: Vec<Server>,
     speeds: Vec<f64>,
     cumulative_speeds: Vec<f64>,
     cumulative_pair_weights: Vec<f64>,
     epsilon: f64,
 }
 
-impl ServerOrder {
-    /// Takes servers (any index with a positive speed) in the given order.
-    pub fn new(servers: impl IntoIterator<Item = (usize, f64)>) -> Self {
-        let mut order = ServerOrder::default();
+impl<Server: Copy> ServerOrder<Server> {
+    /// Takes servers with their speeds, which should be positive, in the given order.
+    pub fn new(servers: impl IntoIterator<Item = (Server, f64)>) -> Self {
+        let mut order = ServerOrder {
+            members: Vec::new(),
+            speeds: Vec::new(),
+            cumulative_speeds: Vec::new(),
+            cumulative_pair_weights: Vec::new(),
+            epsilon: 0.0,
+        };
         let mut sum = 0.0;
         for (member, speed) in servers {
             let speed = if speed.is_finite() { speed.max(MIN_SPEED) } else { MIN_SPEED };
@@ -53,7 +60,7 @@
     }
 
     /// The servers, in order.
-    pub(crate) fn members(&self) -> &[usize] {
+    pub(crate) fn members(&self) -> &[Server] {
         &self.members
     }
 
@@ -90,7 +97,7 @@
 
     /// Draws the dedicated server or the adjacent pair of one request; `None` if there are no
     /// servers. `draw` returns uniform numbers in [0, 1).
-    pub fn draw(&self, mut draw: impl FnMut() -> f64) -> Option<Candidates> {
+    pub fn draw(&self, mut draw: impl FnMut() -> f64) -> Option<Candidates<Server>> {
         let count = self.members.len();
         if count <= 1 {
             return self.members.first().map(|server| Candidates::One(*server));
@@ -113,28 +120,28 @@
 
 /// The servers among which one request chooses.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Candidates {
+pub enum Candidates<Server = usize> {
     /// Its dedicated server.
-    One(usize),
+    One(Server),
     /// Two adjacent servers to compare.
-    AdjacentPair(AdjacentPair),
+    AdjacentPair(AdjacentPair<Server>),
 }
 
 /// Two adjacent servers of an order, left and right.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct AdjacentPair {
+pub struct AdjacentPair<Server = usize> {
     /// The servers.
-    pub servers: [usize; 2],
+    pub servers: [Server; 2],
     /// Their speeds.
     pub speeds: [f64; 2],
     /// Probability that a tie goes to the left one.
     pub left_share: f64,
 }
 
-impl AdjacentPair {
+impl<Server: Copy> AdjacentPair<Server> {
     /// Chooses the server with the shorter expected wait, queue over speed; ties are split by
     /// (4.4). `draw` returns uniform numbers in [0, 1).
-    pub fn join(&self, mut draw: impl FnMut() -> f64, queues: [f64; 2]) -> usize {
+    pub fn join(&self, mut draw: impl FnMut() -> f64, queues: [f64; 2]) -> Server {
         let [left, right] = [queues[0] / self.speeds[0], queues[1] / self.speeds[1]];
         let is_left = if left == right { draw() < self.left_share } else { left < right };
         self.servers[usize::from(!is_left)]
--- a/crates/balancer/src/state/capacity.rs
+++ b/crates/balancer/src/state/capacity.rs
@@ -1,6 +1,7 @@
 //! Sums over the servers in service, updated by each change: to sum over all servers for each
 //! request would cost work in proportion to the fleet.
 
+use super::server_index::ServerIndex;
 use mintshelf_time::{as_float, Nanos};
 use std::collections::BTreeMap;
 
@@ -11,7 +12,7 @@
 /// A server in service, as far as the sums go.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct CountedServer {
-    pub(crate) index: usize,
+    pub(crate) index: ServerIndex,
     /// Its listed size.
     pub(crate) size: f64,
     /// When it started, while it may still be warming up.
@@ -40,7 +41,7 @@
     warm_size: f64,
     warm_count: usize,
     /// Sizes of those that are warming up, by start and index.
-    warming: BTreeMap<(Nanos, usize), f64>,
+    warming: BTreeMap<(Nanos, ServerIndex), f64>,
     warming_size: f64,
     /// Sum of size times start, in seconds from the origin.
     warming_starts: f64,
@@ -122,7 +123,7 @@
         self.warm_size += size;
     }
 
-    fn remove_warming(&mut self, started_at: Nanos, index: usize) -> bool {
+    fn remove_warming(&mut self, started_at: Nanos, index: ServerIndex) -> bool {
         let Some(size) = self.warming.remove(&(started_at, index)) else { return false };
         self.warming_size -= size;
         self.warming_starts -= size * self.seconds(started_at);
--- a/crates/balancer/src/state/ordered_servers.rs
+++ b/crates/balancer/src/state/ordered_servers.rs
@@ -1,5 +1,6 @@
 //! Servers in service in this instance's order, which stays sorted as servers join and leave.
 
+use super::server_index::ServerIndex;
 use crate::api::ServerId;
 use std::collections::{BTreeSet, HashMap};
 use std::mem;
@@ -13,7 +14,7 @@
     pub(crate) rank: u64,
     pub(crate) id: ServerId,
     /// Its index in the table of servers.
-    pub(crate) index: usize,
+    pub(crate) index: ServerIndex,
 }
 
 /// A sorted list of servers, and the changes that have not been applied to it yet.
@@ -34,12 +35,12 @@
     }
 
     /// The index of the server at a position.
-    pub(crate) fn at(&self, position: usize) -> usize {
+    pub(crate) fn at(&self, position: usize) -> ServerIndex {
         self.keys[position].index
     }
 
     /// The indices of the servers, in order.
-    pub(crate) fn iter(&self) -> impl Iterator<Item = usize> + '_ {
+    pub(crate) fn iter(&self) -> impl Iterator<Item = ServerIndex> + '_ {
         self.keys.iter().map(|key| key.index)
     }
 
--- a/crates/balancer/src/state/request.rs
+++ b/crates/balancer/src/state/request.rs
@@ -1,5 +1,6 @@
 //! Records of requests and their attempts.
 
+use super::server_index::ServerIndex;
 use crate::api::{AttemptNumber, ClassId, Outcome, ServerId};
 use crate::decide::retry_safety::{PossibleRun, RequestProgress};
 use crate::server_order::AdjacentPair;
@@ -45,7 +46,7 @@
     pub(crate) arrived_at: Nanos,
     pub(crate) deadline: Nanos,
     /// The pair of servers whose load reports it waits for.
-    pub(crate) awaited_pair: Option<AdjacentPair>,
+    pub(crate) awaited_pair: Option<AdjacentPair<ServerIndex>>,
     attempts: Vec<Attempt>,
     is_finished: bool,
     is_streaming: bool,
--- a/crates/balancer/src/state/server_table.rs
+++ b/crates/balancer/src/state/server_table.rs
@@ -4,6 +4,7 @@
 use super::capacity::{CapacityTotals, CountedServer};
 use super::ordered_servers::{GroupedServers, OrderKey, OrderedServers};
 use super::server::ServerState;
+use super::server_index::ServerIndex;
 use crate::api::{Class, EndpointState, Group, ListedServer, ServerId, Settings};
 use mintshelf_time::Nanos;
 use std::collections::{BTreeSet, HashMap};
@@ -17,16 +18,16 @@
 /// [`ServerTable::apply_changes`].
 #[derive(Debug, Default)]
 pub(crate) struct ServerTable {
-    by_id: HashMap<ServerId, usize>,
+    by_id: HashMap<ServerId, ServerIndex>,
     servers: Vec<ServerState>,
     /// Removed servers: their places are reused, and the table would grow without bound
     /// otherwise, as ids are not.
-    removed: BTreeSet<usize>,
+    removed: BTreeSet<ServerIndex>,
     /// Number of complete lists so far.
     complete_lists: u64,
     /// Servers that may be ejected or have overdue attempts; only those that this instance has
     /// used.
-    suspects: BTreeSet<usize>,
+    suspects: BTreeSet<ServerIndex>,
     capacity: CapacityTotals,
     in_service: OrderedServers,
     /// Absent unless a class has deduplication groups of that kind.
@@ -47,7 +48,7 @@
     }
 
     /// Index of a server; `None` if it is not in the table.
-    pub(crate) fn index_of(&self, id: ServerId) -> Option<usize> {
+    pub(crate) fn index_of(&self, id: ServerId) -> Option<ServerIndex> {
         self.by_id.get(&id).copied()
     }
 
@@ -82,15 +83,15 @@
     }
 
     /// Notes that a server has been ejected or has an overdue attempt.
-    pub(crate) fn suspect(&mut self, index: usize) {
+    pub(crate) fn suspect(&mut self, index: ServerIndex) {
         self.suspects.insert(index);
     }
 
     /// Servers in service that are ejected or have overdue attempts at `now`.
     pub(crate) fn unhealthy(&mut self, now: Nanos) -> impl Iterator<Item = &ServerState> {
         let servers = &self.servers;
-        self.suspects.retain(|index| !servers[*index].is_healthy(now));
-        let unhealthy = self.suspects.iter().map(|index| &servers[*index]);
+        self.suspects.retain(|index| !servers[index.position()].is_healthy(now));
+        let unhealthy = self.suspects.iter().map(|index| &servers[index.position()]);
         unhealthy.filter(|server| server.is_live())
     }
 
@@ -102,12 +103,13 @@
 
     /// Applies a new entry to a server that is in the table. Returns false, and changes nothing,
     /// if the server has restarted since: what was known of it is out of date.
-    pub(crate) fn update(&mut self, index: usize, entry: &ListedServer) -> bool {
-        let server = &mut self.servers[index];
+    pub(crate) fn update(&mut self, index: ServerIndex, entry: &ListedServer) -> bool {
+        let list = self.complete_lists;
+        let server = &mut self[index];
         if entry.started_at > server.listed.started_at {
             return false;
         }
-        server.named_by_list = self.complete_lists;
+        server.named_by_list = list;
         if server.listed != *entry {
             self.change(index, |server| server.listed = entry.clone());
         }
@@ -115,7 +117,7 @@
     }
 
     /// Replaces what is known of a server that has restarted, but for the attempts in flight.
-    pub(crate) fn restart(&mut self, index: usize, fresh: ServerState) {
+    pub(crate) fn restart(&mut self, index: ServerIndex, fresh: ServerState) {
         let named_by_list = self.complete_lists;
         self.change(index, |server| {
             let in_flight = server.in_flight;
@@ -129,11 +131,12 @@
         server.named_by_list = self.complete_lists;
         let id = server.listed.id;
         let reused = self.removed.pop_first();
-        let index = reused.unwrap_or(self.servers.len());
+        let index = reused.unwrap_or(ServerIndex::new(self.servers.len()));
         if reused.is_some() {
-            self.by_id.remove(&self.servers[index].listed.id);
+            let previous = self[index].listed.id;
+            self.by_id.remove(&previous);
             self.suspects.remove(&index);
-            self.servers[index] = server;
+            self[index] = server;
         } else {
             self.servers.push(server);
         }
@@ -146,13 +149,12 @@
         let is_unnamed = |server: &ServerState| {
             !server.is_removed() && server.named_by_list != self.complete_lists
         };
-        let indices = 0..self.servers.len();
-        let unnamed: Vec<usize> =
-            indices.filter(|index| is_unnamed(&self.servers[*index])).collect();
+        let indices = (0..self.servers.len()).map(ServerIndex::new);
+        let unnamed: Vec<ServerIndex> = indices.filter(|index| is_unnamed(&self[*index])).collect();
         for index in &unnamed {
             self.change(*index, |server| server.listed.state = EndpointState::Removed);
         }
-        unnamed.iter().map(|index| self.servers[*index].listed.id).collect()
+        unnamed.iter().map(|index| self[*index].listed.id).collect()
     }
 
     /// Puts the changes since the last call into effect in the order.
@@ -165,23 +167,23 @@
     }
 
     /// Changes a server and what is derived from it.
-    fn change(&mut self, index: usize, change: impl FnOnce(&mut ServerState)) {
+    fn change(&mut self, index: ServerIndex, change: impl FnOnce(&mut ServerState)) {
         self.leave(index);
-        change(&mut self.servers[index]);
+        change(&mut self[index]);
         self.enter(index);
     }
 
     /// Counts a server where it belongs.
-    fn enter(&mut self, index: usize) {
-        if self.servers[index].is_removed() {
+    fn enter(&mut self, index: ServerIndex) {
+        if self[index].is_removed() {
             self.removed.insert(index);
         }
-        if !self.servers[index].is_live() {
+        if !self[index].is_live() {
             return;
         }
         self.capacity.add(self.counted(index));
         let key = self.order_key(index);
-        let ListedServer { zone, failure_domain, .. } = self.servers[index].listed;
+        let ListedServer { zone, failure_domain, .. } = self[index].listed;
         self.in_service.join(key);
         if let Some(zones) = &mut self.zones {
             zones.join(zone, key);
@@ -192,14 +194,14 @@
     }
 
     /// Takes a server out of everything that it is counted in.
-    fn leave(&mut self, index: usize) {
+    fn leave(&mut self, index: ServerIndex) {
         self.removed.remove(&index);
-        if !self.servers[index].is_live() {
+        if !self[index].is_live() {
             return;
         }
         self.capacity.remove(self.counted(index));
         let key = self.order_key(index);
-        let ListedServer { zone, failure_domain, .. } = self.servers[index].listed;
+        let ListedServer { zone, failure_domain, .. } = self[index].listed;
         self.in_service.leave(key);
         if let Some(zones) = &mut self.zones {
             zones.leave(zone, key);
@@ -209,27 +211,27 @@
         }
     }
 
-    fn counted(&self, index: usize) -> CountedServer {
-        let server = &self.servers[index];
+    fn counted(&self, index: ServerIndex) -> CountedServer {
+        let server = &self[index];
         CountedServer { index, size: server.listed.size, started_at: server.started_at }
     }
 
-    fn order_key(&self, index: usize) -> OrderKey {
-        let server = &self.servers[index];
+    fn order_key(&self, index: ServerIndex) -> OrderKey {
+        let server = &self[index];
         OrderKey { rank: server.order_rank, id: server.listed.id, index }
     }
 }
 
-impl Index<usize> for ServerTable {
+impl Index<ServerIndex> for ServerTable {
     type Output = ServerState;
 
-    fn index(&self, index: usize) -> &ServerState {
-        &self.servers[index]
+    fn index(&self, index: ServerIndex) -> &ServerState {
+        &self.servers[index.position()]
     }
 }
 
-impl IndexMut<usize> for ServerTable {
-    fn index_mut(&mut self, index: usize) -> &mut ServerState {
-        &mut self.servers[index]
+impl IndexMut<ServerIndex> for ServerTable {
+    fn index_mut(&mut self, index: ServerIndex) -> &mut ServerState {
+        &mut self.servers[index.position()]
     }
 }
