--- a/crates/proxy/src/cluster/attempt_start.rs
+++ b/crates/proxy/src/cluster/attempt_start.rs
@@ -18,8 +18,8 @@
 pub(super) struct AttemptOrder {
     pub(super) id: RequestId,
     pub(super) server: ServerId,
-    /// When it times out; absent where only the request's deadline bounds it.
-    pub(super) timeout_at: Option<Nanos>,
+    /// When it times out.
+    pub(super) timeout_at: Nanos,
 }
 
 /// An attempt that its request counts, and that has not been sent.
@@ -80,8 +80,7 @@
     // By the attempts before this one.
     let send_by = context.send_by(request);
     let NewAttempt { number, control, is_duplicate } = request.add_attempt(order.server, now);
-    let deadline = request.deadline;
-    let end_at = order.timeout_at.map_or(deadline, |timeout_at| timeout_at.min(deadline));
+    let end_at = order.timeout_at.min(request.deadline);
     // Two attempts at one server would wait in the same queue.
     let is_permitted = request.attempts.len() <= context.max_attempts && !is_duplicate;
     Some(RecordedAttempt { number, control, end_at, send_by, is_permitted })
--- a/crates/proxy/src/cluster/retry_trackers.rs
+++ b/crates/proxy/src/cluster/retry_trackers.rs
@@ -86,10 +86,9 @@
         }
     }
 
-    /// The median latency of a class in nanoseconds; 0 while it is unknown.
-    pub(crate) fn median_latency(&self, class: ClassId, now: Nanos) -> Nanos {
-        let tracker = self.tracker(class);
-        tracker.and_then(|tracker| tracker.borrow_mut().median_latency(now)).unwrap_or(0)
+    /// The median latency of a class in nanoseconds; none while it is unknown.
+    pub(crate) fn median_latency(&self, class: ClassId, now: Nanos) -> Option<Nanos> {
+        self.tracker(class)?.borrow_mut().median_latency(now)
     }
 
     /// Attempts that were ended for their own timeout, and hedges, of all classes.
--- a/crates/proxy/src/cluster/runtime.rs
+++ b/crates/proxy/src/cluster/runtime.rs
@@ -52,7 +52,7 @@
 /// ```
 pub struct ClusterRuntime {
     pub(super) state: RefCell<RuntimeState>,
-    pub(super) attempts: Rc<AttemptContext>,
+    pub(super) context: Rc<AttemptContext>,
     pub(super) clock: Clock,
     pub(super) upstream: Rc<Upstream>,
     pub(super) source: EndpointSource,
@@ -77,7 +77,7 @@
         let health_checker = HealthChecker::new(&spec, upstream.clone(), clock);
         let runtime = Rc::new(ClusterRuntime {
             state: RefCell::new(RuntimeState::new(balancer)),
-            attempts: Rc::new(AttemptContext::new(&spec, upstream.clone(), clock)),
+            context: Rc::new(AttemptContext::new(&spec, upstream.clone(), clock)),
             clock,
             upstream,
             source,
@@ -125,7 +125,7 @@
     /// Rejected clients may retry `retry_after` nanoseconds later.
     pub fn resolve_all(self: &Rc<Self>, retry_after: Nanos) {
         let mut state = self.state.borrow_mut();
-        state.resolve_all(&self.attempts.classes, retry_after);
+        state.resolve_all(&self.context.classes, retry_after);
         self.turn(&mut state);
     }
 
@@ -173,10 +173,8 @@
     fn perform(self: &Rc<Self>, state: &mut RuntimeState, action: Action) {
         match action {
             Action::Send { id, server, timeout_at } => {
-                // The module sends 0 where only the request's deadline bounds the attempt.
-                let timeout_at = Some(timeout_at).filter(|timeout_at| *timeout_at > 0);
                 let order = AttemptOrder { id, server, timeout_at };
-                start_attempt(&self.attempts, self, state, order);
+                start_attempt(&self.context, self, state, order);
             }
             Action::Cancel { id, attempt } => state.requests.cancel_attempt(&id, attempt),
             Action::Reject { id, retry_after, reason } => {
@@ -231,7 +229,7 @@
         let outcome = end.outcome;
         if let Some(ended) = state.requests.end_attempt(id, end, now) {
             if outcome.answered() {
-                self.attempts.retries.record_response(ended.class, now, ended.elapsed);
+                self.context.retries.record_response(ended.class, now, ended.elapsed);
             }
             self.observer.attempt_ended(id, number, outcome, &ended, &self.source.endpoints);
             if let Some(recovery) = &self.recovery {
--- a/crates/proxy/src/cluster/serve.rs
+++ b/crates/proxy/src/cluster/serve.rs
@@ -11,15 +11,15 @@
 use tokio::time::Instant;
 
 impl ClusterRuntime {
-    /// Hands a client's request to the module and waits for the final outcome.
-    /// Dropping the future reports to the module that the client has disconnected. `None` for a
-    /// request whose id is that of an open one: a server would take it for a hedge of that one.
+    /// Sends a client's request through the decision module, and waits for its final outcome; none
+    /// for a request whose id is that of an open one, as a server would take it for a hedge of that.
+    /// Dropping the future reports to the module that the client has disconnected.
     pub async fn serve(
         self: &Rc<Self>,
         metadata: RequestMetadata,
         request: UpstreamRequest,
     ) -> Option<RequestOutcome> {
-        let now = self.attempts.clock.now();
+        let now = self.clock.now();
         let Some(recovery) = &self.recovery else {
             return self.balance(now, metadata, request).await;
         };
@@ -29,8 +29,8 @@
         }
         let outcome = self.balance(now, metadata, request).await?;
         Some(recovery.request_ended(
-            self.attempts.clock.now(),
-            self.attempts.classes.get(class.index()),
+            self.clock.now(),
+            self.context.classes.get(class.index()),
             outcome,
         ))
     }
@@ -57,7 +57,7 @@
 
     /// When a client whose request has not been sent may retry, in nanoseconds.
     pub fn retry_after(&self, class: ClassId) -> Nanos {
-        let class = self.attempts.classes.get(class.index());
+        let class = self.context.classes.get(class.index());
         let recovery = self.recovery.as_ref();
         let retry_after =
             recovery.and_then(|recovery| recovery.retry_after(self.clock.now(), class, None));
@@ -78,8 +78,8 @@
         }
         let class = metadata.class;
         let deadline = now.saturating_add(metadata.client_timeout);
-        self.attempts.retries.record_request(class);
-        let settings = self.attempts.classes.get(class.index());
+        self.context.retries.record_request(class);
+        let settings = self.context.classes.get(class.index());
         let pending = PendingRequest::new(request, class, settings, deadline, response);
         let id = state.requests.insert(pending);
         trace::request_began(&id, &state.requests, metadata.client_timeout);
--- a/crates/proxy/src/cluster/status.rs
+++ b/crates/proxy/src/cluster/status.rs
@@ -49,13 +49,13 @@
         self.recovery.as_ref().map(RecoveryTracker::status)
     }
 
-    /// The median latency of a class in nanoseconds; 0 while it is unknown.
-    pub fn median_latency(&self, class: ClassId) -> Nanos {
-        self.attempts.retries.median_latency(class, self.clock.now())
+    /// The median latency of a class in nanoseconds; none while it is unknown.
+    pub fn median_latency(&self, class: ClassId) -> Option<Nanos> {
+        self.context.retries.median_latency(class, self.clock.now())
     }
 
     /// Attempts that were ended for their own timeout, and hedges, so far.
     pub fn attempt_counts(&self) -> AttemptCounts {
-        self.attempts.retries.counts()
+        self.context.retries.counts()
     }
 }
--- a/crates/proxy/src/gateway/dispatch.rs
+++ b/crates/proxy/src/gateway/dispatch.rs
@@ -54,7 +54,8 @@
             is_repeat,
             priority_weight,
             client_timeout,
-            expected_latency: runtime.median_latency(class),
+            // While the latency is unknown, a request may wait until its deadline.
+            expected_latency: runtime.median_latency(class).unwrap_or(0),
         };
         let retry_after = || runtime.retry_after(class);
         let admitted = controller.admit_to_cluster(cluster_name, queued, retry_after).await?;
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -11,6 +11,10 @@
 //! - [`upstream`]: connections to servers and the exchanges on them.
 //! - [`websocket`]: WebSocket connections, from their handshake on.
 //! - [`discovery`]: where the endpoints come from.
+//!
+//! The names of the platform's protocols are in two files alone: `platform_protocol.rs` and
+//! `discovery/protocol.rs`. Arrows point down only: `platform` and `gateway` use `websocket`, that
+//! uses `cluster` and `client`, and these use `upstream`.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
