--- a/crates/retry/src/schedule.rs
+++ b/crates/retry/src/schedule.rs
@@ -6,7 +6,7 @@
 
 pub use mintshelf_balancer::api::Backoff;
 use mintshelf_balancer::api::Effect;
-use mintshelf_balancer::decide::attempts::{HOLD_SHARE, HOLD_STEP};
+use mintshelf_balancer::decide::hold::{HOLD_RETRY_INTERVAL, MAX_HOLD_OBJECTIVE_FRACTION};
 use mintshelf_time::{as_float, from_float, Nanos};
 
 /// Shortest adaptive time-out, as a part of the latency objective: a second attempt can then still
@@ -112,6 +112,7 @@
 
     /// Bounds of an adaptive time-out. The upper one divides the deadline equally between the
     /// attempts, less the time for connections and backoff.
+    #[must_use]
     pub fn adaptive_bounds(&self) -> TimeoutBounds {
         let attempts = u64::from(self.max_attempts.max(1));
         let connecting = self.connect_timeout.saturating_mul(attempts);
@@ -144,6 +145,7 @@
     }
 
     /// All attempts in the worst case, the first at 0.
+    #[must_use]
     pub fn worst_case(&self) -> Vec<ScheduledAttempt> {
         let mut latest_start: Nanos = 0;
         let mut attempts = Vec::new();
@@ -167,19 +169,20 @@
 
     /// When attempt `number` starts at the latest, after one that started at `previous_start`.
     fn next_latest_start(&self, previous_start: Nanos, number: u32) -> Nanos {
-        let hold = from_float(as_float(self.latency_objective) * HOLD_SHARE);
+        let hold = from_float(as_float(self.latency_objective) * MAX_HOLD_OBJECTIVE_FRACTION);
         let mut latest_start = previous_start
             .saturating_add(self.max_attempt_duration())
             .saturating_add(self.max_backoff(number - 1));
         if latest_start < hold {
             // Without a server to send it to, the request may be held for that long.
-            latest_start = hold + HOLD_STEP;
+            latest_start = hold + HOLD_RETRY_INTERVAL;
         }
         latest_start.min(self.deadline.saturating_sub(1))
     }
 
     /// How many attempts can start before the deadline, each with its fixed time-out. A default
     /// number of attempts is lowered to this.
+    #[must_use]
     pub fn fitting_attempts(&self) -> u32 {
         match self.attempt_timeout {
             AttemptTimeout::Fixed(timeout) if timeout > 0 => {
