--- a/crates/consensus-node/src/client.rs
+++ b/crates/consensus-node/src/client.rs
@@ -12,7 +12,7 @@
 use tokio::time::{sleep, timeout};
 
 /// A replica that has not responded within this time is given up for another.
-pub(crate) const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_500);
+pub const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Backoff before the next replica.
 pub(crate) const NEXT_REPLICA_BACKOFF: Duration = Duration::from_millis(60);
 /// How often all replicas are tried in turn.
