--- a/crates/mintshelf/src/config_file.rs
+++ b/crates/mintshelf/src/config_file.rs
@@ -1,6 +1,6 @@
 //! Reading an operator's file, and why it cannot be used.
 
-use crate::EXIT_UNUSABLE;
+use crate::exit_code::EXIT_UNUSABLE;
 use mintshelf_config::file;
 use mintshelf_config::model::OperatorConfig;
 use mintshelf_config::problem::Problem;
--- a/crates/mintshelf/src/demo.rs
+++ b/crates/mintshelf/src/demo.rs
@@ -1,6 +1,7 @@
 //! `mintshelf demo`: servers of different speed, a sidecar in front, clients and a live table.
 
 mod client;
+mod counter;
 mod server;
 
 use crate::daemon::{Daemon, ReloadError};
@@ -8,7 +9,6 @@
 use mintshelf_config::file;
 use mintshelf_config::problem::Problem;
 use server::{ServerStats, SERVERS};
-use std::cell::Cell;
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -37,10 +37,6 @@
     Start(#[from] ReloadError),
 }
 
-fn add(count: &Cell<u64>, more: u64) {
-    count.set(count.get() + more);
-}
-
 /// Runs the demo for a time, or until Ctrl-C.
 ///
 /// # Errors
--- a/crates/mintshelf/src/demo/client.rs
+++ b/crates/mintshelf/src/demo/client.rs
@@ -1,12 +1,11 @@
 //! The clients of the demo.
 
-use super::add;
+use super::counter::Counter;
 use bytes::Bytes;
 use http_body_util::Empty;
 use hyper::client::conn::http1::{handshake, SendRequest};
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
-use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -21,11 +20,11 @@
 #[derive(Clone, Default)]
 pub struct ClientStats {
     /// Responses with status 200.
-    pub good: Cell<u64>,
+    pub good: Counter,
     /// Responses with another status.
-    pub bad: Cell<u64>,
+    pub bad: Counter,
     /// Time of all requests in milliseconds.
-    pub total_ms: Cell<u64>,
+    pub total_ms: Counter,
 }
 
 /// Sends requests one after another, and connects again whenever the connection closes.
@@ -50,9 +49,10 @@
         let Ok(request) = request.body(Empty::<Bytes>::new()) else { return };
         let Ok(response) = sender.send_request(request).await else { return };
         let is_good = response.status() == StatusCode::OK;
-        add(if is_good { &stats.good } else { &stats.bad }, 1);
+        let count = if is_good { &stats.good } else { &stats.bad };
+        count.add(1);
         let elapsed_ms = u64::try_from(started.elapsed().as_millis()).unwrap_or(u64::MAX);
-        add(&stats.total_ms, elapsed_ms);
+        stats.total_ms.add(elapsed_ms);
         drop(response);
         sleep(REQUEST_INTERVAL).await;
         if sender.ready().await.is_err() {
--- a/crates/mintshelf/src/demo/server.rs
+++ b/crates/mintshelf/src/demo/server.rs
@@ -1,13 +1,12 @@
 //! The servers of the demo.
 
-use super::add;
+use super::counter::Counter;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper::{Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use std::cell::Cell;
 use std::convert::Infallible;
 use std::io;
 use std::net::SocketAddr;
@@ -46,9 +45,9 @@
 #[derive(Default)]
 pub struct ServerStats {
     /// Responses.
-    pub served: Cell<u64>,
+    pub served: Counter,
     /// Requests in flight.
-    in_flight: Cell<u64>,
+    in_flight: Counter,
 }
 
 /// Starts a server on a port that the system chooses; returns its address.
@@ -73,11 +72,11 @@
 }
 
 async fn respond(server: &DemoServer, stats: &ServerStats) -> Response<Full<Bytes>> {
-    add(&stats.in_flight, 1);
+    stats.in_flight.add(1);
     let rounds = 1 + (stats.in_flight.get() - 1) / CONCURRENCY;
     sleep(Duration::from_millis(server.service_ms * rounds)).await;
-    stats.in_flight.set(stats.in_flight.get() - 1);
-    add(&stats.served, 1);
+    stats.in_flight.decrement();
+    stats.served.add(1);
     let fails = |period| stats.served.get().is_multiple_of(period);
     let body = Bytes::from(format!("served by {}\n", server.name));
     let mut response = Response::new(Full::new(body));
--- a/crates/mintshelf/src/explain.rs
+++ b/crates/mintshelf/src/explain.rs
@@ -7,7 +7,7 @@
 mod settings;
 
 use crate::config_file;
-use crate::EXIT_UNUSABLE;
+use crate::exit_code::EXIT_UNUSABLE;
 use mintshelf_config::model::{OperatorConfig, Route};
 use mintshelf_routing::{RequestView, RouteTable};
 use report::Report;
--- a/crates/mintshelf/src/fleet/error.rs
+++ b/crates/mintshelf/src/fleet/error.rs
@@ -1,6 +1,6 @@
 //! Why a command about fleet or leases failed, and its exit code.
 
-use crate::EXIT_UNUSABLE;
+use crate::exit_code::{EXIT_UNAVAILABLE, EXIT_UNUSABLE};
 use mintshelf_consensus_node::store_error::StoreError;
 use mintshelf_lease::command::Rejection;
 use std::io;
@@ -8,9 +8,6 @@
 use std::process::ExitCode;
 use thiserror::Error;
 
-/// Exit code where no replica responds or none is the leader.
-const EXIT_UNAVAILABLE: u8 = 69;
-
 /// Why a command failed.
 #[derive(Debug, Error)]
 pub enum CommandError {
--- a/crates/mintshelf/src/fleet/lease_guard.rs
+++ b/crates/mintshelf/src/fleet/lease_guard.rs
@@ -1,5 +1,6 @@
 //! The guard of a command under a lease, and the last stage before the command.
 
+use crate::exit_code::{EXIT_LOST, EXIT_NOT_EXECUTABLE, EXIT_SIGNAL_BASE, EXIT_UNKNOWN};
 use mintshelf_consensus_node::clock;
 use mintshelf_time::Nanos;
 use rustix::process::{getppid, kill_process_group, set_parent_process_death_signal, Pid, Signal};
@@ -11,16 +12,6 @@
 use std::thread;
 use std::time::Duration;
 
-/// Exit code where the lease was not acquired in time.
-pub const EXIT_NOT_ACQUIRED: u8 = 75;
-/// Exit code where the lease was lost while the command ran.
-const EXIT_LOST: u8 = 74;
-/// Exit code where the command can't be executed, as shells have it.
-const EXIT_NOT_EXECUTABLE: u8 = 127;
-/// Exit code of a process that a signal has ended, less the number of the signal.
-const EXIT_SIGNAL_BASE: u8 = 128;
-/// Exit code of a process whose status names neither a code nor a signal.
-const EXIT_UNKNOWN: u8 = 1;
 /// The command is terminated when this part of the lease duration is left.
 const TERMINATE_PART: u64 = 4;
 /// The command is killed when this part of the lease duration is left.
--- a/crates/mintshelf/src/fleet/lease_run.rs
+++ b/crates/mintshelf/src/fleet/lease_run.rs
@@ -6,9 +6,10 @@
 //! that is stopped or killed leaves no command behind, and neither does a guard.
 
 use super::error::CommandError;
-use super::lease_guard::{exit_code_of, EXIT_NOT_ACQUIRED};
+use super::lease_guard::exit_code_of;
 use super::query::{command_owner, load_fleet, replica_addresses};
-use crate::runtime;
+use crate::exit_code::EXIT_NOT_ACQUIRED;
+use crate::runtime::runtime;
 use mintshelf_config::model::FleetConfig;
 use mintshelf_consensus_node::lease_keeper::{keep_lease, LeaseRequest, LeaseStatus};
 use mintshelf_lease::client::{ActiveGrant, LeaseConfig};
--- a/crates/mintshelf/src/fleet/leases.rs
+++ b/crates/mintshelf/src/fleet/leases.rs
@@ -2,7 +2,7 @@
 
 use super::error::CommandError;
 use super::query::{command_owner, load_fleet, replica_addresses, FleetStatus};
-use crate::runtime;
+use crate::runtime::runtime;
 use mintshelf_consensus_node::client::propose;
 use mintshelf_consensus_node::frame::NamedLease;
 use mintshelf_lease::command::{Command, Response};
--- a/crates/mintshelf/src/fleet/query.rs
+++ b/crates/mintshelf/src/fleet/query.rs
@@ -1,8 +1,9 @@
 //! What the commands share: the fleet of an operator's file, and the status of its replicas.
 
 use super::error::CommandError;
+use crate::config_file;
 use crate::random::random_number;
-use crate::{config_file, runtime};
+use crate::runtime::runtime;
 use mintshelf_config::model::FleetConfig;
 use mintshelf_consensus_node::client::fetch_status;
 use mintshelf_consensus_node::frame::StatusReport;
--- a/crates/mintshelf/src/fleet/replica_thread.rs
+++ b/crates/mintshelf/src/fleet/replica_thread.rs
@@ -1,7 +1,7 @@
 //! This process's replica, on a thread of its own.
 
 use super::query::store_identity;
-use crate::runtime;
+use crate::runtime::runtime;
 use mintshelf_config::model::FleetConfig;
 use mintshelf_consensus_node::node::{Node, NodeError};
 use mintshelf_consensus_node::node_config::NodeConfig;
--- /dev/null
+++ b/crates/mintshelf/src/runtime.rs
@@ -0,0 +1,12 @@
+//! The asynchronous runtime of one thread.
+
+use std::io;
+use tokio::runtime::{Builder, Runtime};
+
+/// Creates a runtime that runs futures on the calling thread.
+///
+/// # Errors
+/// The system has no resources for it.
+pub fn runtime() -> io::Result<Runtime> {
+    Builder::new_current_thread().enable_all().build()
+}
