--- a/crates/consensus-node/tests/nodes/fleet.rs
+++ b/crates/consensus-node/tests/nodes/fleet.rs
@@ -36,7 +36,7 @@
     tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime")
 }
 
-/// A thread that ends when it is told to, at the latest when this is dropped.
+/// A thread that ends when it is stopped, at the latest when this is dropped.
 struct StoppableThread<T> {
     stop: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<T>>,
@@ -137,7 +137,7 @@
     }
 
     pub fn wait_for_leader(&self) -> u64 {
-        wait_until("somebody leads", || self.leader().is_some());
+        wait_until("a leader is elected", || self.leader().is_some());
         self.leader().expect("a leader")
     }
 
--- a/crates/consensus-node/tests/nodes/main.rs
+++ b/crates/consensus-node/tests/nodes/main.rs
@@ -16,14 +16,14 @@
     let mut fleet = Fleet::new("handover");
     fleet.wait_for_leader();
     let mut first = fleet.member("first", false);
-    wait_until("the first holds it", || first.token().is_some());
+    wait_until("the first member holds the lease", || first.token().is_some());
     let second = fleet.member("second", true);
     let token = first.token().expect("held");
-    // The leader goes; what was granted stays granted, and is renewed past its duration.
+    // The leader stops; what was granted stays granted, and is renewed past its duration.
     let stopped = fleet.wait_for_leader();
     let expires_at = first.grant().expect("held").expires_at;
     fleet.stop(stopped);
-    wait_until("another leads", || fleet.leader().is_some_and(|id| id != stopped));
+    wait_until("another replica leads", || fleet.leader().is_some_and(|id| id != stopped));
     wait_until("renewed", || {
         first.grant().is_some_and(|grant| grant.expires_at > expires_at + LEASE_DURATION)
     });
@@ -31,7 +31,7 @@
     assert_eq!(second.token(), None);
     fleet.start(stopped);
     first.stop();
-    wait_until("the second has it", || second.token().is_some());
+    wait_until("the second member holds the lease", || second.token().is_some());
     assert!(second.token().expect("held") > token);
     wait_until("the restarted replica has caught up", || {
         let leader = fleet.leader().map_or(u64::MAX, |id| fleet.applied_index(id));
@@ -44,13 +44,13 @@
     let fleet = Fleet::new("minority");
     fleet.wait_for_leader();
     let holder = fleet.member("holder", false);
-    wait_until("it is held", || holder.token().is_some());
+    wait_until("the lease is held", || holder.token().is_some());
     let token = holder.token();
     fleet.links.values().for_each(Relay::cut);
-    wait_until("nobody holds it", || holder.token().is_none());
-    wait_until("nobody leads", || fleet.leader().is_none());
+    wait_until("no member holds the lease", || holder.token().is_none());
+    wait_until("no replica leads", || fleet.leader().is_none());
     fleet.links.values().for_each(Relay::heal);
-    wait_until("it is held again", || holder.token().is_some());
+    wait_until("the lease is held again", || holder.token().is_some());
     assert!(holder.token() >= token);
 }
 
@@ -68,7 +68,7 @@
     let fleet = Fleet::new("unknown-peers");
     let leader = fleet.wait_for_leader();
     let holder = fleet.member("holder", false);
-    wait_until("it is held", || holder.token().is_some());
+    wait_until("the lease is held", || holder.token().is_some());
     let token = holder.token();
     let address = fleet.address(leader);
     let first_bytes: [Vec<u8>; 6] = [
--- a/crates/mintshelf/src/platform.rs
+++ b/crates/mintshelf/src/platform.rs
@@ -1,10 +1,15 @@
 //! The platform's sidecar: configured by `RELAY_CONFIG`, with its endpoints from discovery.
 
-use crate::log::{self, LevelsError};
-use mintshelf_config::platform::{ConfigError, PlatformConfig};
+mod error;
+mod signals;
+mod sockets;
+
+use crate::log;
+use error::{PlatformError, CONFIG_VARIABLE};
+use mintshelf_config::platform::PlatformConfig;
 use mintshelf_proxy::budget::ResourceBudget;
 use mintshelf_proxy::client::connection::ClientTimeouts;
-use mintshelf_proxy::client::listener::{listen, ClientListener};
+use mintshelf_proxy::client::listener::ClientListener;
 use mintshelf_proxy::client::registry::Clients;
 use mintshelf_proxy::cluster::peers::PeerGossip;
 use mintshelf_proxy::cluster::runtime::ClusterRuntime;
@@ -13,18 +18,15 @@
 use mintshelf_proxy::upstream::connection_limits::ClusterLimits;
 use mintshelf_proxy::upstream::pool::ConnectionPool;
 use mintshelf_proxy::upstream::response::UpstreamProtocol;
-use std::io;
+use signals::Signals;
+use sockets::Sockets;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::time::Duration;
-use thiserror::Error;
-use tokio::net::TcpListener;
-use tokio::signal::unix::{signal, Signal, SignalKind};
+use tokio::signal::unix::Signal;
 use tokio::time::sleep;
 use tokio_util::sync::CancellationToken;
 
-/// Environment variable with the path of the configuration.
-const CONFIG_VARIABLE: &str = "RELAY_CONFIG";
 /// Time from the first byte of a request to its last.
 const RECEIVE_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Time beyond the longest deadline for which a request may hold its connection: its client reads
@@ -38,80 +40,6 @@
 /// Time between two checks whether the last client has left.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Why the sidecar did not start.
-#[derive(Debug, Error)]
-pub enum PlatformError {
-    /// The environment variable is not set.
-    #[error("environment: {}: is not set", CONFIG_VARIABLE)]
-    NoConfig,
-    /// The log levels cannot be parsed.
-    #[error("environment: {0}")]
-    Levels(#[from] LevelsError),
-    /// The configuration cannot be read.
-    #[error(transparent)]
-    Config(#[from] ConfigError),
-    /// An address of the configuration cannot be bound.
-    #[error("{}: {field}: {source}", file.display())]
-    Address {
-        /// The configuration's file.
-        file: PathBuf,
-        /// The field with the address.
-        field: &'static str,
-        /// Why.
-        source: io::Error,
-    },
-    /// A signal cannot be received.
-    #[error("{name}: {source}")]
-    Signal {
-        /// Its name.
-        name: &'static str,
-        /// Why.
-        source: io::Error,
-    },
-}
-
-/// The signals that the sidecar handles.
-struct Signals {
-    terminate: Signal,
-    hangup: Signal,
-}
-
-impl Signals {
-    fn register() -> Result<Self, PlatformError> {
-        let register =
-            |kind, name| signal(kind).map_err(|source| PlatformError::Signal { name, source });
-        Ok(Signals {
-            terminate: register(SignalKind::terminate(), "SIGTERM")?,
-            hangup: register(SignalKind::hangup(), "SIGHUP")?,
-        })
-    }
-}
-
-/// The sockets that the configuration names.
-struct Sockets {
-    peers: Option<PeerGossip>,
-    listener: TcpListener,
-}
-
-impl Sockets {
-    async fn bind(file: &Path, config: &PlatformConfig) -> Result<Self, PlatformError> {
-        let failed = |field| {
-            let file = file.to_path_buf();
-            move |source| PlatformError::Address { file, field, source }
-        };
-        let peers = match config.peer_listen.filter(|_| config.settings.has_peers) {
-            None => None,
-            Some(address) => {
-                let peers = config.peers.clone();
-                let bound = PeerGossip::bind(address, peers, config.broadcast_address).await;
-                Some(bound.map_err(failed("peer_listen"))?)
-            }
-        };
-        let listener = listen(config.listen).map_err(failed("listen"))?;
-        Ok(Sockets { peers, listener })
-    }
-}
-
 /// Runs the sidecar that `RELAY_CONFIG` describes, until it has shut down.
 ///
 /// # Errors
@@ -140,11 +68,7 @@
     let shutdown = async {
         signals.terminate.recv().await;
         draining.cancel();
-        let min_duration = longest_deadline + MIN_SHUTDOWN_EXTRA;
-        tokio::join!(handler.shut_down(longest_deadline), sleep(min_duration));
-        while !clients.is_empty() {
-            sleep(IDLE_CHECK_INTERVAL).await;
-        }
+        shut_down(&handler, &clients, longest_deadline).await;
     };
     tokio::select! {
         () = inbound.accept(listener) => {}
@@ -155,6 +79,15 @@
     Ok(())
 }
 
+/// Answers what is open and what still arrives, until all clients have left.
+async fn shut_down(handler: &PlatformHandler, clients: &Clients, longest_deadline: Duration) {
+    let min_duration = longest_deadline + MIN_SHUTDOWN_EXTRA;
+    tokio::join!(handler.shut_down(longest_deadline), sleep(min_duration));
+    while !clients.is_empty() {
+        sleep(IDLE_CHECK_INTERVAL).await;
+    }
+}
+
 fn longest_deadline(config: &PlatformConfig) -> Duration {
     let deadlines = config.settings.classes.iter().map(|class| class.deadline);
     Duration::from_nanos(deadlines.max().unwrap_or(0))
--- /dev/null
+++ b/crates/mintshelf/src/platform/sockets.rs
@@ -0,0 +1,39 @@
+//! The sockets of the platform's sidecar.
+
+use super::error::PlatformError;
+use mintshelf_config::platform::PlatformConfig;
+use mintshelf_proxy::client::listener::listen;
+use mintshelf_proxy::cluster::peers::PeerGossip;
+use std::path::Path;
+use tokio::net::TcpListener;
+
+/// The sockets that the configuration names.
+pub(super) struct Sockets {
+    /// Gossip with the peers; `None` if it is off.
+    pub(super) peers: Option<PeerGossip>,
+    /// Accepts the clients.
+    pub(super) listener: TcpListener,
+}
+
+impl Sockets {
+    /// Binds them.
+    ///
+    /// # Errors
+    /// An address cannot be bound.
+    pub(super) async fn bind(file: &Path, config: &PlatformConfig) -> Result<Self, PlatformError> {
+        let failed = |field| {
+            let file = file.to_path_buf();
+            move |source| PlatformError::Address { file, field, source }
+        };
+        let peers = match config.peer_listen.filter(|_| config.settings.has_peers) {
+            None => None,
+            Some(address) => {
+                let peers = config.peers.clone();
+                let bound = PeerGossip::bind(address, peers, config.broadcast_address).await;
+                Some(bound.map_err(failed("peer_listen"))?)
+            }
+        };
+        let listener = listen(config.listen).map_err(failed("listen"))?;
+        Ok(Sockets { peers, listener })
+    }
+}
