--- a/crates/consensus-node/src/lease_keeper.rs
+++ b/crates/consensus-node/src/lease_keeper.rs
@@ -8,7 +8,7 @@
 use futures_util::{SinkExt, StreamExt};
 use mintshelf_lease::client::{ActiveGrant, HolderAction, LeaseClient, LeaseConfig};
 use mintshelf_lease::command::Rejection;
-use mintshelf_time::{from_duration, Nanos, MILLISECOND};
+use mintshelf_time::{from_duration, Nanos, MILLISECOND, SECOND};
 use std::future::Future;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,7 +18,7 @@
 /// Shortest time for which a frame is waited for.
 const WAIT_MIN: Nanos = MILLISECOND;
 /// Longest time for which a frame is waited for before the clock is read again.
-const WAIT_MAX: Nanos = 1_000 * MILLISECOND;
+const WAIT_MAX: Nanos = SECOND;
 
 /// Which lease to keep, and where to request it.
 #[derive(Debug, Clone)]
--- a/crates/mintshelf/src/fleet/lease_run.rs
+++ b/crates/mintshelf/src/fleet/lease_run.rs
@@ -14,7 +14,7 @@
 use mintshelf_consensus_node::lease_keeper::{keep_lease, LeaseRequest, LeaseStatus};
 use mintshelf_lease::client::{ActiveGrant, LeaseConfig};
 use mintshelf_lease::command::{Owner, Rejection, DURATION_MAX};
-use mintshelf_time::{from_duration, Nanos, MILLISECOND};
+use mintshelf_time::{from_duration, Nanos, SECOND};
 use std::ffi::OsString;
 use std::io::Write;
 use std::os::unix::process::CommandExt;
@@ -25,7 +25,7 @@
 use tokio::time::{sleep, timeout};
 
 /// Shortest lease duration under which a command can be ended in time on a busy machine.
-const DURATION_MIN: Nanos = 1_000 * MILLISECOND;
+const DURATION_MIN: Nanos = SECOND;
 /// Shortest time for which a lease is waited for: even without a queue a response takes time.
 const ACQUIRE_TIMEOUT_MIN: Duration = Duration::from_secs(3);
 /// Longest time that the release may take.
--- a/crates/quota/src/allocation.rs
+++ b/crates/quota/src/allocation.rs
@@ -6,10 +6,13 @@
 use mintshelf_lease::command::Owner;
 use serde::{Deserialize, Serialize};
 
+/// The number of no grant.
+pub const NO_GRANT: u64 = 0;
+
 /// A part of the quota that a member may use, over its floor.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Grant {
-    /// Number of the grant, counted over all members; later ones are higher.
+    /// Number of the grant, counted from 1 over all members; later ones are higher.
     pub number: u64,
     /// Units that may be used.
     pub units: u64,
@@ -27,7 +30,7 @@
     /// Its weight among the members; 0 counts as 1.
     pub weight: u32,
     /// Number of a grant: the member uses no more than that, and will not go back to an earlier
-    /// one. 0 for none.
+    /// one. [`NO_GRANT`] for none.
     pub confirmed_grant: u64,
     /// Whether it releases all its grants: it uses nothing over its floor, and will not again.
     pub is_release: bool,
--- a/crates/quota/src/client.rs
+++ b/crates/quota/src/client.rs
@@ -1,6 +1,6 @@
 //! A member's side of one quota: requests grants, and tells how much may be used.
 
-use crate::allocation::{AllocationRequest, AllocationResponse, Grant};
+use crate::allocation::{AllocationRequest, AllocationResponse, Grant, NO_GRANT};
 use crate::config::Quota;
 use mintshelf_lease::command::Owner;
 use mintshelf_time::Nanos;
@@ -65,7 +65,7 @@
     next_request_at: Nanos,
     active: Option<ActiveGrant>,
     /// Number of the last grant that the use fits.
-    confirmed_grant: u64,
+    confirmed_grant: Option<u64>,
     /// Whether the member has given up its grants.
     is_released: bool,
     /// From then on the floor may be used.
@@ -88,7 +88,7 @@
             last_sequence: 0,
             next_request_at: 0,
             active: None,
-            confirmed_grant: 0,
+            confirmed_grant: None,
             is_released: false,
             floor_from: started_at.saturating_add(former_use),
         }
@@ -159,7 +159,7 @@
             sequence: self.last_sequence,
             demand: self.demand,
             weight: self.weight,
-            confirmed_grant: self.confirmed_grant,
+            confirmed_grant: self.confirmed_grant.unwrap_or(NO_GRANT),
             is_release: self.is_released,
         })
     }
@@ -169,7 +169,7 @@
     fn confirm(&mut self, now: Nanos, used: u64) {
         let Some(active) = self.active else { return };
         if used <= self.limit(now).units {
-            self.confirmed_grant = active.grant.number;
+            self.confirmed_grant = Some(active.grant.number);
         }
     }
 
--- a/crates/quota/src/usage.rs
+++ b/crates/quota/src/usage.rs
@@ -2,6 +2,7 @@
 
 use crate::client::Limit;
 use mintshelf_time::Nanos;
+use std::num::NonZeroU64;
 
 /// Number of windows that the demand is taken from: one that has just begun has seen too little.
 const WINDOWS: usize = 3;
@@ -30,8 +31,8 @@
     window_duration: Nanos,
     /// When the newest window ends.
     window_ends_at: Nanos,
-    /// How long a unit is in use, as a moving mean; 0 before the first release.
-    mean_use_duration: Nanos,
+    /// How long a unit is in use, as a moving mean; `None` while it is not known to take any time.
+    mean_use_duration: Option<NonZeroU64>,
 }
 
 impl Usage {
@@ -46,7 +47,7 @@
             windows: [Window::default(); WINDOWS],
             window_duration,
             window_ends_at: now.saturating_add(window_duration),
-            mean_use_duration: 0,
+            mean_use_duration: None,
         }
     }
 
@@ -93,10 +94,11 @@
     pub fn release(&mut self, now: Nanos, use_duration: Nanos) {
         self.rotate_windows(now);
         self.used = self.used.saturating_sub(1);
-        self.mean_use_duration = match self.mean_use_duration {
-            0 => use_duration,
-            mean => mean - mean / MEAN_WEIGHT + use_duration / MEAN_WEIGHT,
-        };
+        let mean = self.mean_use_duration.map_or(use_duration, |mean| {
+            let mean = mean.get();
+            mean - mean / MEAN_WEIGHT + use_duration / MEAN_WEIGHT
+        });
+        self.mean_use_duration = NonZeroU64::new(mean);
     }
 
     /// Units that would be used if they were granted, with some headroom: the highest demand of
@@ -112,7 +114,7 @@
     /// A rejected acquisition counts for the part of a window in which a unit is in use: a hundred
     /// short requests do not demand a hundred units.
     fn window_demand(&self, window: &Window) -> u64 {
-        let use_duration = u128::from(self.mean_use_duration.max(1));
+        let use_duration = u128::from(self.mean_use_duration.map_or(1, NonZeroU64::get));
         let rejected_use = u128::from(window.rejected) * use_duration;
         // Rejected clients retry: one unit at least for all of them, and at most one for each.
         let units = rejected_use.div_ceil(u128::from(self.window_duration));
