--- a/crates/config/src/platform.rs
+++ b/crates/config/src/platform.rs
@@ -103,7 +103,7 @@
     /// Zones.
     pub zones: Vec<String>,
     /// Hardware models.
-    pub kinds: Vec<String>,
+    pub hardware_models: Vec<String>,
     /// Fields of a load report.
     pub report_fields: Vec<String>,
 }
@@ -140,7 +140,7 @@
             classes: names(raw.classes),
             tenants: names(raw.tenants),
             zones: raw.zones,
-            kinds: raw.flavors,
+            hardware_models: raw.flavors,
             report_fields: raw.report.fields,
         }
     }
--- a/crates/mintshelf/tests/compatibility/bindings.rs
+++ b/crates/mintshelf/tests/compatibility/bindings.rs
@@ -236,7 +236,7 @@
 /// What an endpoint list says, a line for the list and one for each endpoint.
 pub fn described_list(text: &str, came_whole: bool) -> String {
     let zones = vec!["east".to_string(), "west".to_string()];
-    let names = Names { zones, kinds: vec!["small".to_string()], ..Names::default() };
+    let names = Names { zones, hardware_models: vec!["small".to_string()], ..Names::default() };
     let addresses = Endpoints::default();
     let mut lists = EndpointListReader::new(names, addresses.clone());
     let list = EndpointList::parse(text.as_bytes());
--- a/crates/proxy/src/discovery/reader.rs
+++ b/crates/proxy/src/discovery/reader.rs
@@ -54,7 +54,7 @@
         ListedServer {
             id: self.numbers.assign(&entry.name),
             zone: name_index(&self.names.zones, &entry.zone),
-            hardware_model: name_index(&self.names.kinds, &entry.model),
+            hardware_model: name_index(&self.names.hardware_models, &entry.model),
             failure_domain: entry.failure_domain,
             state: entry.state.into(),
             size: entry.capacity,
--- a/crates/proxy/tests/endpoint_lists.rs
+++ b/crates/proxy/tests/endpoint_lists.rs
@@ -14,7 +14,7 @@
 
 fn reader_at(addresses: Endpoints) -> EndpointListReader {
     let zones = vec!["a".to_string()];
-    let names = Names { zones, kinds: vec!["m".to_string()], ..Names::default() };
+    let names = Names { zones, hardware_models: vec!["m".to_string()], ..Names::default() };
     EndpointListReader::new(names, addresses)
 }
 
