--- a/crates/admission/src/rate.rs
+++ b/crates/admission/src/rate.rs
@@ -73,7 +73,7 @@
 }
 
 impl RateLimit {
-    /// Starts with the whole burst.
+    /// Starts with the full burst.
     #[must_use]
     pub fn new(config: RateConfig, now: Nanos) -> Self {
         let clock = ManualClock(Rc::new(Cell::new(now)));
--- a/crates/admission/src/share.rs
+++ b/crates/admission/src/share.rs
@@ -1,7 +1,6 @@
 //! Division of a capacity by shares.
 
-/// The part of a capacity that falls to a share of the total, in whole units, rounded down. A
-/// total of 0 counts as the smallest positive number.
+/// The part of a capacity that falls to a share of the total, rounded down. A total of 0 counts as the smallest positive number.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
--- a/crates/admission/tests/slots.rs
+++ b/crates/admission/tests/slots.rs
@@ -74,7 +74,7 @@
 
 proptest! {
     /// The capacity holds; a tenant below its share that keeps retrying gets its share, since
-    /// tenants over theirs close connections when told; and all slots are released.
+    /// tenants over theirs close connections on request; and all slots are released.
     #[test]
     fn slots_are_bounded_and_come_to_be_shared(
         capacity in 4u32..40,
@@ -95,7 +95,7 @@
             prop_assert!(slots.occupied() <= capacity);
             prop_assert_eq!(slots.occupied(), open.iter().sum::<u32>());
         }
-        // All four want as many as they can get, and close connections when told.
+        // All four want as many as they can get, and close connections on request.
         for _ in 0..200 {
             for member in 0..4 {
                 now += SECOND / 10;
--- a/crates/config/src/balancer/mod.rs
+++ b/crates/config/src/balancer/mod.rs
@@ -9,7 +9,7 @@
 pub use class::BalancerClass;
 pub use schedule::{attempt_schedule, effective_timeout};
 pub use servers::ClusterServer;
-pub use severity::severity;
+pub(crate) use severity::severity;
 
 use crate::model::{Cluster, ConnectionLimits, OperatorConfig};
 use class::cluster_classes;
@@ -35,9 +35,9 @@
     pub sockets: ConnectionLimits,
     /// The load of an open WebSocket, where that of a request is 1.
     pub socket_weight: f64,
-    /// The time over which WebSocket connections leave an endpoint that has gone.
+    /// The time over which WebSocket connections leave a removed endpoint.
     pub socket_spread: Nanos,
-    /// The time over which traffic returns after an outage of the whole cluster.
+    /// The time over which traffic returns after an outage of the complete cluster.
     pub recovery_ramp: Nanos,
     /// The retry policy of each class in the settings, in their order.
     pub retry_policies: Vec<RetryPolicy>,
--- a/crates/config/src/balancer/schedule.rs
+++ b/crates/config/src/balancer/schedule.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Part of a deduplication window that a client may be told to wait, as a divisor.
+/// Divisor of a deduplication window that gives the longest `Retry-After` within it.
 const RETRY_AFTER_DIVISOR: u64 = 4;
 
 /// The time-out of a class, which is at most that of its cluster.
--- a/crates/config/src/balancer/severity.rs
+++ b/crates/config/src/balancer/severity.rs
@@ -6,8 +6,7 @@
 pub(super) const EFFECTS: [Effect; 3] = [Effect::Safe, Effect::Idempotent, Effect::Unsafe];
 
 /// The place of an effect in the order of severity, the mildest first, from 0.
-#[must_use]
-pub fn severity(effect: Effect) -> usize {
+pub(crate) fn severity(effect: Effect) -> usize {
     match effect {
         Effect::Safe => 0,
         Effect::Idempotent => 1,
--- a/crates/config/src/file/table/mod.rs
+++ b/crates/config/src/file/table/mod.rs
@@ -42,7 +42,7 @@
 }
 
 impl<'reader, 'text> Table<'reader, 'text> {
-    /// The table of the whole file.
+    /// The table at the top of the file.
     pub fn top(reader: &'reader Reader<'text>, table: &'reader DeTable<'text>) -> Self {
         Self::new(reader, Place::default(), table)
     }
--- a/crates/config/src/file/table/scalars.rs
+++ b/crates/config/src/file/table/scalars.rs
@@ -129,7 +129,7 @@
         None
     }
 
-    /// A whole number within bounds.
+    /// An integer within bounds.
     pub fn integer(
         &self,
         key: &'static str,
--- a/crates/config/src/problem.rs
+++ b/crates/config/src/problem.rs
@@ -90,32 +90,30 @@
 
 /// A place in a text, for people.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct LineColumn {
+pub(crate) struct LineColumn {
     /// From 1.
-    pub line: usize,
+    pub(crate) line: usize,
     /// In characters, from 1.
-    pub column: usize,
+    pub(crate) column: usize,
 }
 
 /// Finds lines and columns of a text.
 #[derive(Debug)]
-pub struct LineIndex<'text> {
+pub(crate) struct LineIndex<'text> {
     text: &'text str,
     line_starts: Vec<usize>,
 }
 
 impl<'text> LineIndex<'text> {
     /// Finds the lines of a text.
-    #[must_use]
-    pub fn new(text: &'text str) -> Self {
+    pub(crate) fn new(text: &'text str) -> Self {
         let line_feeds = text.bytes().enumerate().filter(|(_, byte)| *byte == b'\n');
         let later_lines = line_feeds.map(|(offset, _)| offset + 1);
         LineIndex { text, line_starts: std::iter::once(0).chain(later_lines).collect() }
     }
 
     /// The place of the byte with this offset, or the end of the text for an offset behind it.
-    #[must_use]
-    pub fn place(&self, offset: usize) -> LineColumn {
+    pub(crate) fn place(&self, offset: usize) -> LineColumn {
         let offset = offset.min(self.text.len());
         let line = self.line_starts.partition_point(|start| *start <= offset);
         let start = self.line_starts[line - 1];
--- a/crates/config/src/schema/cluster.rs
+++ b/crates/config/src/schema/cluster.rs
@@ -1,7 +1,7 @@
 //! Clusters and their endpoints.
 
+use super::one_or_many::OneOrMany;
 use super::text::{Address, FormattedDuration, Header};
-use super::OneOrMany;
 use schemars::JsonSchema;
 
 /// Servers that do the same.
--- a/crates/config/src/schema/mod.rs
+++ b/crates/config/src/schema/mod.rs
@@ -5,10 +5,13 @@
 
 pub mod class;
 pub mod cluster;
+mod one_or_many;
 pub mod process;
 pub mod route;
 pub mod text;
 
+pub use one_or_many::OneOrMany;
+
 use class::{AttemptSettings, Class};
 use cluster::Cluster;
 use process::{Admin, Fleet, Forwarding, Limits, Listener, Tenant};
@@ -23,16 +26,6 @@
     schemars::schema_for!(File).to_value()
 }
 
-/// One of something, or a list of them.
-#[derive(Debug, JsonSchema)]
-#[schemars(untagged)]
-pub enum OneOrMany<T> {
-    /// One.
-    One(T),
-    /// A list.
-    Many(Vec<T>),
-}
-
 /// An operator's file: `mintshelf run --config FILE`.
 #[derive(Debug, JsonSchema)]
 #[schemars(rename_all = "kebab-case", deny_unknown_fields)]
--- a/crates/config/src/schema/process.rs
+++ b/crates/config/src/schema/process.rs
@@ -1,7 +1,7 @@
 //! Listeners, limits, forwarding, the admin listener, the fleet and tenants.
 
+use super::one_or_many::OneOrMany;
 use super::text::{Address, FormattedDuration, Header, Network, Rate, Size};
-use super::OneOrMany;
 use schemars::JsonSchema;
 
 /// An address that takes clients.
--- a/crates/config/src/schema/route.rs
+++ b/crates/config/src/schema/route.rs
@@ -1,9 +1,9 @@
 //! Routes: what they match, and what they do with requests.
 
 use super::class::{Effect, Overrides};
+use super::one_or_many::OneOrMany;
 use super::process::Limit;
 use super::text::{Header, Method, Origin, Path, Sticky};
-use super::OneOrMany;
 use schemars::JsonSchema;
 use std::collections::BTreeMap;
 
--- a/crates/fleet-simulator/src/lib.rs
+++ b/crates/fleet-simulator/src/lib.rs
@@ -23,8 +23,8 @@
 mod standard;
 
 pub use fleet::{Burst, DiscoveryConfig, EarlyTimeouts, FleetConfig, Release, Restart, Thrashing};
-pub use report::{Report, SideEffectCosts, Slice, SLICE_DURATION};
-pub use scenario::{Fault, FaultKind, RetryBehavior, Scenario, TrafficClass, CLASSES};
+pub use report::{Report, SideEffectCosts, Slice};
+pub use scenario::{Fault, FaultKind, RetryBehavior, Scenario};
 pub use simulation::simulate;
 pub use standard::{standard_scenario, StandardScenario};
 
--- a/crates/fleet-simulator/src/report.rs
+++ b/crates/fleet-simulator/src/report.rs
@@ -14,7 +14,7 @@
 const WASTED_WORK_PRICE: f64 = 0.02;
 
 /// Duration of a slice.
-pub const SLICE_DURATION: Nanos = SECOND / 10;
+pub(crate) const SLICE_DURATION: Nanos = SECOND / 10;
 /// Slices of a second.
 const SLICES_PER_SECOND: usize = 10;
 /// Number of the last slices of a run, in which requests have no time to be served.
--- a/crates/fleet-simulator/src/scenario.rs
+++ b/crates/fleet-simulator/src/scenario.rs
@@ -6,31 +6,29 @@
 use std::ops::Range;
 
 /// For how long servers discard the repeats of an idempotent request.
-pub const DEDUP_WINDOW: Nanos = 20 * SECOND;
+pub(crate) const DEDUP_WINDOW: Nanos = 20 * SECOND;
 
 /// A class of requests of the simulated site.
 #[derive(Debug, Clone, Copy)]
-pub struct TrafficClass {
-    /// Its name.
-    pub name: &'static str,
+pub(crate) struct TrafficClass {
     /// How often its effect may happen.
-    pub effect: Effect,
+    pub(crate) effect: Effect,
     /// Its share of the requests.
-    pub share: f64,
+    pub(crate) share: f64,
     /// Its mean work, relative to the other classes.
-    pub work: f64,
+    pub(crate) work: f64,
     /// A response within this time is in time.
-    pub latency_objective: Nanos,
+    pub(crate) latency_objective: Nanos,
     /// How long a client waits for one request.
-    pub deadline: Nanos,
+    pub(crate) deadline: Nanos,
     /// Weight of a response in time.
-    pub priority_weight: f64,
+    pub(crate) priority_weight: f64,
 }
 
 /// The four classes of the simulated site.
-pub const CLASSES: [TrafficClass; 4] = [
+pub(crate) const CLASSES: [TrafficClass; 4] = [
+    // Device status.
     TrafficClass {
-        name: "device-status",
         effect: Effect::Safe,
         share: 0.5,
         work: 8.0,
@@ -38,8 +36,8 @@
         deadline: 800 * MILLISECOND,
         priority_weight: 1.0,
     },
+    // Run logs.
     TrafficClass {
-        name: "run-logs",
         effect: Effect::Safe,
         share: 0.25,
         work: 15.0,
@@ -47,8 +45,8 @@
         deadline: 1_600 * MILLISECOND,
         priority_weight: 1.0,
     },
+    // Queue run.
     TrafficClass {
-        name: "queue-run",
         effect: Effect::Idempotent,
         share: 0.15,
         work: 20.0,
@@ -56,8 +54,8 @@
         deadline: 1_600 * MILLISECOND,
         priority_weight: 2.0,
     },
+    // Flash device.
     TrafficClass {
-        name: "flash-device",
         effect: Effect::Unsafe,
         share: 0.1,
         work: 40.0,
@@ -108,7 +106,8 @@
     Partition,
     /// All work takes this many times as long.
     Slow(f64),
-    /// Requests of one class, by index, are never answered.
+    /// Requests of one class are never answered: device status (0), run logs (1), queued runs (2)
+    /// or device flashes (3).
     Hang(usize),
 }
 
--- a/crates/fleet-simulator/src/sidecar/action.rs
+++ b/crates/fleet-simulator/src/sidecar/action.rs
@@ -1,4 +1,4 @@
-//! What a sidecar asks of the simulation.
+//! The actions by which a sidecar affects the simulation.
 
 use mintshelf_balancer::api::{AttemptNumber, RequestId, ServerId};
 use mintshelf_time::Nanos;
--- a/crates/fleet-simulator/src/sidecar/connections.rs
+++ b/crates/fleet-simulator/src/sidecar/connections.rs
@@ -1,7 +1,9 @@
-//! Idle connections of a sidecar to its servers.
+//! Connections of a sidecar to its servers.
 
-use mintshelf_time::{Nanos, SECOND};
+use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 
+/// Longest wait for a connection.
+pub(crate) const CONNECT_TIMEOUT: Nanos = 200 * MILLISECOND;
 /// Upper bound of the idle connections to each server.
 const MAX_IDLE: usize = 16;
 /// Longest time for which a connection may be idle and still be reused.
--- a/crates/fleet-simulator/src/sidecar/mod.rs
+++ b/crates/fleet-simulator/src/sidecar/mod.rs
@@ -6,6 +6,7 @@
 mod settings;
 
 pub(crate) use action::{Reply, SidecarAction};
+pub(crate) use connections::CONNECT_TIMEOUT;
 pub(crate) use requests::RequestOwner;
 
 use crate::scenario::{Scenario, CLASSES, DEDUP_WINDOW};
@@ -16,14 +17,11 @@
 };
 use mintshelf_balancer::decide::Balancer;
 use mintshelf_recovery::{OutageSignal, Recovery};
-use mintshelf_time::{Nanos, MILLISECOND, SECOND};
+use mintshelf_time::{Nanos, SECOND};
 use requests::{EndedAttempt, RequestTable};
 use settings::settings;
 use std::collections::HashMap;
 
-/// Longest wait for a connection.
-pub(crate) const CONNECT_TIMEOUT: Nanos = 200 * MILLISECOND;
-
 /// A simulated sidecar. Its methods append to the actions that [`Self::take_actions`] returns.
 pub(crate) struct Sidecar {
     balancer: Balancer,
--- a/crates/fleet-simulator/src/sidecar/settings.rs
+++ b/crates/fleet-simulator/src/sidecar/settings.rs
@@ -1,7 +1,7 @@
 //! Settings of the balancers of a scenario.
 
+use super::connections::CONNECT_TIMEOUT;
 use super::requests::MAX_ATTEMPTS;
-use super::CONNECT_TIMEOUT;
 use crate::scenario::{Scenario, TrafficClass, CLASSES, DEDUP_WINDOW};
 use mintshelf_balancer::api::{Backoff, Class, Group, Objective, Prices, Settings, SizeKind};
 use mintshelf_time::{MILLISECOND, SECOND};
--- a/crates/fleet-simulator/src/simulation/clients.rs
+++ b/crates/fleet-simulator/src/simulation/clients.rs
@@ -1,9 +1,10 @@
 //! Clients: their first requests, timeouts and retries.
 
+use super::client::Client;
 use super::{Event, Simulation, BEGIN};
 use crate::scenario::{RetryBehavior, CLASSES};
 use crate::sidecar::{Reply, RequestOwner};
-use mintshelf_balancer::api::{Effect, RequestId};
+use mintshelf_balancer::api::Effect;
 use mintshelf_time::{as_float, from_float, Nanos, MILLISECOND, SECOND};
 
 /// Retries of a client after its first request.
@@ -17,36 +18,6 @@
 /// Delay of an immediate retry.
 const IMMEDIATE_RETRY_DELAY: Nanos = MILLISECOND;
 
-/// A client with one operation, for which it may send several requests.
-pub(super) struct Client {
-    pub(super) class: usize,
-    sidecar: usize,
-    /// When it sent its first request.
-    first_sent_at: Nanos,
-    /// When it sent its last request.
-    sent_at: Nanos,
-    /// Requests sent, the first and retries.
-    pub(super) requests: u32,
-    /// Whether it awaits a response.
-    pub(super) is_waiting: bool,
-    /// Id of the request at the sidecar, if that accepted it.
-    pub(super) request_id: Option<RequestId>,
-    /// How often its effect happened.
-    pub(super) runs: u32,
-    /// Its timeout as a fraction of the latency objective, if it gives up early.
-    early_timeout: Option<f64>,
-}
-
-impl Client {
-    fn timeout(&self) -> Nanos {
-        let class = &CLASSES[self.class];
-        match self.early_timeout {
-            Some(part) => from_float(as_float(class.latency_objective) * part),
-            None => class.deadline,
-        }
-    }
-}
-
 impl Simulation<'_> {
     /// A client sends its first request, unless its sidecar is down: then the application waits
     /// and sends nothing.
--- a/crates/fleet-simulator/src/simulation/mod.rs
+++ b/crates/fleet-simulator/src/simulation/mod.rs
@@ -1,5 +1,6 @@
 //! Runs a scenario: the state of the site, and the events in order.
 
+mod client;
 mod clients;
 mod event;
 mod fleet;
@@ -13,7 +14,7 @@
 use crate::server::{Server, ServerSize};
 use crate::sidecar::Sidecar;
 use crate::uniform;
-use clients::Client;
+use client::Client;
 use event::{Event, EventQueue};
 use mintshelf_balancer::api::{EndpointState, ListKind};
 use mintshelf_time::{Nanos, SECOND};
--- a/crates/recovery/src/retry_after.rs
+++ b/crates/recovery/src/retry_after.rs
@@ -17,7 +17,7 @@
 
 /// A schedule of how many clients were advised to retry in which second.
 ///
-/// RFC 9110, section 10.2.3, gives `Retry-After` in whole seconds. A client that is advised
+/// RFC 9110, section 10.2.3, gives `Retry-After` in seconds. A client that is advised
 /// to wait `n` seconds returns `n` seconds after the response, so clients that got the same
 /// advice within one second return spread over a second as their own responses were.
 #[derive(Debug)]
@@ -37,7 +37,7 @@
     /// at most [`MAX_RETRY_AFTER_SECONDS`].
     #[must_use]
     pub fn new(seed: u64, max_retry_after: Nanos) -> Self {
-        let max_seconds = whole_seconds(max_retry_after, MAX_RETRY_AFTER_SECONDS);
+        let max_seconds = bounded_seconds(max_retry_after, MAX_RETRY_AFTER_SECONDS);
         RetryAfterSchedule {
             expected_by_second: VecDeque::from(vec![0; max_seconds as usize + 1]),
             expected: 0,
@@ -61,7 +61,7 @@
         self.advance(now);
         let max_seconds = match dedup_window {
             Some(window) => {
-                whole_seconds(window / DEDUP_WINDOW_DIVISOR, u64::from(self.max_seconds))
+                bounded_seconds(window / DEDUP_WINDOW_DIVISOR, u64::from(self.max_seconds))
             }
             None => self.max_seconds,
         };
@@ -139,7 +139,7 @@
 }
 
 /// A duration in seconds, rounded down; at least one and at most `max`.
-fn whole_seconds(duration: Nanos, max: u64) -> u32 {
+fn bounded_seconds(duration: Nanos, max: u64) -> u32 {
     let seconds = (duration / SECOND).clamp(1, max);
     u32::try_from(seconds).unwrap_or(u32::MAX)
 }
--- a/crates/routing/src/request.rs
+++ b/crates/routing/src/request.rs
@@ -74,8 +74,7 @@
     }
 
     /// The first condition other than host and path that the request does not meet.
-    #[must_use]
-    pub fn detail_mismatch<'rule>(&self, rule: &'rule RouteRule) -> Option<Mismatch<'rule>> {
+    pub(crate) fn detail_mismatch<'rule>(&self, rule: &'rule RouteRule) -> Option<Mismatch<'rule>> {
         if !rule.methods.is_empty() && !rule.methods.contains(self.method) {
             return Some(Mismatch::Method);
         }
--- a/crates/websocket/src/control.rs
+++ b/crates/websocket/src/control.rs
@@ -6,17 +6,17 @@
 /// Longest payload of a control frame, as its header states it.
 const MAX_CONTROL_LENGTH: u8 = 125;
 /// Longest payload of a control frame, in bytes (RFC 6455 5.5).
-pub const MAX_CONTROL_PAYLOAD_BYTES: usize = MAX_CONTROL_LENGTH as usize;
+pub(crate) const MAX_CONTROL_PAYLOAD_BYTES: usize = MAX_CONTROL_LENGTH as usize;
 
 /// Opcode of a close frame (RFC 6455 5.2).
-pub const OPCODE_CLOSE: u8 = 8;
+pub(crate) const OPCODE_CLOSE: u8 = 8;
 /// Opcode of a ping (RFC 6455 5.2).
 pub const OPCODE_PING: u8 = 9;
 /// Opcode of a pong (RFC 6455 5.2).
 pub const OPCODE_PONG: u8 = 10;
 
 /// Appends a control frame to `out` as `sender` would send it: a client masks with `mask_key`.
-/// A payload over [`MAX_CONTROL_PAYLOAD_BYTES`] is truncated.
+/// A payload over 125 bytes is truncated.
 pub fn write_control_frame(
     sender: Peer,
     opcode: u8,
--- a/crates/websocket/src/frame/message.rs
+++ b/crates/websocket/src/frame/message.rs
@@ -6,7 +6,7 @@
 /// nothing.
 pub const MAX_FRAGMENTS: u64 = 1024;
 /// Bytes of a message for which it may have one fragment more.
-pub const BYTES_PER_FRAGMENT: u64 = 16;
+const BYTES_PER_FRAGMENT: u64 = 16;
 
 /// How much of a message has come.
 #[derive(Debug, Clone, Copy, Default)]
--- a/crates/websocket/src/frame/mod.rs
+++ b/crates/websocket/src/frame/mod.rs
@@ -6,7 +6,7 @@
 mod message;
 
 pub use control_frame::{ControlAction, ControlFrame};
-pub use message::{BYTES_PER_FRAGMENT, MAX_FRAGMENTS};
+pub use message::MAX_FRAGMENTS;
 
 use crate::control::MAX_CONTROL_PAYLOAD_BYTES;
 use crate::header::{header_bytes, FrameHeader};
@@ -61,8 +61,7 @@
     }
 
     /// Whether the forwarded bytes end with a frame, so that a frame of the proxy may follow.
-    #[must_use]
-    pub fn is_between_frames(&self) -> bool {
+    pub(crate) fn is_between_frames(&self) -> bool {
         !matches!(self.state, State::Payload { .. })
     }
 
@@ -73,8 +72,7 @@
     }
 
     /// Whether the received bytes end with a message, and no part of a frame is buffered.
-    #[must_use]
-    pub fn is_at_message_boundary(&self) -> bool {
+    pub(crate) fn is_at_message_boundary(&self) -> bool {
         self.is_between_messages() && self.buffer.is_empty()
     }
 
@@ -105,7 +103,7 @@
     /// # Errors
     ///
     /// Those of [`Self::forward`].
-    pub fn forward_to_boundary(
+    pub(crate) fn forward_to_boundary(
         &mut self,
         input: &[u8],
         out: &mut Vec<u8>,
@@ -120,7 +118,7 @@
     /// # Errors
     ///
     /// Those of [`Self::forward`].
-    pub fn forward_first_message(
+    pub(crate) fn forward_first_message(
         &mut self,
         input: &[u8],
         out: &mut Vec<u8>,
--- a/crates/websocket/src/handshake/fields.rs
+++ b/crates/websocket/src/handshake/fields.rs
@@ -7,7 +7,7 @@
 /// The only extension that is supported (RFC 7692).
 const DEFLATE: &str = "permessage-deflate";
 
-/// Whether a request asks for an upgrade to WebSocket, valid or not.
+/// Whether a request is for an upgrade to WebSocket, valid or not.
 #[must_use]
 pub fn is_upgrade_request(headers: &HeaderMap) -> bool {
     list_elements(headers, &header::CONNECTION).any(|token| token.eq_ignore_ascii_case("upgrade"))
--- a/crates/websocket/src/timers/mod.rs
+++ b/crates/websocket/src/timers/mod.rs
@@ -85,19 +85,18 @@
     }
 
     /// Whether a peer has a ping to answer.
-    #[must_use]
-    pub fn awaits_pong(&self, peer: Peer) -> bool {
+    pub(crate) fn awaits_pong(&self, peer: Peer) -> bool {
         self.peer(peer).awaits_pong()
     }
 
     /// Makes a ping that can't be sent now due again a second later.
-    pub fn postpone_ping(&mut self, peer: Peer, now: Nanos) {
+    pub(crate) fn postpone_ping(&mut self, peer: Peer, now: Nanos) {
         let config = self.config;
         self.peer_mut(peer).postpone_ping(now, &config);
     }
 
     /// Stops the timer of the lifetime, once its event has been handled.
-    pub fn stop_lifetime(&mut self) {
+    pub(crate) fn stop_lifetime(&mut self) {
         self.lifetime_ends_ns = Nanos::MAX;
     }
 
@@ -107,7 +106,7 @@
     }
 
     /// Starts the timers of a peer that replaces a disconnected one.
-    pub fn restart_peer(&mut self, peer: Peer, now: Nanos) {
+    pub(crate) fn restart_peer(&mut self, peer: Peer, now: Nanos) {
         *self.peer_mut(peer) = PeerTimers::connected_at(now);
         self.last_message_ns = now;
     }
