--- a/crates/mintshelf/tests/compatibility/bindings.rs
+++ b/crates/mintshelf/tests/compatibility/bindings.rs
@@ -7,7 +7,8 @@
 use mintshelf_balancer::gossip::{GossipMessage, ServerObservation};
 use mintshelf_config::platform::{Names, PlatformConfig};
 use mintshelf_consensus::persistent_state::PersistentState;
-use mintshelf_consensus::replica::{Replica, ReplicaStatus};
+use mintshelf_consensus::replica::Replica;
+use mintshelf_consensus::replica_status::ReplicaStatus;
 use mintshelf_consensus::state_machine::StateMachine;
 use mintshelf_consensus::write_batch::ProposalId;
 use mintshelf_consensus_node::frame::{
@@ -23,8 +24,9 @@
 use mintshelf_quota::allocation::{
     AllocationBatch, AllocationRequest, AllocationResponse, Grant, GrantExpired,
 };
+use mintshelf_quota::command::{self as quota_commands, QuotaRejection};
 use mintshelf_quota::config::Quota;
-use mintshelf_quota::state_machine::{self as quota_commands, QuotaRejection, QuotaStateMachine};
+use mintshelf_quota::state_machine::QuotaStateMachine;
 use mintshelf_simulator_adapter::host::Host;
 use mintshelf_simulator_adapter::wire::write_action;
 use mintshelf_time::{MILLISECOND, SECOND};
@@ -33,7 +35,7 @@
 use std::fmt::Debug;
 use std::path::Path;
 
-/// Stand-ins for servers and clients, under the names that the tests call them by.
+/// Test servers and clients, under the names that the tests use.
 pub use mintshelf_test_support::{
     config, connect, free_address, get, ok_response as answer, request, send_request as ask,
     wait_until, Daemon, Peer, Server, Sidecar, TEST_TIMEOUT as LONG,
@@ -166,13 +168,13 @@
 }
 
 fn batch() -> AllocationBatch {
-    let request = |member, demand, is_leaving| AllocationRequest {
+    let request = |member, demand, is_release| AllocationRequest {
         owner: owner(member, 3),
         sequence: 300,
         demand,
         weight: 2,
         confirmed_grant: 5,
-        is_leaving,
+        is_release,
     };
     let expired = vec![GrantExpired { owner: owner("gamma", 7), grant: 400 }];
     AllocationBatch {
@@ -226,14 +228,14 @@
 /// Number, sum and count of an endpoint.
 pub type EndpointGossip = (u32, f64, f64);
 
-/// What a datagram says: weight, traffic of each tenant, endpoints.
+/// The contents of a datagram: weight, traffic of each tenant, endpoints.
 pub fn decoded_gossip(bytes: &[u8]) -> Option<(f64, Vec<f64>, Vec<EndpointGossip>)> {
     let message = GossipMessage::decode(bytes)?;
     let seen = message.servers.iter().map(|seen| (seen.server, seen.sum, seen.count)).collect();
     Some((message.weight, message.tenants, seen))
 }
 
-/// What an endpoint list says, a line for the list and one for each endpoint.
+/// An endpoint list as text: a line for the list and one for each endpoint.
 pub fn described_list(text: &str, came_whole: bool) -> String {
     let zones = vec!["east".to_string(), "west".to_string()];
     let names = Names { zones, hardware_models: vec!["small".to_string()], ..Names::default() };
@@ -263,7 +265,7 @@
     lines
 }
 
-/// Why a platform configuration is refused, without the file's name.
+/// Why a platform configuration is rejected, without the file's name.
 pub fn platform_refusal(file: &Path) -> Option<String> {
     let error = PlatformConfig::read(file).err()?.to_string();
     Some(error.replacen(&format!("{}: ", file.display()), "", 1))
@@ -285,7 +287,7 @@
     }
 }
 
-/// A line of the adapter's for each action; the one that it has no message for gives none.
+/// The adapter's line for each action; empty for the one that has no message.
 pub fn simulator_actions() -> Vec<(&'static str, String)> {
     let payload = vec![1, 0x2b, 0xff];
     let reason = EndReason::Overload;
@@ -320,7 +322,7 @@
     (store, content)
 }
 
-/// What a replica's directory holds: the log as stored, and the leases once it is applied.
+/// The contents of a replica's directory: the log as stored, and the leases once it is applied.
 pub fn described_store(directory: &Path) -> String {
     let (store, StoreContent::State(stored)) = open(directory) else { panic!("an empty store") };
     let (state, snapshot, entries) = (stored.hard_state(), stored.snapshot(), stored.entries());
@@ -426,7 +428,7 @@
     }
 }
 
-/// Writes a replica's directory with leases held, waited for, given back, revoked and expired,
+/// Writes a replica's directory with leases held, waited for, released, revoked and expired,
 /// on both sides of a snapshot.
 pub fn write_store(directory: &Path) {
     let mut session = Session::begin(directory);
