--- a/crates/websocket/src/session/forwarding.rs
+++ b/crates/websocket/src/session/forwarding.rs
@@ -102,7 +102,7 @@
         }
         if let Some(output_start) = forwarded.output_grown_from {
             if peer == Peer::Client {
-                self.store_first_message(output_start);
+                self.resume.record_sent(&self.server.output.bytes[output_start..]);
             }
             self.timers.record_queued(peer.other(), now);
         }
@@ -111,7 +111,8 @@
     /// Records that a peer took `count` bytes of its pending output.
     pub fn record_written(&mut self, peer: Peer, count: usize, now: Nanos) {
         if peer == Peer::Server {
-            self.decode_written(count);
+            let pending = self.server.output.pending();
+            self.resume.record_written(&pending[..count.min(pending.len())]);
         }
         let is_drained = self.side_mut(peer).output.advance(count);
         self.timers.record_written(peer, now, is_drained);
--- a/crates/websocket/src/session/migration.rs
+++ b/crates/websocket/src/session/migration.rs
@@ -1,36 +1,14 @@
 //! Leaves a server that is lost or drained, and continues at another one where that is allowed.
 
 use super::closing::GOING_AWAY;
-use super::side::{client_decoder, Side};
+use super::side::Side;
 use super::{EvictionRequest, Session, SessionAction, State};
 use crate::close::reason_with_retry;
 use crate::close_code;
-use crate::frame::{ControlAction, FrameDecoder};
 use crate::peer::Peer;
 use mintshelf_time::Nanos;
 
 impl Session {
-    /// Stores the client's first message, from the server's output behind `output_start`. A
-    /// socket whose first message is too long does not migrate.
-    pub(super) fn store_first_message(&mut self, output_start: usize) {
-        let Some(first_message) = &mut self.first_message else { return };
-        if !first_message.append(&self.server.output.bytes[output_start..]) {
-            self.first_message = None;
-            self.written_to_server = None;
-        }
-    }
-
-    /// Decodes the next `count` bytes of the server's output, which were written to it.
-    pub(super) fn decode_written(&mut self, count: usize) {
-        let Some(decoder) = &mut self.written_to_server else { return };
-        let pending = self.server.output.pending();
-        let written = &pending[..count.min(pending.len())];
-        let mut unused = Vec::new();
-        if decoder.forward(written, &mut unused, |_| ControlAction::Discard).is_err() {
-            self.written_to_server = None;
-        }
-    }
-
     /// Records that the server has disconnected. The socket waits for its migration slot.
     pub(super) fn lose_server(&mut self, reason: &str, now: Nanos) {
         // In the other states the server is lost already, or is about to be left.
@@ -61,7 +39,7 @@
         let is_due = *deadline_ns <= now;
         let request = request.clone();
         let is_between_messages = self.is_between_messages();
-        let may_migrate = request.may_migrate && self.written_to_server.is_some();
+        let may_migrate = request.may_migrate && self.resume.may_migrate();
         let is_flushed = self.pending_output(Peer::Server).is_empty();
         if may_migrate && is_between_messages && is_flushed && self.can_migrate() {
             self.begin_migration(request.reason);
@@ -73,9 +51,9 @@
     /// Whether another server can take over: the client has received complete messages only,
     /// and so has the old server.
     fn can_migrate(&self) -> bool {
-        let server_is_at_boundary =
-            self.written_to_server.as_ref().is_some_and(FrameDecoder::is_at_message_boundary);
-        server_is_at_boundary && self.server.decoder.is_between_messages() && self.end.is_none()
+        self.resume.is_at_message_boundary()
+            && self.server.decoder.is_between_messages()
+            && self.end.is_none()
     }
 
     fn begin_migration(&mut self, reason: String) {
@@ -125,15 +103,10 @@
     fn replace_server(&mut self) {
         let max_message_bytes = self.config.max_message_bytes;
         let mut server = Side::new(Peer::Server, self.is_compressed, max_message_bytes);
-        let has_received_message =
-            self.written_to_server.as_ref().is_some_and(|decoder| decoder.completed_messages() > 0);
-        if let Some(first_message) = self.first_message.as_ref().filter(|_| has_received_message) {
-            server.output.bytes.extend_from_slice(first_message.bytes());
-        }
+        server.output.bytes.extend_from_slice(self.resume.replace_server());
         server.output.bytes.extend_from_slice(self.server.output.pending());
         server.received_bytes = self.server.received_bytes;
         self.server = server;
-        self.written_to_server = self.config.resume.map(|_| client_decoder(self.is_compressed));
     }
 
     /// Closes the socket after [`SessionAction::Migrate`], as no other server takes it.
--- a/crates/websocket/src/session/mod.rs
+++ b/crates/websocket/src/session/mod.rs
@@ -8,6 +8,7 @@
 mod first_message;
 mod forwarding;
 mod migration;
+mod resume_state;
 mod side;
 mod timeouts;
 mod types;
@@ -16,14 +17,13 @@
     ClosedBy, EvictionRequest, Resume, SessionAction, SessionConfig, SessionEnd, Traffic,
 };
 
-use crate::frame::FrameDecoder;
 use crate::peer::Peer;
 use crate::timers::SocketTimers;
-use first_message::FirstMessage;
 use mintshelf_time::Nanos;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
-use side::{client_decoder, Side};
+use resume_state::ResumeState;
+use side::Side;
 use std::rc::Rc;
 
 /// The phase of a socket.
@@ -52,11 +52,7 @@
     state: State,
     action: Option<SessionAction>,
     end: Option<SessionEnd>,
-    /// Decodes what was written to the server, to tell whether that ends with a message. Absent
-    /// where the socket can't migrate.
-    written_to_server: Option<FrameDecoder>,
-    /// The client's first message, where other servers need it.
-    first_message: Option<FirstMessage>,
+    resume: ResumeState,
     /// Payload of the session's own pings.
     ping_token: [u8; 8],
     random: Pcg32,
@@ -72,7 +68,6 @@
         random.fill_bytes(&mut ping_token);
         let jitter = f64::from(random.next_u32()) / f64::from(u32::MAX);
         let max_message_bytes = config.max_message_bytes;
-        let replays_first_message = config.resume == Some(Resume::FirstMessage);
         Session {
             timers: SocketTimers::new(config.timers, now, jitter),
             is_compressed,
@@ -81,8 +76,7 @@
             state: State::Open,
             action: None,
             end: None,
-            written_to_server: config.resume.map(|_| client_decoder(is_compressed)),
-            first_message: replays_first_message.then(|| FirstMessage::new(is_compressed)),
+            resume: ResumeState::new(config.resume, is_compressed),
             config,
             ping_token,
             random,
--- /dev/null
+++ b/crates/websocket/src/session/resume_state.rs
@@ -0,0 +1,72 @@
+//! What the current server has received, by which a socket can continue at another one.
+
+use super::first_message::FirstMessage;
+use super::side::client_decoder;
+use super::types::Resume;
+use crate::frame::{ControlAction, FrameDecoder};
+
+/// Whether and how a socket can continue at another server.
+#[derive(Debug)]
+pub(super) struct ResumeState {
+    resume: Option<Resume>,
+    is_compressed: bool,
+    /// Decodes what was written to the server, to tell whether that ends with a message. Absent
+    /// where the socket can't migrate.
+    written: Option<FrameDecoder>,
+    /// The client's first message, where other servers need it.
+    first_message: Option<FirstMessage>,
+}
+
+impl ResumeState {
+    /// The state of a socket that opens now. It never migrates if `resume` is absent.
+    pub(super) fn new(resume: Option<Resume>, is_compressed: bool) -> Self {
+        let replays_first_message = resume == Some(Resume::FirstMessage);
+        ResumeState {
+            resume,
+            is_compressed,
+            written: resume.map(|_| client_decoder(is_compressed)),
+            first_message: replays_first_message.then(|| FirstMessage::new(is_compressed)),
+        }
+    }
+
+    /// Records bytes that the client sent. A socket whose first message is too long to be stored
+    /// does not migrate.
+    pub(super) fn record_sent(&mut self, bytes: &[u8]) {
+        let Some(first_message) = &mut self.first_message else { return };
+        if !first_message.append(bytes) {
+            self.first_message = None;
+            self.written = None;
+        }
+    }
+
+    /// Records bytes that were written to the server.
+    pub(super) fn record_written(&mut self, bytes: &[u8]) {
+        let Some(decoder) = &mut self.written else { return };
+        let mut unused = Vec::new();
+        if decoder.forward(bytes, &mut unused, |_| ControlAction::Discard).is_err() {
+            self.written = None;
+        }
+    }
+
+    /// Whether the socket may migrate once the server has received complete messages only.
+    pub(super) fn may_migrate(&self) -> bool {
+        self.written.is_some()
+    }
+
+    /// Whether the server has received complete messages only.
+    pub(super) fn is_at_message_boundary(&self) -> bool {
+        self.written.as_ref().is_some_and(FrameDecoder::is_at_message_boundary)
+    }
+
+    /// Starts with another server. Returns the bytes that it is sent before all others: the first
+    /// message, if the old server had received that.
+    pub(super) fn replace_server(&mut self) -> &[u8] {
+        let has_received_message =
+            self.written.as_ref().is_some_and(|decoder| decoder.completed_messages() > 0);
+        self.written = self.resume.map(|_| client_decoder(self.is_compressed));
+        match &self.first_message {
+            Some(first_message) if has_received_message => first_message.bytes(),
+            _ => &[],
+        }
+    }
+}
