--- a/crates/config/tests/attempt_settings.rs
+++ b/crates/config/tests/attempt_settings.rs
@@ -1,4 +1,4 @@
-//! The settings of attempts: what a file may state, and what a class gets that states nothing.
+//! The settings of attempts: which a file may state, and the defaults of a class that states none.
 
 mod common;
 
@@ -15,28 +15,33 @@
         LAB.replacen("deadline = \"1.2s\"", &format!("deadline = \"1.2s\"\n{more}"), 1)
     };
     assert_rejected(
-        "over the whole",
+        "attempt time-out over the deadline",
         &status("per-try-timeout = \"2s\""),
         "per-try",
         &["one try may take longer than the whole request, 1.2 s"],
     );
     assert_rejected(
-        "no room",
+        "attempts that do not fit",
         &status("per-try-timeout = \"600ms\"\nmax-attempts = 3"),
         "max-attempts",
         &["attempt 3 cannot fit: 2 x per-try-timeout is 1.2 s"],
     );
-    // Nobody asked for three.
+    // The default number of attempts is lowered instead.
     assert_eq!(errors(&status("per-try-timeout = \"600ms\"")), Vec::<String>::new());
     assert_rejected(
-        "no copies there",
+        "hedging not allowed by the cluster",
         &status("hedge = { after = \"p95\" }"),
         "hedge",
         &["does not allow two attempts", "second-copies = true"],
     );
-    assert_rejected("a copy of no time", &status("hedge = true"), "hedge", &["when a copy goes"]);
     assert_rejected(
-        "too many copies",
+        "a hedge without a delay",
+        &status("hedge = true"),
+        "hedge",
+        &["when a copy goes"],
+    );
+    assert_rejected(
+        "too many hedges",
         &status("hedge = { after = \"p95\", share = 0.9 }").replacen(
             "zone = \"charguia\"\n",
             "zone = \"charguia\"\nsecond-copies = true\n",
@@ -46,7 +51,7 @@
         &["0.9 is not between 0 and 0.5"],
     );
     assert_rejected(
-        "a falling pause",
+        "a decreasing backoff",
         &status("backoff = { first = \"2s\", most = \"1s\" }"),
         "backoff",
         &["shorter than the first"],
@@ -73,7 +78,7 @@
         1,
     );
     assert_rejected("nothing to follow", &pointless, "per-try", &["no attempt may follow"]);
-    // Inherited, it harms nothing.
+    // An inherited one is harmless.
     assert_eq!(
         errors(&behind("sockets = 256", "[defaults]\nper-try-timeout = \"1s\"")),
         Vec::<String>::new()
@@ -81,15 +86,15 @@
 }
 
 #[test]
-fn a_class_that_states_only_its_times_gets_good_ones() {
+fn a_class_that_states_only_its_times_has_valid_defaults() {
     let file = file::parse("f", LAB.as_bytes()).unwrap();
     let config = balancer_config(&file, "bench", &file.clusters["bench"]);
     let number = |class: &str, effect| config.classes[class].class_number(effect).unwrap().index();
     let status = &config.retry_policies[number("device-status", Effect::Safe)];
     assert_eq!((status.attempt_timeout, status.max_attempts), (AttemptTimeout::Adaptive, 3));
     let TimeoutBounds { min, max } = status.timeout_bounds;
-    assert_eq!(min, 200_000_000, "half its aim");
-    assert_eq!(max, 400_000_000, "what is answered within the aim is not cut");
+    assert_eq!(min, 200_000_000, "half its latency objective");
+    assert_eq!(max, 400_000_000, "a response within the objective is not cut off");
     let queue = number("queue-run", Effect::Idempotent);
     let window = config.settings.classes[queue].window();
     assert_eq!(
@@ -107,22 +112,22 @@
     let number = config.classes[policy].class_number(Effect::Safe).unwrap().index();
     assert_eq!(config.settings.classes[number].max_attempts, 2);
     assert_eq!(config.classes[policy].deadline, 2_000_000_000);
-    assert!(!config.classes.contains_key("run-logs"), "nothing goes by it");
+    assert!(!config.classes.contains_key("run-logs"), "no route uses it");
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 600, failure_persistence: None,
         rng_seed: proptest::test_runner::RngSeed::Fixed(29), ..ProptestConfig::default() })]
 
-    /// Of random files those that are taken lay out nothing that breaks a rule, and those that
-    /// are refused for a schedule have one that does.
+    /// Of random files the accepted ones have no schedule that breaks a rule, and those rejected for
+    /// a schedule have one that does.
     #[test]
-    fn a_file_is_taken_if_and_only_if_its_schedules_keep_the_rules(
+    fn a_file_is_accepted_if_and_only_if_its_schedules_break_no_rule(
         effect in prop::sample::select(vec!["safe", "keyed", "unsafe"]),
         (deadline, window, connect) in (100u32..30_000, 1_000u32..30_000, 1u32..3_000),
         per_try in prop::option::of(50u32..20_000),
         attempts in prop::option::of(1u32..=6),
-        (first, most) in (0u32..3_000, 0u32..6_000),
+        (initial, max) in (0u32..3_000, 0u32..6_000),
         retry_on in prop::option::of(prop::sample::select(vec!["never-ran", "may-have-run"])),
         (hedged, copies, over) in (any::<bool>(), any::<bool>(), any::<bool>()),
     ) {
@@ -130,7 +135,7 @@
         if effect == "keyed" {
             class += &format!("window = \"{window}ms\"\n");
         }
-        let mut settings = format!("backoff = {{ first = \"{first}ms\", most = \"{}ms\" }}", most.max(first));
+        let mut settings = format!("backoff = {{ first = \"{initial}ms\", most = \"{}ms\" }}", max.max(initial));
         if let Some(per_try) = per_try {
             settings += &format!(", per-try-timeout = \"{per_try}ms\"");
         }
--- a/crates/config/tests/attempts.rs
+++ b/crates/config/tests/attempts.rs
@@ -1,5 +1,5 @@
-//! Files whose attempts could break a rule: each rejected, at its place, with the schedule that
-//! breaks it.
+//! Files whose attempts could break a safety rule: each is rejected at its place, with the schedule
+//! that breaks the rule.
 
 mod common;
 
@@ -11,18 +11,19 @@
 const DUPLICATE_EFFECT: &str = "would break rule 2";
 
 #[test]
-fn a_class_may_ask_for_less_of_its_clusters_connections_and_not_for_more() {
+fn a_class_may_lower_the_connection_times_of_its_cluster_but_not_raise_them() {
     let queue = "[classes.queue-run]";
-    let late = "per-try-timeout = \"8s\"\nbackoff = { first = \"900ms\", most = \"1800ms\" }";
+    let slow_attempts =
+        "per-try-timeout = \"8s\"\nbackoff = { first = \"900ms\", most = \"1800ms\" }";
     let slow = LAB.replacen("connect-timeout = \"200ms\"", "connect-timeout = \"2s\"", 1).replacen(
         "deadline = \"4s\"",
         "deadline = \"60s\"",
         1,
     );
     assert_ne!(slow, LAB);
-    let with = |more: &str| slow.replacen(queue, &format!("{queue}\n{late}\n{more}"), 1);
+    let with = |more: &str| slow.replacen(queue, &format!("{queue}\n{slow_attempts}\n{more}"), 1);
     let window = ["attempt 3 could", "the window is 20 s"];
-    assert_rejected("the cluster's wait", &with(""), "window = ", &window);
+    assert_rejected("connect time-out of the cluster", &with(""), "window = ", &window);
     // 2 x 8 s + 0.9 s + 1.8 s + 3 x 0.1 s are under 20 s.
     let shorter = with("connect-timeout = \"100ms\"");
     assert_eq!(errors(&shorter), Vec::<String>::new());
@@ -34,24 +35,29 @@
     assert_eq!(config.retry_policies[other].connect_timeout, 2_000_000_000);
     let over = behind("[classes.run-logs]", "connect-timeout = \"3s\"");
     assert_rejected(
-        "more",
+        "longer connect time-out",
         &over,
         "connect-timeout = \"3s\"",
         &["over cluster 'bench''s own, 200ms"],
     );
     let over = behind("[classes.run-logs]", "idle-timeout = \"20s\"");
-    assert_rejected("rest", &over, "idle-timeout = \"20s\"", &["over cluster 'bench''s own, 15s"]);
-    // What is inherited is cut to what the cluster has.
+    assert_rejected(
+        "longer idle time-out",
+        &over,
+        "idle-timeout = \"20s\"",
+        &["over cluster 'bench''s own, 15s"],
+    );
+    // An inherited time-out is limited to that of the cluster.
     let all = behind("sockets = 256", "[defaults]\nconnect-timeout = \"3s\"");
     assert_eq!(errors(&all), Vec::<String>::new());
 }
 
 #[test]
-fn no_file_has_flash_device_sent_twice() {
+fn no_file_makes_flash_device_run_twice() {
     let flash = "[classes.flash-device]";
-    let again = "an unsafe request would be sent again after an attempt that may have run";
-    let copy = "an unsafe request would have a second copy beside one that may have run";
-    let copies = |text: String| {
+    let retried = "an unsafe request would be sent again after an attempt that may have run";
+    let hedged_message = "an unsafe request would have a second copy beside one that may have run";
+    let allow_hedging = |text: String| {
         text.replacen("zone = \"charguia\"\n", "zone = \"charguia\"\nsecond-copies = true\n", 1)
     };
     let direct = behind(flash, "retry-on = \"may-have-run\"");
@@ -59,29 +65,36 @@
         "directly",
         &direct,
         "retry-on",
-        &[again, DUPLICATE_EFFECT, "class 'flash-device' at cluster 'bench'"],
+        &[retried, DUPLICATE_EFFECT, "class 'flash-device' at cluster 'bench'"],
     );
-    let direct = copies(behind(flash, "hedge = { after = \"p95\" }"));
-    assert_rejected("a copy, directly", &direct, "hedge", &[copy, DUPLICATE_EFFECT]);
-    // What safe classes may have is inherited by all.
+    let direct = allow_hedging(behind(flash, "hedge = { after = \"p95\" }"));
+    assert_rejected("a hedge, directly", &direct, "hedge", &[hedged_message, DUPLICATE_EFFECT]);
+    // All classes inherit a default that only safe classes may have.
     let by_default = behind("sockets = 256", "[defaults]\nretry-on = \"may-have-run\"");
-    assert_rejected("through a default", &by_default, "retry-on", &[again, "'flash-device'"]);
-    let hedged =
-        copies(behind("sockets = 256", "[defaults]\nhedge = { after = \"30ms\", share = 0.1 }"));
+    assert_rejected("through a default", &by_default, "retry-on", &[retried, "'flash-device'"]);
+    let hedged = allow_hedging(behind(
+        "sockets = 256",
+        "[defaults]\nhedge = { after = \"30ms\", share = 0.1 }",
+    ));
     let hedged_queue = hedged.replacen("window = \"20s\"", "window = \"20s\"\nhedge = false", 1);
     assert_rejected(
-        "a copy, through a default",
+        "a hedge, through a default",
         &hedged_queue,
         "hedge = {",
-        &[copy, "'flash-device'"],
+        &[hedged_message, "'flash-device'"],
     );
     let corrected = hedged_queue.replacen(flash, &format!("{flash}\nhedge = false"), 1);
     assert_eq!(errors(&corrected), Vec::<String>::new());
     let route = "class = \"flash-device\"";
     let over = behind(route, "overrides = { retry-on = \"may-have-run\" }");
-    assert_rejected("through a route", &over, "overrides", &[again, DUPLICATE_EFFECT]);
-    let over = copies(behind(route, "overrides = { hedge = { after = \"1s\" } }"));
-    assert_rejected("a copy, through a route", &over, "overrides", &[copy, DUPLICATE_EFFECT]);
+    assert_rejected("through a route", &over, "overrides", &[retried, DUPLICATE_EFFECT]);
+    let over = allow_hedging(behind(route, "overrides = { hedge = { after = \"1s\" } }"));
+    assert_rejected(
+        "a hedge, through a route",
+        &over,
+        "overrides",
+        &[hedged_message, DUPLICATE_EFFECT],
+    );
     let milder = behind(route, "effect = \"safe\"");
     assert_rejected(
         "by its effect",
@@ -91,9 +104,9 @@
     );
 }
 
-/// A header, or a method, that turns the same requests into another class.
+/// Requests that a header or a method moves to another class.
 #[test]
-fn no_route_makes_requests_of_another_milder() {
+fn no_route_gives_requests_of_another_a_milder_effect() {
     let by_header = format!(
         "{LAB}\n[[routes]]\nname = \"fast\"\nregex = \"/devices/[^/]+/flash\"\nmethods = [\"POST\"]\n\
          headers = {{ x-fast = true }}\nclass = \"queue-run\"\ncluster = \"bench\"\n"
@@ -117,34 +130,35 @@
         "[[routes]]",
         &["says are unsafe would be safe here", "different methods"],
     );
-    // Two routes that share no method are two kinds of request.
-    let apart = format!(
+    // Two routes without a common method have different requests.
+    let different_methods = format!(
         "{LAB}\n[[routes]]\nname = \"peek\"\nregex = \"/devices/[^/]+/flash\"\nmethods = [\"GET\"]\n\
          class = \"run-logs\"\ncluster = \"bench\"\n"
     );
-    assert_eq!(errors(&apart), Vec::<String>::new());
-    // A POST in a safe class is unsafe by itself.
-    let still = by_header.replacen("class = \"queue-run\"\ncluster = \"bench\"\n", "", 0).replace(
-        "headers = { x-fast = true }\nclass = \"queue-run\"",
-        "headers = { x-fast = true }\nclass = \"run-logs\"",
-    );
-    assert_eq!(errors(&still), Vec::<String>::new());
+    assert_eq!(errors(&different_methods), Vec::<String>::new());
+    // A POST in a safe class is unsafe by its method.
+    let safe_class =
+        by_header.replacen("class = \"queue-run\"\ncluster = \"bench\"\n", "", 0).replace(
+            "headers = { x-fast = true }\nclass = \"queue-run\"",
+            "headers = { x-fast = true }\nclass = \"run-logs\"",
+        );
+    assert_eq!(errors(&safe_class), Vec::<String>::new());
 }
 
 #[test]
-fn no_queue_run_is_sent_after_its_window() {
+fn no_idempotent_request_is_retried_after_its_window() {
     let long =
         |more: &str| LAB.replacen("deadline = \"4s\"", &format!("deadline = \"30s\"\n{more}"), 1);
     // Nothing bounds the first attempt but the deadline.
     assert_rejected(
-        "no time for each try",
+        "no attempt time-out",
         &long(""),
         "window",
         &["no per-try time-out", "the window is 20 s", DUPLICATE_EFFECT],
     );
     let sum = long("per-try-timeout = \"8s\"\nbackoff = { first = \"1.8s\", most = \"3.6s\" }");
     assert_rejected(
-        "the sum",
+        "sum of all times",
         &sum,
         "window",
         &[
@@ -153,18 +167,18 @@
             DUPLICATE_EFFECT,
         ],
     );
-    for less in [
+    for shorter in [
         sum.replacen("\"8s\"", "\"5s\"", 1),
         sum.replacen("first = \"1.8s\", most = \"3.6s\"", "first = \"100ms\"", 1),
         sum.replacen("per-try-timeout", "max-attempts = 2\nper-try-timeout", 1),
     ] {
-        assert_eq!(errors(&less), Vec::<String>::new());
+        assert_eq!(errors(&shorter), Vec::<String>::new());
     }
     let connect = long("per-try-timeout = \"8s\"\nbackoff = { first = \"500ms\", most = \"1s\" }");
     assert_eq!(errors(&connect), Vec::<String>::new());
     let connect = connect.replacen("connect-timeout = \"200ms\"", "connect-timeout = \"2s\"", 1);
     assert_rejected(
-        "by its connections",
+        "sum with connect time-outs",
         &connect,
         "window",
         &["2 x 2 s connecting", DUPLICATE_EFFECT],
@@ -177,7 +191,7 @@
     assert_rejected("through a route", &over, "window", &["the deadline, 40 s", DUPLICATE_EFFECT]);
     let client = LAB.replacen("window = \"20s\"", "window = \"20s\"\nclient-retries = 2", 1);
     assert_rejected(
-        "its client's",
+        "retries of the client",
         &client,
         "client-retries",
         &["a client's own retry could reach a server at 22 s", DUPLICATE_EFFECT],
@@ -185,7 +199,7 @@
 }
 
 #[test]
-fn no_hedge_of_a_queue_run_goes_to_another_dedup_group() {
+fn no_hedge_of_an_idempotent_request_goes_to_another_dedup_group() {
     let hedge = LAB
         .replacen(
             "window = \"20s\"",
@@ -194,7 +208,7 @@
         )
         .replacen("zone = \"charguia\"\n", "zone = \"charguia\"\nsecond-copies = true\n", 1);
     assert_rejected(
-        "a copy",
+        "a hedge",
         &hedge,
         "hedge",
         &["outside the first one's dedup group", DUPLICATE_EFFECT],
@@ -202,7 +216,7 @@
 }
 
 #[test]
-fn no_queue_run_goes_where_its_key_is_not_known_or_no_longer() {
+fn no_idempotent_request_reaches_servers_that_do_not_know_its_key() {
     // A file that was once accepted.
     let measured = "listen = \"127.0.0.1:1\"\n[classes.q]\neffect = \"keyed\"\nwindow = \"20s\"\n\
         deadline = \"300s\"\n[clusters.c]\nendpoints = \"127.0.0.1:2\"\nmax-attempts = 6\n\
--- a/crates/config/tests/broken.rs
+++ b/crates/config/tests/broken.rs
@@ -1,4 +1,4 @@
-//! Broken files: each error at its line and column, all in one run, and never a panic.
+//! Broken files: every error has its line and column, one run reports all, and none panics.
 
 mod common;
 
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn the_examples_are_good() {
+fn the_examples_are_valid() {
     for text in [MINIMAL, LAB] {
         assert_eq!(errors(text.as_bytes()), Vec::<String>::new());
     }
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn all_problems_come_in_one_run() {
+fn one_run_reports_all_problems() {
     let text = with("sockets = 256", "socket = 256")
         .replace("\"400ms\"", "400")
         .replace("window = \"20s\"\n", "")
@@ -70,7 +70,7 @@
     #![proptest_config(ProptestConfig { cases: 1500, failure_persistence: None,
         rng_seed: proptest::test_runner::RngSeed::Fixed(11), ..ProptestConfig::default() })]
 
-    /// A good file with bytes changed, cut out or doubled is parsed or rejected, with places.
+    /// A valid file with bytes changed, removed or duplicated is parsed, or rejected with places.
     #[test]
     fn a_mutated_file_never_panics(
         edits in prop::collection::vec((any::<prop::sample::Index>(), 0usize..4, any::<u8>(), 1usize..40), 1..6),
--- a/crates/config/tests/common/mod.rs
+++ b/crates/config/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Example files, good and broken.
+//! Example files, valid and broken.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use mintshelf_config::file;
@@ -7,7 +7,7 @@
 pub const MINIMAL: &str = include_str!("../../../../deploy/minimal.toml");
 pub const LAB: &str = include_str!("../../../../deploy/lab.toml");
 
-/// What a problem's line begins with, and what it contains.
+/// The start of a problem's line, and a part of it.
 pub type ExpectedProblem = (&'static str, &'static str);
 
 /// A file with problems.
@@ -30,12 +30,12 @@
     LAB.replacen(from, to, 1)
 }
 
-/// A file with more in its only route.
+/// A file with additional settings in its only route.
 fn route(more: &str) -> String {
     format!("{MINIMAL}prefix = \"/x\"\n{more}\n")
 }
 
-/// A file with more in a route of a safe class.
+/// A file with additional settings in a route of a safe class.
 fn socket(more: &str) -> String {
     format!(
         "listen = \"127.0.0.1:1\"\n[classes.live]\neffect = \"safe\"\n[clusters.a]\n\
@@ -43,7 +43,7 @@
     )
 }
 
-/// A file with more in its fleet.
+/// A file with additional settings of its fleet.
 fn fleet(more: &str) -> String {
     format!("{MINIMAL}prefix = \"/x\"\n[fleet]\nfleet = \"f\"\nname = \"v1\"\n{more}\n")
 }
@@ -53,27 +53,27 @@
     format!("voters = [{}]", (1..=count).map(voter).collect::<Vec<_>>().join(", "))
 }
 
-/// The problems of a file, a line each.
+/// The problems of a file, each as a line.
 pub fn errors(text: &str) -> Vec<String> {
     let problems = file::parse("f", text.as_bytes()).err().unwrap_or_default();
     problems.iter().map(Problem::to_string).collect()
 }
 
-/// The lab's file with something put behind a line.
+/// The lab's file with text inserted behind a line.
 pub fn behind(line: &str, more: &str) -> String {
     assert!(LAB.contains(line), "{line}");
     LAB.replacen(line, &format!("{line}\n{more}"), 1)
 }
 
-/// One error, which names a line that holds `at`, and says all of `parts`.
-pub fn assert_rejected(what: &str, text: &str, at: &str, parts: &[&str]) {
+/// Asserts that a text has one error, in a line that contains `at`, with all of `parts`.
+pub fn assert_rejected(description: &str, text: &str, at: &str, parts: &[&str]) {
     let errors = errors(text);
-    assert_eq!(errors.len(), 1, "{what}: {errors:#?}");
+    assert_eq!(errors.len(), 1, "{description}: {errors:#?}");
     let line: usize = errors[0].split(':').nth(1).unwrap().parse().unwrap();
     let named = text.lines().nth(line - 1).unwrap();
-    assert!(named.contains(at), "{what}: line {line}, {named}: {}", errors[0]);
+    assert!(named.contains(at), "{description}: line {line}, {named}: {}", errors[0]);
     for part in parts {
-        assert!(errors[0].contains(part), "{what}: '{part}' in {}", errors[0]);
+        assert!(errors[0].contains(part), "{description}: '{part}' in {}", errors[0]);
     }
 }
 
--- a/crates/config/tests/limits.rs
+++ b/crates/config/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Limits and tenants as a file states them, and what is wrong with them.
+//! Limits and tenants as a file states them, and their problems.
 
 use mintshelf_config::admission::{admission_config, tenant_resolver};
 use mintshelf_config::file;
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_file_with_tenants_is_laid_out() {
+fn the_limits_of_a_file_with_tenants_are_derived() {
     let text = format!(
         "tenant-header = \"x-member\"\n{}",
         with(
@@ -54,7 +54,7 @@
     assert_eq!(limits.tenants["orange"].max_concurrency, Some(20));
     let rate = limits.tenants["orange"].rate.unwrap();
     assert_eq!((rate.count.get(), rate.burst.get()), (100, 100));
-    // By its share of half of 256 descriptors: 1 of 4 parts.
+    // Half of 256 descriptors by its share, 1 of 4 parts.
     assert_eq!(limits.tenants["telecom"].max_concurrency, Some(32));
     assert_eq!(limits.tenants["others"].max_concurrency, Some(32));
     assert_eq!(
@@ -71,7 +71,7 @@
     assert_eq!(tenant("2001:db8:1::9", None), "orange");
     assert_eq!(tenant("10.9.9.9", Some("tt")), "telecom");
     assert_eq!(tenant("10.9.9.9", None), "others");
-    // Without any of it nothing is limited, and nothing is asked.
+    // A file without limits has none.
     assert!(admission_config(&file::parse("f", LAB.as_bytes()).unwrap()).is_empty());
 }
 
--- a/crates/config/tests/schema.rs
+++ b/crates/config/tests/schema.rs
@@ -1,5 +1,5 @@
-//! The schema against the parser: the same keys in every table, the same files accepted wherever
-//! a schema can tell.
+//! The schema against the parser: the same keys in every table, and the same files accepted as far
+//! as a schema can express it.
 
 mod common;
 
@@ -60,25 +60,25 @@
     serde_json::to_value(value).ok()
 }
 
-/// All schemas that one may stand for: references and alternatives followed.
-fn alternatives<'s>(whole: &'s Value, node: &'s Value, into: &mut Vec<&'s Value>) {
+/// All schemas that a node stands for, with references and alternatives resolved.
+fn alternatives<'s>(root: &'s Value, node: &'s Value, into: &mut Vec<&'s Value>) {
     if let Some(name) = node["$ref"].as_str() {
         let target =
-            whole.pointer(name.trim_start_matches('#')).expect("a reference leads somewhere");
-        return alternatives(whole, target, into);
+            root.pointer(name.trim_start_matches('#')).expect("a reference leads somewhere");
+        return alternatives(root, target, into);
     }
     into.push(node);
     for key in ["anyOf", "oneOf", "allOf"] {
         for inner in node[key].as_array().into_iter().flatten() {
-            alternatives(whole, inner, into);
+            alternatives(root, inner, into);
         }
     }
 }
 
-/// The schemas of what stands under a path of the file.
-fn at<'s>(whole: &'s Value, path: &str) -> Vec<&'s Value> {
+/// The schemas of the values at a path of the file.
+fn at<'s>(root: &'s Value, path: &str) -> Vec<&'s Value> {
     let mut here = Vec::new();
-    alternatives(whole, whole, &mut here);
+    alternatives(root, root, &mut here);
     for step in path.replace('[', ".[").split('.').filter(|step| !step.is_empty()) {
         let mut next = Vec::new();
         for node in here {
@@ -88,7 +88,7 @@
                 false => &node["properties"][step],
             };
             if inner.is_object() {
-                alternatives(whole, inner, &mut next);
+                alternatives(root, inner, &mut next);
             }
         }
         here = next;
@@ -99,7 +99,7 @@
 #[test]
 fn every_table_has_the_keys_that_the_parser_knows() {
     assert!(file::parse("f", ALL.as_bytes()).is_ok(), "{:?}", file::parse("f", ALL.as_bytes()));
-    let whole = schema::schema();
+    let root = schema::schema();
     let tables = file::known_keys(ALL);
     assert!(tables.len() >= 25, "{:?}", tables.keys());
     for (path, known) in tables {
@@ -109,14 +109,14 @@
         }
         let known: BTreeSet<&str> = known.into_iter().collect();
         let properties =
-            at(&whole, &path).into_iter().filter_map(|node| node["properties"].as_object());
+            at(&root, &path).into_iter().filter_map(|node| node["properties"].as_object());
         let stated: BTreeSet<&str> =
             properties.flat_map(|properties| properties.keys().map(String::as_str)).collect();
         assert_eq!(stated, known, "in table '{path}'");
     }
 }
 
-/// What needs more than the form of a value: names, sums, clashes, words of other languages.
+/// Broken files that a schema can't detect: names, sums, conflicts, texts of other languages.
 const BEYOND_SCHEMA: [&str; 46] = [
     "fleet of two",
     "fleet of one",
@@ -167,9 +167,9 @@
 ];
 
 #[test]
-fn the_schema_accepts_files_as_the_parser_does_where_it_can() {
-    let whole = schema::schema();
-    let validator = jsonschema::validator_for(&whole).expect("a schema");
+fn the_schema_accepts_files_as_the_parser_does() {
+    let root = schema::schema();
+    let validator = jsonschema::validator_for(&root).expect("a schema");
     for good in [MINIMAL, LAB, ALL] {
         let errors: Vec<_> =
             validator.iter_errors(&json(good).unwrap()).map(|error| error.to_string()).collect();
