--- a/crates/consensus-node/tests/nodes/fleet.rs
+++ b/crates/consensus-node/tests/nodes/fleet.rs
@@ -93,7 +93,7 @@
     /// Address at which a node reaches another: that of the relay, where the node dials.
     fn peer_address(&self, id: u64, other: u64) -> SocketAddr {
         let relay = self.links.get(&Link { dials: id, listens: other });
-        relay.map_or(self.nodes[&other].address, |relay| relay.at)
+        relay.map_or(self.nodes[&other].address, |relay| relay.address)
     }
 
     pub fn address(&self, id: u64) -> SocketAddr {
--- a/crates/mintshelf/benches/relay.rs
+++ b/crates/mintshelf/benches/relay.rs
@@ -73,15 +73,14 @@
     let turn = pool.turn.get();
     pool.turn.set((turn + 1) % SERVERS.len());
     let idle = pool.idle[turn].borrow_mut().pop();
-    let mut send = match idle {
-        Some(send) => send,
-        None => {
-            let stream = TcpStream::connect(SERVERS[turn]).await?;
-            stream.set_nodelay(true)?;
-            let (send, connection) = handshake(TokioIo::new(stream)).await?;
-            spawn_local(connection);
-            send
-        }
+    let mut send = if let Some(send) = idle {
+        send
+    } else {
+        let stream = TcpStream::connect(SERVERS[turn]).await?;
+        stream.set_nodelay(true)?;
+        let (send, connection) = handshake(TokioIo::new(stream)).await?;
+        spawn_local(connection);
+        send
     };
     send.ready().await?;
     let path = request.uri().path_and_query().map_or("/", |target| target.as_str());
--- a/crates/mintshelf/tests/admission_limits.rs
+++ b/crates/mintshelf/tests/admission_limits.rs
@@ -22,15 +22,15 @@
 }
 
 fn file(
-    at: SocketAddr,
+    address: SocketAddr,
     admin: SocketAddr,
     servers: &[SocketAddr],
     more: &str,
     cluster: &str,
 ) -> String {
-    let servers: Vec<String> = servers.iter().map(|at| format!("\"{at}\"")).collect();
+    let servers: Vec<String> = servers.iter().map(|address| format!("\"{address}\"")).collect();
     format!(
-        "listen = \"{at}\"\n{more}\n[admin]\naddress = \"{admin}\"\n\
+        "listen = \"{address}\"\n{more}\n[admin]\naddress = \"{admin}\"\n\
          [classes.cheap]\nworth = 1\n[classes.dear]\nworth = 5\n\
          [clusters.c]\nendpoints = [{}]\n{cluster}\n\
          [[routes]]\nname = \"dear\"\nprefix = \"/dear\"\nclass = \"dear\"\ncluster = \"c\"\n\
@@ -40,8 +40,8 @@
 }
 
 fn daemon(servers: &[SocketAddr], more: &str, cluster: &str) -> (Daemon, SocketAddr) {
-    let (at, admin) = (free_address(), free_address());
-    (Daemon::start(PROGRAM, at, &file(at, admin, servers, more, cluster), &[]), admin)
+    let (address, admin) = (free_address(), free_address());
+    (Daemon::start(PROGRAM, address, &file(address, admin, servers, more, cluster), &[]), admin)
 }
 
 fn problem_code(response: &Message) -> String {
@@ -62,7 +62,7 @@
 #[test]
 fn a_tenant_over_its_rate_is_rejected_and_the_others_are_served() {
     let server = server(&Latch::default());
-    let (daemon, admin) = daemon(&[server.at], TENANTS, "");
+    let (daemon, admin) = daemon(&[server.address], TENANTS, "");
     let of_limited_tenant: Vec<Message> =
         (0..200).map(|_| daemon.send_request(&request_of("a", "/")).unwrap()).collect();
     let of_other_tenant: Vec<Message> =
@@ -86,7 +86,7 @@
 fn a_header_does_not_move_a_client_out_of_its_network() {
     let server = server(&Latch::default());
     let more = TENANTS.replace("192.0.2.0/24", "127.0.0.0/8") + "\nrate = \"1/m\"\nburst = 5";
-    let (daemon, _) = daemon(&[server.at], &more, "");
+    let (daemon, _) = daemon(&[server.address], &more, "");
     let statuses: Vec<u16> = (0..20)
         .map(|n| daemon.send_request(&request_of(["b", "c"][n % 2], "/")).unwrap().status())
         .collect();
@@ -97,11 +97,11 @@
 #[test]
 fn slow_uploads_of_one_tenant_leave_the_others_their_capacity() {
     let server = server(&Latch::default());
-    let (daemon, admin) = daemon(&[server.at], TENANTS, "");
+    let (daemon, admin) = daemon(&[server.address], TENANTS, "");
     let mut uploads = Vec::new();
     let mut rejected = 0;
     for _ in 0..60 {
-        let mut stream = connect(daemon.at).unwrap();
+        let mut stream = connect(daemon.address).unwrap();
         let head = "POST /up HTTP/1.1\r\nHost: h\r\nX-Member: b\r\nContent-Length: 60000\r\n\r\nxx";
         stream.write_all(head.as_bytes()).unwrap();
         uploads.push(stream);
@@ -134,9 +134,10 @@
 fn a_full_queue_rejects_the_lowest_priority_at_once_and_serves_the_others() {
     let latch = Latch::default();
     let server = server(&latch);
-    let (daemon, admin) = daemon(&[server.at], "", "concurrency = 2\nqueue = 2");
-    let at = daemon.at;
-    let send = |path: &'static str| thread::spawn(move || send_request(at, &get(path)).unwrap());
+    let (daemon, admin) = daemon(&[server.address], "", "concurrency = 2\nqueue = 2");
+    let address = daemon.address;
+    let send =
+        |path: &'static str| thread::spawn(move || send_request(address, &get(path)).unwrap());
     let wait_for_levels = |admitted: f64, waiting: f64| {
         wait_until("the queue has these levels", || {
             metric(admin, "mintshelf_gate_requests") == admitted
@@ -155,9 +156,9 @@
         assert!(response.header("retry-after").is_some());
     }
     // Another one of low priority is the lowest itself.
-    assert_eq!(problem_code(&send_request(at, &get("/5")).unwrap()), "queue-full");
+    assert_eq!(problem_code(&send_request(address, &get("/5")).unwrap()), "queue-full");
     // A client that disconnects in the queue leaves no trace.
-    let mut disconnected = connect(at).unwrap();
+    let mut disconnected = connect(address).unwrap();
     disconnected.write_all(&get("/dear/3")).unwrap();
     drop(disconnected);
     wait_for_levels(2.0, 2.0);
@@ -166,19 +167,19 @@
         assert_eq!(response.status(), 200);
     }
     wait_for_levels(0.0, 0.0);
-    assert_eq!(send_request(at, &get("/6")).unwrap().status(), 200);
+    assert_eq!(send_request(address, &get("/6")).unwrap().status(), 200);
 }
 
 #[test]
 fn a_client_that_disconnects_in_the_queue_frees_its_place() {
     let latch = Latch::default();
     let server = server(&latch);
-    let (daemon, admin) = daemon(&[server.at], "", "concurrency = 1\nqueue = 1");
+    let (daemon, admin) = daemon(&[server.address], "", "concurrency = 1\nqueue = 1");
     latch.close();
-    let at = daemon.at;
-    let first = thread::spawn(move || send_request(at, &get("/1")).unwrap());
+    let address = daemon.address;
+    let first = thread::spawn(move || send_request(address, &get("/1")).unwrap());
     wait_until("one is admitted", || metric(admin, "mintshelf_gate_requests") == 1.0);
-    let mut disconnected = connect(at).unwrap();
+    let mut disconnected = connect(address).unwrap();
     disconnected.write_all(&get("/2")).unwrap();
     wait_until("one waits", || metric(admin, "mintshelf_gate_waiting") == 1.0);
     // A reset, as of a client that has crashed.
@@ -192,15 +193,15 @@
 #[test]
 fn limits_that_change_under_load_lose_no_request_and_count_each_once() {
     let server = server(&Latch::default());
-    let (daemon, admin) = daemon(&[server.at], TENANTS, "concurrency = 4\nqueue = 1000");
+    let (daemon, admin) = daemon(&[server.address], TENANTS, "concurrency = 4\nqueue = 1000");
     let (rejected, completed) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
-    let at = daemon.at;
+    let address = daemon.address;
     let clients: Vec<_> = (0..16)
         .map(|n| {
             let (rejected, completed) = (rejected.clone(), completed.clone());
             thread::spawn(move || {
                 let mut statuses = Vec::new();
-                let mut stream = connect(at).unwrap();
+                let mut stream = connect(address).unwrap();
                 while !rejected.load(Ordering::SeqCst) {
                     stream.write_all(&request_of(["b", "c"][n % 2], "/")).unwrap();
                     statuses.push(Message::read(&mut stream).expect("a response").status());
@@ -215,10 +216,16 @@
         wait_until("some are served", || completed.load(Ordering::SeqCst) >= before + 50);
         let cluster = ["concurrency = 2\nqueue = 1000", "", "concurrency = 9\nqueue = 1000"][n % 3];
         let tenants = [TENANTS, "[limits]\nsockets = 256"][n % 2];
-        daemon.reload(&file(at, admin, &[server.at], tenants, cluster));
+        daemon.reload(&file(address, admin, &[server.address], tenants, cluster));
         assert!(metric(admin, "mintshelf_gate_requests") <= 16.0);
     }
-    daemon.reload(&file(at, admin, &[server.at], TENANTS, "concurrency = 4\nqueue = 1000"));
+    daemon.reload(&file(
+        address,
+        admin,
+        &[server.address],
+        TENANTS,
+        "concurrency = 4\nqueue = 1000",
+    ));
     rejected.store(true, Ordering::SeqCst);
     let statuses: Vec<u16> =
         clients.into_iter().flat_map(|client| client.join().unwrap()).collect();
@@ -233,12 +240,12 @@
 fn an_endpoint_gets_no_more_connections_than_its_limit() {
     let latch = Latch::default();
     let servers = [server(&latch), server(&latch)];
-    let at = servers.each_ref().map(|server| server.at);
-    let (daemon, _) = daemon(&at, "", "endpoint-connections = 3");
+    let addresses = servers.each_ref().map(|server| server.address);
+    let (daemon, _) = daemon(&addresses, "", "endpoint-connections = 3");
     latch.close();
-    let at = daemon.at;
+    let address = daemon.address;
     let clients: Vec<_> =
-        (0..20).map(|_| thread::spawn(move || send_request(at, &get("/")).unwrap())).collect();
+        (0..20).map(|_| thread::spawn(move || send_request(address, &get("/")).unwrap())).collect();
     wait_until("all connections are in use", || {
         servers.iter().all(|server| server.requests().len() == 3)
     });
@@ -257,9 +264,9 @@
 #[test]
 fn the_log_has_fields_and_a_bounded_rate() {
     let server = server(&Latch::default());
-    let (at, admin) = (free_address(), free_address());
-    let text = file(at, admin, &[server.at], TENANTS, "");
-    let daemon = Daemon::start(PROGRAM, at, &text, &["--log-format", "json"]);
+    let (address, admin) = (free_address(), free_address());
+    let text = file(address, admin, &[server.address], TENANTS, "");
+    let daemon = Daemon::start(PROGRAM, address, &text, &["--log-format", "json"]);
     for _ in 0..300 {
         daemon.send_request(&request_of("a", "/")).unwrap();
     }
--- /dev/null
+++ b/crates/mintshelf/tests/attempts/main.rs
@@ -0,0 +1,7 @@
+//! Attempts under their own timeouts, hedges, the retry budget, and effects counted at the servers.
+
+mod budgets;
+mod connections;
+mod effects;
+mod faulty_endpoints;
+mod fixture;
--- a/crates/mintshelf/tests/compatibility/endpoint_lists.rs
+++ b/crates/mintshelf/tests/compatibility/endpoint_lists.rs
@@ -21,7 +21,7 @@
 #[test]
 fn a_sidecar_sends_by_the_list_in_its_configuration_while_discovery_is_away() {
     let server = Server::start(|_, _| Some(answer("listed")));
-    let list = text("endpoint-list.json").replace("127.0.0.1:9001", &server.at.to_string());
+    let list = text("endpoint-list.json").replace("127.0.0.1:9001", &server.address.to_string());
     let mut configuration = config(free_address(), Vec::new());
     configuration["known"] = serde_json::from_str::<Value>(&list).unwrap();
     let sidecar = Sidecar::start(PROGRAM, configuration);
@@ -34,9 +34,9 @@
 #[test]
 fn discovery_is_called_by_the_same_path_and_its_list_is_used() {
     let server = Server::start(|_, _| Some(answer("listed")));
-    let list = text("endpoint-list.json").replace("127.0.0.1:9001", &server.at.to_string());
+    let list = text("endpoint-list.json").replace("127.0.0.1:9001", &server.address.to_string());
     let discovery = Server::start(move |_, _| Some(answer(&list)));
-    let sidecar = Sidecar::start(PROGRAM, config(discovery.at, Vec::new()));
+    let sidecar = Sidecar::start(PROGRAM, config(discovery.address, Vec::new()));
     wait_until("the list is held", || {
         discovery.requests().iter().any(|call| call.after() == Some(41))
     });
--- a/crates/mintshelf/tests/compatibility/metrics.rs
+++ b/crates/mintshelf/tests/compatibility/metrics.rs
@@ -49,7 +49,7 @@
     let plain = Server::start(|_, _| Some(answer("good")));
     let (live, other) = (echo(), echo());
     let (at, admin) = (free_address(), free_address());
-    let text = file(at, admin, [plain.at, live.at, other.at]);
+    let text = file(at, admin, [plain.address, live.address, other.address]);
     let daemon = Daemon::start(PROGRAM, at, &text, &[]);
     assert_eq!(daemon.send_request(&get("/plain")).unwrap().status(), 200);
     assert_eq!(daemon.send_request(&get("/nowhere")).unwrap().status(), 404);
@@ -124,13 +124,13 @@
     with_traffic(|daemon, admin| {
         let mut errors = String::new();
         let requests = [
-            ("no route", daemon.at, "GET /nowhere HTTP/1.1\r\nHost: h\r\n\r\n"),
-            ("nobody serves", daemon.at, "GET /away HTTP/1.1\r\nHost: h\r\n\r\n"),
-            ("no host", daemon.at, "GET /plain HTTP/1.1\r\n\r\n"),
-            ("no tunnel", daemon.at, "CONNECT h:1 HTTP/1.1\r\nHost: h:1\r\n\r\n"),
+            ("no route", daemon.address, "GET /nowhere HTTP/1.1\r\nHost: h\r\n\r\n"),
+            ("nobody serves", daemon.address, "GET /away HTTP/1.1\r\nHost: h\r\n\r\n"),
+            ("no host", daemon.address, "GET /plain HTTP/1.1\r\n\r\n"),
+            ("no tunnel", daemon.address, "CONNECT h:1 HTTP/1.1\r\nHost: h:1\r\n\r\n"),
             (
                 "another version of WebSocket",
-                daemon.at,
+                daemon.address,
                 "GET /live HTTP/1.1\r\nHost: h\r\nConnection: upgrade\r\nUpgrade: websocket\r\n\
                  Sec-WebSocket-Version: 12\r\nSec-WebSocket-Key: dGhlIHNhbXBsZSBub25jZQ==\r\n\r\n",
             ),
--- a/crates/mintshelf/tests/compatibility/platform_configuration.rs
+++ b/crates/mintshelf/tests/compatibility/platform_configuration.rs
@@ -109,7 +109,7 @@
     }
     configuration["peers"] = json!([configuration["peer_listen"], free_address().to_string()]);
     configuration["peers_all"] = json!(free_address().to_string());
-    configuration["known"]["targets"][0]["endpoint"] = json!(server.at.to_string());
+    configuration["known"]["targets"][0]["endpoint"] = json!(server.address.to_string());
     let sidecar = Sidecar::start(PROGRAM, configuration);
     let response = sidecar.send_request(&request("safe", "txn-1")).unwrap();
     assert_eq!((response.status(), response.body.as_slice()), (200, &b"served"[..]));
--- a/crates/mintshelf/tests/conformance/decision_module.rs
+++ b/crates/mintshelf/tests/conformance/decision_module.rs
@@ -62,8 +62,8 @@
         let Some(next) = (0..self.timers.len()).min_by_key(|timer| self.timers[*timer].0) else {
             return false;
         };
-        let (at, token) = self.timers.swap_remove(next);
-        self.now = self.now.max(at);
+        let (fires_at, token) = self.timers.swap_remove(next);
+        self.now = self.now.max(fires_at);
         self.handle(Event::Timer { token });
         true
     }
@@ -123,26 +123,40 @@
     }
 }
 
+/// Requests that are drawn from an order to measure its shares.
+const DRAWS: usize = 400_000;
+
 /// Checks the weights of an order, and the shares in which it is drawn.
 pub fn check_order(row: &OrderRow) -> Result<(), String> {
-    let n = row.speeds.len();
     let order = ServerOrder::new(row.speeds.iter().copied().enumerate());
     if let Some(bound) = row.epsilon_below {
-        if !(order.epsilon() > 0.0 && order.epsilon() < bound) {
-            return Err(format!("epsilon is {}, not in (0, {bound})", order.epsilon()));
-        }
-        // The last pair's weight has a formula of its own, (4.2).
-        let last = row.speeds[n - 2] + row.speeds[n - 1] - (n - 2) as f64 * order.epsilon();
-        for (pair, expected) in [(1, row.speeds[0] + order.epsilon()), (n - 1, last)] {
-            let weight = order.pair_weight(pair);
-            if (weight - expected).abs() > 1e-9 {
-                return Err(format!("pair {pair} weighs {weight}, not {expected}"));
-            }
+        check_weights(row, &order, bound)?;
+    }
+    check_shares(row, &order)
+}
+
+/// Checks epsilon against its bound, and the weights of the first pair and the last one.
+fn check_weights(row: &OrderRow, order: &ServerOrder, bound: f64) -> Result<(), String> {
+    let n = row.speeds.len();
+    if !(order.epsilon() > 0.0 && order.epsilon() < bound) {
+        return Err(format!("epsilon is {}, not in (0, {bound})", order.epsilon()));
+    }
+    // The last pair's weight has a formula of its own, (4.2).
+    let last = row.speeds[n - 2] + row.speeds[n - 1] - (n - 2) as f64 * order.epsilon();
+    for (pair, expected) in [(1, row.speeds[0] + order.epsilon()), (n - 1, last)] {
+        let weight = order.pair_weight(pair);
+        if (weight - expected).abs() > 1e-9 {
+            return Err(format!("pair {pair} weighs {weight}, not {expected}"));
         }
     }
+    Ok(())
+}
+
+/// Checks the shares of the servers among all requests, and among those for one server alone.
+fn check_shares(row: &OrderRow, order: &ServerOrder) -> Result<(), String> {
+    let n = row.speeds.len();
     let mut rng = Pcg64Mcg::seed_from_u64(9);
     let mut draw = move || (rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64;
-    const DRAWS: usize = 400_000;
     let (mut all, mut dedicated) = (vec![0usize; n], vec![0usize; n]);
     for _ in 0..DRAWS {
         match order.draw(&mut draw) {
--- a/crates/mintshelf/tests/conformance/main.rs
+++ b/crates/mintshelf/tests/conformance/main.rs
@@ -2,6 +2,7 @@
 //! module, on the simulator's wire, at the real sidecar. One test a row.
 
 mod decision_module;
+mod faulty_discovery;
 mod harness;
 mod rows;
 mod sidecar;
@@ -10,8 +11,8 @@
 use decision_module::DecisionModule;
 use libtest_mimic::{Arguments, Failed, Trial};
 use rows::{
-    Design, EligibilityRow, Notifications, OutcomeRow, Outcomes, RequestOutcome, Shutdowns, Target,
-    Untested, ALL_TARGETS,
+    Design, EligibilityRow, NotificationRow, Notifications, OrderRow, OutcomeRow, Outcomes,
+    RequestOutcome, ShutdownRow, Shutdowns, Target, Untested, ALL_TARGETS,
 };
 use simulator_wire::SimulatorWire;
 use std::collections::HashSet;
@@ -76,55 +77,74 @@
     Trial::test(format!("{table}::{id}::{target:?}").to_lowercase(), run)
 }
 
-fn main() {
-    let outcomes: Outcomes = toml::from_str(include_str!("outcomes.toml")).unwrap();
-    let design: Design = toml::from_str(include_str!("design.toml")).unwrap();
-    let notifications: Notifications = toml::from_str(include_str!("notification.toml")).unwrap();
-    let shutdowns: Shutdowns = toml::from_str(include_str!("shutdown.toml")).unwrap();
-    let untested: Untested = toml::from_str(include_str!("untested.toml")).unwrap();
-    for row in &untested.untested {
-        assert!(![&row.source, &row.sentence, &row.reason].iter().any(|text| text.is_empty()));
-    }
+/// The failure of a row, with the source of its sentence.
+fn failure(source: &str, description: &str) -> Failed {
+    format!("{source}: {description}").into()
+}
+
+fn outcome_tests(outcomes: Outcomes) -> Vec<Trial> {
     let mut tests = Vec::new();
     for row in outcomes.row {
-        assert!(
-            row.targets.len() == ALL_TARGETS.len() || row.reason.is_some(),
-            "{}: why not?",
-            row.id
-        );
+        let is_everywhere = row.targets.len() == ALL_TARGETS.len();
+        assert!(is_everywhere || row.reason.is_some(), "{}: why not?", row.id);
         for target in row.targets.clone() {
             let row = row.clone();
-            tests.push(test_case("outcome", &row.id.clone(), target, move || {
-                check_outcome(&row, target)
-            }));
+            let id = row.id.clone();
+            let run = move || check_outcome(&row, target);
+            tests.push(test_case("outcome", &id, target, run));
         }
     }
-    for row in design.order {
-        tests.push(test_case("order", &row.id.clone(), Target::Module, move || {
-            decision_module::check_order(&row)
-                .map_err(|failure| format!("{}: {failure}", row.source).into())
-        }));
-    }
-    for row in design.eligibility {
-        for target in ALL_TARGETS {
-            let row = row.clone();
-            tests.push(test_case("eligibility", &row.id.clone(), target, move || {
-                check_eligibility(&row, target)
-            }));
-        }
-    }
-    for row in notifications.row {
-        tests.push(test_case("notification", &row.id.clone(), Target::Sidecar, move || {
-            let late = sidecar::count_late_requests(&row);
-            check(late == 0, || format!("{}: {late} requests were sent to it", row.source))
-        }));
-    }
-    for row in shutdowns.row {
-        tests.push(test_case("shutdown", &row.id.clone(), Target::Sidecar, move || {
-            sidecar::check_shutdown(&row)
-                .map_err(|failure| format!("{}: {failure}", row.source).into())
-        }));
+    tests
+}
+
+fn order_test(row: OrderRow) -> Trial {
+    let id = row.id.clone();
+    test_case("order", &id, Target::Module, move || {
+        decision_module::check_order(&row).map_err(|text| failure(&row.source, &text))
+    })
+}
+
+fn eligibility_tests(row: &EligibilityRow) -> Vec<Trial> {
+    let test = |target| {
+        let row = row.clone();
+        test_case("eligibility", &row.id.clone(), target, move || check_eligibility(&row, target))
+    };
+    ALL_TARGETS.map(test).into()
+}
+
+fn notification_test(row: NotificationRow) -> Trial {
+    let id = row.id.clone();
+    test_case("notification", &id, Target::Sidecar, move || {
+        let late = sidecar::count_late_requests(&row);
+        check(late == 0, || format!("{}: {late} requests were sent to it", row.source))
+    })
+}
+
+fn shutdown_test(row: ShutdownRow) -> Trial {
+    let id = row.id.clone();
+    test_case("shutdown", &id, Target::Sidecar, move || {
+        sidecar::check_shutdown(&row).map_err(|text| failure(&row.source, &text))
+    })
+}
+
+/// Checks that each sentence without a row has a source and a reason.
+fn check_untested(untested: &Untested) {
+    for row in &untested.untested {
+        assert!(![&row.source, &row.sentence, &row.reason].iter().any(|text| text.is_empty()));
     }
+}
+
+fn main() {
+    let outcomes: Outcomes = toml::from_str(include_str!("outcomes.toml")).unwrap();
+    let design: Design = toml::from_str(include_str!("design.toml")).unwrap();
+    let notifications: Notifications = toml::from_str(include_str!("notification.toml")).unwrap();
+    let shutdowns: Shutdowns = toml::from_str(include_str!("shutdown.toml")).unwrap();
+    check_untested(&toml::from_str(include_str!("untested.toml")).unwrap());
+    let mut tests = outcome_tests(outcomes);
+    tests.extend(design.order.into_iter().map(order_test));
+    tests.extend(design.eligibility.iter().flat_map(eligibility_tests));
+    tests.extend(notifications.row.into_iter().map(notification_test));
+    tests.extend(shutdowns.row.into_iter().map(shutdown_test));
     let names: HashSet<_> = tests.iter().map(|test| test.name().to_string()).collect();
     assert_eq!(names.len(), tests.len(), "two rows have the same name");
     libtest_mimic::run(&Arguments::from_args(), tests).exit();
--- a/crates/mintshelf/tests/conformance/sidecar.rs
+++ b/crates/mintshelf/tests/conformance/sidecar.rs
@@ -1,5 +1,6 @@
 //! Rows at the real sidecar, between test servers on loopback sockets.
 
+use super::faulty_discovery::FaultyDiscovery;
 use super::rows::{
     AttemptResult, DiscoveryFault, EligibilityRow, GivenRequest, NotificationRow, RequestOutcome,
     ServerState, ShutdownRow,
@@ -8,13 +9,12 @@
 use mintshelf_test_support::{
     config, connect, ok_response, read_to_close, request, request_with_timeout, reset_connection,
     set_deadlines, wait_until, Discovery, Message, Peer, Process as _, Server, Sidecar,
-    TEST_TIMEOUT,
 };
 use serde_json::{json, Value};
 use std::io::Write;
-use std::net::{SocketAddr, TcpStream};
-use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
-use std::sync::{Arc, Mutex};
+use std::net::SocketAddr;
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::sync::Arc;
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
@@ -53,7 +53,7 @@
     (peer, received)
 }
 
-fn entry(at: SocketAddr, uid: &str, state: ServerState) -> Value {
+fn entry(address: SocketAddr, uid: &str, state: ServerState) -> Value {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64;
     let listed_state = match state {
         ServerState::Draining => "DRAINING",
@@ -61,15 +61,15 @@
         _ => "SERVING",
     };
     let started_at_ms = if state == ServerState::WarmingUp { now } else { 0 };
-    json!({"uid": uid, "endpoint": at.to_string(), "state": listed_state, "boot_ms": started_at_ms})
+    json!({"uid": uid, "endpoint": address.to_string(), "state": listed_state, "boot_ms": started_at_ms})
 }
 
 /// Sends one request whose first attempts have the results of the row.
 pub fn outcome(given: &GivenRequest) -> Observed {
     let (server, received) = scripted_server(given.results.clone());
-    let servers = vec![entry(server.at, "a", ServerState::Ready)];
+    let servers = vec![entry(server.address, "a", ServerState::Ready)];
     let discovery = Discovery::start(1, servers.clone());
-    let sidecar = Sidecar::start(PROGRAM, config(discovery.at, servers));
+    let sidecar = Sidecar::start(PROGRAM, config(discovery.address, servers));
     let timeout_ms = if given.results.contains(&AttemptResult::TimedOut) { 600 } else { 8_000 };
     let request = request_with_timeout(&given.class, "a", timeout_ms);
     let response = sidecar.send_request(&request).unwrap();
@@ -86,14 +86,14 @@
     let servers: Vec<_> =
         row.servers.iter().map(|_| Server::start(|_, _| Some(ok_response("")))).collect();
     let entries: Vec<_> = (0..servers.len())
-        .map(|index| entry(servers[index].at, &format!("s{index}"), row.servers[index]))
+        .map(|index| entry(servers[index].address, &format!("s{index}"), row.servers[index]))
         .collect();
     let discovery = Discovery::start(1, entries.clone());
-    let mut config = config(discovery.at, entries);
+    let mut config = config(discovery.address, entries);
     config["settings"]["invariants"]["cold"] = json!(8_000_000_000u64);
     let sidecar = Sidecar::start(PROGRAM, config);
     thread::sleep(DRAIN_GRACE);
-    let mut stream = connect(sidecar.at).unwrap();
+    let mut stream = connect(sidecar.address).unwrap();
     for number in 0..300 {
         stream.write_all(&request("safe", &number.to_string())).unwrap();
         assert_eq!(Message::read(&mut stream).unwrap().status(), 200);
@@ -101,77 +101,19 @@
     servers.iter().map(|server| server.requests().len()).collect()
 }
 
-/// A discovery service that has a fault while `is_faulty` is set.
-struct FaultyDiscovery {
-    peer: Peer,
-    connections: Arc<Mutex<Vec<TcpStream>>>,
-    is_faulty: Arc<AtomicBool>,
-    /// The revision and its entries.
-    list: Arc<Mutex<(u64, Vec<Value>)>>,
-}
-
-impl FaultyDiscovery {
-    fn start(fault: DiscoveryFault, entries: Vec<Value>) -> Self {
-        let connections = Arc::new(Mutex::new(Vec::new()));
-        let is_faulty = Arc::new(AtomicBool::new(false));
-        let list = Arc::new(Mutex::new((1, entries)));
-        let (accepted, faulty, current) = (connections.clone(), is_faulty.clone(), list.clone());
-        let peer = Peer::start(move |mut stream| {
-            let was_faulty_at_start = faulty.load(Ordering::SeqCst);
-            accepted.lock().unwrap().push(stream.try_clone().unwrap());
-            while let Some(call) = Message::read(&mut stream) {
-                let after = call.after();
-                // A watch waits; an agent answers at once.
-                let wait_end = Instant::now() + Duration::from_secs(10);
-                let waits =
-                    || after == Some(current.lock().unwrap().0) && Instant::now() < wait_end;
-                while fault != DiscoveryFault::AgentOutage && waits() {
-                    thread::sleep(Duration::from_millis(5));
-                }
-                let is_faulty = faulty.load(Ordering::SeqCst);
-                match fault {
-                    // A watch that has fallen silent stays silent; a new connection is served.
-                    DiscoveryFault::Silent if is_faulty && !was_faulty_at_start => {
-                        return thread::sleep(TEST_TIMEOUT)
-                    }
-                    DiscoveryFault::Unavailable if is_faulty => {
-                        let unavailable = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
-                        let _ = stream.write_all(unavailable.as_bytes());
-                        continue;
-                    }
-                    DiscoveryFault::AgentOutage if is_faulty => {
-                        while faulty.load(Ordering::SeqCst) {
-                            thread::sleep(Duration::from_millis(5));
-                        }
-                    }
-                    _ => {}
-                }
-                let (revision, entries) = current.lock().unwrap().clone();
-                let text = json!({"rev": revision, "all": true, "targets": entries}).to_string();
-                if stream.write_all(&ok_response(&text)).is_err() {
-                    return;
-                }
-            }
-        });
-        FaultyDiscovery { peer, connections, is_faulty, list }
-    }
-
-    fn set(&self, entries: Vec<Value>) {
-        let mut list = self.list.lock().unwrap();
-        *list = (list.0 + 1, entries);
-    }
-}
-
 /// How many requests were sent to a draining server after the change counts as notified.
 pub fn count_late_requests(row: &NotificationRow) -> usize {
     let servers = [0, 1].map(|_| Server::start(|_, _| Some(ok_response(""))));
     let entries = |second| {
-        vec![entry(servers[0].at, "a", ServerState::Ready), entry(servers[1].at, "b", second)]
+        vec![
+            entry(servers[0].address, "a", ServerState::Ready),
+            entry(servers[1].address, "b", second),
+        ]
     };
     let discovery = FaultyDiscovery::start(row.fault, entries(ServerState::Ready));
     let new_discovery =
         FaultyDiscovery::start(DiscoveryFault::None, entries(ServerState::Draining));
-    let mut config = config(discovery.peer.at, entries(ServerState::Ready));
+    let mut config = config(discovery.peer.address, entries(ServerState::Ready));
     if row.fault == DiscoveryFault::AgentOutage {
         config["settings"]["registry-mode"] = json!("automatic");
     }
@@ -186,24 +128,22 @@
         send_one();
         servers.iter().all(|server| !server.requests().is_empty())
     });
-    wait_until("discovery is called", || !discovery.connections.lock().unwrap().is_empty());
+    wait_until("discovery is called", || discovery.is_called());
     // A watch is open by now.
     thread::sleep(Duration::from_millis(200));
-    discovery.is_faulty.store(true, Ordering::SeqCst);
-    discovery.set(entries(ServerState::Draining));
+    discovery.set_faulty(true);
+    discovery.set_list(entries(ServerState::Draining));
     match row.fault {
-        DiscoveryFault::Reset => {
-            discovery.connections.lock().unwrap().drain(..).for_each(reset_connection);
-        }
+        DiscoveryFault::Reset => discovery.reset_connections(),
         DiscoveryFault::Sighup => {
             let mut config = sidecar.config.clone();
-            config["discovery"] = json!(new_discovery.peer.at.to_string());
+            config["discovery"] = json!(new_discovery.peer.address.to_string());
             sidecar.reload(&config.to_string());
         }
         // While calls fail nothing can be notified; from then on it has four times the usual time.
         DiscoveryFault::Unavailable | DiscoveryFault::AgentOutage => {
             thread::sleep(Duration::from_millis(1_500));
-            discovery.is_faulty.store(false, Ordering::SeqCst);
+            discovery.set_faulty(false);
         }
         DiscoveryFault::None | DiscoveryFault::Silent => {}
     }
@@ -231,14 +171,14 @@
             }
         }
     });
-    let servers = vec![entry(server.at, "a", ServerState::Ready)];
+    let servers = vec![entry(server.address, "a", ServerState::Ready)];
     let discovery = Discovery::start(1, servers.clone());
-    let mut config = config(discovery.at, servers);
+    let mut config = config(discovery.address, servers);
     set_deadlines(&mut config, Duration::from_millis(1_500));
     let sidecar = Sidecar::start(PROGRAM, config);
     let send_after = |delay: i64| {
         thread::sleep(Duration::from_millis(delay.max(0) as u64));
-        let mut stream = connect(sidecar.at).unwrap();
+        let mut stream = connect(sidecar.address).unwrap();
         stream.write_all(&request_with_timeout(&row.class, "a", 60_000)).unwrap();
         stream
     };
--- a/crates/mintshelf/tests/conformance/simulator_wire.rs
+++ b/crates/mintshelf/tests/conformance/simulator_wire.rs
@@ -30,8 +30,8 @@
                 ["shed", ..] => self.outcome = Some(RequestOutcome::Rejected),
                 ["drop_request", ..] => self.outcome = Some(RequestOutcome::Failed),
                 ["set_timer", after, label] => {
-                    let at = self.now + after.parse::<u64>().unwrap();
-                    self.timers.push((at, label.parse().unwrap()));
+                    let fires_at = self.now + after.parse::<u64>().unwrap();
+                    self.timers.push((fires_at, label.parse().unwrap()));
                 }
                 _ => {}
             }
@@ -70,8 +70,8 @@
         let Some(next) = (0..self.timers.len()).min_by_key(|timer| self.timers[*timer].0) else {
             return false;
         };
-        let (at, label) = self.timers.swap_remove(next);
-        self.now = self.now.max(at);
+        let (fires_at, label) = self.timers.swap_remove(next);
+        self.now = self.now.max(fires_at);
         self.write_events(&format!("timer {label}"));
         true
     }
--- a/crates/mintshelf/tests/fleet/cluster.rs
+++ b/crates/mintshelf/tests/fleet/cluster.rs
@@ -55,7 +55,7 @@
     fn file_text(&self, index: usize) -> String {
         let voter = |other: usize| {
             let relay = self.links.get(&Link { dialer: index, listener: other });
-            let address = relay.map_or(self.addresses[other], |relay| relay.at);
+            let address = relay.map_or(self.addresses[other], |relay| relay.address);
             format!("{{ name = \"v{other}\", address = \"{address}\" }}")
         };
         let voters: Vec<String> = (0..self.addresses.len()).map(voter).collect();
@@ -64,7 +64,7 @@
              [fleet]\nfleet = \"f\"\nname = \"v{index}\"\naddress = \"{}\"\ndirectory = {:?}\n\
              voters = [{}]\nelection = \"500ms\"\nlease = \"3s\"\nsession = \"2s\"\n",
             self.listeners[index],
-            self.server.at,
+            self.server.address,
             self.addresses[index],
             self.store_directory(index),
             voters.join(", "),
--- a/crates/mintshelf/tests/gateway/disconnects.rs
+++ b/crates/mintshelf/tests/gateway/disconnects.rs
@@ -21,8 +21,8 @@
         while stream.write_all(&[b'x'; 4096]).is_ok() {}
         server_closed.store(true, Ordering::Relaxed);
     });
-    let daemon = daemon(&[server.at], "");
-    let mut stream = connect(daemon.at).unwrap();
+    let daemon = daemon(&[server.address], "");
+    let mut stream = connect(daemon.address).unwrap();
     stream.write_all(&get("/")).unwrap();
     stream.read_exact(&mut [0; 100_000]).unwrap();
     drop(stream);
@@ -37,8 +37,8 @@
         }
         is_ended.store(true, Ordering::Relaxed);
     });
-    daemon.reload(&file(daemon.at, &[server.at], ""));
-    let mut stream = connect(daemon.at).unwrap();
+    daemon.reload(&file(daemon.address, &[server.address], ""));
+    let mut stream = connect(daemon.address).unwrap();
     let head = "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 9000000\r\n\r\n";
     stream.write_all(head.as_bytes()).unwrap();
     stream.write_all(&vec![b'x'; 300_000]).unwrap();
@@ -55,16 +55,16 @@
         }
         Some(ok_response("late"))
     });
-    let daemon = daemon(&[server.at], "");
+    let daemon = daemon(&[server.address], "");
     for path in ["/", "/slow"] {
-        let mut stream = connect(daemon.at).unwrap();
+        let mut stream = connect(daemon.address).unwrap();
         stream.write_all(&get(path)).unwrap();
         stream.shutdown(std::net::Shutdown::Write).unwrap();
         let text = String::from_utf8_lossy(&read_to_close(&mut stream)).into_owned();
         assert!(text.starts_with("HTTP/1.1 200 ") && text.ends_with("late"), "{text}");
     }
     // HTTP/1.0, as simple tools write it.
-    let mut stream = connect(daemon.at).unwrap();
+    let mut stream = connect(daemon.address).unwrap();
     stream.write_all(b"GET /slow HTTP/1.0\r\n\r\n").unwrap();
     stream.shutdown(std::net::Shutdown::Write).unwrap();
     assert!(String::from_utf8_lossy(&read_to_close(&mut stream)).ends_with("late"));
@@ -73,12 +73,12 @@
 #[test]
 fn a_client_that_half_closes_counts_as_disconnected_with_abort_on_close() {
     let server = Server::start(|request, _| (request.path() == "/").then(|| ok_response("good")));
-    let (at, admin) = (free_address(), free_address());
-    let text = file(at, &[server.at], "")
+    let (address, admin) = (free_address(), free_address());
+    let text = file(address, &[server.address], "")
         .replace("sockets = 128\n", "sockets = 128\nabort-on-close = true\n")
         .replace("[clusters.c]", &format!("[admin]\naddress = \"{admin}\"\n[clusters.c]"));
-    let daemon = Daemon::start(PROGRAM, at, &text, &[]);
-    let mut stream = connect(daemon.at).unwrap();
+    let daemon = Daemon::start(PROGRAM, address, &text, &[]);
+    let mut stream = connect(daemon.address).unwrap();
     stream.write_all(&get("/never")).unwrap();
     wait_until("it is forwarded", || server.requests().len() == 1);
     stream.shutdown(std::net::Shutdown::Write).unwrap();
--- a/crates/mintshelf/tests/gateway/failures.rs
+++ b/crates/mintshelf/tests/gateway/failures.rs
@@ -22,7 +22,7 @@
         let _ = Message::read(&mut stream);
     });
     let good = Server::start(|_, _| Some(ok_response("good")));
-    let daemon = daemon(&[broken.at, good.at], "");
+    let daemon = daemon(&[broken.address, good.address], "");
     for _ in 0..20 {
         assert_eq!(daemon.send_request(&get("/")).unwrap().body, b"good");
     }
@@ -69,8 +69,8 @@
             let _ = stream.write_all(b"186a0\r\n");
             let _ = stream.write_all(&vec![b'x'; 100_000]);
         });
-        let daemon = daemon(&[server.at], "");
-        let mut stream = connect(daemon.at).unwrap();
+        let daemon = daemon(&[server.address], "");
+        let mut stream = connect(daemon.address).unwrap();
         stream.write_all(&get("/")).unwrap();
         let bytes = read_to_close(&mut stream);
         let text = String::from_utf8_lossy(&bytes);
@@ -94,17 +94,17 @@
         }
         counted.fetch_add(1, Ordering::Relaxed);
     });
-    let text = |at| {
-        file(at, &[server.at], "").replace(
+    let text = |address| {
+        file(address, &[server.address], "").replace(
             "[limits]",
             "[classes.default]\ndeadline = \"10m\"\n[limits]\nstream-timeout = \"10m\"",
         )
     };
-    let at = free_address();
-    let daemon = Daemon::start(PROGRAM, at, &text(at), &[]);
+    let address = free_address();
+    let daemon = Daemon::start(PROGRAM, address, &text(address), &[]);
     // Even a safe one: the part of its body that was sent is no longer available.
     for (number, method) in ["POST", "GET"].into_iter().enumerate() {
-        let mut stream = connect(daemon.at).unwrap();
+        let mut stream = connect(daemon.address).unwrap();
         let head = format!("{method} / HTTP/1.1\r\nHost: h\r\nContent-Length: 600000\r\n\r\n");
         stream.write_all(head.as_bytes()).unwrap();
         stream.write_all(&vec![b'x'; 500_000]).unwrap();
--- a/crates/mintshelf/tests/gateway/forwarding.rs
+++ b/crates/mintshelf/tests/gateway/forwarding.rs
@@ -13,10 +13,10 @@
         let head = format!("HTTP/1.1 {status} X\r\nX-Of: server\r\nETag: \"e\"\r\n{body}\r\n");
         Some(format!("{head}{}", if has_no_body { "" } else { "body" }).into_bytes())
     });
-    let daemon = daemon(&[server.at], "");
+    let daemon = daemon(&[server.address], "");
     for status in [200, 201, 204, 206, 301, 304, 400, 401, 404, 409, 418, 429, 500, 502, 503] {
         let request = format!("POST /{status} HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
-        let text = send_and_read_to_close(daemon.at, &request);
+        let text = send_and_read_to_close(daemon.address, &request);
         assert!(text.starts_with(&format!("HTTP/1.1 {status} ")), "{text}");
         assert!(text.contains("x-of: server") && text.contains("etag: \"e\""), "{text}");
         assert_eq!(text.ends_with("\r\n\r\nbody"), !matches!(status, 204 | 304), "{text}");
@@ -32,12 +32,12 @@
         let more: String = (0..more).map(|number| format!("X-{number}: 1\r\n")).collect();
         Some(format!("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n{more}\r\n").into_bytes())
     });
-    let daemon = daemon(&[server.at], "");
+    let daemon = daemon(&[server.address], "");
     let send = |response_headers: usize, request_headers: usize| {
         let more: String =
             (0..request_headers).map(|number| format!("X-{number}: 1\r\n")).collect();
         let head = format!("POST /{response_headers} HTTP/1.1\r\nHost: h\r\nConnection: close\r\n");
-        send_and_read_to_close(daemon.at, &format!("{head}{more}\r\n"))
+        send_and_read_to_close(daemon.address, &format!("{head}{more}\r\n"))
     };
     let text = send(99, 98);
     assert!(text.starts_with("HTTP/1.1 200 ") && text.contains("x-98: 1"), "{text}");
@@ -66,10 +66,10 @@
             _ => ok_response(&String::from_utf8_lossy(&request.body)),
         })
     });
-    let daemon = daemon(&[server.at], "");
+    let daemon = daemon(&[server.address], "");
     let send = |first: &str, more: &str| {
         send_and_read_to_close(
-            daemon.at,
+            daemon.address,
             &format!("{first} HTTP/1.1\r\nHost: h\r\nConnection: close\r\n{more}\r\n"),
         )
     };
@@ -77,12 +77,12 @@
     assert!(head.contains("content-length: 12345") && head.ends_with("\r\n\r\n"), "{head}");
     assert!(send("GET /early", "").ends_with("late"));
     let text = send_and_read_to_close(
-        daemon.at,
+        daemon.address,
         "GET /trailers HTTP/1.1\r\nHost: h\r\nTE: trailers\r\nConnection: TE, close\r\n\r\n",
     );
     assert!(text.contains("3\r\nabc\r\n0\r\n") && text.contains("x-sum: 7"), "{text}");
     // The body is sent only after 100 Continue.
-    let mut stream = connect(daemon.at).unwrap();
+    let mut stream = connect(daemon.address).unwrap();
     let head =
         "POST /echo HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 5\r\n\r\n";
     stream.write_all(head.as_bytes()).unwrap();
--- a/crates/mintshelf/tests/gateway/request_smuggling.rs
+++ b/crates/mintshelf/tests/gateway/request_smuggling.rs
@@ -6,7 +6,7 @@
 #[test]
 fn ambiguous_requests_are_rejected_and_not_forwarded() {
     let server = Server::start(|request, _| Some(ok_response(request.path())));
-    let daemon = daemon(&[server.at], "");
+    let daemon = daemon(&[server.address], "");
     let hidden = "GET /hidden HTTP/1.1\r\nHost: h\r\n\r\n";
     for (what, head, body) in [
         ("both framings", "Content-Length: 40\r\nTransfer-Encoding: chunked", "0\r\n\r\n"),
@@ -25,7 +25,7 @@
         ("chunk without end", "Transfer-Encoding: chunked", "1\r\nxy\r\n0\r\n\r\n"),
     ] {
         let text = send_and_read_to_close(
-            daemon.at,
+            daemon.address,
             &format!("POST /{} HTTP/1.1\r\nHost: h\r\n{head}\r\n\r\n{body}{hidden}", "open"),
         );
         assert!(text.starts_with("HTTP/1.1 400 "), "{what}: {text}");
@@ -34,23 +34,24 @@
     // Behind an open request the same is seen.
     let second = "POST /two HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n";
     let text = send_and_read_to_close(
-        daemon.at,
+        daemon.address,
         &format!("GET /one HTTP/1.1\r\nHost: h\r\n\r\n{second}{hidden}"),
     );
     assert!(text.contains("/one") && text.contains("HTTP/1.1 400 "), "{text}");
     assert!(!text.contains("/hidden"), "{text}");
     for target in ["http://other/x", "http://h:99/x", "/a/../b", "/%2e%2E/b"] {
         let text = send_and_read_to_close(
-            daemon.at,
+            daemon.address,
             &format!("GET {target} HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"),
         );
         assert!(text.starts_with("HTTP/1.1 400 "), "{target}: {text}");
     }
-    let text = send_and_read_to_close(daemon.at, "GET /x HTTP/1.1\r\nConnection: close\r\n\r\n");
+    let text =
+        send_and_read_to_close(daemon.address, "GET /x HTTP/1.1\r\nConnection: close\r\n\r\n");
     assert!(text.starts_with("HTTP/1.1 400 "), "no host: {text}");
     // What has one meaning passes: an absolute target, pipelined requests in turn.
     let text = send_and_read_to_close(
-        daemon.at,
+        daemon.address,
         "GET http://h/abs?q HTTP/1.1\r\nHost: h\r\n\r\nGET /2 HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n",
     );
     assert!(text.contains("/abs?q") && text.ends_with("/2"), "{text}");
@@ -62,7 +63,7 @@
 #[test]
 fn a_line_that_ends_in_a_bare_line_feed_is_rejected() {
     let server = Server::start(|_, _| Some(ok_response("good")));
-    let daemon = daemon(&[server.at], "");
+    let daemon = daemon(&[server.address], "");
     for request in [
         "POST / HTTP/1.1\r\nHost: h\r\nX: y\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
         "GET / HTTP/1.1\nHost: h\r\n\r\n",
@@ -70,7 +71,7 @@
         "GET / HTTP/1.1\r\nHost: h\r\n\n",
         "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n0\r\nT: 1\n\r\n",
     ] {
-        let text = send_and_read_to_close(daemon.at, request);
+        let text = send_and_read_to_close(daemon.address, request);
         assert!(text.starts_with("HTTP/1.1 400 "), "{request:?}: {text}");
     }
     assert!(server.requests().is_empty(), "none of it goes on");
--- a/crates/mintshelf/tests/gateway/routes.rs
+++ b/crates/mintshelf/tests/gateway/routes.rs
@@ -9,9 +9,9 @@
 fn routes_edit_rewrite_redirect_and_respond() {
     let one = Server::start(|request, _| Some(ok_response(&format!("one {}", request.head))));
     let two = Server::start(|request, _| Some(ok_response(&format!("two {}", request.head))));
-    let at = free_address();
+    let address = free_address();
     let text = format!(
-        "listen = \"{at}\"\n\
+        "listen = \"{address}\"\n\
          [forwarding]\nvia = \"shelf\"\nforwarded = true\nrequest-id = \"x-request-id\"\n\
          [clusters.one]\nendpoints = \"{}\"\n[clusters.two]\nendpoints = \"{}\"\n\
          [[routes]]\nname = \"api\"\nhosts = [\"api.example\"]\nprefix = \"/v1\"\ncluster = \"one\"\n\
@@ -22,12 +22,12 @@
          [[routes]]\nname = \"old\"\nprefix = \"/old\"\nredirect = {{ status = 308, host = \"new.example\", prefix = \"/new\" }}\n\
          [[routes]]\nname = \"query\"\npath = \"/q\"\nquery = {{ to = \"two\" }}\ncluster = \"two\"\n\
          [[routes]]\nname = \"else\"\nrespond = {{ status = 418, body = \"tea\\n\" }}\n",
-        one.at, two.at
+        one.address, two.address
     );
-    let daemon = Daemon::start(PROGRAM, at, &text, &[]);
+    let daemon = Daemon::start(PROGRAM, address, &text, &[]);
     let send = |first: &str, host: &str, more: &str| {
         send_and_read_to_close(
-            at,
+            address,
             &format!("{first} HTTP/1.1\r\nHost: {host}\r\nConnection: close\r\n{more}\r\n"),
         )
     };
@@ -69,17 +69,17 @@
 fn the_example_file_serves_its_four_classes() {
     let attempts = Arc::new(AtomicUsize::new(0));
     let servers = [(); 3].map(|()| server_that_fails_first_posts(&attempts));
-    let (at, admin) = (free_address(), free_address());
+    let (address, admin) = (free_address(), free_address());
     let mut text =
-        include_str!("../../../../deploy/lab.toml").replace("127.0.0.1:8080", &at.to_string());
+        include_str!("../../../../deploy/lab.toml").replace("127.0.0.1:8080", &address.to_string());
     text = text.replace("address = \"127.0.0.1:9901\"", &format!("address = \"{admin}\""));
     for (port, server) in (9001..).zip(&servers) {
-        text = text.replace(&format!("127.0.0.1:{port}"), &server.at.to_string());
+        text = text.replace(&format!("127.0.0.1:{port}"), &server.address.to_string());
     }
-    let daemon = Daemon::start(PROGRAM, at, &text, &[]);
+    let daemon = Daemon::start(PROGRAM, address, &text, &[]);
     let send = |first: &str, more: &str| {
         let text = send_and_read_to_close(
-            at,
+            address,
             &format!("{first} HTTP/1.1\r\nHost: h\r\nConnection: close\r\n{more}\r\n"),
         );
         text.split(' ').nth(1).unwrap().to_string()
--- a/crates/mintshelf/tests/gateway/streaming.rs
+++ b/crates/mintshelf/tests/gateway/streaming.rs
@@ -6,8 +6,8 @@
 use std::net::TcpStream;
 
 /// Bytes that differ by position, so that a swap or a loss shows.
-fn pattern(at: usize) -> u8 {
-    (at % 251) as u8
+fn pattern(position: usize) -> u8 {
+    (position % 251) as u8
 }
 
 const BODY_BYTES: usize = 200 << 20;
@@ -38,8 +38,8 @@
 }
 
 /// Whether bytes are those of the pattern at this position.
-fn is_pattern(bytes: &[u8], at: usize) -> bool {
-    bytes.iter().enumerate().all(|(offset, byte)| *byte == pattern(at + offset))
+fn is_pattern(bytes: &[u8], position: usize) -> bool {
+    bytes.iter().enumerate().all(|(offset, byte)| *byte == pattern(position + offset))
 }
 
 /// Receives a body and responds with its length and whether it is the pattern, or sends one.
@@ -68,14 +68,14 @@
 #[test]
 fn bodies_of_200_mb_stream_both_ways_in_32_mb_of_memory() {
     let server = Peer::start(serve);
-    let daemon = daemon(&[server.at], "");
-    let mut stream = connect(daemon.at).unwrap();
+    let daemon = daemon(&[server.address], "");
+    let mut stream = connect(daemon.address).unwrap();
     let head = format!("POST /up HTTP/1.1\r\nHost: h\r\nContent-Length: {BODY_BYTES}\r\n\r\n");
     stream.write_all(head.as_bytes()).unwrap();
     write_body(&mut stream).unwrap();
     let response = Message::read(&mut stream).unwrap();
     assert_eq!(String::from_utf8_lossy(&response.body), format!("{BODY_BYTES} true"));
-    let mut stream = connect(daemon.at).unwrap();
+    let mut stream = connect(daemon.address).unwrap();
     stream.write_all(&get("/down")).unwrap();
     read_head(&mut stream).unwrap();
     let mut received = 0;
--- a/crates/mintshelf/tests/graceful_shutdown.rs
+++ b/crates/mintshelf/tests/graceful_shutdown.rs
@@ -46,12 +46,12 @@
 /// A client that sends one request after another on one connection for as long as that stays
 /// open. What it sends on a connection that is being closed does not count as accepted.
 fn send_until_closed(
-    at: SocketAddr,
-    name: String,
+    address: SocketAddr,
+    name: &str,
     stopped: &AtomicBool,
     exchanges: &Mutex<HashMap<String, Exchange>>,
 ) {
-    let Some(mut stream) = connect(at) else { return };
+    let Some(mut stream) = connect(address) else { return };
     for number in 0.. {
         // Rejected at once it would only spin.
         thread::sleep(Duration::from_millis(2));
@@ -88,15 +88,18 @@
     });
     let discovery = Discovery::start(1, vec![server.entry("a")]);
     let mut sidecar =
-        Sidecar::start(PROGRAM, short_deadline_config(discovery.at, vec![server.entry("a")]));
+        Sidecar::start(PROGRAM, short_deadline_config(discovery.address, vec![server.entry("a")]));
     let (stopped, exchanges) =
         (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(HashMap::new())));
     let clients: Vec<_> = (0..24)
         .map(|client| {
             // Spread over the time that one request may wait.
             thread::sleep(Duration::from_millis(60));
-            let (stopped, exchanges, at) = (stopped.clone(), exchanges.clone(), sidecar.at);
-            thread::spawn(move || send_until_closed(at, format!("c{client}"), &stopped, &exchanges))
+            let (stopped, exchanges, address) =
+                (stopped.clone(), exchanges.clone(), sidecar.address);
+            thread::spawn(move || {
+                send_until_closed(address, &format!("c{client}"), &stopped, &exchanges);
+            })
         })
         .collect();
     let signalled_at = Instant::now();
@@ -124,8 +127,8 @@
 }
 
 /// Writes a request and returns its connection.
-fn send(at: SocketAddr, bytes: &[u8]) -> TcpStream {
-    let mut stream = connect(at).unwrap();
+fn send(address: SocketAddr, bytes: &[u8]) -> TcpStream {
+    let mut stream = connect(address).unwrap();
     stream.write_all(bytes).unwrap();
     stream
 }
@@ -134,16 +137,16 @@
 fn final_responses_reject_only_requests_that_cannot_have_run() {
     let server = Server::start(|_, _| None);
     let discovery = Discovery::start(1, vec![server.entry("a")]);
-    let mut config = short_deadline_config(discovery.at, vec![server.entry("a")]);
+    let mut config = short_deadline_config(discovery.address, vec![server.entry("a")]);
     // Longer than what is left: their deadlines would come after the kill.
     set_deadlines(&mut config, Duration::from_secs(30));
     let mut sidecar = Sidecar::start(PROGRAM, config);
     let classes = ["safe", "keyed", "unsafe"];
     let mut streams = classes
-        .map(|class| send(sidecar.at, &request_with_timeout(class, class, CLIENT_TIMEOUT_MS)));
+        .map(|class| send(sidecar.address, &request_with_timeout(class, class, CLIENT_TIMEOUT_MS)));
     wait_until("all have arrived", || server.requests().len() == 3);
     // An incomplete request does not count as accepted.
-    let incomplete = send(sidecar.at, b"GET /api HTTP/1.1\r\nHost: a\r\n");
+    let incomplete = send(sidecar.address, b"GET /api HTTP/1.1\r\nHost: a\r\n");
     let signalled_at = Instant::now();
     sidecar.signal("TERM");
     let responses = streams.each_mut().map(|stream| Message::read(stream).unwrap());
--- a/crates/mintshelf/tests/large_fleet.rs
+++ b/crates/mintshelf/tests/large_fleet.rs
@@ -40,14 +40,14 @@
         let respond = move |_: &Message, _| Some(response.to_vec());
         let servers: Vec<Server> = (0..LISTENERS).map(|_| Server::start(respond)).collect();
         let addresses: Vec<SocketAddr> =
-            (0..count).map(|number| servers[number % LISTENERS].at).collect();
+            (0..count).map(|number| servers[number % LISTENERS].address).collect();
         let entries: Vec<Value> = addresses
             .iter()
             .enumerate()
-            .map(|(number, at)| listed(number, *at, "SERVING", boot_ms))
+            .map(|(number, address)| listed(number, *address, "SERVING", boot_ms))
             .collect();
         let discovery = Discovery::start(7, entries);
-        let mut config = config(discovery.at, Vec::new());
+        let mut config = config(discovery.address, Vec::new());
         config["known"] = json!({"rev": 0, "all": true, "targets": []});
         config["settings"]["invariants"]["cold"] = json!(60_000_000_000u64);
         config["limits"]["memory_mb"] = json!(48);
@@ -78,7 +78,7 @@
     }
 
     fn send(&self, count: usize) {
-        let mut client = connect(self.sidecar.at).unwrap();
+        let mut client = connect(self.sidecar.address).unwrap();
         for number in 0..count {
             client.write_all(&request("safe", &format!("r{number}"))).unwrap();
             assert!(Message::read(&mut client).is_some(), "request {number} has no response");
@@ -99,8 +99,8 @@
     }
 }
 
-fn listed(number: usize, at: SocketAddr, state: &str, boot_ms: u64) -> Value {
-    let mut listed = entry(&format!("s-{number:08x}"), at);
+fn listed(number: usize, address: SocketAddr, state: &str, boot_ms: u64) -> Value {
+    let mut listed = entry(&format!("s-{number:08x}"), address);
     listed["state"] = json!(state);
     listed["boot_ms"] = json!(boot_ms);
     listed
--- a/crates/mintshelf/tests/misbehaving_clients.rs
+++ b/crates/mintshelf/tests/misbehaving_clients.rs
@@ -1,8 +1,8 @@
 //! Clients that misbehave, and what other clients see of them.
 
 use mintshelf_test_support::{
-    config, connect, ok_response, read_to_close, request, wait_until, Discovery, Message,
-    Process as _, Server, Sidecar,
+    connect, ok_response, read_to_close, request, start_with_server, wait_until, Discovery,
+    Message, Process as _, Server, Sidecar,
 };
 use std::io::Write;
 
@@ -12,10 +12,7 @@
 fn start(
     respond: impl Fn(&Message, usize) -> Option<Vec<u8>> + Send + Sync + 'static,
 ) -> (Server, Discovery, Sidecar) {
-    let server = Server::start(respond);
-    let discovery = Discovery::start(1, vec![server.entry("a")]);
-    let sidecar = Sidecar::start(PROGRAM, config(discovery.at, vec![server.entry("a")]));
-    (server, discovery, sidecar)
+    start_with_server(PROGRAM, respond)
 }
 
 fn post(id: &str, framing: &str, body: &str) -> Vec<u8> {
@@ -36,7 +33,7 @@
         ("before", format!("{length}\r\nTransfer-Encoding: chunked")),
         ("behind", format!("Transfer-Encoding: chunked\r\n{length}")),
     ] {
-        let mut stream = connect(sidecar.at).unwrap();
+        let mut stream = connect(sidecar.address).unwrap();
         stream.write_all(&post(id, &framing, &body)).unwrap();
         let text = String::from_utf8(read_to_close(&mut stream)).unwrap();
         assert!(text.starts_with("HTTP/1.1 400 "), "{text}");
@@ -55,7 +52,7 @@
     // The first request never gets a response.
     let (server, _discovery, sidecar) =
         start(|_, number| (number > 1).then(|| ok_response("served")));
-    let mut first = connect(sidecar.at).unwrap();
+    let mut first = connect(sidecar.address).unwrap();
     first.write_all(&request("safe", "same")).unwrap();
     wait_until("the first has arrived", || server.requests().len() == 1);
     assert_eq!(sidecar.send_request(&request("safe", "same")).unwrap().status(), 409);
@@ -69,7 +66,7 @@
     let before = sidecar.peak_memory();
     let chunk = vec![b'x'; 1 << 20];
     for (id, framing) in [("a", "Content-Length: 60000000"), ("b", "Transfer-Encoding: chunked")] {
-        let mut streams: Vec<_> = (0..4).map(|_| connect(sidecar.at).unwrap()).collect();
+        let mut streams: Vec<_> = (0..4).map(|_| connect(sidecar.address).unwrap()).collect();
         for (number, stream) in streams.iter_mut().enumerate() {
             let head = post(&format!("{id}{number}"), framing, "3938700\r\n");
             let mut sent = stream.write_all(&head);
@@ -95,14 +92,14 @@
         b"GET /api HTTP/1.1\r\nX-Pad: ".to_vec(),
         post("half", "Content-Length: 300", "not all of it"),
     ] {
-        let mut stream = connect(sidecar.at).unwrap();
+        let mut stream = connect(sidecar.address).unwrap();
         stream.write_all(&partial).unwrap();
         // The read timeout is far over the 3 s that are allowed; it shows a hang.
         let text = read_to_close(&mut stream);
         assert!(text.is_empty() || text.starts_with(b"HTTP/1.1 4"));
     }
     // A head that is sent byte by byte gets no more time than one that stops.
-    let mut stream = connect(sidecar.at).unwrap();
+    let mut stream = connect(sidecar.address).unwrap();
     let closed = (0..600).any(|_| {
         std::thread::sleep(std::time::Duration::from_millis(100));
         stream.write_all(b"G").is_err()
@@ -113,7 +110,7 @@
 #[test]
 fn silent_connections_do_not_block_other_clients() {
     let (_server, _discovery, sidecar) = start(|_, _| Some(ok_response("served")));
-    let silent: Vec<_> = (0..400).filter_map(|_| connect(sidecar.at)).collect();
+    let silent: Vec<_> = (0..400).filter_map(|_| connect(sidecar.address)).collect();
     for number in 0..20 {
         let response = sidecar.send_request(&request("safe", &format!("r{number}"))).unwrap();
         assert_eq!(response.status(), 200);
@@ -135,7 +132,7 @@
         ("X-Remaining-Ms: 8000", "X-Remaining-Ms: 99999999999999999999999"),
         ("Host: a", "Content-Length: -1"),
     ] {
-        let mut stream = connect(sidecar.at).unwrap();
+        let mut stream = connect(sidecar.address).unwrap();
         stream.write_all(good.replace(from, to).as_bytes()).unwrap();
         let text = String::from_utf8(read_to_close(&mut stream)).unwrap();
         assert!(text.starts_with("HTTP/1.1 400 "), "{to}: {text}");
--- a/crates/mintshelf/tests/misbehaving_servers.rs
+++ b/crates/mintshelf/tests/misbehaving_servers.rs
@@ -1,7 +1,8 @@
 //! Servers that misbehave: what is retried, and what is never forwarded.
 
 use mintshelf_test_support::{
-    config, ok_response, request, wait_until, Discovery, Process as _, Server, Sidecar,
+    config, ok_response, request, start_with_server, wait_until, Discovery, Process as _, Server,
+    Sidecar,
 };
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_mintshelf");
@@ -39,11 +40,9 @@
 #[test]
 fn a_malformed_response_is_a_failed_attempt_and_its_connection_is_not_reused() {
     for (what, bytes) in malformed_responses() {
-        let server = Server::start(move |_, number| {
+        let (server, _discovery, sidecar) = start_with_server(PROGRAM, move |_, number| {
             Some(if number == 1 { bytes.clone() } else { ok_response("good") })
         });
-        let discovery = Discovery::start(1, vec![server.entry("a")]);
-        let sidecar = Sidecar::start(PROGRAM, config(discovery.at, vec![server.entry("a")]));
         let response = sidecar.send_request(&request("safe", "s")).unwrap();
         assert_eq!((response.status(), &response.body[..]), (200, &b"good"[..]), "{what}");
         assert_eq!(server.requests().len(), 2, "{what}");
@@ -54,9 +53,8 @@
 #[test]
 fn an_unsafe_request_that_may_have_run_fails_and_is_not_retried() {
     for (what, bytes) in malformed_responses() {
-        let server = Server::start(move |_, _| Some(bytes.clone()));
-        let discovery = Discovery::start(1, vec![server.entry("a")]);
-        let sidecar = Sidecar::start(PROGRAM, config(discovery.at, vec![server.entry("a")]));
+        let (server, _discovery, sidecar) =
+            start_with_server(PROGRAM, move |_, _| Some(bytes.clone()));
         assert_eq!(sidecar.send_request(&request("unsafe", "u")).unwrap().status(), 502, "{what}");
         assert_eq!(server.requests().len(), 1, "{what}");
     }
@@ -65,11 +63,9 @@
 #[test]
 fn bytes_after_a_response_are_not_another_response() {
     let twice = [ok_response("one"), ok_response("surplus")].concat();
-    let server = Server::start(move |_, number| {
+    let (_server, _discovery, sidecar) = start_with_server(PROGRAM, move |_, number| {
         Some(if number == 1 { twice.clone() } else { ok_response("two") })
     });
-    let discovery = Discovery::start(1, vec![server.entry("a")]);
-    let sidecar = Sidecar::start(PROGRAM, config(discovery.at, vec![server.entry("a")]));
     assert_eq!(sidecar.send_request(&request("safe", "1")).unwrap().body, b"one");
     assert_eq!(sidecar.send_request(&request("safe", "2")).unwrap().body, b"two");
 }
@@ -77,9 +73,8 @@
 #[test]
 fn informational_responses_are_skipped() {
     let ahead = b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n";
-    let server = Server::start(move |_, _| Some([&ahead[..], &ok_response("good")].concat()));
-    let discovery = Discovery::start(1, vec![server.entry("a")]);
-    let sidecar = Sidecar::start(PROGRAM, config(discovery.at, vec![server.entry("a")]));
+    let (server, _discovery, sidecar) =
+        start_with_server(PROGRAM, move |_, _| Some([&ahead[..], &ok_response("good")].concat()));
     assert_eq!(sidecar.send_request(&request("safe", "s")).unwrap().body, b"good");
     assert_eq!(server.requests().len(), 1);
 }
@@ -87,9 +82,8 @@
 #[test]
 fn a_request_rejected_as_invalid_is_not_retried_elsewhere() {
     let bad_request = b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n";
-    let server = Server::start(move |_, _| Some(bad_request.to_vec()));
-    let discovery = Discovery::start(1, vec![server.entry("a")]);
-    let sidecar = Sidecar::start(PROGRAM, config(discovery.at, vec![server.entry("a")]));
+    let (server, _discovery, sidecar) =
+        start_with_server(PROGRAM, move |_, _| Some(bad_request.to_vec()));
     assert_ne!(sidecar.send_request(&request("safe", "s")).unwrap().status(), 200);
     assert_eq!(server.requests().len(), 1);
 }
@@ -98,7 +92,7 @@
 fn replaced_servers_leak_no_descriptors() {
     let server = Server::start(|_, _| Some(ok_response("good")));
     let discovery = Discovery::start(1, vec![server.entry("s0")]);
-    let sidecar = Sidecar::start(PROGRAM, config(discovery.at, vec![server.entry("s0")]));
+    let sidecar = Sidecar::start(PROGRAM, config(discovery.address, vec![server.entry("s0")]));
     let mut sent = 0;
     let mut replace_server = |number: usize| {
         discovery.set(vec![server.entry(&format!("s{number}"))]);
@@ -119,7 +113,7 @@
 fn a_reused_address_is_a_new_server() {
     let server = Server::start(|_, _| Some(ok_response("good")));
     let discovery = Discovery::start(1, vec![server.entry("old")]);
-    let sidecar = Sidecar::start(PROGRAM, config(discovery.at, vec![server.entry("old")]));
+    let sidecar = Sidecar::start(PROGRAM, config(discovery.address, vec![server.entry("old")]));
     assert_eq!(sidecar.send_request(&request("safe", "1")).unwrap().status(), 200);
     assert_eq!(server.connection_count(), 1);
     discovery.set(vec![server.entry("new")]);
--- a/crates/mintshelf/tests/operator_file_reload.rs
+++ b/crates/mintshelf/tests/operator_file_reload.rs
@@ -29,9 +29,9 @@
 }
 
 /// A file in which the cluster, the rewrite and the header all depend on `mark`.
-fn file(at: SocketAddr, mark: &str, to: SocketAddr, unchanged: SocketAddr) -> String {
+fn file(address: SocketAddr, mark: &str, to: SocketAddr, unchanged: SocketAddr) -> String {
     format!(
-        "listen = \"{at}\"\n[limits]\nsockets = 128\n\
+        "listen = \"{address}\"\n[limits]\nsockets = 128\n\
          [clusters.{mark}]\nendpoints = \"{to}\"\nconnect-timeout = \"5s\"\n\
          [clusters.stays]\nendpoints = \"{unchanged}\"\nconnect-timeout = \"5s\"\n\
          [[routes]]\nprefix = \"/x\"\ncluster = \"{mark}\"\nrewrite-prefix = \"/{mark}\"\n\
@@ -41,9 +41,13 @@
 }
 
 /// Sends requests on one connection until it is stopped; the different bodies that it received.
-fn send_until_stopped(at: SocketAddr, stopped: &AtomicBool, sent: &AtomicUsize) -> HashSet<String> {
+fn send_until_stopped(
+    address: SocketAddr,
+    stopped: &AtomicBool,
+    sent: &AtomicUsize,
+) -> HashSet<String> {
     let mut bodies = HashSet::new();
-    let mut stream = connect(at).unwrap();
+    let mut stream = connect(address).unwrap();
     while !stopped.load(Ordering::Relaxed) {
         stream.write_all(&get("/x/1")).unwrap();
         let response = Message::read(&mut stream).expect("a response");
@@ -59,17 +63,20 @@
 #[test]
 fn a_hundred_reloads_under_load_lose_no_request_and_mix_no_settings() {
     let (first, second, unchanged) = (server("a"), server("b"), server("stays"));
-    let at = free_address();
-    let good = [file(at, "a", first.at, unchanged.at), file(at, "b", second.at, unchanged.at)];
+    let address = free_address();
+    let good = [
+        file(address, "a", first.address, unchanged.address),
+        file(address, "b", second.address, unchanged.address),
+    ];
     let broken = [good[0].replace("cluster = \"a\"", "cluster = \"c\""), "listen = ".to_string()];
-    let daemon = Daemon::start(PROGRAM, at, &good[0], &[]);
+    let daemon = Daemon::start(PROGRAM, address, &good[0], &[]);
     let stopped = Arc::new(AtomicBool::new(false));
     let sent = Arc::new(AtomicUsize::new(0));
     let clients: Vec<_> = (0..4)
         .map(|_| {
             let stopped = stopped.clone();
             let sent = sent.clone();
-            thread::spawn(move || send_until_stopped(at, &stopped, &sent))
+            thread::spawn(move || send_until_stopped(address, &stopped, &sent))
         })
         .collect();
     let mut measured = Vec::new();
@@ -115,9 +122,9 @@
 #[test]
 fn a_rejected_file_is_explained_and_changes_nothing() {
     let (first, second) = (server("a"), server("b"));
-    let at = free_address();
-    let good = file(at, "a", first.at, second.at);
-    let daemon = Daemon::start(PROGRAM, at, &good, &[]);
+    let address = free_address();
+    let good = file(address, "a", first.address, second.address);
+    let daemon = Daemon::start(PROGRAM, address, &good, &[]);
     daemon.reload(&good.replace("cluster = \"stays\"", "cluster = \"stay\""));
     let log = daemon.log_output();
     assert!(log.contains(":17:11: routes[1].cluster: 'stay' names nothing"), "{log}");
@@ -125,7 +132,8 @@
     assert_eq!(body(&daemon.send_request(&get("/stays")).unwrap()), "b /stays -");
     // An address that can't be bound changes nothing either.
     let occupied = Peer::start(|_| {});
-    let clash = good.replace(&format!("\"{at}\""), &format!("[\"{at}\", \"{}\"]", occupied.at));
+    let clash = good
+        .replace(&format!("\"{address}\""), &format!("[\"{address}\", \"{}\"]", occupied.address));
     daemon.reload(&clash);
     assert!(daemon.log_output().contains("in use"), "{}", daemon.log_output());
     assert_eq!(daemon.send_request(&get("/stays")).unwrap().status(), 200);
@@ -142,16 +150,17 @@
         Some(ok_response("slow"))
     });
     let (quick, unchanged) = (server("quick"), server("stays"));
-    let (at, second) = (free_address(), free_address());
+    let (address, second) = (free_address(), free_address());
     let with_both = |mark, to| {
-        let listen = format!("listen = [\"{at}\", \"{second}\"]");
-        file(at, mark, to, unchanged.at).replace(&format!("listen = \"{at}\""), &listen)
+        let listen = format!("listen = [\"{address}\", \"{second}\"]");
+        file(address, mark, to, unchanged.address)
+            .replace(&format!("listen = \"{address}\""), &listen)
     };
-    let daemon = Daemon::start(PROGRAM, at, &with_both("slow", slow.at), &[]);
+    let daemon = Daemon::start(PROGRAM, address, &with_both("slow", slow.address), &[]);
     let mut open = connect(second).unwrap();
     open.write_all(&get("/x")).unwrap();
     wait_until("it has arrived", || slow.requests().len() == 1);
-    daemon.reload(&file(at, "quick", quick.at, unchanged.at));
+    daemon.reload(&file(address, "quick", quick.address, unchanged.address));
     assert_eq!(body(&daemon.send_request(&get("/x")).unwrap()), "quick /quick quick");
     wait_until("the second listener is closed", || connect(second).is_none());
     // The request in flight is answered by the server that received it.
@@ -165,10 +174,16 @@
 #[test]
 fn a_watched_file_is_reloaded_when_it_changes() {
     let (first, second, unchanged) = (server("a"), server("b"), server("stays"));
-    let at = free_address();
-    let daemon = Daemon::start(PROGRAM, at, &file(at, "a", first.at, unchanged.at), &["--watch"]);
+    let address = free_address();
+    let daemon = Daemon::start(
+        PROGRAM,
+        address,
+        &file(address, "a", first.address, unchanged.address),
+        &["--watch"],
+    );
     assert_eq!(body(&daemon.send_request(&get("/x")).unwrap()), "a /a a");
-    std::fs::write(&daemon.file, file(at, "other", second.at, unchanged.at)).unwrap();
+    std::fs::write(&daemon.file, file(address, "other", second.address, unchanged.address))
+        .unwrap();
     wait_until("the new file is applied", || {
         body(&daemon.send_request(&get("/x")).unwrap()) == "b /other other"
     });
@@ -184,11 +199,12 @@
         }
         Some(ok_response("slow"))
     });
-    let at = free_address();
+    let address = free_address();
     let admin = free_address();
-    let text = file(at, "slow", slow.at, slow.at) + &format!("[admin]\naddress = \"{admin}\"\n");
-    let mut daemon = Daemon::start(PROGRAM, at, &text, &[]);
-    let mut open = connect(at).unwrap();
+    let text = file(address, "slow", slow.address, slow.address)
+        + &format!("[admin]\naddress = \"{admin}\"\n");
+    let mut daemon = Daemon::start(PROGRAM, address, &text, &[]);
+    let mut open = connect(address).unwrap();
     open.write_all(&get("/x")).unwrap();
     wait_until("it has arrived", || slow.requests().len() == 1);
     assert_eq!(send_request(admin, &get("/-/ready")).unwrap().status(), 200);
@@ -204,13 +220,14 @@
 
 #[test]
 fn memory_depends_on_open_requests_and_not_on_ended_ones() {
-    let (first, admin, at) = (server("a"), free_address(), free_address());
-    let text = file(at, "a", first.at, first.at) + &format!("[admin]\naddress = \"{admin}\"\n");
+    let (first, admin, address) = (server("a"), free_address(), free_address());
+    let text = file(address, "a", first.address, first.address)
+        + &format!("[admin]\naddress = \"{admin}\"\n");
     // Requests end at once; with this objective their timers would otherwise run for minutes.
     let text =
         text.replace("[limits]", "[classes.default]\naim = \"10m\"\ndeadline = \"20m\"\n[limits]");
-    let daemon = Daemon::start(PROGRAM, at, &text, &[]);
-    let mut stream = connect(at).unwrap();
+    let daemon = Daemon::start(PROGRAM, address, &text, &[]);
+    let mut stream = connect(address).unwrap();
     let mut send_many = |count: usize| {
         for _ in 0..count {
             stream.write_all(&get("/x")).unwrap();
@@ -226,6 +243,6 @@
     assert!(metrics.contains("mintshelf_timers{cluster=\"a\"} 0"), "{metrics}");
 }
 
-fn page(at: SocketAddr, path: &str) -> String {
-    body(&send_request(at, &get(path)).unwrap())
+fn page(address: SocketAddr, path: &str) -> String {
+    body(&send_request(address, &get(path)).unwrap())
 }
--- a/crates/mintshelf/tests/outage_recovery.rs
+++ b/crates/mintshelf/tests/outage_recovery.rs
@@ -41,16 +41,16 @@
     }
 }
 
-fn file(at: SocketAddr, admin: SocketAddr, server: SocketAddr, more: &str) -> String {
+fn file(address: SocketAddr, admin: SocketAddr, server: SocketAddr, more: &str) -> String {
     format!(
-        "listen = \"{at}\"\n[admin]\naddress = \"{admin}\"\n\
+        "listen = \"{address}\"\n[admin]\naddress = \"{admin}\"\n\
          [clusters.c]\nendpoints = [\"{server}\"]\n{more}\n[[routes]]\ncluster = \"c\"\n"
     )
 }
 
 fn daemon(server: SocketAddr, more: &str) -> (Daemon, SocketAddr) {
-    let (at, admin) = (free_address(), free_address());
-    (Daemon::start(PROGRAM, at, &file(at, admin, server, more), &[]), admin)
+    let (address, admin) = (free_address(), free_address());
+    (Daemon::start(PROGRAM, address, &file(address, admin, server, more), &[]), admin)
 }
 
 fn phase(admin: SocketAddr) -> String {
@@ -74,7 +74,7 @@
 #[test]
 fn a_recovering_cluster_gets_its_traffic_by_the_ramp() {
     let server = FailingServer::start();
-    let (daemon, admin) = daemon(server.peer.at, "");
+    let (daemon, admin) = daemon(server.peer.address, "");
     for number in 0..300 {
         assert_eq!(daemon.send_request(&get(&format!("/{number}"))).unwrap().status(), 200);
     }
@@ -112,7 +112,7 @@
 #[test]
 fn without_a_recovery_ramp_nothing_is_paced() {
     let server = FailingServer::start();
-    let (daemon, admin) = daemon(server.peer.at, "return-ramp = \"0s\"");
+    let (daemon, admin) = daemon(server.peer.address, "return-ramp = \"0s\"");
     server.down.store(true, Ordering::SeqCst);
     for _ in 0..200 {
         let response = daemon.send_request(&get("/")).unwrap();
@@ -120,10 +120,10 @@
     }
     assert_eq!(phase(admin), "0");
     // A file that changes nothing but the ramp is applied as well.
-    daemon.reload(&file(daemon.at, admin, server.peer.at, "return-ramp = \"1s\""));
+    daemon.reload(&file(daemon.address, admin, server.peer.address, "return-ramp = \"1s\""));
     wait_until("the outage is noticed", || is_paced(&daemon.send_request(&get("/")).unwrap()));
     assert_eq!(phase(admin), "1");
-    daemon.reload(&file(daemon.at, admin, server.peer.at, "return-ramp = \"0s\""));
+    daemon.reload(&file(daemon.address, admin, server.peer.address, "return-ramp = \"0s\""));
     assert_eq!(phase(admin), "0");
     server.down.store(false, Ordering::SeqCst);
     wait_until("it is served", || daemon.send_request(&get("/")).unwrap().status() == 200);
--- a/crates/mintshelf/tests/platform_reload.rs
+++ b/crates/mintshelf/tests/platform_reload.rs
@@ -1,7 +1,7 @@
 //! Configurations of the platform's sidecar that are applied and rejected while it runs.
 
 use mintshelf_test_support::{
-    config, ok_response, request, wait_until, Discovery, Server, Sidecar,
+    config, ok_response, request, start_with_server, wait_until, Discovery, Server, Sidecar,
 };
 use serde_json::json;
 
@@ -14,11 +14,11 @@
     let first = Discovery::start(2, vec![old.entry("a")]);
     // The second one has revisions of its own.
     let second = Discovery::start(1, vec![new.entry("b")]);
-    let mut sidecar = Sidecar::start(PROGRAM, config(first.at, vec![old.entry("a")]));
+    let mut sidecar = Sidecar::start(PROGRAM, config(first.address, vec![old.entry("a")]));
     first.wait_for_first_call();
-    let mut moved = sidecar.config.clone();
-    moved["discovery"] = json!(second.at.to_string());
-    sidecar.reload(&moved.to_string());
+    let mut changed = sidecar.config.clone();
+    changed["discovery"] = json!(second.address.to_string());
+    sidecar.reload(&changed.to_string());
     let mut number = 0;
     wait_until("the new list is applied", || {
         number += 1;
@@ -31,9 +31,8 @@
 
 #[test]
 fn a_malformed_file_is_not_applied() {
-    let server = Server::start(|_, _| Some(ok_response("served")));
-    let discovery = Discovery::start(1, vec![server.entry("a")]);
-    let mut sidecar = Sidecar::start(PROGRAM, config(discovery.at, vec![server.entry("a")]));
+    let (server, discovery, mut sidecar) =
+        start_with_server(PROGRAM, |_, _| Some(ok_response("served")));
     for text in ["", "{", r#"{"name":"n0"}"#] {
         sidecar.reload(text);
     }
--- a/crates/mintshelf/tests/races/attempts.rs
+++ b/crates/mintshelf/tests/races/attempts.rs
@@ -3,8 +3,8 @@
 
 use crate::fixture::{ids, slow_connect_config, while_stopped, LateServer, PROGRAM};
 use mintshelf_test_support::{
-    config, connect, entry, ok_response, request, request_with_timeout, send_request, wait_until,
-    Discovery, Latch, Message, Peer, Process as _, Server, Sidecar,
+    config, connect, entry, ok_response, request, request_with_timeout, send_request,
+    start_with_server, wait_until, Discovery, Latch, Message, Peer, Process as _, Server, Sidecar,
 };
 use serde_json::json;
 use std::collections::HashSet;
@@ -28,13 +28,13 @@
     });
     let late = LateServer::start();
     let discovery = Discovery::start(1, vec![first.entry("a")]);
-    let mut config = slow_connect_config(discovery.at, vec![first.entry("a")]);
+    let mut config = slow_connect_config(discovery.address, vec![first.entry("a")]);
     for class in config["settings"]["classes"].as_array_mut().unwrap() {
         class["memory-span"] = json!(WINDOW.as_nanos() as u64);
     }
     let sidecar = Sidecar::start(PROGRAM, config);
     discovery.wait_for_first_call();
-    let mut client = connect(sidecar.at).unwrap();
+    let mut client = connect(sidecar.address).unwrap();
     client.write_all(&request("keyed", "k")).unwrap();
     wait_until("the first attempt has arrived", || ids(&first) == ["k"]);
     let arrived_at = Instant::now();
@@ -67,10 +67,10 @@
     let late = LateServer::start();
     let discovery = Discovery::start(1, vec![first.entry("a"), late.entry("b")]);
     let known = vec![first.entry("a"), late.entry("b")];
-    let sidecar = Sidecar::start(PROGRAM, slow_connect_config(discovery.at, known));
+    let sidecar = Sidecar::start(PROGRAM, slow_connect_config(discovery.address, known));
     let client = thread::spawn({
-        let at = sidecar.at;
-        move || send_request(at, &request("keyed", "k")).unwrap()
+        let address = sidecar.address;
+        move || send_request(address, &request("keyed", "k")).unwrap()
     });
     thread::sleep(Duration::from_millis(200));
     let received = late.accept_requests(|_| ok_response("served"));
@@ -93,12 +93,12 @@
             connections.lock().unwrap().push(stream.try_clone().unwrap());
         }
     });
-    let entries = vec![entry("a", peer.at)];
+    let entries = vec![entry("a", peer.address)];
     let discovery = Discovery::start(1, entries.clone());
-    let sidecar = Sidecar::start(PROGRAM, config(discovery.at, entries));
+    let sidecar = Sidecar::start(PROGRAM, config(discovery.address, entries));
     assert_eq!(sidecar.send_request(&request("unsafe", "first")).unwrap().status(), 200);
     // The sidecar finds the next request and what the server did at once.
-    let mut client = connect(sidecar.at).unwrap();
+    let mut client = connect(sidecar.address).unwrap();
     while_stopped(&sidecar, || {
         client.write_all(&request("unsafe", "second")).unwrap();
         idle_connections.lock().unwrap().drain(..).for_each(&server_action);
@@ -130,7 +130,7 @@
 #[test]
 fn a_connection_with_an_unread_second_response_carries_no_request() {
     check_idle_connection_is_not_reused(|mut stream| {
-        stream.write_all(&ok_response("surplus")).unwrap()
+        stream.write_all(&ok_response("surplus")).unwrap();
     });
 }
 
@@ -140,7 +140,7 @@
     const ACCEPT_TIMEOUT: Duration = Duration::from_millis(400);
     let mut connections = Vec::new();
     loop {
-        let mut stream = connect(sidecar.at).unwrap();
+        let mut stream = connect(sidecar.address).unwrap();
         stream.set_read_timeout(Some(ACCEPT_TIMEOUT)).unwrap();
         stream.write_all(&request("safe", &format!("crowd-{}", connections.len()))).unwrap();
         let Some(response) = Message::read(&mut stream) else { return connections };
@@ -157,18 +157,16 @@
     const QUEUE_TIME: Duration = Duration::from_millis(800);
     // The first attempt of each request that was queued fails.
     let failed = Mutex::new(HashSet::new());
-    let server = Server::start(move |request, _| {
+    let (server, _discovery, sidecar) = start_with_server(PROGRAM, move |request, _| {
         let id = request.header("x-txn").unwrap().to_string();
         if id.starts_with("held") && failed.lock().unwrap().insert(id) {
             return Some(b"HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n".to_vec());
         }
         Some(ok_response("served"))
     });
-    let discovery = Discovery::start(1, vec![server.entry("a")]);
-    let sidecar = Sidecar::start(PROGRAM, config(discovery.at, vec![server.entry("a")]));
     let connections = use_up_connections(&sidecar);
     let connected_at = Instant::now();
-    let mut queued: Vec<_> = (0..3).map(|_| connect(sidecar.at).unwrap()).collect();
+    let mut queued: Vec<_> = (0..3).map(|_| connect(sidecar.address).unwrap()).collect();
     for (number, stream) in queued.iter_mut().enumerate() {
         let id = format!("held-{number}");
         let timeout_ms = CLIENT_TIMEOUT.as_millis() as u64;
@@ -205,11 +203,10 @@
     /// A client that stops in the midst of a request gets an error or a close within this time.
     const END_WITHIN: Duration = Duration::from_secs(3);
     const QUEUE_TIME: Duration = Duration::from_millis(1_200);
-    let server = Server::start(|_, _| Some(ok_response("served")));
-    let discovery = Discovery::start(1, vec![server.entry("a")]);
-    let sidecar = Sidecar::start(PROGRAM, config(discovery.at, vec![server.entry("a")]));
+    let (_server, _discovery, sidecar) =
+        start_with_server(PROGRAM, |_, _| Some(ok_response("served")));
     let connections = use_up_connections(&sidecar);
-    let mut client = connect(sidecar.at).unwrap();
+    let mut client = connect(sidecar.address).unwrap();
     client.write_all(b"GET /api HTTP/1.1\r\nHost: a\r\nX-Tx").unwrap();
     let written_at = Instant::now();
     thread::sleep(QUEUE_TIME);
@@ -220,10 +217,9 @@
 
 #[test]
 fn a_request_behind_400_idle_connections_is_accepted_at_once() {
-    let server = Server::start(|_, _| Some(ok_response("served")));
-    let discovery = Discovery::start(1, vec![server.entry("a")]);
-    let sidecar = Sidecar::start(PROGRAM, config(discovery.at, vec![server.entry("a")]));
-    let idle_connections: Vec<_> = (0..400).filter_map(|_| connect(sidecar.at)).collect();
+    let (_server, _discovery, sidecar) =
+        start_with_server(PROGRAM, |_, _| Some(ok_response("served")));
+    let idle_connections: Vec<_> = (0..400).filter_map(|_| connect(sidecar.address)).collect();
     let sent_at = Instant::now();
     assert_eq!(sidecar.send_request(&request("safe", "behind")).unwrap().status(), 200);
     let elapsed = sent_at.elapsed();
--- a/crates/mintshelf/tests/races/client_disconnects.rs
+++ b/crates/mintshelf/tests/races/client_disconnects.rs
@@ -4,7 +4,8 @@
     ids, slow_connect_config, wait_until_settled, while_stopped, LateServer, PROGRAM,
 };
 use mintshelf_test_support::{
-    config, connect, ok_response, request, wait_until, Discovery, Latch, Server, Sidecar,
+    config, connect, ok_response, request, start_with_server, wait_until, Discovery, Latch, Server,
+    Sidecar,
 };
 use serde_json::json;
 use std::io::Write;
@@ -16,15 +17,13 @@
 fn start_with_delayed_response(delayed_response: Vec<u8>) -> (Latch, Server, Discovery, Sidecar) {
     let latch = Latch::closed();
     let server_latch = latch.clone();
-    let server = Server::start(move |request, _| {
+    let (server, discovery, sidecar) = start_with_server(PROGRAM, move |request, _| {
         if request.header("x-txn") == Some("held") {
             server_latch.wait();
             return Some(delayed_response.clone());
         }
         Some(ok_response("served"))
     });
-    let discovery = Discovery::start(1, vec![server.entry("a")]);
-    let sidecar = Sidecar::start(PROGRAM, config(discovery.at, vec![server.entry("a")]));
     (latch, server, discovery, sidecar)
 }
 
@@ -33,7 +32,7 @@
 }
 
 fn send(sidecar: &Sidecar, requests: &[Vec<u8>]) -> TcpStream {
-    let mut stream = connect(sidecar.at).unwrap();
+    let mut stream = connect(sidecar.address).unwrap();
     stream.write_all(&requests.concat()).unwrap();
     stream
 }
@@ -82,7 +81,7 @@
     let server = LateServer::start();
     let discovery = Discovery::start(1, vec![server.entry("a")]);
     let known = vec![server.entry("a")];
-    let sidecar = Sidecar::start(PROGRAM, slow_connect_config(discovery.at, known));
+    let sidecar = Sidecar::start(PROGRAM, slow_connect_config(discovery.address, known));
     let client = send(&sidecar, &[request("safe", "gone"), behind.to_vec()]);
     wait_until_settled(&sidecar, "it connects");
     drop(client);
@@ -122,7 +121,7 @@
 fn a_request_that_waits_for_a_server_is_dropped_when_its_client_disconnects() {
     let server = Server::start(|_, _| Some(ok_response("served")));
     let discovery = Discovery::start(1, vec![]);
-    let mut config = config(discovery.at, vec![]);
+    let mut config = config(discovery.address, vec![]);
     for class in config["settings"]["classes"].as_array_mut().unwrap() {
         class["goal-time"] = json!(7_000_000_000u64);
     }
--- a/crates/mintshelf/tests/races/discovery.rs
+++ b/crates/mintshelf/tests/races/discovery.rs
@@ -24,7 +24,7 @@
         entry["state"] = json!(if rev == 2 { "DRAINING" } else { "SERVING" });
         vec![entry]
     });
-    let sidecar = Sidecar::start(PROGRAM, slow_poll_config(discovery.peer.at, vec![entry]));
+    let sidecar = Sidecar::start(PROGRAM, slow_poll_config(discovery.peer.address, vec![entry]));
     let first_fault = 2;
     let new_list = first_fault + faults.len();
     wait_until("the new list is polled", || discovery.calls().len() > new_list);
@@ -57,7 +57,7 @@
     let server = Server::start(|_, _| Some(ok_response("served")));
     let entry = server.entry("a");
     let discovery = ScriptedDiscovery::start(&[ResponseKind::Unavailable], |_| vec![]);
-    let _sidecar = Sidecar::start(PROGRAM, slow_poll_config(discovery.peer.at, vec![entry]));
+    let _sidecar = Sidecar::start(PROGRAM, slow_poll_config(discovery.peer.address, vec![entry]));
     wait_until("eight polls have failed", || discovery.calls().len() >= 8);
     let gaps: Vec<_> = discovery.calls().windows(2).map(|pair| pair[1] - pair[0]).collect();
     assert!(gaps.iter().all(|gap| *gap < Duration::from_secs(3)), "{gaps:?}");
@@ -70,7 +70,7 @@
     let started_at = Instant::now();
     let sidecars: Vec<_> = (1..9u64)
         .map(|seed| {
-            let mut config = slow_poll_config(discovery.peer.at, vec![server.entry("a")]);
+            let mut config = slow_poll_config(discovery.peer.address, vec![server.entry("a")]);
             config["seed"] = json!(format!("{seed:016x}"));
             Sidecar::start(PROGRAM, config)
         })
@@ -89,7 +89,7 @@
     let script = [ResponseKind::List(1), ResponseKind::Silence];
     let agent =
         ScriptedDiscovery::start(&script, move |rev| vec![listed[rev as usize - 1].clone()]);
-    let mut config = config(agent.peer.at, vec![entries[0].clone()]);
+    let mut config = config(agent.peer.address, vec![entries[0].clone()]);
     config["settings"]["registry-mode"] = json!("automatic");
     let sidecar = Sidecar::start(PROGRAM, config);
     wait_until("it is silent", || agent.calls().len() >= 2);
@@ -117,12 +117,12 @@
         });
     let new_agent =
         ScriptedDiscovery::start(&[ResponseKind::List(2)], move |_| vec![second.clone()]);
-    let mut config = config(silent.peer.at, vec![entries[0].clone()]);
+    let mut config = config(silent.peer.address, vec![entries[0].clone()]);
     config["settings"]["registry-mode"] = json!("automatic");
     let mut sidecar = Sidecar::start(PROGRAM, config);
     wait_until("it is silent", || silent.calls().len() >= 2);
     let mut file = sidecar.config.clone();
-    file["discovery"] = json!(new_agent.peer.at.to_string());
+    file["discovery"] = json!(new_agent.peer.address.to_string());
     sidecar.reload(&file.to_string());
     let reloaded_at = Instant::now();
     wait_until("the new address is polled", || !new_agent.calls().is_empty());
--- a/crates/mintshelf/tests/races/drains.rs
+++ b/crates/mintshelf/tests/races/drains.rs
@@ -35,7 +35,7 @@
         }
         entries.to_vec()
     });
-    let mut config = slow_poll_config(discovery.peer.at, entries.to_vec());
+    let mut config = slow_poll_config(discovery.peer.address, entries.to_vec());
     config["known"]["rev"] = json!(4);
     let sidecar = Sidecar::start(PROGRAM, config);
     wait_until("the drain is notified", || discovery.calls().len() >= 2);
@@ -83,9 +83,9 @@
         let healthy = Server::start(|_, _| Some(ok_response("served")));
         let discovery = Discovery::start(1, vec![late.entry("a")]);
         let sidecar =
-            Sidecar::start(PROGRAM, slow_connect_config(discovery.at, vec![late.entry("a")]));
+            Sidecar::start(PROGRAM, slow_connect_config(discovery.address, vec![late.entry("a")]));
         discovery.wait_for_first_call();
-        let mut client = connect(sidecar.at).unwrap();
+        let mut client = connect(sidecar.address).unwrap();
         client.write_all(&request("unsafe", "u")).unwrap();
         // Its connection is being established; the list is read before it is.
         thread::sleep(Duration::from_millis(200));
@@ -137,11 +137,12 @@
 fn a_drain_is_applied_before_requests_that_arrive_with_it() {
     const CLIENTS: usize = 60;
     let fixture = DrainFixture::start();
-    let mut config = config(fixture.discovery.at, fixture.entries());
+    let mut config = config(fixture.discovery.address, fixture.entries());
     config["limits"]["sockets"] = json!(512);
     let sidecar = Sidecar::start(PROGRAM, config);
     fixture.discovery.wait_for_first_call();
-    let mut clients: Vec<TcpStream> = (0..CLIENTS).map(|_| connect(sidecar.at).unwrap()).collect();
+    let mut clients: Vec<TcpStream> =
+        (0..CLIENTS).map(|_| connect(sidecar.address).unwrap()).collect();
     for (number, client) in clients.iter_mut().enumerate() {
         client.write_all(&request("safe", &format!("before{number}"))).unwrap();
         assert_eq!(Message::read(client).unwrap().status(), 200);
@@ -168,10 +169,10 @@
     const SIGNAL_DELIVERY: Duration = Duration::from_millis(10);
     let fixture = DrainFixture::start();
     let new_discovery = ScriptedDiscovery::start(&[ResponseKind::Silence], |_| Vec::new());
-    let mut sidecar = Sidecar::start(PROGRAM, config(fixture.discovery.at, fixture.entries()));
+    let mut sidecar = Sidecar::start(PROGRAM, config(fixture.discovery.address, fixture.entries()));
     fixture.discovery.wait_for_first_call();
     let mut file = sidecar.config.clone();
-    file["discovery"] = json!(new_discovery.peer.at.to_string());
+    file["discovery"] = json!(new_discovery.peer.address.to_string());
     sidecar.reload(&file.to_string());
     // The signal is handled, and the poll of the new address due while the process is stopped.
     thread::sleep(SIGNAL_DELIVERY);
--- a/crates/mintshelf/tests/races/remaining_time.rs
+++ b/crates/mintshelf/tests/races/remaining_time.rs
@@ -2,7 +2,8 @@
 
 use crate::fixture::{while_stopped, PROGRAM};
 use mintshelf_test_support::{
-    config, connect, ok_response, wait_until, Discovery, Latch, Message, Server, Sidecar,
+    config, connect, ok_response, start_with_server, wait_until, Discovery, Latch, Message, Server,
+    Sidecar,
 };
 use serde_json::json;
 use std::io::Write;
@@ -35,10 +36,9 @@
 
 #[test]
 fn the_remaining_time_is_reduced_by_the_delay_of_a_late_body() {
-    let server = Server::start(|_, _| Some(ok_response("served")));
-    let discovery = Discovery::start(1, vec![server.entry("a")]);
-    let sidecar = Sidecar::start(PROGRAM, config(discovery.at, vec![server.entry("a")]));
-    let mut client = connect(sidecar.at).unwrap();
+    let (server, _discovery, sidecar) =
+        start_with_server(PROGRAM, |_, _| Some(ok_response("served")));
+    let mut client = connect(sidecar.address).unwrap();
     client.write_all(&post_head("late", 4)).unwrap();
     // The head is read by itself.
     thread::sleep(BODY_DELAY);
@@ -62,14 +62,14 @@
         Some(ok_response("served"))
     });
     let discovery = Discovery::start(1, vec![server.entry("a")]);
-    let mut config = config(discovery.at, vec![server.entry("a")]);
+    let mut config = config(discovery.address, vec![server.entry("a")]);
     config["limits"]["memory_mb"] = json!(0);
     let sidecar = Sidecar::start(PROGRAM, config);
-    let mut first = connect(sidecar.at).unwrap();
+    let mut first = connect(sidecar.address).unwrap();
     first.write_all(&post_head("first", BODY_BUDGET)).unwrap();
     first.write_all(&vec![b'w'; BODY_BUDGET]).unwrap();
     wait_until("the first one has arrived", || server.requests().len() == 1);
-    let mut second = connect(sidecar.at).unwrap();
+    let mut second = connect(sidecar.address).unwrap();
     second.write_all(&post_head("second", 4)).unwrap();
     second.write_all(b"work").unwrap();
     thread::sleep(BODY_DELAY);
--- a/crates/mintshelf/tests/races/unusual_settings.rs
+++ b/crates/mintshelf/tests/races/unusual_settings.rs
@@ -18,7 +18,7 @@
     fn start() -> Self {
         let server = Server::start(|_, _| Some(ok_response("served")));
         let discovery = Discovery::start(1, vec![server.entry("a")]);
-        let config = config(discovery.at, vec![server.entry("a")]);
+        let config = config(discovery.address, vec![server.entry("a")]);
         SettingsFixture { config, _server: server, _discovery: discovery }
     }
 
@@ -48,7 +48,7 @@
     let tenant = "корзина";
     let server = Server::start(|_, _| Some(ok_response("served")));
     let discovery = Discovery::start(1, vec![server.entry("a")]);
-    let mut config = config(discovery.at, vec![server.entry("a")]);
+    let mut config = config(discovery.address, vec![server.entry("a")]);
     config["settings"]["tenants"][0]["name"] = json!(tenant);
     let sidecar = Sidecar::start(PROGRAM, config);
     let status_of_tenant = |org: &str| {
@@ -104,8 +104,8 @@
 
 #[test]
 fn contradictory_settings_are_reported_with_their_place() {
-    let file = std::env::temp_dir().join(format!("mintshelf-odd-{}.json", std::process::id()));
     type Change = dyn Fn(&mut Value);
+    let file = std::env::temp_dir().join(format!("mintshelf-odd-{}.json", std::process::id()));
     let changes: [(&str, &Change); 6] = [
         ("settings.classes[1].name", &|settings| settings["classes"][1]["name"] = json!("safe")),
         ("settings.tenants[1].name", &|settings| {
--- a/crates/mintshelf/tests/system_call_filter.rs
+++ b/crates/mintshelf/tests/system_call_filter.rs
@@ -93,7 +93,7 @@
     let second = Server::start(|_, _| Some(ok_response("second")));
     let discovery = Discovery::start(1, vec![first.entry("s-1"), second.entry("s-2")]);
     let new_discovery = Discovery::start(2, vec![second.entry("s-2")]);
-    let file = config(discovery.at, vec![first.entry("s-1")]);
+    let file = config(discovery.address, vec![first.entry("s-1")]);
     let program = env!("CARGO_BIN_EXE_mintshelf");
     let mut sidecar = confined(|| Sidecar::start(program, file));
     for round in 0..50 {
@@ -104,7 +104,7 @@
     }
     // A new configuration, another discovery, other servers.
     let mut file = sidecar.config.clone();
-    file["discovery"] = new_discovery.at.to_string().into();
+    file["discovery"] = new_discovery.address.to_string().into();
     sidecar.reload(&file.to_string());
     let mut round = 0;
     wait_until("the list of the new discovery service is applied", || {
@@ -139,5 +139,5 @@
     wait_until("the process ends", || !sidecar.is_running());
     let ended = sidecar.child.wait().unwrap();
     assert!(ended.success(), "{ended}");
-    assert!(send_request(sidecar.at, &request("safe", "late")).is_none());
+    assert!(send_request(sidecar.address, &request("safe", "late")).is_none());
 }
--- a/crates/mintshelf/tests/websocket/fixture.rs
+++ b/crates/mintshelf/tests/websocket/fixture.rs
@@ -16,7 +16,7 @@
 
 /// What differs between the files of tests: one cluster, and a route for web sockets.
 pub struct Setup {
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     pub admin: SocketAddr,
     pub limits: &'static str,
     pub class: &'static str,
@@ -27,7 +27,7 @@
 
 pub fn default_setup() -> Setup {
     Setup {
-        at: free_address(),
+        address: free_address(),
         admin: free_address(),
         limits: "",
         class: "",
@@ -39,11 +39,11 @@
 
 impl Setup {
     pub fn text(&self, servers: &[SocketAddr]) -> String {
-        let Setup { at, admin, limits, class, cluster, websocket, more } = self;
-        let servers: Vec<String> = servers.iter().map(|at| format!("\"{at}\"")).collect();
+        let Setup { address, admin, limits, class, cluster, websocket, more } = self;
+        let servers: Vec<String> = servers.iter().map(|address| format!("\"{address}\"")).collect();
         let servers = servers.join(", ");
         format!(
-            "listen = \"{at}\"\ntenant-header = \"x-member\"\n[limits]\n{limits}\n\
+            "listen = \"{address}\"\ntenant-header = \"x-member\"\n[limits]\n{limits}\n\
              [admin]\naddress = \"{admin}\"\n[classes.live]\naim = \"1s\"\ndeadline = \"5s\"\n\
              [classes.live.sockets]\n{class}\n[clusters.c]\nendpoints = [{servers}]\n\
              connect-timeout = \"2s\"\n{cluster}\n\
@@ -52,17 +52,17 @@
     }
 
     pub fn start(&self, servers: &[&EchoServer]) -> Daemon {
-        let servers: Vec<_> = servers.iter().map(|server| server.peer.at).collect();
-        Daemon::start(PROGRAM, self.at, &self.text(&servers), &[])
+        let servers: Vec<_> = servers.iter().map(|server| server.peer.address).collect();
+        Daemon::start(PROGRAM, self.address, &self.text(&servers), &[])
     }
 }
 
 pub type Socket = WebSocket<TcpStream>;
 
-pub fn request(at: SocketAddr, headers: &[(&str, &str)]) -> Request {
+pub fn request(address: SocketAddr, headers: &[(&str, &str)]) -> Request {
     let mut request = Request::builder()
-        .uri(format!("ws://{at}/live?device=7"))
-        .header("host", at.to_string())
+        .uri(format!("ws://{address}/live?device=7"))
+        .header("host", address.to_string())
         .header("connection", "Upgrade")
         .header("upgrade", "websocket")
         .header("sec-websocket-version", "13")
@@ -74,10 +74,10 @@
 }
 
 /// Opens a socket; the status of the response if it is another than 101.
-pub fn open_with(at: SocketAddr, headers: &[(&str, &str)]) -> Result<Socket, u16> {
-    let stream = connect(at).expect("a connection");
+pub fn open_with(address: SocketAddr, headers: &[(&str, &str)]) -> Result<Socket, u16> {
+    let stream = connect(address).expect("a connection");
     stream.set_read_timeout(Some(READ_TIMEOUT)).unwrap();
-    match tungstenite::client(request(at, headers), stream) {
+    match tungstenite::client(request(address, headers), stream) {
         Ok((socket, _)) => Ok(socket),
         Err(tungstenite::HandshakeError::Failure(tungstenite::Error::Http(response))) => {
             Err(response.status().as_u16())
@@ -86,8 +86,8 @@
     }
 }
 
-pub fn open(at: SocketAddr) -> Socket {
-    open_with(at, &[]).expect("a socket")
+pub fn open(address: SocketAddr) -> Socket {
+    open_with(address, &[]).expect("a socket")
 }
 
 /// Sends a text and receives the next one; answers pings.
--- a/crates/mintshelf/tests/websocket/handshakes.rs
+++ b/crates/mintshelf/tests/websocket/handshakes.rs
@@ -15,10 +15,10 @@
     let websocket = "{ origins = [\"https://lab.example\"], subprotocols = [\"v2\"] }";
     let setup = Setup { websocket, ..default_setup() };
     let _daemon = setup.start(&[&server]);
-    let status = |headers: &[(&str, &str)]| handshake(setup.at, headers, b"").0.status();
+    let status = |headers: &[(&str, &str)]| handshake(setup.address, headers, b"").0.status();
     assert_eq!(status(&[("Origin", "https://evil.example")]), 403);
     assert_eq!(status(&[("Sec-WebSocket-Key", "short")]), 400);
-    let (old, _) = handshake(setup.at, &[("Sec-WebSocket-Version", "8")], b"");
+    let (old, _) = handshake(setup.address, &[("Sec-WebSocket-Version", "8")], b"");
     assert_eq!(old.status(), 426);
     assert_eq!(old.header("sec-websocket-version"), Some("13"));
     assert_eq!(server.opened.load(Ordering::SeqCst), 0, "no request was forwarded");
@@ -27,13 +27,13 @@
         ("Sec-WebSocket-Protocol", "v1, v2"),
         ("Sec-WebSocket-Extensions", "permessage-deflate"),
     ];
-    let (good, _stream) = handshake(setup.at, &offer, b"");
+    let (good, _stream) = handshake(setup.address, &offer, b"");
     assert_eq!(good.status(), 101);
     assert_eq!(good.header("sec-websocket-accept"), Some("s3pPLMBiTxaQ9kYGzzhZRbK+xOo="));
     assert_eq!(good.header("sec-websocket-protocol"), Some("v2"), "the one that is allowed");
     assert_eq!(good.header("sec-websocket-extensions"), None);
     // Without an upgrade it is an ordinary request.
-    let plain = handshake(setup.at, &[("Connection", "close")], b"");
+    let plain = handshake(setup.address, &[("Connection", "close")], b"");
     assert_ne!(plain.0.status(), 101);
 }
 
@@ -44,7 +44,7 @@
     let _daemon = first.start(&[&server]);
     // "hi", masked with zeros.
     let early = [0x81, 0x82, 0, 0, 0, 0, b'h', b'i'];
-    let (response, mut stream) = handshake(first.at, &[], &early);
+    let (response, mut stream) = handshake(first.address, &[], &early);
     assert_eq!(response.status(), 101);
     let mut frame = [0; 7];
     std::io::Read::read_exact(&mut stream, &mut frame).unwrap();
@@ -57,8 +57,8 @@
         while Message::read(&mut stream).is_some() {}
     });
     let setup = default_setup();
-    let _daemon = Daemon::start(PROGRAM, setup.at, &setup.text(&[server.at]), &[]);
-    let mut socket = open(setup.at);
+    let _daemon = Daemon::start(PROGRAM, setup.address, &setup.text(&[server.address]), &[]);
+    let mut socket = open(setup.address);
     assert_eq!(socket.read().unwrap(), WsMessage::text("yo"));
 }
 
@@ -92,16 +92,21 @@
     ] {
         let setup = default_setup();
         // Another server is there, whose response would be as wrong.
-        let _daemon = Daemon::start(PROGRAM, setup.at, &setup.text(&[server.at, other.at]), &[]);
+        let _daemon = Daemon::start(
+            PROGRAM,
+            setup.address,
+            &setup.text(&[server.address, other.address]),
+            &[],
+        );
         let before = request_count.load(Ordering::SeqCst);
-        assert_eq!(open_with(setup.at, &[]).err(), Some(status));
+        assert_eq!(open_with(setup.address, &[]).err(), Some(status));
         assert_eq!(request_count.load(Ordering::SeqCst), before + 1, "no other server after a 101");
     }
     // 101 to an ordinary request: nothing of it may reach the client.
     let switching =
         scripted_server(|_| format!("{ACCEPTED}\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"));
     let setup = default_setup();
-    let daemon = Daemon::start(PROGRAM, setup.at, &setup.text(&[switching.at]), &[]);
+    let daemon = Daemon::start(PROGRAM, setup.address, &setup.text(&[switching.address]), &[]);
     assert!((500..=504).contains(&daemon.send_request(&get("/plain")).unwrap().status()));
 }
 
@@ -111,6 +116,6 @@
     dead.dead.store(true, Ordering::SeqCst);
     let setup = default_setup();
     let _daemon = setup.start(&[&dead, &good]);
-    let mut sockets: Vec<Socket> = (0..8).map(|_| open(setup.at)).collect();
+    let mut sockets: Vec<Socket> = (0..8).map(|_| open(setup.address)).collect();
     assert!(sockets.iter_mut().all(|socket| send_and_receive(socket, "x") == "good: x"));
 }
--- a/crates/mintshelf/tests/websocket/limits.rs
+++ b/crates/mintshelf/tests/websocket/limits.rs
@@ -11,7 +11,7 @@
 };
 use std::io::Write;
 use std::sync::atomic::Ordering;
-use std::thread;
+use std::thread::{self, JoinHandle};
 use std::time::Duration;
 use tungstenite::Message as WsMessage;
 
@@ -21,18 +21,18 @@
     let plain = Server::start(|_, _| Some(ok_response("plain")));
     let more = format!(
         "[clusters.p]\nendpoints = [\"{}\"]\n[[routes]]\nprefix = \"/plain\"\ncluster = \"p\"\n",
-        plain.at
+        plain.address
     );
     let setup = Setup { limits: "sockets = 128\nwebsockets = 5", more, ..default_setup() };
     let daemon = setup.start(&[&server]);
-    let mut sockets: Vec<Socket> = (0..5).map(|_| open(setup.at)).collect();
-    let (rejected, _) = handshake(setup.at, &[], b"");
+    let mut sockets: Vec<Socket> = (0..5).map(|_| open(setup.address)).collect();
+    let (rejected, _) = handshake(setup.address, &[], b"");
     assert_eq!(rejected.status(), 503);
     assert!(rejected.header("retry-after").unwrap().parse::<u32>().unwrap() >= 1);
     assert!(String::from_utf8_lossy(&rejected.body).contains("sockets-full"));
     assert_eq!(daemon.send_request(&get("/plain")).unwrap().status(), 200);
     sockets.pop().unwrap().close(None).unwrap();
-    wait_until("its slot is free", || open_with(setup.at, &[]).is_ok());
+    wait_until("its slot is free", || open_with(setup.address, &[]).is_ok());
     assert!(sockets.iter_mut().all(|socket| send_and_receive(socket, "on") == "a: on"));
 }
 
@@ -43,7 +43,7 @@
         "[tenants.early]\nheader-values = \"early\"\n[tenants.late]\nheader-values = \"late\"\n";
     let setup = Setup { limits: "websockets = 8", more: more.into(), ..default_setup() };
     let _daemon = setup.start(&[&server]);
-    let open_as = |tenant| open_with(setup.at, &[("x-member", tenant)]);
+    let open_as = |tenant| open_with(setup.address, &[("x-member", tenant)]);
     let early: Vec<Socket> = (0..8).map(|_| open_as("early").unwrap()).collect();
     let readers: Vec<_> = early.into_iter().map(spawn_reader).collect();
     let mut late = Vec::new();
@@ -58,7 +58,7 @@
         metric(setup.admin, "mintshelf_tenant_sockets{tenant=\"early\"}") == 4.0
             && metric(setup.admin, "mintshelf_tenant_sockets{tenant=\"late\"}") == 4.0
     });
-    let closed: Vec<_> = readers.into_iter().filter(|reader| reader.is_finished()).collect();
+    let closed: Vec<_> = readers.into_iter().filter(JoinHandle::is_finished).collect();
     assert_eq!(closed.len(), 4);
     for reader in closed {
         let (code, reason) = reader.join().unwrap();
@@ -73,11 +73,11 @@
                  message-timeout = \"600ms\"\nbuffer = \"16KiB\"";
     let setup = Setup { class, ..default_setup() };
     let daemon = setup.start(&[&server]);
-    let steady_client = SteadyClient::start(setup.at);
+    let steady_client = SteadyClient::start(setup.address);
     let before = daemon.memory("VmRSS:");
     let not_reading: Vec<Socket> = (0..50)
         .map(|_| {
-            let mut socket = open(setup.at);
+            let mut socket = open(setup.address);
             socket.send(WsMessage::text("flood")).unwrap();
             socket
         })
@@ -92,7 +92,7 @@
     assert!(more < 16 << 20, "{more} bytes more");
     drop(not_reading);
     // A client that sends byte by byte, and never a complete message.
-    let (_, mut slow) = handshake(setup.at, &[], b"");
+    let (_, mut slow) = handshake(setup.address, &[], b"");
     slow.write_all(&masked(0x82, &[0; 100])[..6]).unwrap();
     let mut writing = slow.try_clone().unwrap();
     let slow_writer = thread::spawn(move || {
@@ -105,7 +105,7 @@
     drop(slow);
     slow_writer.join().unwrap();
     // A client that answers no ping counts as lost.
-    let (_, vanished) = handshake(setup.at, &[], b"");
+    let (_, vanished) = handshake(setup.address, &[], b"");
     wait_until("its server's connection is closed", || {
         server.opened.load(Ordering::SeqCst) == 53 && server.open.load(Ordering::SeqCst) == 1
     });
@@ -124,13 +124,13 @@
         let _ = stream.write_all(&[0x88, 2, 3, 0xe8]);
     });
     let setup = Setup { limits: "sockets = 1024", ..default_setup() };
-    let daemon = Daemon::start(PROGRAM, setup.at, &setup.text(&[server.at]), &[]);
+    let daemon = Daemon::start(PROGRAM, setup.address, &setup.text(&[server.address]), &[]);
     let run = |count: usize| {
         let threads = (0..8).map(|_| {
-            let at = setup.at;
+            let address = setup.address;
             thread::spawn(move || {
                 for _ in 0..count / 8 {
-                    let (response, mut stream) = handshake(at, &[], b"");
+                    let (response, mut stream) = handshake(address, &[], b"");
                     assert_eq!(response.status(), 101);
                     stream.write_all(&masked(0x88, &[3, 0xe8])).unwrap();
                     assert_eq!(close_of(&mut stream).map(|close| close.0), Some(1000));
--- a/crates/mintshelf/tests/websocket/protocol_errors.rs
+++ b/crates/mintshelf/tests/websocket/protocol_errors.rs
@@ -27,7 +27,7 @@
         (huge, 1009),
         (endless, 1008),
     ] {
-        let (response, mut stream) = handshake(setup.at, &[], b"");
+        let (response, mut stream) = handshake(setup.address, &[], b"");
         assert_eq!(response.status(), 101);
         stream.write_all(&bytes).unwrap();
         assert_eq!(close_of(&mut stream).map(|close| close.0), Some(code), "{:x?}", &bytes[..7]);
@@ -47,8 +47,8 @@
         *recorded.lock().unwrap() = read_to_close(&mut stream);
     });
     let setup = default_setup();
-    let _daemon = Daemon::start(PROGRAM, setup.at, &setup.text(&[server.at]), &[]);
-    let mut socket = open(setup.at);
+    let _daemon = Daemon::start(PROGRAM, setup.address, &setup.text(&[server.address]), &[]);
+    let mut socket = open(setup.address);
     assert_eq!(socket.read().unwrap(), WsMessage::text("ok"), "what was sent before is not lost");
     assert_eq!(read_close(&mut socket).0, 1011);
     wait_until("the server receives the close frame", || {
--- a/crates/mintshelf/tests/websocket/raw_client.rs
+++ b/crates/mintshelf/tests/websocket/raw_client.rs
@@ -5,8 +5,12 @@
 use std::net::{SocketAddr, TcpStream};
 
 /// Sends a handshake with `behind` after it; the response, and the connection.
-pub fn handshake(at: SocketAddr, headers: &[(&str, &str)], behind: &[u8]) -> (Message, TcpStream) {
-    let mut text = format!("GET /live HTTP/1.1\r\nHost: {at}\r\n");
+pub fn handshake(
+    address: SocketAddr,
+    headers: &[(&str, &str)],
+    behind: &[u8],
+) -> (Message, TcpStream) {
+    let mut text = format!("GET /live HTTP/1.1\r\nHost: {address}\r\n");
     let defaults = [
         ("Connection", "Upgrade"),
         ("Upgrade", "websocket"),
@@ -16,7 +20,7 @@
     let stated = |name: &str| headers.iter().any(|(other, _)| other.eq_ignore_ascii_case(name));
     let sent = defaults.iter().filter(|(name, _)| !stated(name)).chain(headers);
     sent.for_each(|(name, value)| text.push_str(&format!("{name}: {value}\r\n")));
-    let mut stream = connect(at).unwrap();
+    let mut stream = connect(address).unwrap();
     stream.write_all(&[text.as_bytes(), b"\r\n", behind].concat()).unwrap();
     (Message::read(&mut stream).expect("a response"), stream)
 }
--- a/crates/mintshelf/tests/websocket/sessions.rs
+++ b/crates/mintshelf/tests/websocket/sessions.rs
@@ -13,7 +13,7 @@
     let server = EchoServer::start("a");
     let setup = default_setup();
     let _daemon = setup.start(&[&server]);
-    let mut socket = open(setup.at);
+    let mut socket = open(setup.address);
     assert_eq!(send_and_receive(&mut socket, "hello"), "a: hello");
     let long = "x".repeat(300_000);
     assert_eq!(send_and_receive(&mut socket, &long), format!("a: {long}"));
@@ -31,7 +31,7 @@
     let (server_a, server_b) = (EchoServer::start("a"), EchoServer::start("b"));
     let setup = Setup { websocket: "{ resume = \"first-message\" }", ..default_setup() };
     let _daemon = setup.start(&[&server_a, &server_b]);
-    let mut sockets: Vec<Socket> = (0..12).map(|_| open(setup.at)).collect();
+    let mut sockets: Vec<Socket> = (0..12).map(|_| open(setup.address)).collect();
     let first_responses: Vec<String> =
         sockets.iter_mut().map(|socket| send_and_receive(socket, "first")).collect();
     let at_a = first_responses.iter().filter(|text| *text == "a: first").count();
@@ -57,7 +57,7 @@
     let class = "ping-interval = \"100ms\"\nping-timeout = \"300ms\"";
     let setup = Setup { class, cluster: "socket-spread = \"500ms\"", ..default_setup() };
     let _daemon = setup.start(&[&server_a, &server_b]);
-    let mut sockets: Vec<Socket> = (0..12).map(|_| open(setup.at)).collect();
+    let mut sockets: Vec<Socket> = (0..12).map(|_| open(setup.address)).collect();
     let first_responses: Vec<String> =
         sockets.iter_mut().map(|socket| send_and_receive(socket, "x")).collect();
     server_a.frozen.store(true, Ordering::SeqCst);
@@ -84,9 +84,9 @@
     let cluster = "socket-spread = \"200ms\"";
     let setup = Setup { websocket: "{ resume = \"handshake\" }", cluster, ..default_setup() };
     let daemon = setup.start(&[&server_a, &server_b]);
-    let mut sockets: Vec<Socket> = (0..10).map(|_| open(setup.at)).collect();
+    let mut sockets: Vec<Socket> = (0..10).map(|_| open(setup.address)).collect();
     sockets.iter_mut().for_each(|socket| drop(send_and_receive(socket, "x")));
-    daemon.reload(&setup.text(&[server_b.peer.at]));
+    daemon.reload(&setup.text(&[server_b.peer.address]));
     wait_until("a has no sockets", || server_a.open.load(Ordering::SeqCst) == 0);
     assert!(sockets.iter_mut().all(|socket| send_and_receive(socket, "y") == "b: y"));
     // A cluster with changed settings is another one to the balancer; the sockets migrate to it.
@@ -96,7 +96,7 @@
         ..setup
     };
     let before = server_b.opened.load(Ordering::SeqCst);
-    daemon.reload(&changed.text(&[server_b.peer.at]));
+    daemon.reload(&changed.text(&[server_b.peer.address]));
     wait_until("all are opened again", || server_b.opened.load(Ordering::SeqCst) == before + 10);
     assert!(sockets.iter_mut().all(|socket| send_and_receive(socket, "z") == "b: z"));
     wait_until("the old ones are closed", || server_b.open.load(Ordering::SeqCst) == 10);
@@ -107,7 +107,7 @@
     let server = EchoServer::start("a");
     let setup = Setup { limits: "websocket-drain = \"300ms\"", ..default_setup() };
     let mut daemon = setup.start(&[&server]);
-    let sockets: Vec<Socket> = (0..20).map(|_| open(setup.at)).collect();
+    let sockets: Vec<Socket> = (0..20).map(|_| open(setup.address)).collect();
     let readers: Vec<_> = sockets.into_iter().map(spawn_reader).collect();
     daemon.signal("TERM");
     for reader in readers {
--- a/crates/mintshelf/tests/websocket/steady_client.rs
+++ b/crates/mintshelf/tests/websocket/steady_client.rs
@@ -16,11 +16,11 @@
 }
 
 impl SteadyClient {
-    pub fn start(at: SocketAddr) -> Self {
+    pub fn start(address: SocketAddr) -> Self {
         let (stopped, responses) =
             (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
         let (is_stopped, count) = (stopped.clone(), responses.clone());
-        let mut socket = open(at);
+        let mut socket = open(address);
         let thread = thread::spawn(move || {
             while !is_stopped.load(Ordering::SeqCst) {
                 assert!(send_and_receive(&mut socket, "on").ends_with(": on"));
--- a/crates/test-support/src/client.rs
+++ b/crates/test-support/src/client.rs
@@ -13,6 +13,7 @@
 ///
 /// # Panics
 /// The read timeout cannot be set.
+#[must_use]
 pub fn connect(address: SocketAddr) -> Option<TcpStream> {
     let stream = TcpStream::connect(address).ok()?;
     stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
@@ -23,6 +24,7 @@
 ///
 /// # Panics
 /// As [`connect`] and [`Message::read`].
+#[must_use]
 pub fn send_request(address: SocketAddr, request: &[u8]) -> Option<Message> {
     let mut stream = connect(address)?;
     // The other side may respond and close before it has read everything.
@@ -34,6 +36,7 @@
 ///
 /// # Panics
 /// The admin listener does not answer, or a value is not a number.
+#[must_use]
 pub fn metric(admin: SocketAddr, prefix: &str) -> f64 {
     let response = send_request(admin, &get("/-/metrics")).unwrap();
     let text = String::from_utf8_lossy(&response.body).into_owned();
@@ -68,11 +71,13 @@
 }
 
 /// The bytes of a request to the sidecar, of a class and with an id.
+#[must_use]
 pub fn request(class: &str, id: &str) -> Vec<u8> {
     request_with_timeout(class, id, REQUEST_TIMEOUT_MS)
 }
 
 /// The same from a client that waits for this many milliseconds.
+#[must_use]
 pub fn request_with_timeout(class: &str, id: &str, timeout_ms: u64) -> Vec<u8> {
     format!(
         "GET /api HTTP/1.1\r\nHost: a\r\nX-Txn: {id}\r\nX-Lane: {class}\r\nX-Org: acme\r\n\
--- a/crates/test-support/src/daemon.rs
+++ b/crates/test-support/src/daemon.rs
@@ -21,7 +21,7 @@
 /// A daemon; dropping it kills the process and removes its file.
 pub struct Daemon {
     /// The address of its first listener.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     /// The process.
     pub child: Child,
     /// The operator's file.
@@ -41,13 +41,14 @@
     ///
     /// # Panics
     /// The program does not start or does not listen in time.
-    pub fn start(program: &str, at: SocketAddr, text: &str, arguments: &[&str]) -> Self {
-        let name = at.to_string().replace(':', "-");
+    #[must_use]
+    pub fn start(program: &str, address: SocketAddr, text: &str, arguments: &[&str]) -> Self {
+        let name = address.to_string().replace(':', "-");
         let file = std::env::temp_dir().join(format!("mintshelf-{name}.toml"));
         std::fs::write(&file, text).unwrap();
         let mut child = spawn(program, &file, arguments);
         let log = collect_log(&mut child);
-        let daemon = Daemon { at, child, file, log };
+        let daemon = Daemon { address, child, file, log };
         wait_until("the daemon listens", || daemon.log_output().contains(LISTENING));
         daemon
     }
@@ -56,6 +57,7 @@
     ///
     /// # Panics
     /// The thread that reads it panicked.
+    #[must_use]
     pub fn log_output(&self) -> String {
         self.log.lock().unwrap().clone()
     }
@@ -81,8 +83,9 @@
     ///
     /// # Panics
     /// As [`send_request`].
+    #[must_use]
     pub fn send_request(&self, request: &[u8]) -> Option<Message> {
-        send_request(self.at, request)
+        send_request(self.address, request)
     }
 }
 
--- a/crates/test-support/src/discovery.rs
+++ b/crates/test-support/src/discovery.rs
@@ -37,7 +37,7 @@
 /// A discovery service: it serves one list, and its watches wait until the list changes.
 pub struct Discovery {
     /// Its address.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     list: Arc<SharedList>,
     calls: Arc<Mutex<usize>>,
     _accepting: AcceptGuard,
@@ -48,6 +48,7 @@
     ///
     /// # Panics
     /// The address cannot be bound.
+    #[must_use]
     pub fn start(revision: u64, entries: Vec<Value>) -> Self {
         Self::start_at(free_address(), revision, entries)
     }
@@ -56,13 +57,14 @@
     ///
     /// # Panics
     /// The address cannot be bound.
-    pub fn start_at(at: SocketAddr, revision: u64, entries: Vec<Value>) -> Self {
+    #[must_use]
+    pub fn start_at(address: SocketAddr, revision: u64, entries: Vec<Value>) -> Self {
         let current = Mutex::new(EndpointList::new(revision, entries));
         let list = Arc::new(SharedList { current, changed: Condvar::new() });
         let calls = Arc::new(Mutex::new(0));
         let served = list.clone();
         let counted = calls.clone();
-        let accepting = accept_connections(at, move |mut stream| {
+        let accepting = accept_connections(address, move |mut stream| {
             while let Some(call) = Message::read(&mut stream) {
                 let list = served.respond(&call);
                 *counted.lock().unwrap() += 1;
@@ -71,13 +73,14 @@
                 }
             }
         });
-        Discovery { at, list, calls, _accepting: accepting }
+        Discovery { address, list, calls, _accepting: accepting }
     }
 
     /// Number of calls answered so far.
     ///
     /// # Panics
     /// A thread of the service panicked.
+    #[must_use]
     pub fn call_count(&self) -> usize {
         *self.calls.lock().unwrap()
     }
--- a/crates/test-support/src/endpoint_list.rs
+++ b/crates/test-support/src/endpoint_list.rs
@@ -4,8 +4,9 @@
 use std::net::SocketAddr;
 
 /// The entry of a serving endpoint in an endpoint list.
-pub fn entry(uid: &str, at: SocketAddr) -> Value {
-    json!({"uid": uid, "endpoint": at.to_string(), "state": "SERVING"})
+#[must_use]
+pub fn entry(uid: &str, address: SocketAddr) -> Value {
+    json!({"uid": uid, "endpoint": address.to_string(), "state": "SERVING"})
 }
 
 /// An endpoint list with its recent changes.
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -31,5 +31,5 @@
 pub use message::{get, ok_response, read_some, Message};
 pub use process::Process;
 pub use server::{full_listener, Peer, Server};
-pub use sidecar::{config, set_deadlines, Sidecar};
+pub use sidecar::{config, set_deadlines, start_with_server, Sidecar};
 pub use wait::{wait_until, Latch, TEST_TIMEOUT};
--- a/crates/test-support/src/message.rs
+++ b/crates/test-support/src/message.rs
@@ -15,6 +15,7 @@
 
 impl Message {
     /// The value of the first header with this name.
+    #[must_use]
     pub fn header(&self, name: &str) -> Option<&str> {
         let fields = self.head.lines().skip(1).filter_map(|line| line.split_once(':'));
         let mut values = fields.filter(|(field, _)| field.eq_ignore_ascii_case(name));
@@ -22,11 +23,13 @@
     }
 
     /// The status code of a response; 0 if there is none.
+    #[must_use]
     pub fn status(&self) -> u16 {
         self.start_line_word().parse().unwrap_or(0)
     }
 
     /// The path of a request, with its query.
+    #[must_use]
     pub fn path(&self) -> &str {
         self.start_line_word()
     }
@@ -41,6 +44,7 @@
     ///
     /// # Panics
     /// The parameter is not a number.
+    #[must_use]
     pub fn after(&self) -> Option<u64> {
         let (_, value) = self.path().split_once("after=")?;
         Some(value.split('&').next().unwrap().parse().unwrap())
@@ -50,6 +54,7 @@
     ///
     /// # Panics
     /// The parameter is not a number.
+    #[must_use]
     pub fn wait(&self) -> Duration {
         let wait = self.path().split_once("wait_ms=").map(|(_, value)| value.split('&').next());
         Duration::from_millis(wait.flatten().map_or(0, |wait| wait.parse().unwrap()))
@@ -91,11 +96,13 @@
 }
 
 /// The bytes of a GET request.
+#[must_use]
 pub fn get(path: &str) -> Vec<u8> {
     format!("GET {path} HTTP/1.1\r\nHost: h\r\n\r\n").into_bytes()
 }
 
 /// The bytes of a response with status 200 and this body.
+#[must_use]
 pub fn ok_response(body: &str) -> Vec<u8> {
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
 }
--- a/crates/test-support/src/relay.rs
+++ b/crates/test-support/src/relay.rs
@@ -62,7 +62,7 @@
 #[derive(Debug)]
 pub struct Relay {
     /// The address to connect to in place of the other process.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     shared: Arc<Shared>,
     accepting: Option<JoinHandle<()>>,
 }
@@ -72,16 +72,17 @@
     ///
     /// # Panics
     /// No loopback address can be bound.
+    #[must_use]
     pub fn start(target: SocketAddr) -> Relay {
         let listener = TcpListener::bind(("127.0.0.1", 0)).expect("a loopback address");
         listener.set_nonblocking(true).expect("a non-blocking socket");
-        let at = listener.local_addr().expect("the bound address");
+        let address = listener.local_addr().expect("the bound address");
         let shared = Arc::new(Shared::default());
         let accepting = thread::spawn({
             let shared = shared.clone();
             move || accept(&listener, target, &shared)
         });
-        Relay { at, shared, accepting: Some(accepting) }
+        Relay { address, shared, accepting: Some(accepting) }
     }
 
     fn change(&self, direction: Direction, change: impl FnOnce(&mut DirectionState)) {
@@ -149,6 +150,7 @@
     ///
     /// # Panics
     /// A thread of the relay panicked.
+    #[must_use]
     pub fn carried_bytes(&self, direction: Direction) -> u64 {
         self.shared.direction(direction).lock().unwrap().carried_bytes
     }
@@ -157,6 +159,7 @@
     ///
     /// # Panics
     /// A thread of the relay panicked.
+    #[must_use]
     pub fn connections(&self) -> u64 {
         *self.shared.connections.lock().unwrap()
     }
--- a/crates/test-support/src/server.rs
+++ b/crates/test-support/src/server.rs
@@ -16,6 +16,7 @@
 ///
 /// # Panics
 /// The socket cannot be set up, or its queue takes 100 connections.
+#[must_use]
 pub fn full_listener() -> (TcpListener, Vec<TcpStream>) {
     const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
     let address = free_address();
@@ -33,22 +34,22 @@
 /// A listener whose connections a test handles byte by byte.
 pub struct Peer {
     /// Its address.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     _accepting: AcceptGuard,
 }
 
 impl Peer {
     /// Starts it; each connection goes to `serve_connection` on a thread of its own.
     pub fn start(serve_connection: impl Fn(TcpStream) + Send + Sync + 'static) -> Self {
-        let at = free_address();
-        Peer { at, _accepting: accept_connections(at, serve_connection) }
+        let address = free_address();
+        Peer { address, _accepting: accept_connections(address, serve_connection) }
     }
 }
 
 /// An HTTP server that records requests and responds as a test says.
 pub struct Server {
     /// Its address.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     requests: Arc<Mutex<Vec<Message>>>,
     connections: Arc<Mutex<usize>>,
     _accepting: AcceptGuard,
@@ -63,12 +64,12 @@
     pub fn start(
         respond: impl Fn(&Message, usize) -> Option<Vec<u8>> + Send + Sync + 'static,
     ) -> Self {
-        let at = free_address();
+        let address = free_address();
         let requests = Arc::new(Mutex::new(Vec::new()));
         let connections = Arc::new(Mutex::new(0));
         let recorded = requests.clone();
         let accepted = connections.clone();
-        let accepting = accept_connections(at, move |mut stream| {
+        let accepting = accept_connections(address, move |mut stream| {
             *accepted.lock().unwrap() += 1;
             while let Some(request) = Message::read(&mut stream) {
                 let number = record(&recorded, &request);
@@ -78,13 +79,14 @@
                 }
             }
         });
-        Server { at, requests, connections, _accepting: accepting }
+        Server { address, requests, connections, _accepting: accepting }
     }
 
     /// Number of connections accepted so far.
     ///
     /// # Panics
     /// A thread of the server panicked.
+    #[must_use]
     pub fn connection_count(&self) -> usize {
         *self.connections.lock().unwrap()
     }
@@ -93,13 +95,15 @@
     ///
     /// # Panics
     /// A thread of the server panicked.
+    #[must_use]
     pub fn requests(&self) -> Vec<Message> {
         self.requests.lock().unwrap().clone()
     }
 
     /// The entry of this server in an endpoint list.
+    #[must_use]
     pub fn entry(&self, uid: &str) -> Value {
-        entry(uid, self.at)
+        entry(uid, self.address)
     }
 }
 
--- a/crates/test-support/src/sidecar.rs
+++ b/crates/test-support/src/sidecar.rs
@@ -2,8 +2,10 @@
 
 use crate::addresses::free_address;
 use crate::client::send_request;
+use crate::discovery::Discovery;
 use crate::message::{get, Message};
 use crate::process::{kill, Process};
+use crate::server::Server;
 use crate::wait::wait_until;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
@@ -14,7 +16,7 @@
 /// A sidecar; dropping it kills the process and removes its configuration.
 pub struct Sidecar {
     /// The address where it listens.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     /// The process.
     pub child: Child,
     /// Its configuration file.
@@ -25,6 +27,7 @@
 
 /// A configuration with three classes: `safe`, `keyed` and `unsafe`. `known` is the endpoint list
 /// that the sidecar uses until discovery answers.
+#[must_use]
 pub fn config(discovery: SocketAddr, known: Vec<Value>) -> Value {
     let class = |name: &str, semantics: &str| {
         json!({"name": name, "semantics": semantics, "goal-time": 4_000_000_000u64,
@@ -33,7 +36,7 @@
     json!({
         "name": "n0", "listen": free_address().to_string(), "discovery": discovery.to_string(),
         "seed": "8c1f30d27a5be964", "limits": {"memory_mb": 32, "sockets": 128},
-        "known": {"rev": 1, "all": true, "targets": known},
+        "known": {"rev": 1, "all": true, "targets": Value::Array(known)},
         "settings": {
             "self-index": 0, "balancers": 1, "tick": 5_000_000, "registry-mode": "subscribe",
             "classes": [class("safe", "pure"), class("keyed", "token"),
@@ -59,6 +62,21 @@
     }
 }
 
+/// A server, a discovery service that lists it under the name `a`, and a sidecar of the two.
+///
+/// # Panics
+/// As [`Server::start`], [`Discovery::start`] and [`Sidecar::start`].
+#[must_use]
+pub fn start_with_server(
+    program: &str,
+    respond: impl Fn(&Message, usize) -> Option<Vec<u8>> + Send + Sync + 'static,
+) -> (Server, Discovery, Sidecar) {
+    let server = Server::start(respond);
+    let discovery = Discovery::start(1, vec![server.entry("a")]);
+    let sidecar = Sidecar::start(program, config(discovery.address, vec![server.entry("a")]));
+    (server, discovery, sidecar)
+}
+
 impl Process for Sidecar {
     fn pid(&self) -> u32 {
         self.child.id()
@@ -70,14 +88,15 @@
     ///
     /// # Panics
     /// The program does not start or is not ready in time.
+    #[must_use]
     pub fn start(program: &str, config: Value) -> Self {
-        let at: SocketAddr = config["listen"].as_str().unwrap().parse().unwrap();
-        let name = at.to_string().replace(':', "-");
+        let address: SocketAddr = config["listen"].as_str().unwrap().parse().unwrap();
+        let name = address.to_string().replace(':', "-");
         let file = std::env::temp_dir().join(format!("mintshelf-{name}.json"));
         std::fs::write(&file, config.to_string()).unwrap();
         let mut command = Command::new(program);
         let child = command.env("RELAY_CONFIG", &file).stderr(Stdio::null()).spawn().unwrap();
-        let sidecar = Sidecar { at, child, file, config };
+        let sidecar = Sidecar { address, child, file, config };
         wait_until("the sidecar is ready", || sidecar.is_ready());
         sidecar
     }
@@ -108,8 +127,9 @@
     ///
     /// # Panics
     /// As [`send_request`].
+    #[must_use]
     pub fn send_request(&self, request: &[u8]) -> Option<Message> {
-        send_request(self.at, request)
+        send_request(self.address, request)
     }
 }
 
--- a/crates/test-support/src/soak/costs.rs
+++ b/crates/test-support/src/soak/costs.rs
@@ -39,6 +39,7 @@
 }
 
 /// Compares a run in a fleet of `servers` with the same run in a small one.
+#[must_use]
 pub fn compare(baseline: &SoakReport, large: &SoakReport, servers: usize) -> Vec<CostRow> {
     let thousands = servers as f64 / THOUSAND;
     let bounded_above = |what, cost: fn(&SoakReport) -> f64, bound: Bound| {
--- a/crates/test-support/src/soak/report.rs
+++ b/crates/test-support/src/soak/report.rs
@@ -55,6 +55,7 @@
     }
 
     /// Number of violations of a rule.
+    #[must_use]
     pub fn count(&self, rule: Rule) -> usize {
         self.violations.iter().filter(|violation| violation.rule == rule).count()
     }
--- a/crates/test-support/src/soak/run.rs
+++ b/crates/test-support/src/soak/run.rs
@@ -16,6 +16,7 @@
 ///
 /// # Panics
 /// The servers or the discovery service cannot be set up.
+#[must_use]
 pub fn run(program: &str, scenario: &Scenario) -> SoakReport {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let records = Rc::new(RefCell::new(Records::default()));
--- a/crates/test-support/src/soak/scenario.rs
+++ b/crates/test-support/src/soak/scenario.rs
@@ -20,6 +20,7 @@
     pub const ALL: [Class; 3] = [Class::Safe, Class::Keyed, Class::Unsafe];
 
     /// Its name in the settings and in requests.
+    #[must_use]
     pub fn name(self) -> &'static str {
         match self {
             Class::Safe => "safe",
@@ -150,6 +151,7 @@
 
 impl Scenario {
     /// The run of a seed; `servers` at the start, on a part of a core if `is_limited`.
+    #[must_use]
     pub fn new(seed: u64, servers: usize, is_limited: bool) -> Self {
         let mut random = SeededRandom::new(seed);
         let mut events = release(&mut random, servers);
--- a/crates/test-support/src/wait.rs
+++ b/crates/test-support/src/wait.rs
@@ -35,6 +35,7 @@
 
 impl Latch {
     /// A latch that is closed.
+    #[must_use]
     pub fn closed() -> Self {
         let latch = Latch::default();
         latch.set(true);
--- a/crates/test-support/tests/relay.rs
+++ b/crates/test-support/tests/relay.rs
@@ -24,7 +24,7 @@
 }
 
 fn connect_through(relay: &Relay) -> TcpStream {
-    connect(relay.at).expect("the relay listens")
+    connect(relay.address).expect("the relay listens")
 }
 
 fn read_exactly(stream: &mut TcpStream, length: usize) -> Vec<u8> {
@@ -36,7 +36,7 @@
 #[test]
 fn one_direction_is_held_while_the_other_is_carried_without_loss() {
     let (peer, received) = echo();
-    let relay = Relay::start(peer.at);
+    let relay = Relay::start(peer.address);
     let mut stream = connect_through(&relay);
     relay.hold(Direction::Backward);
     stream.write_all(b"heard").unwrap();
@@ -55,7 +55,7 @@
 #[test]
 fn a_delayed_direction_keeps_the_order() {
     let (peer, _received) = echo();
-    let relay = Relay::start(peer.at);
+    let relay = Relay::start(peer.address);
     let mut stream = connect_through(&relay);
     let delay = Duration::from_millis(150);
     relay.delay(Direction::Forward, delay);
@@ -71,7 +71,7 @@
 fn a_connection_breaks_at_any_byte_and_the_next_is_carried() {
     for cut in [0, 1, 7] {
         let (peer, received) = echo();
-        let relay = Relay::start(peer.at);
+        let relay = Relay::start(peer.address);
         relay.break_after(Direction::Forward, cut);
         let mut stream = connect_through(&relay);
         stream.write_all(b"one frame").unwrap();
@@ -88,7 +88,7 @@
 #[test]
 fn bytes_are_corrupted_links_cut_and_connections_broken() {
     let (peer, _received) = echo();
-    let relay = Relay::start(peer.at);
+    let relay = Relay::start(peer.address);
     let mut stream = connect_through(&relay);
     relay.corrupt_after(Direction::Backward, 2);
     stream.write_all(b"abcd").unwrap();
