--- a/crates/lease/src/expiry.rs
+++ b/crates/lease/src/expiry.rs
@@ -48,12 +48,13 @@
 
 impl LeaseExpiry {
     /// Creates the counts of a replica that is not the leader.
+    #[must_use]
     pub fn new(clock_error: ClockError) -> Self {
         LeaseExpiry { clock_error, ..LeaseExpiry::default() }
     }
 
-    /// This replica is the leader from now on. Every duration counts anew: when the last renewal
-    /// was committed, only the former leader's clock knew.
+    /// This replica has become the leader. The count of each duration starts again: when the last
+    /// renewal was committed, only the former leader's clock knew.
     pub fn become_leader(&mut self, now: Nanos, leases: &Leases) {
         self.is_leader = true;
         self.holders.clear();
@@ -69,6 +70,7 @@
     }
 
     /// Whether this replica counts as the leader.
+    #[must_use]
     pub fn is_leader(&self) -> bool {
         self.is_leader
     }
@@ -106,7 +108,7 @@
             let key = WaiterKey { lease: name.to_owned(), owner: waiter.owner.clone() };
             let requests = waiter.requests;
             if self.waiters.get(&key).is_none_or(|deadline| deadline.requests != requests) {
-                // A waiter that has not repeated its request for a lease duration has gone.
+                // A waiter that has not repeated its request for a lease duration has left.
                 let due_at = now.saturating_add(self.clock_error.expiry_duration(waiter.duration));
                 self.waiters.insert(key, WaiterDeadline { requests, due_at });
             }
@@ -132,6 +134,7 @@
     }
 
     /// When [`LeaseExpiry::due_commands`] has something next.
+    #[must_use]
     pub fn next_due_at(&self) -> Option<Nanos> {
         let holders = self.holders.values().map(|deadline| deadline.due_at);
         let waiters = self.waiters.values().map(|deadline| deadline.due_at);
--- a/crates/mintshelf/tests/compatibility/bindings.rs
+++ b/crates/mintshelf/tests/compatibility/bindings.rs
@@ -7,7 +7,8 @@
 use mintshelf_balancer::gossip::{GossipMessage, ServerObservation};
 use mintshelf_config::platform::{Names, PlatformConfig};
 use mintshelf_consensus::persistent_state::PersistentState;
-use mintshelf_consensus::replica::{Replica, ReplicaStatus};
+use mintshelf_consensus::replica::Replica;
+use mintshelf_consensus::replica_status::ReplicaStatus;
 use mintshelf_consensus::state_machine::StateMachine;
 use mintshelf_consensus::write_batch::ProposalId;
 use mintshelf_consensus_node::frame::{
@@ -23,8 +24,9 @@
 use mintshelf_quota::allocation::{
     AllocationBatch, AllocationRequest, AllocationResponse, Grant, GrantExpired,
 };
+use mintshelf_quota::command::{self as quota_commands, QuotaRejection};
 use mintshelf_quota::config::Quota;
-use mintshelf_quota::state_machine::{self as quota_commands, QuotaRejection, QuotaStateMachine};
+use mintshelf_quota::state_machine::QuotaStateMachine;
 use mintshelf_simulator_adapter::host::Host;
 use mintshelf_simulator_adapter::wire::write_action;
 use mintshelf_time::{MILLISECOND, SECOND};
@@ -166,13 +168,13 @@
 }
 
 fn batch() -> AllocationBatch {
-    let request = |member, demand, is_leaving| AllocationRequest {
+    let request = |member, demand, is_release| AllocationRequest {
         owner: owner(member, 3),
         sequence: 300,
         demand,
         weight: 2,
         confirmed_grant: 5,
-        is_leaving,
+        is_release,
     };
     let expired = vec![GrantExpired { owner: owner("gamma", 7), grant: 400 }];
     AllocationBatch {
