--- a/crates/balancer/src/balancer/attempts.rs
+++ b/crates/balancer/src/balancer/attempts.rs
@@ -1,13 +1,14 @@
 //! Requests from arrival to each send, and how they end.
 
 use super::Balancer;
-use crate::api::{Action, Effect, EndReason, RequestId, TenantId};
+use crate::api::{Action, EndReason, RequestId, TenantId};
 use crate::decide::candidates::SelectionContext;
 use crate::decide::hold::{hold_until, HOLD_RETRY_INTERVAL};
-use crate::decide::load_reports;
 use crate::decide::overdue::overdue_after;
+use crate::decide::retries::RETRY_PRICE;
 use crate::decide::retry_group::RetryGroup;
 use crate::decide::retry_safety::SendPermission;
+use crate::decide::{load_reports, retries};
 use crate::server_order::{AdjacentPair, Candidates};
 use crate::state::{Request, ServerIndex, Timer};
 use mintshelf_time::Nanos;
@@ -21,6 +22,7 @@
 }
 
 impl Balancer {
+    /// Rejects a request on arrival, or begins to send it.
     pub(super) fn on_request(&mut self, id: &RequestId, request: Request, arrival: Arrival) {
         let class = request.class;
         if !self.settings.has_class(class) || self.requests.contains_key(id) {
@@ -140,10 +142,9 @@
     /// Sends a hedge beside a slow first attempt, if the class and the retry budget allow it.
     pub(super) fn on_hedge_requested(&mut self, id: &RequestId) {
         let Some(request) = self.requests.get(id) else { return };
-        let is_safe = self.settings.class(request.class).effect == Effect::Safe;
-        let may_hedge = is_safe && request.has_one_in_flight() && self.retry_budget.covers(1.0);
-        if may_hedge && self.try_send(id) {
-            self.retry_budget.pay(1.0);
+        let may_hedge = retries::may_hedge(self.settings.class(request.class), request);
+        if may_hedge && self.retry_budget.covers(RETRY_PRICE) && self.try_send(id) {
+            self.retry_budget.pay(RETRY_PRICE);
         }
     }
 
--- a/crates/balancer/src/balancer/mod.rs
+++ b/crates/balancer/src/balancer/mod.rs
@@ -15,6 +15,7 @@
 use crate::decide::gossip_exchange::{self, GossipExchange};
 use crate::decide::load_reports::LoadReports;
 use crate::decide::outlier_ejection::FailureBaseline;
+use crate::decide::retries::RETRY_PRICE;
 use crate::decide::retry_safety::{permitted_actions, AttemptLimits, PermittedActions};
 use crate::decide::tenant_traffic::TenantTraffic;
 use crate::gossip::GossipMessage;
@@ -120,7 +121,7 @@
     /// Whether the retry budget covers an attempt after one that may have run.
     #[must_use]
     pub fn can_retry(&self) -> bool {
-        self.retry_budget.covers(1.0)
+        self.retry_budget.covers(RETRY_PRICE)
     }
 
     /// The servers in service and their capacity.
--- a/crates/balancer/src/balancer/reports.rs
+++ b/crates/balancer/src/balancer/reports.rs
@@ -7,9 +7,6 @@
 use crate::server_order::AdjacentPair;
 use crate::state::ServerIndex;
 
-/// Weight of a failed probe, as a failure of its server.
-const PROBE_FAILURE_WEIGHT: f64 = 0.5;
-
 impl Balancer {
     /// Probes a server for its load, unless that was done just now.
     pub(super) fn probe(&mut self, index: ServerIndex) {
@@ -19,11 +16,15 @@
         }
     }
 
+    /// Learns from a probe that has ended; requests that waited for a report may go on.
     pub(super) fn on_probed(&mut self, id: ServerId, outcome: Outcome, report: Option<&[f64]>) {
         let is_ok = outcome == Outcome::Ok;
         match (report, self.servers.index_of(id)) {
             (Some(report), Some(index)) if is_ok => self.on_report(index, report),
-            (_, Some(index)) if !is_ok => self.record_failure(index, PROBE_FAILURE_WEIGHT),
+            (_, Some(index)) if !is_ok => {
+                let is_ejected = self.servers[index].health.record_failed_probe(self.now);
+                self.on_health_changed(index, is_ejected);
+            }
             _ => {}
         }
         for request in self.load_reports.take_awaiting() {
@@ -38,7 +39,8 @@
         let is_fault =
             reports.record(self.now, settings, estimators, &mut self.servers, index, values);
         if is_fault {
-            self.record_fault(index);
+            let is_ejected = self.servers[index].health.record_fault(self.now);
+            self.on_health_changed(index, is_ejected);
         }
     }
 
--- a/crates/balancer/src/decide/admission.rs
+++ b/crates/balancer/src/decide/admission.rs
@@ -1,5 +1,6 @@
 //! Admission control: how much is rejected on arrival, and of what.
 
+use super::congestion::Congestion;
 use super::latency_model::LatencyModel;
 use crate::api::{ClassId, Objective, Settings};
 use crate::state::Request;
@@ -40,15 +41,6 @@
 /// Sums of quantities and shares of work below this count as it, as divisors.
 const MIN_DIVISOR: f64 = 1e-9;
 
-/// What an ended attempt shows of the load.
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) enum Congestion {
-    /// It was served in time.
-    None,
-    /// It counts as this part of a congested attempt, above 0.
-    Share(f64),
-}
-
 /// Admission control of one instance.
 #[derive(Debug)]
 pub(crate) struct AdmissionControl {
--- a/crates/balancer/src/decide/mod.rs
+++ b/crates/balancer/src/decide/mod.rs
@@ -13,13 +13,15 @@
 //! | whether a request may be sent again or rejected | [`retry_safety`], `retry_group` |
 //! | which servers a request may choose from | `candidates`, [`outlier_ejection`], `panic_thresholds`, [`slow_start`] |
 //! | how fast servers are | `estimators`, `latency_model`, `traffic` |
-//! | whether a request is admitted | `admission`, `tenant_traffic` |
-//! | how long a request is held, and when an attempt is overdue | [`hold`], `overdue` |
+//! | whether a request is admitted | `admission`, `congestion`, `tenant_traffic` |
+//! | when a request is attempted again, and how long it is held | `retries`, [`hold`] |
+//! | when an attempt is overdue, and what that shows | `overdue` |
 //! | what load reports and peers tell | `load_reports`, `server_report`, `gossip_exchange` |
 //! | when discovery is called, and what its lists change | `discovery_schedule`, `endpoint_lists` |
 
 pub(crate) mod admission;
 pub(crate) mod candidates;
+pub(crate) mod congestion;
 pub(crate) mod discovery_schedule;
 pub(crate) mod endpoint_lists;
 pub(crate) mod estimators;
@@ -30,6 +32,7 @@
 pub mod outlier_ejection;
 pub(crate) mod overdue;
 pub(crate) mod panic_thresholds;
+pub(crate) mod retries;
 pub(crate) mod retry_group;
 pub mod retry_safety;
 pub(crate) mod server_report;
--- a/crates/balancer/src/decide/outlier_ejection.rs
+++ b/crates/balancer/src/decide/outlier_ejection.rs
@@ -4,6 +4,10 @@
 use crate::decay::DecayingCounter;
 use mintshelf_time::{Nanos, SECOND};
 
+/// Weight of a timed-out attempt, as a failure.
+const TIMEOUT_WEIGHT: f64 = 0.5;
+/// Weight of a failed probe, as a failure.
+const FAILED_PROBE_WEIGHT: f64 = 0.5;
 /// Failures in succession (weighted) that eject a server.
 const EJECTION_FAILURES: f64 = 3.0;
 /// Time in which failures lose half their weight.
@@ -51,6 +55,16 @@
         true
     }
 
+    /// Records an attempt that timed out; returns whether the server is ejected by it.
+    pub fn record_timeout(&mut self, now: Nanos) -> bool {
+        self.record_failure(now, TIMEOUT_WEIGHT)
+    }
+
+    /// Records a probe that failed; returns whether the server is ejected by it.
+    pub fn record_failed_probe(&mut self, now: Nanos) -> bool {
+        self.record_failure(now, FAILED_PROBE_WEIGHT)
+    }
+
     /// Records a fault that alone justifies an ejection; returns whether the server is ejected
     /// by it.
     pub fn record_fault(&mut self, now: Nanos) -> bool {
--- a/crates/balancer/src/decide/overdue.rs
+++ b/crates/balancer/src/decide/overdue.rs
@@ -1,8 +1,9 @@
-//! Overdue attempts: when an attempt that has not been answered counts as congested.
+//! Overdue attempts: when an attempt that has not been answered counts as overdue, and whether
+//! that shows an overload, a server at fault or requests that are heavy.
 
 use super::latency_model::LatencyModel;
 use crate::api::Class;
-use crate::state::Request;
+use crate::state::{Request, ServerState};
 use mintshelf_time::{as_float, from_float, Nanos};
 
 /// An attempt is not overdue before this fraction of its latency objective.
@@ -10,6 +11,12 @@
 /// Nor before this multiple of what is typical of it.
 const OVERDUE_TYPICAL_MULTIPLE: f64 = 2.0;
 
+/// An attempt sent this part of the objective after an overdue one shows, once it is served, that
+/// there is no queue.
+const LATER_ATTEMPT_OBJECTIVE_DIVISOR: Nanos = 4;
+/// A server that was silent for this part of an attempt, while others responded, is unresponsive.
+const UNRESPONSIVE_DIVISOR: Nanos = 2;
+
 /// Time after which an attempt of a request of a class is overdue at a server of a hardware
 /// model.
 ///
@@ -29,3 +36,24 @@
     let after = objective * OVERDUE_OBJECTIVE_FRACTION;
     from_float(after.max(for_work).max(for_class.min(objective)))
 }
+
+/// Whether an overdue attempt of a class, sent at `sent_at`, shows that the class is at fault:
+/// what was sent later is served, so there is no queue, and other classes keep the server. A lone
+/// heavy request costs its class the server for a while.
+pub(crate) fn is_class_at_fault(class: &Class, server: &ServerState, sent_at: Nanos) -> bool {
+    let later = sent_at + class.latency_objective / LATER_ATTEMPT_OBJECTIVE_DIVISOR;
+    server.last_served_sent_at > later
+}
+
+/// Whether a server has been silent for half of an attempt while others responded, the last of
+/// them at `last_response_at`: it is unresponsive, since an overloaded one would answer what came
+/// before.
+pub(crate) fn is_unresponsive(
+    server: &ServerState,
+    sent_at: Nanos,
+    last_response_at: Nanos,
+    now: Nanos,
+) -> bool {
+    let half = now - now.saturating_sub(sent_at) / UNRESPONSIVE_DIVISOR;
+    server.last_response_at < half && last_response_at > half
+}
--- a/crates/balancer/src/state/ordered_servers.rs
+++ b/crates/balancer/src/state/ordered_servers.rs
@@ -84,7 +84,7 @@
     }
 }
 
-/// The servers of each group of one kind (zones or cells), each in order.
+/// The servers of each group of one kind (zones or failure domains), each in order.
 #[derive(Debug, Default)]
 pub(crate) struct GroupedServers {
     by_group: HashMap<u32, OrderedServers>,
