--- a/crates/balancer/src/decide/candidates.rs
+++ b/crates/balancer/src/decide/candidates.rs
@@ -114,13 +114,13 @@
     let in_service = servers.in_service().len().max(1);
     let connections = f64::from(settings.instances) / in_service as f64;
     let cost = settings.prices.connection * connections / PRICED_CONNECTIONS;
-    let affordable = whole_count(MAX_SERVER_COST / cost);
+    let affordable = truncated_count(MAX_SERVER_COST / cost);
     let min = affordable.clamp(MIN_PRICED_SUBSET_SERVERS, MIN_SUBSET_SERVERS);
-    whole_count(uses / MIN_CONNECTION_USES).max(min)
+    truncated_count(uses / MIN_CONNECTION_USES).max(min)
 }
 
 /// A calculated number of servers without its fraction; 0 if it is negative or no number.
-fn whole_count(servers: f64) -> usize {
+fn truncated_count(servers: f64) -> usize {
     servers as usize
 }
 
--- a/crates/balancer/src/decide/discovery_schedule.rs
+++ b/crates/balancer/src/decide/discovery_schedule.rs
@@ -15,7 +15,7 @@
 
 /// How far this instance has come with its call to discovery.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum DiscoveryCall {
+pub(crate) enum DiscoveryCall {
     /// None was made since the start or the last failure.
     #[default]
     NotMade,
@@ -28,7 +28,7 @@
 impl DiscoveryCall {
     /// Notes that a call is made; returns false if none is needed.
     #[must_use]
-    pub fn begin(&mut self) -> bool {
+    pub(crate) fn begin(&mut self) -> bool {
         let is_needed = *self == DiscoveryCall::NotMade;
         if is_needed {
             *self = DiscoveryCall::Pending;
@@ -37,14 +37,14 @@
     }
 
     /// Notes that discovery has answered the pending call, if there is one.
-    pub fn on_answer(&mut self) {
+    pub(crate) fn on_answer(&mut self) {
         if *self == DiscoveryCall::Pending {
             *self = DiscoveryCall::Watching;
         }
     }
 
     /// Notes that the call or the watch has failed, or that it is of no use any more.
-    pub fn on_failure(&mut self) {
+    pub(crate) fn on_failure(&mut self) {
         *self = DiscoveryCall::NotMade;
     }
 }
--- a/crates/balancer/src/settings/mod.rs
+++ b/crates/balancer/src/settings/mod.rs
@@ -6,7 +6,10 @@
     Backoff, Class, Effect, Group, Objective, Prices, ReportField, ReportMode, Settings, SizeKind,
     Tenant,
 };
-use document::{ClassEntry, ObjectiveEntry, PricesEntry, SettingsDocument, TenantEntry};
+use document::{
+    ClassEntry, InvariantsEntry, LimitsEntry, ObjectiveEntry, PricesEntry, SettingsDocument,
+    TenantEntry,
+};
 use mintshelf_time::{from_float, Nanos};
 use thiserror::Error;
 
@@ -52,47 +55,69 @@
     if document.classes.is_empty() {
         return Err(SettingsError::NoClasses);
     }
+    let settings = deployment(&document)?;
+    let settings = with_invariants(settings, &document.invariants)?;
+    with_limits(settings, &document.limits)
+}
+
+/// The settings but for the guarantees and what is permitted, which keep their defaults.
+fn deployment(document: &SettingsDocument) -> Result<Settings, SettingsError> {
     let max_attempts = document.limits.max_attempts;
     let classes = document.classes.iter().map(|entry| class(entry, max_attempts));
-    let classes = classes.collect::<Result<Vec<_>, _>>()?;
-    let invariants = &document.invariants;
-    let limits = &document.limits;
     Ok(Settings {
         self_index: document.self_index,
         instances: document.instances.max(1),
         zone: document.zone,
         zones: count(&document.zones),
         hardware_models: count(&document.hardware_models),
-        classes,
+        classes: classes.collect::<Result<Vec<_>, _>>()?,
         tenants: document.tenants.iter().map(tenant).collect(),
         over_quota_weight: document.over_quota_weight,
         is_weighted_by_work: document.weighted_by == "work",
         must_poll: must_poll(&document.registry_mode)?,
-        poll_within: duration("invariants.ask-within", invariants.poll_within)?,
+        poll_within: duration("invariants.ask-within", document.invariants.poll_within)?,
         size_kind: size_kind(&document.size_kind),
         report_mode: report_mode(&document.load_report.mode),
         report_fields: document.load_report.fields.iter().map(|name| report_field(name)).collect(),
         tick: duration("tick", document.tick)?,
+        retry_ratio: RETRY_RATIO,
+        retry_budget_max: RETRY_BUDGET_MAX,
+        is_silence_local: false,
+        objective: objective(&document.objective),
+        prices: prices(&document.prices),
+        ..Settings::default()
+    })
+}
+
+/// Adds the guarantees that the deployment requires or gives.
+fn with_invariants(
+    settings: Settings,
+    invariants: &InvariantsEntry,
+) -> Result<Settings, SettingsError> {
+    Ok(Settings {
         answer_slack: duration("invariants.grace-to-answer", invariants.answer_slack)?,
         drain_grace: duration("invariants.stop-sending-within", invariants.drain_grace)?,
         initial_capacity: invariants.initial_capacity,
         warm_up: duration("invariants.cold", invariants.warm_up)?,
         overload_multiple: invariants.overload_multiple,
         overload_duration: duration("invariants.tip-after", invariants.overload_duration)?,
+        ..settings
+    })
+}
+
+/// Adds what the deployment permits.
+fn with_limits(settings: Settings, limits: &LimitsEntry) -> Result<Settings, SettingsError> {
+    Ok(Settings {
         can_cancel: limits.can_cancel,
         can_probe: limits.can_probe,
         has_peers: limits.has_peers,
         retry_after: limits.retry_after,
         max_retry_after: duration("limits.max-retry-after", limits.max_retry_after)?,
         allows_parallel_attempts: limits.allows_parallel_attempts,
-        max_attempts,
-        retry_ratio: RETRY_RATIO,
-        retry_budget_max: RETRY_BUDGET_MAX,
-        is_silence_local: false,
+        max_attempts: limits.max_attempts,
         connect_timeout: duration("limits.connect-timeout", limits.connect_timeout)?,
         idle_timeout: duration("limits.conn-idle", limits.idle_timeout)?,
-        objective: objective(&document.objective),
-        prices: prices(&document.prices),
+        ..settings
     })
 }
 
