--- /dev/null
+++ b/crates/config/src/platform/names.rs
@@ -0,0 +1,33 @@
+//! The names that the settings give to what the decision module numbers.
+
+use super::raw::{RawNamed, RawNames};
+use serde::Deserialize;
+
+/// Names in the settings, in the order of their numbers.
+#[derive(Debug, Clone, Default, Deserialize)]
+#[serde(from = "RawNames")]
+pub struct Names {
+    /// Request classes.
+    pub classes: Vec<String>,
+    /// Tenants.
+    pub tenants: Vec<String>,
+    /// Zones.
+    pub zones: Vec<String>,
+    /// Hardware models.
+    pub hardware_models: Vec<String>,
+    /// Fields of a load report.
+    pub report_fields: Vec<String>,
+}
+
+impl From<RawNames> for Names {
+    fn from(raw: RawNames) -> Self {
+        let names = |named: Vec<RawNamed>| named.into_iter().map(|raw| raw.name).collect();
+        Names {
+            classes: names(raw.classes),
+            tenants: names(raw.tenants),
+            zones: raw.zones,
+            hardware_models: raw.flavors,
+            report_fields: raw.report.fields,
+        }
+    }
+}
