--- a/crates/retry/src/checker.rs
+++ b/crates/retry/src/checker.rs
@@ -65,11 +65,8 @@
 
     /// Arrivals after the deduplication window: of our own retries, and of the client's.
     fn window_violations(&self) -> Vec<SafetyViolation> {
-        let window_end = self.dedup_window.saturating_sub(self.tick);
-        if window_end == 0 {
-            // Without a window the class is not idempotent, which the file's parser reports.
-            return Vec::new();
-        }
+        // Without a window the class is not idempotent, which the file's parser reports.
+        let Some(window_end) = self.window_end() else { return Vec::new() };
         let own = self.retry_arrivals().into_iter().find(|arrival| arrival.at >= window_end);
         let own = own.map(|Arrival { attempt, at }| SafetyViolation::RetryAfterWindow {
             attempt,
@@ -79,6 +76,13 @@
         own.into_iter().chain(self.client_retry_violation(window_end)).collect()
     }
 
+    /// When the last retry has to reach a server, counted from the start of the first attempt;
+    /// `None` without a deduplication window.
+    fn window_end(&self) -> Option<Nanos> {
+        let window_end = self.dedup_window.saturating_sub(self.tick);
+        (window_end > 0).then_some(window_end)
+    }
+
     /// Each request of a client may last to the deadline, then the client waits for its
     /// `Retry-After`, and the attempts of its last request take as long as those of the first.
     fn client_retry_violation(&self, window_end: Nanos) -> Option<SafetyViolation> {
--- a/crates/websocket/src/handshake/client.rs
+++ b/crates/websocket/src/handshake/client.rs
@@ -22,7 +22,7 @@
 }
 
 impl ClientHandshake {
-    /// Parses a request for which [`is_upgrade_request`] holds, by the policy of its route.
+    /// Parses a request for which [`is_upgrade_request`](super::is_upgrade_request) holds, by the policy of its route.
     ///
     /// # Errors
     ///
