--- a/crates/fleet-simulator/src/simulation/clients.rs
+++ b/crates/fleet-simulator/src/simulation/clients.rs
@@ -1,11 +1,12 @@
 //! Clients: their first requests, timeouts and retries.
 
 use super::client::Client;
+use super::traffic::Traffic;
 use super::{Event, Simulation, BEGIN};
 use crate::scenario::{RetryBehavior, CLASSES};
 use crate::sidecar::{Reply, RequestOwner};
 use mintshelf_balancer::api::Effect;
-use mintshelf_time::{as_float, from_float, Nanos, MILLISECOND, SECOND};
+use mintshelf_time::{as_float, from_float, Nanos, MILLISECOND};
 
 /// Retries of a client after its first request.
 pub(super) const MAX_RETRIES: u32 = 2;
@@ -23,12 +24,12 @@
     /// and sends nothing.
     pub(super) fn on_client_arrives(&mut self) {
         self.schedule_next_arrival();
-        let class = self.draw_class();
-        let sidecar = self.draw_sidecar();
+        let class = Traffic::draw_class(&mut self.rng);
+        let sidecar = self.traffic.draw_sidecar(&mut self.rng);
         if self.now < self.processes[sidecar].down_until {
             return;
         }
-        let early_timeout = self.draw_early_timeout();
+        let early_timeout = self.traffic.draw_early_timeout(&mut self.rng, self.now - BEGIN);
         self.clients.push(Client {
             class,
             sidecar,
@@ -47,39 +48,10 @@
     }
 
     fn schedule_next_arrival(&mut self) {
-        let elapsed = self.now - BEGIN;
-        let burst = self.scenario.fleet.burst.as_ref();
-        let burst = burst.filter(|burst| burst.during.contains(&elapsed));
-        let rate = self.scenario.requests_per_second * burst.map_or(1.0, |burst| burst.factor);
-        let gap = from_float(-(1.0 - self.draw()).ln() / rate * as_float(SECOND));
+        let gap = self.traffic.draw_gap(&mut self.rng, self.now - BEGIN);
         self.events.schedule(self.now + gap, Event::ClientArrives);
     }
 
-    fn draw_class(&mut self) -> usize {
-        let drawn = self.draw();
-        let mut class = 0;
-        let mut cumulative_share = CLASSES[0].share;
-        while drawn >= cumulative_share && class + 1 < CLASSES.len() {
-            class += 1;
-            cumulative_share += CLASSES[class].share;
-        }
-        class
-    }
-
-    fn draw_sidecar(&mut self) -> usize {
-        let target = self.draw() * self.cumulative_load.last().copied().unwrap_or(0.0);
-        let sidecar = self.cumulative_load.partition_point(|sum| *sum <= target);
-        sidecar.min(self.scenario.sidecars - 1)
-    }
-
-    fn draw_early_timeout(&mut self) -> Option<f64> {
-        let elapsed = self.now - BEGIN;
-        let config = self.scenario.fleet.early_timeouts.as_ref();
-        let config = config.filter(|config| config.during.contains(&elapsed))?;
-        let timeout = config.min_timeout + self.draw() * (config.max_timeout - config.min_timeout);
-        (self.draw() < config.share).then_some(timeout)
-    }
-
     /// Sends a client's request, once its sidecar is up.
     pub(super) fn send_request(&mut self, client: usize) {
         let now = self.now;
--- a/crates/fleet-simulator/src/simulation/fleet.rs
+++ b/crates/fleet-simulator/src/simulation/fleet.rs
@@ -10,9 +10,6 @@
 use mintshelf_balancer::api::{Effect, EndpointState, ListKind, ListedServer, ServerId};
 use mintshelf_time::{as_float, from_float, Nanos};
 
-/// Spreads the sidecars' traffic: the fractional part of √2, whose multiples are uniform.
-const SKEW_ROOT: f64 = 0.414_213_562_373_095;
-
 /// The id of a server with this index.
 fn server_id(index: usize) -> ServerId {
     ServerId::try_from(index).unwrap_or(ServerId::MAX)
@@ -29,20 +26,6 @@
     (0..scenario.servers).map(listed).collect()
 }
 
-/// The traffic of each sidecar and all before it: spread over powers of ten, in no order.
-pub(super) fn cumulative_load(scenario: &Scenario) -> Vec<f64> {
-    let load = |sidecar: usize| {
-        let position = (sidecar as f64 * SKEW_ROOT).fract();
-        10f64.powf(scenario.fleet.load_skew * position)
-    };
-    let mut sum = 0.0;
-    let add = |sidecar| {
-        sum += load(sidecar);
-        sum
-    };
-    (0..scenario.sidecars).map(add).collect()
-}
-
 impl Simulation<'_> {
     pub(super) fn schedule_faults(&mut self) {
         for (number, fault) in self.scenario.faults.iter().enumerate() {
--- a/crates/fleet-simulator/src/simulation/mod.rs
+++ b/crates/fleet-simulator/src/simulation/mod.rs
@@ -2,26 +2,28 @@
 
 mod client;
 mod clients;
+mod deduplication;
 mod event;
 mod fleet;
 mod servers;
 mod sidecars;
+mod traffic;
 
 use crate::discovery::DiscoveryService;
 use crate::numbers::steps;
 use crate::report::{Report, Slice, SLICE_DURATION};
 use crate::scenario::Scenario;
-use crate::server::{Server, ServerSize};
+use crate::server::Server;
 use crate::sidecar::Sidecar;
 use crate::uniform;
 use client::Client;
+use deduplication::Deduplication;
 use event::{Event, EventQueue};
 use mintshelf_balancer::api::{EndpointState, ListKind};
 use mintshelf_time::{Nanos, SECOND};
 use rand_core::SeedableRng;
-use rand_distr::LogNormal;
 use rand_pcg::Pcg64Mcg;
-use std::collections::HashMap;
+use traffic::Traffic;
 
 /// When the run begins; the sidecars know their servers from here on.
 const BEGIN: Nanos = SECOND;
@@ -44,15 +46,9 @@
     processes: Vec<Process>,
     servers: Vec<Server>,
     clients: Vec<Client>,
-    /// Traffic of each sidecar and all before it.
-    cumulative_load: Vec<f64>,
+    traffic: Traffic,
     discovery: Option<DiscoveryService>,
-    /// Distribution of the work of a class, with mean 1; absent for the default.
-    work_spread: Option<LogNormal<f64>>,
-    /// When each client's idempotent request first ran, as known to all servers.
-    first_run_at: HashMap<usize, Nanos>,
-    /// Time that a unit of work takes, in nanoseconds.
-    unit_ns: f64,
+    deduplication: Deduplication,
     report: Report,
 }
 
@@ -79,7 +75,6 @@
     fn new(scenario: &'a Scenario) -> Self {
         let slices = steps(scenario.duration, SLICE_DURATION);
         let known = fleet::initial_servers(scenario);
-        let work_spread = |sigma: f64| LogNormal::new(-sigma * sigma / 2.0, sigma).ok();
         let server = |number| Server::new(scenario, scenario.fleet.zone(number));
         let discovery = scenario.fleet.discovery;
         Simulation {
@@ -91,12 +86,10 @@
             processes: vec![Process::default(); scenario.sidecars],
             servers: (0..scenario.servers).map(server).collect(),
             clients: Vec::new(),
-            cumulative_load: fleet::cumulative_load(scenario),
+            traffic: Traffic::new(scenario),
             discovery: discovery
                 .map(|config| DiscoveryService::new(config, scenario.sidecars, &known)),
-            work_spread: scenario.fleet.work_sigma.and_then(work_spread),
-            first_run_at: HashMap::new(),
-            unit_ns: ServerSize::of(scenario).unit_ns,
+            deduplication: Deduplication::default(),
             report: Report { slices: vec![Slice::default(); slices], ..Report::default() },
         }
     }
--- a/crates/fleet-simulator/src/simulation/servers.rs
+++ b/crates/fleet-simulator/src/simulation/servers.rs
@@ -1,7 +1,7 @@
 //! Servers: jobs that arrive and end, effects that happen, and faults.
 
 use super::{Event, Simulation};
-use crate::scenario::{mean_work, FaultKind, CLASSES, DEDUP_WINDOW};
+use crate::scenario::{mean_work, FaultKind, CLASSES};
 use crate::server::{Arrival, FinishedJob, Job, StartedJob, ONE_WAY_LATENCY};
 use mintshelf_balancer::api::{Effect, EndpointState, Outcome};
 use mintshelf_time::{Nanos, SECOND};
@@ -99,7 +99,7 @@
         let Some(job) = self.servers[server].running(number) else { return };
         let client = job.client;
         let effect = CLASSES[job.class].effect;
-        if effect == Effect::Idempotent && self.is_discarded(client) {
+        if effect == Effect::Idempotent && self.deduplication.is_repeat(self.now, client) {
             return;
         }
         let runs = &mut self.clients[client].runs;
@@ -112,14 +112,4 @@
             }
         }
     }
-
-    /// Whether servers discard an idempotent request as a repeat; otherwise its window begins.
-    fn is_discarded(&mut self, client: usize) -> bool {
-        let first_run_at = self.first_run_at.get(&client).copied();
-        let is_repeat = first_run_at.is_some_and(|first| self.now - first < DEDUP_WINDOW);
-        if !is_repeat {
-            self.first_run_at.insert(client, self.now);
-        }
-        is_repeat
-    }
 }
--- a/crates/fleet-simulator/src/simulation/sidecars.rs
+++ b/crates/fleet-simulator/src/simulation/sidecars.rs
@@ -6,8 +6,7 @@
 use crate::server::{Job, ONE_WAY_LATENCY};
 use crate::sidecar::{RequestOwner, SidecarAction, CONNECT_TIMEOUT};
 use mintshelf_balancer::api::{AttemptNumber, Outcome, RequestId, ServerId};
-use mintshelf_time::{from_float, Nanos, MILLISECOND, SECOND};
-use rand_distr::Distribution;
+use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 
 /// Time after the notification of a drain in which sends are allowed, with slack.
 const DRAIN_GRACE: Nanos = 250 * MILLISECOND + 50 * MILLISECOND;
@@ -82,7 +81,7 @@
         let Some(RequestOwner { client, class }) = self.sidecars[sidecar].owner(&id) else {
             return;
         };
-        let work = from_float(CLASSES[class].work * self.unit_ns * self.draw_work_factor());
+        let work = self.traffic.draw_work(&mut self.rng, class);
         let is_new_connection = !self.sidecars[sidecar].take_idle(self.now, server);
         self.check_drain(sidecar, server_id);
         self.count_send(sidecar, server, class, is_new_connection);
@@ -99,16 +98,6 @@
         self.events.schedule(arrives_at, Event::JobArrives { server, job });
     }
 
-    /// Work of one request, relative to the mean of its class.
-    fn draw_work_factor(&mut self) -> f64 {
-        if let Some(spread) = &self.work_spread {
-            return spread.sample(&mut self.rng);
-        }
-        // Erlang of two stages: less spread than the exponential, still a tail.
-        let [first, second] = [self.draw(), self.draw()].map(|drawn| -(1.0 - drawn).ln() / 2.0);
-        first + second
-    }
-
     fn check_drain(&mut self, sidecar: usize, server: ServerId) {
         let notified_at = self.sidecars[sidecar].drain_notified_at(server);
         let is_late = notified_at.is_some_and(|at| self.now > at + DRAIN_GRACE);
