--- a/crates/balancer/src/balancer/attempts.rs
+++ b/crates/balancer/src/balancer/attempts.rs
@@ -1,15 +1,16 @@
 //! Requests from arrival to each send, and how they end.
 
 use super::Balancer;
-use crate::api::{Action, Effect, EndReason, RequestId, TenantId};
+use crate::api::{Action, EndReason, RequestId, TenantId};
 use crate::decide::candidates::SelectionContext;
 use crate::decide::hold::{hold_until, HOLD_RETRY_INTERVAL};
-use crate::decide::load_reports;
 use crate::decide::overdue::overdue_after;
+use crate::decide::retries::RETRY_PRICE;
 use crate::decide::retry_group::RetryGroup;
 use crate::decide::retry_safety::SendPermission;
+use crate::decide::{load_reports, retries};
 use crate::server_order::{AdjacentPair, Candidates};
-use crate::state::{Request, Timer};
+use crate::state::{Request, ServerIndex, Timer};
 use mintshelf_time::Nanos;
 
 /// What a request counts as in the traffic.
@@ -21,6 +22,7 @@
 }
 
 impl Balancer {
+    /// Rejects a request on arrival, or begins to send it.
     pub(super) fn on_request(&mut self, id: &RequestId, request: Request, arrival: Arrival) {
         let class = request.class;
         if !self.settings.has_class(class) || self.requests.contains_key(id) {
@@ -90,7 +92,7 @@
 
     /// Draws the candidates for the next attempt of a request; `None` if none is permitted or no
     /// server is eligible.
-    fn draw_candidates(&mut self, id: &RequestId) -> Option<Candidates> {
+    fn draw_candidates(&mut self, id: &RequestId) -> Option<Candidates<ServerIndex>> {
         let request = self.requests.get(id)?;
         let permission = self.permitted_actions(request, self.now).send;
         let group = self.settings.class(request.class).group;
@@ -104,7 +106,7 @@
     }
 
     /// Probes both servers of a pair and has the request wait for their reports.
-    fn probe_pair(&mut self, id: &RequestId, pair: AdjacentPair) {
+    fn probe_pair(&mut self, id: &RequestId, pair: AdjacentPair<ServerIndex>) {
         let Some(request) = self.requests.get_mut(id) else { return };
         request.awaited_pair = Some(pair);
         let remaining = request.deadline.saturating_sub(self.now);
@@ -117,7 +119,7 @@
     }
 
     /// Sends an attempt of a request to a server.
-    pub(super) fn send(&mut self, id: &RequestId, index: usize) {
+    pub(super) fn send(&mut self, id: &RequestId, index: ServerIndex) {
         let Some(request) = self.requests.get_mut(id) else { return };
         let server = self.servers[index].listed.id;
         let attempt = request.record_send(server, self.now);
@@ -131,7 +133,7 @@
         }
     }
 
-    fn overdue_after(&self, request: &Request, index: usize) -> Nanos {
+    fn overdue_after(&self, request: &Request, index: ServerIndex) -> Nanos {
         let model = self.estimators.hardware_model(&self.servers[index]);
         let class = self.settings.class(request.class);
         overdue_after(&self.estimators.latency, class, request, model)
@@ -140,10 +142,9 @@
     /// Sends a hedge beside a slow first attempt, if the class and the retry budget allow it.
     pub(super) fn on_hedge_requested(&mut self, id: &RequestId) {
         let Some(request) = self.requests.get(id) else { return };
-        let is_safe = self.settings.class(request.class).effect == Effect::Safe;
-        let may_hedge = is_safe && request.has_one_in_flight() && self.retry_budget.covers(1.0);
-        if may_hedge && self.try_send(id) {
-            self.retry_budget.pay(1.0);
+        let may_hedge = retries::may_hedge(self.settings.class(request.class), request);
+        if may_hedge && self.retry_budget.covers(RETRY_PRICE) && self.try_send(id) {
+            self.retry_budget.pay(RETRY_PRICE);
         }
     }
 
