--- a/crates/admission/src/admission.rs
+++ b/crates/admission/src/admission.rs
@@ -78,7 +78,8 @@
 /// let queue = FairQueueConfig { max_concurrency: 1, max_queued: 1, ..Default::default() };
 /// let clusters = [("web".into(), queue)].into();
 /// let mut admission = Admission::default();
-/// let _ = admission.configure(0, &AdmissionConfig { clusters, ..Default::default() });
+/// let transitions = admission.configure(0, &AdmissionConfig { clusters, ..Default::default() });
+/// assert!(transitions.is_empty(), "no request waits yet");
 /// let entry = QueueEntry {
 ///     tenant: "others".into(),
 ///     is_repeat: false,
--- a/crates/config/src/file/clusters.rs
+++ b/crates/config/src/file/clusters.rs
@@ -106,9 +106,10 @@
         status
     });
     let statuses: Vec<u16> = statuses.collect();
-    match table.has("failure-statuses") {
-        true => statuses,
-        false => DEFAULT_FAILURE_STATUSES.to_vec(),
+    if table.has("failure-statuses") {
+        statuses
+    } else {
+        DEFAULT_FAILURE_STATUSES.to_vec()
     }
 }
 
--- a/crates/config/src/file/fields.rs
+++ b/crates/config/src/file/fields.rs
@@ -3,7 +3,7 @@
 use super::error::FieldError;
 use super::reader::Located;
 use super::table::Table;
-use http::HeaderName;
+use http::{HeaderName, StatusCode};
 use mintshelf_balancer::api::Effect;
 use mintshelf_routing::path::has_dot_segments;
 use std::net::SocketAddr;
@@ -73,3 +73,8 @@
         Effect::Unsafe => "unsafe",
     }
 }
+
+/// An HTTP status; `None` if the number is none.
+pub fn status_code(status: u32) -> Option<StatusCode> {
+    StatusCode::from_u16(u16::try_from(status).ok()?).ok()
+}
--- a/crates/config/src/file/fleet.rs
+++ b/crates/config/src/file/fleet.rs
@@ -70,9 +70,12 @@
     if !table.has(key) {
         table.reader.report(&table.place_of(key), "is missing", &remedy);
     }
-    table.parsed(key, &remedy, |text| match is_valid_name(text) {
-        true => Ok(text.to_owned()),
-        false => Err(FieldError::InvalidName),
+    table.parsed(key, &remedy, |text| {
+        if is_valid_name(text) {
+            Ok(text.to_owned())
+        } else {
+            Err(FieldError::InvalidName)
+        }
     })
 }
 
--- /dev/null
+++ b/crates/config/src/file/header_edits.rs
@@ -0,0 +1,68 @@
+//! The changes that a route makes to headers.
+
+use super::fields::{parse_header_name, HEADER_REMEDY};
+use super::reader::Located;
+use super::table::{Member, Table};
+use crate::model::HeaderEdits;
+use crate::problem::SafetyRule;
+use http::{HeaderName, HeaderValue};
+use toml::de::DeValue;
+
+/// Headers that determine the length of a message or concern one connection, which a file must not
+/// change.
+const CONNECTION_HEADERS: [&str; 9] = [
+    "connection",
+    "content-length",
+    "host",
+    "keep-alive",
+    "te",
+    "trailer",
+    "transfer-encoding",
+    "upgrade",
+    "expect",
+];
+
+/// Parses the changes under a key of a route.
+pub fn header_edits(table: &Table, key: &'static str) -> HeaderEdits {
+    let Some(inner) = table.table(key) else { return HeaderEdits::default() };
+    // Of these headers a route may change only the host of a request.
+    let allows_host = key == "request-headers";
+    let removed = inner.texts("remove").into_iter();
+    let edits = HeaderEdits {
+        remove: removed.filter_map(|name| editable_header(&inner, name, allows_host)).collect(),
+        set: headers(&inner, "set", allows_host),
+        add: headers(&inner, "add", allows_host),
+    };
+    inner.finish();
+    edits
+}
+
+fn editable_header(table: &Table, name: Located<&str>, allows_host: bool) -> Option<HeaderName> {
+    let header = table.parse(name, HEADER_REMEDY, parse_header_name)?;
+    let name = header.value;
+    let is_allowed = !CONNECTION_HEADERS.contains(&name.as_str()) || allows_host && name == "host";
+    if !is_allowed {
+        let message = format!("'{name}' belongs to the connection");
+        let remedy = "leave it to the program";
+        let rule = SafetyRule::NoLostRequest;
+        table.reader.report_violation(&header.place, message, remedy, rule);
+    }
+    is_allowed.then_some(name)
+}
+
+fn headers(table: &Table, key: &'static str, allows_host: bool) -> Vec<(HeaderName, HeaderValue)> {
+    let Some(table) = table.table(key) else { return Vec::new() };
+    let header = |Member { name, value }: Member| {
+        let name = editable_header(&table, name, allows_host)?;
+        let header_value = match value.value {
+            DeValue::String(text) => HeaderValue::from_str(text).ok(),
+            _ => None,
+        };
+        if header_value.is_none() {
+            let remedy = "write a text without line breaks";
+            table.reader.report(&value.place, "is not a header's value", remedy);
+        }
+        Some((name, header_value?))
+    };
+    table.members().into_iter().filter_map(header).collect()
+}
