--- a/crates/admission/benches/cost.rs
+++ b/crates/admission/benches/cost.rs
@@ -8,7 +8,7 @@
 };
 use mintshelf_admission::rate::RateConfig;
 use mintshelf_admission::tenants::TenantResolver;
-use mintshelf_balancer::api::Effect;
+use mintshelf_balancer::api::{AttemptNumber, Effect};
 use mintshelf_retry::attempts::AttemptTracker;
 use mintshelf_retry::policy::{HedgeDelay, HedgePolicy, RetryPolicy};
 use mintshelf_retry::schedule::{AttemptTimeout, TimeoutBounds};
@@ -106,7 +106,7 @@
         cost(|n| {
             let now = n as Nanos * 10_000;
             tracker.record_request();
-            black_box(tracker.attempt_timeout(now, 0));
+            black_box(tracker.attempt_timeout(now, AttemptNumber::new(0)));
             black_box(tracker.hedge_delay(now));
             tracker.record_response(now, (n as Nanos % 7 + 1) * MILLISECOND);
         })
--- a/crates/proxy/src/cluster/retry_trackers.rs
+++ b/crates/proxy/src/cluster/retry_trackers.rs
@@ -47,7 +47,7 @@
     ) -> Option<AttemptTimeouts> {
         let mut tracker = self.tracker(class)?.borrow_mut();
         let hedge_after_ns = tracker.hedge_delay(now).filter(|_| number.index() == 0);
-        let timeout_ns = tracker.attempt_timeout(now, number.get());
+        let timeout_ns = tracker.attempt_timeout(now, number);
         let is_limited = timeout_ns.is_some() || hedge_after_ns.is_some();
         is_limited.then_some(AttemptTimeouts { timeout_ns, hedge_after_ns })
     }
--- a/crates/retry/src/attempts.rs
+++ b/crates/retry/src/attempts.rs
@@ -3,7 +3,7 @@
 use crate::latency_window::LatencyWindow;
 use crate::policy::{HedgeDelay, RetryPolicy};
 use crate::schedule::{AttemptTimeout, TimeoutBounds};
-use mintshelf_balancer::api::Effect;
+use mintshelf_balancer::api::{AttemptNumber, Effect};
 use mintshelf_balancer::budget::RetryBudget;
 use mintshelf_time::{Nanos, MILLISECOND};
 
@@ -79,10 +79,11 @@
         self.hedge_budget.earn();
     }
 
-    /// How long the attempt with this index, from 0, may take once it is connected; `None` where
-    /// only the request's deadline bounds it. The last attempt has all remaining time.
-    pub fn attempt_timeout(&mut self, now: Nanos, index: u32) -> Option<Nanos> {
-        if self.policy.effect == Effect::Unsafe || index + 1 >= self.policy.max_attempts {
+    /// How long an attempt may take once it is connected; `None` where only the request's deadline
+    /// bounds it. The last attempt has all remaining time.
+    pub fn attempt_timeout(&mut self, now: Nanos, number: AttemptNumber) -> Option<Nanos> {
+        let is_last = number.get() + 1 >= self.policy.max_attempts;
+        if self.policy.effect == Effect::Unsafe || is_last {
             return None;
         }
         match self.policy.attempt_timeout {
--- a/crates/retry/tests/attempts.rs
+++ b/crates/retry/tests/attempts.rs
@@ -1,6 +1,6 @@
 //! Time-outs and hedges of one class: their bounds, and what a time-out leads to.
 
-use mintshelf_balancer::api::Effect;
+use mintshelf_balancer::api::{AttemptNumber, Effect};
 use mintshelf_retry::attempts::{AttemptCounts, AttemptTracker, RetryConditions, TimeoutAction};
 use mintshelf_retry::policy::{HedgeDelay, HedgePolicy, RetryPolicy};
 use mintshelf_retry::schedule::{AttemptTimeout, TimeoutBounds};
@@ -30,21 +30,28 @@
 #[test]
 fn an_adaptive_timeout_follows_the_latencies_within_its_bounds() {
     let mut tracker = tracker(AttemptTimeout::Adaptive, Effect::Safe, None);
-    assert_eq!(tracker.attempt_timeout(0, 0), Some(100 * MILLISECOND));
-    assert_eq!(tracker.attempt_timeout(0, 2), None, "the last attempt has all that is left");
+    assert_eq!(tracker.attempt_timeout(0, AttemptNumber::new(0)), Some(100 * MILLISECOND));
+    assert_eq!(
+        tracker.attempt_timeout(0, AttemptNumber::new(2)),
+        None,
+        "the last attempt has all that is left"
+    );
     for number in 0..1000 {
         tracker.record_response(number, 3 * MILLISECOND);
     }
-    assert_eq!(tracker.attempt_timeout(MILLISECOND, 0), Some(50 * MILLISECOND));
+    assert_eq!(tracker.attempt_timeout(MILLISECOND, AttemptNumber::new(0)), Some(50 * MILLISECOND));
     for number in 0..1000 {
         tracker.record_response(MILLISECOND + number, 100 * MILLISECOND);
     }
-    let timeout = tracker.attempt_timeout(2 * MILLISECOND, 1).unwrap();
+    let timeout = tracker.attempt_timeout(2 * MILLISECOND, AttemptNumber::new(1)).unwrap();
     assert!((295 * MILLISECOND..310 * MILLISECOND).contains(&timeout), "{timeout}");
     for number in 0..10_000 {
         tracker.record_response(3 * MILLISECOND + number, 9_000 * MILLISECOND);
     }
-    assert_eq!(tracker.attempt_timeout(4 * MILLISECOND, 1), Some(600 * MILLISECOND));
+    assert_eq!(
+        tracker.attempt_timeout(4 * MILLISECOND, AttemptNumber::new(1)),
+        Some(600 * MILLISECOND)
+    );
 }
 
 #[test]
@@ -65,7 +72,7 @@
         TimeoutAction::Cancel
     );
     let mut unsafe_class = tracker(AttemptTimeout::Fixed(MILLISECOND), Effect::Unsafe, None);
-    assert_eq!(unsafe_class.attempt_timeout(0, 0), None);
+    assert_eq!(unsafe_class.attempt_timeout(0, AttemptNumber::new(0)), None);
     assert_eq!(idempotent.counts(), AttemptCounts { timed_out: 1, hedged: 0 });
 }
 
