--- a/crates/test-support/src/addresses.rs
+++ b/crates/test-support/src/addresses.rs
@@ -12,12 +12,15 @@
 ///
 /// Binding it first to see whether it is free would not help: a child process that another test
 /// starts at that moment holds a copy of the socket until it runs its program.
+///
+/// # Panics
+/// Never: host addresses are below 256.
 pub fn free_address() -> SocketAddr {
     static NEXT: AtomicU16 = AtomicU16::new(0);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
-    let process = std::process::id();
-    let network = 10 + (process >> 8) as u8 % 200;
-    let host = (number % HOSTS_PER_PORT) as u8 + 1;
-    let ip = Ipv4Addr::new(127, network, process as u8, host);
+    let [low_byte, second_byte, ..] = std::process::id().to_le_bytes();
+    let network = 10 + second_byte % 200;
+    let host = u8::try_from(number % HOSTS_PER_PORT + 1).unwrap();
+    let ip = Ipv4Addr::new(127, network, low_byte, host);
     (ip, FIRST_PORT + number / HOSTS_PER_PORT).into()
 }
--- a/crates/test-support/src/relay/transfer.rs
+++ b/crates/test-support/src/relay/transfer.rs
@@ -132,7 +132,7 @@
     /// Changes the byte that is due, if it lies in this chunk.
     fn corrupt(&mut self, bytes: &mut [u8]) {
         let Some(remaining) = self.corrupt_after else { return };
-        match bytes.get_mut(remaining as usize) {
+        match usize::try_from(remaining).ok().and_then(|index| bytes.get_mut(index)) {
             Some(byte) => {
                 *byte ^= 0xff;
                 self.corrupt_after = None;
@@ -143,7 +143,10 @@
 
     /// Counts a chunk as carried, up to the byte at which the connection breaks.
     fn pass(&mut self, length: usize) -> Passed {
-        let bytes = self.break_after.map_or(length, |remaining| length.min(remaining as usize));
+        let remaining = self
+            .break_after
+            .map_or(length, |remaining| usize::try_from(remaining).unwrap_or(usize::MAX));
+        let bytes = length.min(remaining);
         let breaks = self.break_after == Some(bytes as u64);
         self.break_after = match self.break_after {
             Some(remaining) if !breaks => Some(remaining - bytes as u64),
--- a/crates/test-support/src/sidecar.rs
+++ b/crates/test-support/src/sidecar.rs
@@ -55,10 +55,10 @@
 /// Sets the deadline of all classes of a configuration.
 ///
 /// # Panics
-/// The configuration has no classes.
+/// The configuration has no classes, or the deadline is longer than 500 years.
 pub fn set_deadlines(config: &mut Value, deadline: Duration) {
     for class in config["settings"]["classes"].as_array_mut().unwrap() {
-        class["deadline"] = json!(deadline.as_nanos() as u64);
+        class["deadline"] = json!(u64::try_from(deadline.as_nanos()).unwrap());
     }
 }
 
--- a/crates/test-support/src/soak/clients.rs
+++ b/crates/test-support/src/soak/clients.rs
@@ -19,7 +19,7 @@
 /// Share of the requests that are written in two parts, where there are slow clients.
 const SLOW: f64 = 0.1;
 /// The delay between these, in milliseconds.
-const SLOW_DELAY_MS: (u64, u64) = (5, 200);
+const SLOW_DELAY_MS: (usize, usize) = (5, 200);
 /// Clients that stop within a request, for each one that sends it completely.
 const STOPPING: f64 = 0.03;
 /// An incomplete request has a response or a closed connection within this time: 3 s, and 0.5 s for a
--- a/crates/test-support/src/soak/cpu_limit.rs
+++ b/crates/test-support/src/soak/cpu_limit.rs
@@ -12,7 +12,7 @@
 const SLICE: Duration = Duration::from_micros(100);
 /// CPU time that an idle process may save up.
 const BURST: Duration = Duration::from_millis(1);
-const NANOS_PER_THOUSANDTH: u64 = 1_000;
+const THOUSANDTHS: u32 = 1_000;
 
 /// Limits a process until it is dropped.
 pub(super) struct CpuLimit {
@@ -41,7 +41,8 @@
 }
 
 fn limit(pid: u32, thousandths: u32, is_over: &AtomicBool) {
-    let Some(process) = Pid::from_raw(pid as i32) else { return };
+    let process = i32::try_from(pid).ok().and_then(Pid::from_raw);
+    let Some(process) = process else { return };
     let Some(mut used_before) = cpu_time(pid) else { return };
     let mut paid_until = Instant::now();
     while !is_over.load(Ordering::Relaxed) {
@@ -51,7 +52,7 @@
         let is_stopped = is_running(pid) && kill_process(process, Signal::STOP).is_ok();
         if let Some(used) = cpu_time(pid) {
             let earliest = Instant::now() - share_of(BURST, thousandths);
-            let owed = (used - used_before) * 1_000 / thousandths;
+            let owed = share_of(used - used_before, thousandths);
             paid_until = paid_until.max(earliest) + owed;
             used_before = used;
         }
@@ -70,7 +71,7 @@
 
 /// Time in which a share of a core gives this much CPU time.
 fn share_of(cpu: Duration, thousandths: u32) -> Duration {
-    Duration::from_nanos(cpu.as_nanos() as u64 * NANOS_PER_THOUSANDTH / u64::from(thousandths))
+    cpu * THOUSANDTHS / thousandths
 }
 
 fn cpu_time(pid: u32) -> Option<Duration> {
--- a/crates/test-support/src/soak/discovery.rs
+++ b/crates/test-support/src/soak/discovery.rs
@@ -225,7 +225,8 @@
             return json!({"rev": revision, "all": true, "targets": targets});
         };
         let changes = self.changes.borrow();
-        let newer: HashSet<usize> = changes[after as usize..].iter().flatten().copied().collect();
+        let known = usize::try_from(after).expect("a revision of this run");
+        let newer: HashSet<usize> = changes[known..].iter().flatten().copied().collect();
         let listed = self.listed.borrow();
         let targets: Vec<Value> =
             newer.into_iter().map(|server| self.entry(server, listed[&server])).collect();
--- a/crates/test-support/src/soak/environment.rs
+++ b/crates/test-support/src/soak/environment.rs
@@ -107,9 +107,10 @@
 
     async fn join(&mut self, count: usize) {
         let boot_ms = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |now| now.as_millis());
+        let boot_ms = u64::try_from(boot_ms).expect("a time of this age");
         let mut joined = Vec::new();
         for _ in 0..count {
-            let listed = Listed { state: ListedState::Serving, boot_ms: boot_ms as u64 };
+            let listed = Listed { state: ListedState::Serving, boot_ms };
             joined.push((self.servers.start().await, listed));
         }
         self.discovery.change(joined);
@@ -164,7 +165,7 @@
     }
 
     fn config(&self) -> Value {
-        let deadline = self.scenario.deadline.as_nanos() as u64;
+        let deadline = u64::try_from(self.scenario.deadline.as_nanos()).expect("a short deadline");
         let semantics = |class: Class| match class {
             Class::Safe => "pure",
             Class::Keyed => "token",
--- a/crates/test-support/src/soak/scenario.rs
+++ b/crates/test-support/src/soak/scenario.rs
@@ -121,6 +121,11 @@
     }
 
     /// An integer from `min` to `max`, both included.
+    #[allow(
+        clippy::cast_possible_truncation,
+        clippy::cast_sign_loss,
+        reason = "a product of small numbers that are not negative, rounded down"
+    )]
     pub(super) fn between(&mut self, min: usize, max: usize) -> usize {
         min + (self.uniform() * (max - min + 1) as f64) as usize
     }
@@ -129,8 +134,8 @@
         self.uniform() < probability
     }
 
-    pub(super) fn millis(&mut self, min: u64, max: u64) -> Duration {
-        Duration::from_millis(self.between(min as usize, max as usize) as u64)
+    pub(super) fn millis(&mut self, min: usize, max: usize) -> Duration {
+        Duration::from_millis(self.between(min, max) as u64)
     }
 }
 
@@ -159,7 +164,8 @@
         let reloads = random.between(0, 3);
         let reload_at = random.millis(1_000, 6_000);
         for number in 0..reloads {
-            events.push((reload_at + Duration::from_millis(120) * number as u32, Event::Reload));
+            let delay = Duration::from_millis(120 * number as u64);
+            events.push((reload_at + delay, Event::Reload));
         }
         events.push((random.millis(4_000, 6_000), Event::Restart));
         let rate = 20.0 + 30.0 * random.uniform();
--- a/crates/test-support/src/soak/servers.rs
+++ b/crates/test-support/src/soak/servers.rs
@@ -16,9 +16,9 @@
 const REJECTED: &[u8] = b"HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n";
 const ERROR: &[u8] = b"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n";
 /// Longest time after which a server closes an idle connection, where it closes them early.
-const CLOSE_IDLE_MAX_MS: u64 = 100;
+const CLOSE_IDLE_MAX_MS: usize = 100;
 /// Range of the service time of a request, in milliseconds.
-const WORK_MS: (u64, u64) = (2, 40);
+const WORK_MS: (usize, usize) = (2, 40);
 
 /// All servers of a run.
 pub(super) struct Servers {
