--- a/crates/balancer/src/balancer/attempts.rs
+++ b/crates/balancer/src/balancer/attempts.rs
@@ -1,15 +1,16 @@
 //! Requests from arrival to each send, and how they end.
 
 use super::Balancer;
-use crate::api::{Action, Effect, EndReason, RequestId, TenantId};
+use crate::api::{Action, EndReason, RequestId, TenantId};
 use crate::decide::candidates::SelectionContext;
 use crate::decide::hold::{hold_until, HOLD_RETRY_INTERVAL};
-use crate::decide::load_reports;
 use crate::decide::overdue::overdue_after;
+use crate::decide::retries::RETRY_PRICE;
 use crate::decide::retry_group::RetryGroup;
 use crate::decide::retry_safety::SendPermission;
+use crate::decide::{load_reports, retries};
 use crate::server_order::{AdjacentPair, Candidates};
-use crate::state::{Request, Timer};
+use crate::state::{Request, ServerIndex, Timer};
 use mintshelf_time::Nanos;
 
 /// What a request counts as in the traffic.
@@ -21,9 +22,10 @@
 }
 
 impl Balancer {
+    /// Rejects a request on arrival, or begins to send it.
     pub(super) fn on_request(&mut self, id: &RequestId, request: Request, arrival: Arrival) {
         let class = request.class;
-        if class.index() >= self.settings.classes.len() || self.requests.contains_key(id) {
+        if !self.settings.has_class(class) || self.requests.contains_key(id) {
             return;
         }
         self.count_arrival(&request, arrival);
@@ -61,7 +63,7 @@
             return;
         }
         let request = &self.requests[id];
-        let class = &self.settings.classes[request.class.index()];
+        let class = self.settings.class(request.class);
         let may_send = self.permitted_actions(request, self.now).send != SendPermission::Forbidden;
         if may_send && self.now < hold_until(class, request.arrived_at, request.deadline) {
             self.set_request_timer(HOLD_RETRY_INTERVAL, id, Timer::HoldExpired(id.clone()));
@@ -90,10 +92,10 @@
 
     /// Draws the candidates for the next attempt of a request; `None` if none is permitted or no
     /// server is eligible.
-    fn draw_candidates(&mut self, id: &RequestId) -> Option<Candidates> {
+    fn draw_candidates(&mut self, id: &RequestId) -> Option<Candidates<ServerIndex>> {
         let request = self.requests.get(id)?;
         let permission = self.permitted_actions(request, self.now).send;
-        let group = self.settings.classes[request.class.index()].group;
+        let group = self.settings.class(request.class).group;
         let group = RetryGroup::new(permission, group, &self.servers)?;
         let context = SelectionContext {
             now: self.now,
@@ -104,7 +106,7 @@
     }
 
     /// Probes both servers of a pair and has the request wait for their reports.
-    fn probe_pair(&mut self, id: &RequestId, pair: AdjacentPair) {
+    fn probe_pair(&mut self, id: &RequestId, pair: AdjacentPair<ServerIndex>) {
         let Some(request) = self.requests.get_mut(id) else { return };
         request.awaited_pair = Some(pair);
         let remaining = request.deadline.saturating_sub(self.now);
@@ -117,7 +119,7 @@
     }
 
     /// Sends an attempt of a request to a server.
-    pub(super) fn send(&mut self, id: &RequestId, index: usize) {
+    pub(super) fn send(&mut self, id: &RequestId, index: ServerIndex) {
         let Some(request) = self.requests.get_mut(id) else { return };
         let server = self.servers[index].listed.id;
         let attempt = request.record_send(server, self.now);
@@ -131,19 +133,18 @@
         }
     }
 
-    fn overdue_after(&self, request: &Request, index: usize) -> Nanos {
+    fn overdue_after(&self, request: &Request, index: ServerIndex) -> Nanos {
         let model = self.estimators.hardware_model(&self.servers[index]);
-        let class = &self.settings.classes[request.class.index()];
+        let class = self.settings.class(request.class);
         overdue_after(&self.estimators.latency, class, request, model)
     }
 
     /// Sends a hedge beside a slow first attempt, if the class and the retry budget allow it.
     pub(super) fn on_hedge_requested(&mut self, id: &RequestId) {
         let Some(request) = self.requests.get(id) else { return };
-        let is_safe = self.settings.classes[request.class.index()].effect == Effect::Safe;
-        let may_hedge = is_safe && request.has_one_in_flight() && self.retry_budget.covers(1.0);
-        if may_hedge && self.try_send(id) {
-            self.retry_budget.pay(1.0);
+        let may_hedge = retries::may_hedge(self.settings.class(request.class), request);
+        if may_hedge && self.retry_budget.covers(RETRY_PRICE) && self.try_send(id) {
+            self.retry_budget.pay(RETRY_PRICE);
         }
     }
 
