--- a/crates/balancer/src/api/action.rs
+++ b/crates/balancer/src/api/action.rs
@@ -1,6 +1,6 @@
 //! Actions: what a balancer has its sidecar do.
 
-use super::{AttemptNumber, RequestId, ServerId};
+use super::ids::{AttemptNumber, RequestId, ServerId};
 use mintshelf_time::Nanos;
 
 /// Why the balancer ended a request that no server has answered.
--- a/crates/balancer/src/api/endpoint.rs
+++ b/crates/balancer/src/api/endpoint.rs
@@ -1,6 +1,6 @@
 //! Entries of the endpoint lists that discovery provides.
 
-use super::ServerId;
+use super::ids::ServerId;
 use mintshelf_time::Nanos;
 
 /// Whether a listed server takes traffic.
--- a/crates/balancer/src/api/event.rs
+++ b/crates/balancer/src/api/event.rs
@@ -1,6 +1,7 @@
 //! What a sidecar reports to its balancer.
 
-use super::{AttemptNumber, ClassId, ListKind, ListedServer, RequestId, ServerId, TenantId};
+use super::endpoint::{ListKind, ListedServer};
+use super::ids::{AttemptNumber, ClassId, RequestId, ServerId, TenantId};
 use mintshelf_time::Nanos;
 use std::sync::Arc;
 
--- a/crates/balancer/src/api/ids.rs
+++ b/crates/balancer/src/api/ids.rs
@@ -1,6 +1,12 @@
-//! Numbers of classes, tenants and attempts, each with a type of its own.
+//! What servers, requests, classes, tenants and attempts are referred to by.
 
 use std::fmt;
+use std::sync::Arc;
+
+/// Number of a server, the same at every sidecar.
+pub type ServerId = u32;
+/// Opaque id of one request, unique during the lifetime of an instance.
+pub type RequestId = Arc<str>;
 
 /// Defines a number that is an index into a list.
 macro_rules! index_type {
--- a/crates/balancer/src/api/mod.rs
+++ b/crates/balancer/src/api/mod.rs
@@ -13,17 +13,10 @@
 pub use class::{Backoff, Class, Effect, Group};
 pub use endpoint::{EndpointState, ListKind, ListedServer};
 pub use event::{Event, Outcome};
-pub use ids::{AttemptNumber, ClassId, TenantId};
+pub use ids::{AttemptNumber, ClassId, RequestId, ServerId, TenantId};
 use mintshelf_time::{Nanos, SECOND};
 pub use settings::{Objective, Prices, ReportField, ReportMode, Settings, SizeKind, Tenant};
 
-use std::sync::Arc;
-
-/// Number of a server, the same at every sidecar.
-pub type ServerId = u32;
-/// Opaque id of one request, unique during the lifetime of an instance.
-pub type RequestId = Arc<str>;
-
 /// Time after which a change that discovery has, and could be polled for, counts as known to
 /// the instance, whatever calls failed.
 pub const NOTIFIED_WITHIN: Nanos = 6 * SECOND;
--- a/crates/balancer/src/api/settings.rs
+++ b/crates/balancer/src/api/settings.rs
@@ -1,6 +1,7 @@
 //! Settings of one instance: the deployment, what it permits and what it optimizes.
 
-use super::{Class, ClassId};
+use super::class::Class;
+use super::ids::ClassId;
 use mintshelf_time::Nanos;
 
 /// A tenant's quota.
--- a/crates/balancer/src/balancer/attempt_results.rs
+++ b/crates/balancer/src/balancer/attempt_results.rs
@@ -1,5 +1,6 @@
 //! Attempts that end or are overdue: what they show, and what follows.
 
+use super::inputs::AttemptEnd;
 use super::Balancer;
 use crate::api::{AttemptNumber, EndReason, Outcome, RequestId};
 use crate::decide::congestion::Congestion;
@@ -9,16 +10,6 @@
 use crate::state::{AttemptRecord, ServerIndex, Timer};
 use mintshelf_time::Nanos;
 
-/// The report that an attempt has ended.
-#[derive(Debug, Clone, Copy)]
-pub(super) struct AttemptEnd {
-    pub(super) outcome: Outcome,
-    /// Whether the request has ended with it.
-    pub(super) is_request_finished: bool,
-    /// Time since the attempt was sent.
-    pub(super) elapsed: Nanos,
-}
-
 impl Balancer {
     /// Learns from an attempt that has ended, and closes, retries or ends its request.
     pub(super) fn on_attempt_ended(
--- a/crates/balancer/src/balancer/attempts.rs
+++ b/crates/balancer/src/balancer/attempts.rs
@@ -1,7 +1,8 @@
 //! Requests from arrival to each send, and how they end.
 
+use super::inputs::Arrival;
 use super::Balancer;
-use crate::api::{Action, EndReason, RequestId, TenantId};
+use crate::api::{Action, EndReason, RequestId};
 use crate::decide::candidates::SelectionContext;
 use crate::decide::hold::{hold_until, HOLD_RETRY_INTERVAL};
 use crate::decide::overdue::overdue_after;
@@ -13,14 +14,6 @@
 use crate::state::{Request, ServerIndex, Timer};
 use mintshelf_time::Nanos;
 
-/// What a request counts as in the traffic.
-#[derive(Debug, Clone, Copy)]
-pub(super) struct Arrival {
-    pub(super) tenant: TenantId,
-    /// Whether the client has sent the request before.
-    pub(super) is_client_retry: bool,
-}
-
 impl Balancer {
     /// Rejects a request on arrival, or begins to send it.
     pub(super) fn on_request(&mut self, id: &RequestId, request: Request, arrival: Arrival) {
--- a/crates/balancer/src/balancer/mod.rs
+++ b/crates/balancer/src/balancer/mod.rs
@@ -3,6 +3,7 @@
 
 mod attempt_results;
 mod attempts;
+mod inputs;
 mod reports;
 
 use crate::api::{Action, Event, ListKind, ListedServer, RequestId, ServerId, Settings};
@@ -21,8 +22,7 @@
 use crate::gossip::GossipMessage;
 use crate::rng::Rng;
 use crate::state::{Request, ServerTable, Timer, TimerTable};
-use attempt_results::AttemptEnd;
-use attempts::Arrival;
+use inputs::{Arrival, AttemptEnd};
 use mintshelf_time::Nanos;
 use std::collections::HashMap;
 use std::mem;
--- a/crates/simulator-adapter/src/wire/event.rs
+++ b/crates/simulator-adapter/src/wire/event.rs
@@ -1,8 +1,8 @@
 //! Parses the messages that are events of a balancer.
 
+use super::error::{Problem, WireError};
 use super::fields::Fields;
 use super::vocabulary::{field, message, BOOLEANS, HAS_COST_ESTIMATE, IS_CLIENT_RETRY, OUTCOMES};
-use super::{Problem, WireError};
 use mintshelf_balancer::api::{AttemptNumber, ClassId, Event, ServerId, TenantId};
 use mintshelf_time::Nanos;
 
--- a/crates/simulator-adapter/src/wire/fields.rs
+++ b/crates/simulator-adapter/src/wire/fields.rs
@@ -1,7 +1,7 @@
 //! A cursor over the fields of one line.
 
+use super::error::{Problem, WireError};
 use super::vocabulary::ABSENT;
-use super::{Problem, WireError};
 use std::str::FromStr;
 
 /// The fields of one line, taken in order. Each method takes the field's name for errors.
--- a/crates/simulator-adapter/src/wire/reader.rs
+++ b/crates/simulator-adapter/src/wire/reader.rs
@@ -1,9 +1,9 @@
 //! Reads the messages of batches line by line, and keeps the endpoint lists given so far.
 
+use super::error::{Problem, WireError};
 use super::event::read_event;
 use super::fields::Fields;
 use super::vocabulary::{field, message, ENDPOINT_STATES, INSTANCE_PREFIX, LIST_KINDS};
-use super::{Problem, WireError};
 use mintshelf_balancer::api::{Event, ListKind, ListedServer, Settings};
 use mintshelf_balancer::settings::parse_settings;
 use mintshelf_time::Nanos;
