--- a/crates/balancer/src/balancer/attempt_results.rs
+++ b/crates/balancer/src/balancer/attempt_results.rs
@@ -65,9 +65,10 @@
         self.servers[index].record_served(ended.sent_at);
         self.learn(index, ended, elapsed, LatencyBound::Exact);
         self.servers[index].health.record_success();
-        let per_capacity = match self.servers[index].is_live() {
-            true => 1.0 / self.estimators.total_capacity(self.now, &self.servers),
-            false => 0.0,
+        let per_capacity = if self.servers[index].is_live() {
+            1.0 / self.estimators.total_capacity(self.now, &self.servers)
+        } else {
+            0.0
         };
         self.estimators.traffic.count_served(self.now, per_capacity);
     }
--- a/crates/balancer/src/balancer/attempts.rs
+++ b/crates/balancer/src/balancer/attempts.rs
@@ -150,9 +150,10 @@
         let retry_after = if gives_advice { self.settings.max_retry_after } else { 0 };
         // A client that returns after the deduplication window would have the request run twice.
         let may_reject = self.permitted_actions(request, self.now + retry_after).may_reject;
-        self.actions.push(match may_reject {
-            true => Action::Reject { id: id.clone(), retry_after, reason },
-            false => Action::Fail { id: id.clone(), reason },
+        self.actions.push(if may_reject {
+            Action::Reject { id: id.clone(), retry_after, reason }
+        } else {
+            Action::Fail { id: id.clone(), reason }
         });
         self.close(id);
     }
--- a/crates/balancer/src/decide/admission.rs
+++ b/crates/balancer/src/decide/admission.rs
@@ -70,9 +70,10 @@
             last_sample_at: now,
             class_mix: vec![1.0; classes],
             class_reject_shares: vec![0.0; classes],
-            quota_min_level: match settings.has_peers {
-                true => QUOTA_ENFORCEMENT_MIN_LEVEL,
-                false => REJECT_LEVEL_DEADBAND,
+            quota_min_level: if settings.has_peers {
+                QUOTA_ENFORCEMENT_MIN_LEVEL
+            } else {
+                REJECT_LEVEL_DEADBAND
             },
         }
     }
@@ -192,9 +193,10 @@
         let level = above_deadband / (1.0 - REJECT_LEVEL_DEADBAND);
         let mut remaining = level;
         for class in by_density {
-            let share = match rejects_least_dense_first {
-                true => remaining / work[class].max(MIN_DIVISOR),
-                false => level,
+            let share = if rejects_least_dense_first {
+                remaining / work[class].max(MIN_DIVISOR)
+            } else {
+                level
             };
             let share = share.min(MAX_REJECT_SHARE);
             self.class_reject_shares[class] = share;
--- a/crates/balancer/src/decide/retry_safety.rs
+++ b/crates/balancer/src/decide/retry_safety.rs
@@ -107,9 +107,10 @@
             let is_in_window = is_in_dedup_window(class, limits, first, at);
             let may_send = may_send && is_in_window;
             PermittedActions {
-                send: match may_send {
-                    true => SendPermission::GroupOf(first.server),
-                    false => SendPermission::Forbidden,
+                send: if may_send {
+                    SendPermission::GroupOf(first.server)
+                } else {
+                    SendPermission::Forbidden
                 },
                 may_reject: is_in_window && class.group == Group::All,
             }
--- a/crates/balancer/tests/large_fleets.rs
+++ b/crates/balancer/tests/large_fleets.rs
@@ -119,13 +119,13 @@
 }
 
 /// Sends to each server in 3 s after a complete list that adds one server, 100 a second.
-fn sends_after_complete_list(entries: Vec<ListedServer>) -> HashMap<ServerId, u32> {
+fn sends_after_complete_list(entries: &[ListedServer]) -> HashMap<ServerId, u32> {
     let mut instance = balancer_of((1..=4).map(server).collect());
     let mut counts = HashMap::new();
     for number in 0..500u64 {
         let now = SECOND + number * 10 * MILLISECOND;
         if number == 200 {
-            instance.handle(now, list(ListKind::Full, entries.clone()));
+            instance.handle(now, list(ListKind::Full, entries.to_vec()));
         }
         let id = format!("r{number}");
         let sent = sends(&instance.handle(now, request(&id, 0, SECOND)));
@@ -146,7 +146,7 @@
     for position in 0..=4 {
         let mut entries = known.clone();
         entries.insert(position, new.clone());
-        let counts = sends_after_complete_list(entries);
+        let counts = sends_after_complete_list(&entries);
         let sent: u32 = counts.values().sum();
         assert_eq!(sent, 300, "new server at {position}: {counts:?}");
         let to_new = counts.get(&5).copied().unwrap_or_default();
