--- a/crates/consensus-node/src/client.rs
+++ b/crates/consensus-node/src/client.rs
@@ -1,7 +1,7 @@
 //! Single requests of a member to the replicas of a fleet.
 
 use crate::frame::{decode, encode, Frame, FrameError, Hello, PeerIdentity, StatusReport};
-use crate::handshake::{exchange_hello, Connection, HandshakeError};
+use crate::handshake::{exchange_hello, FramedStream, HandshakeError};
 use futures_util::{SinkExt, StreamExt};
 use mintshelf_lease::command::{Command, Owner, Response};
 use std::io;
@@ -52,7 +52,7 @@
     fleet: &str,
     owner: Owner,
     replica: SocketAddr,
-) -> Result<Connection, RequestError> {
+) -> Result<FramedStream, RequestError> {
     let hello = Hello::new(fleet, PeerIdentity::Member(owner));
     let connecting = timeout(RESPONSE_TIMEOUT, TcpStream::connect(replica));
     let stream = connecting.await.map_err(|_| RequestError::Timeout)??;
@@ -66,7 +66,7 @@
 }
 
 /// Sends one frame and returns the next that arrives.
-async fn exchange(connection: &mut Connection, request: &Frame) -> Result<Frame, RequestError> {
+async fn exchange(connection: &mut FramedStream, request: &Frame) -> Result<Frame, RequestError> {
     let exchange = async {
         connection.send(encode(request)).await?;
         let bytes = connection.next().await.ok_or(RequestError::Closed)??;
--- a/crates/consensus-node/src/connection.rs
+++ b/crates/consensus-node/src/connection.rs
@@ -1,7 +1,7 @@
 //! One connection of a node: carries frames both ways, and reports what happens as events.
 
 use crate::frame::{decode, Frame, PeerIdentity};
-use crate::handshake::{Connection, IdentifiedConnection};
+use crate::handshake::{FramedStream, IdentifiedConnection};
 use futures_util::stream::{SplitSink, SplitStream};
 use futures_util::{SinkExt, StreamExt};
 use std::time::Duration;
@@ -71,7 +71,7 @@
     events.send(ConnectionEvent::Closed { id }).await.ok();
 }
 
-async fn write_frames(mut sink: SplitSink<Connection, Bytes>, mut queue: mpsc::Receiver<Bytes>) {
+async fn write_frames(mut sink: SplitSink<FramedStream, Bytes>, mut queue: mpsc::Receiver<Bytes>) {
     while let Some(bytes) = queue.recv().await {
         if !matches!(timeout(WRITE_TIMEOUT, sink.send(bytes)).await, Ok(Ok(()))) {
             return;
@@ -82,7 +82,7 @@
 async fn read_frames(
     id: ConnectionId,
     peer: &PeerIdentity,
-    mut stream: SplitStream<Connection>,
+    mut stream: SplitStream<FramedStream>,
     events: &mpsc::Sender<ConnectionEvent>,
 ) {
     while let Some(Ok(bytes)) = stream.next().await {
--- a/crates/consensus-node/src/handshake.rs
+++ b/crates/consensus-node/src/handshake.rs
@@ -15,7 +15,7 @@
 pub(crate) const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A connection that carries frames.
-pub(crate) type Connection = Framed<TcpStream, LengthDelimitedCodec>;
+pub(crate) type FramedStream = Framed<TcpStream, LengthDelimitedCodec>;
 
 /// Why a handshake failed.
 #[derive(Debug, Error)]
@@ -76,7 +76,7 @@
 
 /// A connection whose peer has identified itself.
 pub(crate) struct IdentifiedConnection {
-    pub(crate) connection: Connection,
+    pub(crate) connection: FramedStream,
     pub(crate) peer: PeerIdentity,
 }
 
--- a/crates/consensus-node/src/lease_keeper.rs
+++ b/crates/consensus-node/src/lease_keeper.rs
@@ -4,7 +4,7 @@
 use crate::client::{connect, NEXT_REPLICA_BACKOFF, RESPONSE_TIMEOUT};
 use crate::clock;
 use crate::frame::{decode, encode, Frame};
-use crate::handshake::Connection;
+use crate::handshake::FramedStream;
 use futures_util::{SinkExt, StreamExt};
 use mintshelf_lease::client::{ActiveGrant, HolderAction, LeaseClient, LeaseConfig};
 use mintshelf_lease::command::Rejection;
@@ -47,81 +47,109 @@
     status: watch::Sender<LeaseStatus>,
     stop: impl Future<Output = ()>,
 ) {
-    let mut client = LeaseClient::new(request.config.clone());
-    let mut replica_index = 0usize;
-    let mut release_deadline: Option<Nanos> = None;
-    tokio::pin!(stop);
-    loop {
-        if request.replicas.is_empty() || client.is_released() {
-            return;
-        }
-        let replica = request.replicas[replica_index % request.replicas.len()];
-        let session = run_session(&request, replica, &mut client, &status);
-        tokio::select! {
-            () = session => replica_index += 1,
-            () = &mut stop, if release_deadline.is_none() => {
-                client.release();
-                // Without a response in time the lease expires.
-                release_deadline = Some(clock::now() + request.config.duration);
-                status.send_replace(LeaseStatus::default());
-                continue;
-            }
-        }
-        if release_deadline.is_some_and(|deadline| clock::now() >= deadline) {
-            return;
-        }
-        // The lease expires also while no replica responds.
-        publish(&client, &status, None);
-        sleep(NEXT_REPLICA_BACKOFF).await;
+    let client = LeaseClient::new(request.config.clone());
+    LeaseKeeper { request, client, publisher: StatusPublisher { status } }.run(stop).await;
+}
+
+/// Publishes the status of a lease whenever it changes.
+struct StatusPublisher {
+    status: watch::Sender<LeaseStatus>,
+}
+
+impl StatusPublisher {
+    /// Publishes the client's grant, and why a request was rejected if one was just now.
+    fn publish(&self, client: &LeaseClient, rejection: Option<Rejection>) {
+        let grant = client.active_grant(clock::now());
+        self.status.send_if_modified(|published| {
+            let last_rejection = published.rejection.filter(|_| grant.is_none());
+            let current = LeaseStatus { grant, rejection: rejection.or(last_rejection) };
+            let is_modified = *published != current;
+            *published = current;
+            is_modified
+        });
+    }
+
+    /// Publishes that the lease is given up.
+    fn publish_released(&self) {
+        self.status.send_replace(LeaseStatus::default());
     }
 }
 
-fn publish(
-    client: &LeaseClient,
-    status: &watch::Sender<LeaseStatus>,
-    rejection: Option<Rejection>,
-) {
-    let grant = client.active_grant(clock::now());
-    status.send_if_modified(|published| {
-        let last_rejection = published.rejection.filter(|_| grant.is_none());
-        let current = LeaseStatus { grant, rejection: rejection.or(last_rejection) };
-        let is_modified = *published != current;
-        *published = current;
-        is_modified
-    });
+/// The client of one lease, and where it sends its requests.
+struct LeaseKeeper {
+    request: LeaseRequest,
+    client: LeaseClient,
+    publisher: StatusPublisher,
 }
 
-/// Sends requests to one replica until it does not respond or the lease is released.
-async fn run_session(
-    request: &LeaseRequest,
-    replica: SocketAddr,
-    client: &mut LeaseClient,
-    status: &watch::Sender<LeaseStatus>,
-) {
-    let owner = request.config.owner.clone();
-    let connection = match connect(&request.fleet, owner, replica).await {
-        Ok(connection) => connection,
-        Err(error) => {
-            tracing::debug!(%replica, %error, "replica unavailable");
-            return;
+impl LeaseKeeper {
+    async fn run(mut self, stop: impl Future<Output = ()>) {
+        let mut replica_index = 0usize;
+        let mut release_deadline: Option<Nanos> = None;
+        tokio::pin!(stop);
+        loop {
+            if self.request.replicas.is_empty() || self.client.is_released() {
+                return;
+            }
+            let replica = self.request.replicas[replica_index % self.request.replicas.len()];
+            tokio::select! {
+                () = self.run_session(replica) => replica_index += 1,
+                () = &mut stop, if release_deadline.is_none() => {
+                    release_deadline = Some(self.release());
+                    continue;
+                }
+            }
+            if release_deadline.is_some_and(|deadline| clock::now() >= deadline) {
+                return;
+            }
+            // The lease expires also while no replica responds.
+            self.publisher.publish(&self.client, None);
+            sleep(NEXT_REPLICA_BACKOFF).await;
         }
-    };
-    client.handle_no_response(clock::now());
-    let mut session = Session { connection, client, status, waiting_since: None };
-    while session.advance().await == SessionState::Open {}
+    }
+
+    /// Gives the lease up; returns when it has expired even if no replica responds.
+    fn release(&mut self) -> Nanos {
+        self.client.release();
+        let deadline = clock::now() + self.request.config.duration;
+        self.publisher.publish_released();
+        deadline
+    }
+
+    /// Sends requests to one replica until it does not respond or the lease is released.
+    async fn run_session(&mut self, replica: SocketAddr) {
+        let owner = self.request.config.owner.clone();
+        let connection = match connect(&self.request.fleet, owner, replica).await {
+            Ok(connection) => connection,
+            Err(error) => {
+                tracing::debug!(%replica, %error, "replica unavailable");
+                return;
+            }
+        };
+        self.client.handle_no_response(clock::now());
+        let mut session = Session {
+            connection,
+            client: &mut self.client,
+            publisher: &self.publisher,
+            waiting_since: None,
+        };
+        while session.advance().await == SessionState::Open {}
+    }
 }
 
+/// Whether a session goes on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum SessionState {
     Open,
+    /// Another replica is to be used, or nothing is left to do.
     Over,
 }
 
 /// A connection to one replica.
 struct Session<'a> {
-    connection: Connection,
+    connection: FramedStream,
     client: &'a mut LeaseClient,
-    status: &'a watch::Sender<LeaseStatus>,
+    publisher: &'a StatusPublisher,
     /// When the first request without a response so far was sent.
     waiting_since: Option<Nanos>,
 }
@@ -150,7 +178,7 @@
     async fn send_due_requests(&mut self) -> SessionState {
         let mut actions = Vec::new();
         self.client.tick(clock::now(), &mut actions);
-        publish(self.client, self.status, None);
+        self.publisher.publish(self.client, None);
         for action in actions {
             let HolderAction::Send { request_id, command } = action else { continue };
             let frame = encode(&Frame::Request { request_id, command });
@@ -173,7 +201,7 @@
                     HolderAction::Rejected(rejection) => Some(*rejection),
                     _ => None,
                 });
-                publish(self.client, self.status, rejection);
+                self.publisher.publish(self.client, rejection);
                 SessionState::Open
             }
             // Another replica may know the leader.
