--- a/crates/lease/src/timing.rs
+++ b/crates/lease/src/timing.rs
@@ -8,6 +8,8 @@
 const DURATION_MIN: Nanos = MILLISECOND;
 /// Longest duration that [`Timing`] accepts.
 const DURATION_MAX: Nanos = 86_400 * SECOND;
+/// Parts of one, in the unit of [`ClockError`].
+const PARTS_PER_MILLION: u128 = 1_000_000;
 /// Largest clock error that [`Timing`] accepts, in parts per million.
 const CLOCK_ERROR_MAX_PPM: u32 = 100_000;
 /// Heartbeats that an election timeout must cover.
@@ -37,7 +39,7 @@
     /// How far a clock may be off after a duration, rounded up.
     fn drift_over(self, duration: Nanos) -> Nanos {
         let drift = u128::from(duration) * u128::from(self.ppm);
-        u64::try_from(drift.div_ceil(1_000_000)).unwrap_or(u64::MAX)
+        u64::try_from(drift.div_ceil(PARTS_PER_MILLION)).unwrap_or(u64::MAX)
     }
 
     /// How long a holder may rely on a lease: at most `duration` of true time, on the fastest or
--- a/crates/quota/src/config.rs
+++ b/crates/quota/src/config.rs
@@ -9,6 +9,8 @@
 pub const MEMBERS_MAX: u64 = 2_048;
 /// Largest quota, in units, so that sums of products fit their integers.
 pub const TOTAL_MAX: u64 = 1 << 40;
+/// Thousandths in one.
+const PER_MILLE: u64 = 1_000;
 /// Largest headroom, in thousandths.
 const HEADROOM_PER_MILLE_MAX: u64 = 900;
 /// Shortest duration of a grant.
@@ -114,8 +116,9 @@
     #[must_use]
     pub fn divided(&self) -> u64 {
         let grantable = u128::from(self.grantable());
-        let divided_per_mille = u128::from(1_000 - self.headroom_per_mille.min(1_000));
+        let divided_per_mille = PER_MILLE.saturating_sub(self.headroom_per_mille);
+        let divided = grantable * u128::from(divided_per_mille) / u128::from(PER_MILLE);
         // Never more than what is grantable.
-        u64::try_from(grantable * divided_per_mille / 1_000).unwrap_or(u64::MAX)
+        u64::try_from(divided).unwrap_or(u64::MAX)
     }
 }
