--- a/crates/mintshelf/src/daemon/clusters.rs
+++ b/crates/mintshelf/src/daemon/clusters.rs
@@ -1,5 +1,6 @@
 //! The clusters of the applied configuration: each runs its own instance of the decision module.
 
+use super::running_cluster::{ClusterAttempts, ClusterUsage, RunningCluster};
 use mintshelf_balancer::api::ServerId;
 use mintshelf_config::balancer::{balancer_config, BalancerConfig, ClusterServer};
 use mintshelf_config::model::{Cluster, OperatorConfig};
@@ -11,90 +12,16 @@
 use mintshelf_proxy::upstream::pool::ConnectionPool;
 use mintshelf_proxy::upstream::response::{PlainProtocol, UpstreamProtocol};
 use mintshelf_proxy::websocket::registry::SocketRegistry;
-use mintshelf_recovery::Phase;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::task::{spawn_local, AbortHandle};
+use tokio::task::spawn_local;
 use tokio::time::sleep;
 
 /// Time between two checks whether the last request has ended.
 pub(super) const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Levels of one cluster.
-pub struct ClusterUsage {
-    /// Its name.
-    pub cluster: String,
-    /// Requests that have no response yet.
-    pub open_requests: usize,
-    /// Timers that are set for them.
-    pub timers: usize,
-    /// Endpoints in its list.
-    pub endpoints: usize,
-    /// Whether it is out or recovers.
-    pub phase: Phase,
-    /// Clients whose `Retry-After` has not passed yet.
-    pub expected_clients: u64,
-}
-
-/// Counts of one cluster's attempts.
-pub struct ClusterAttempts {
-    /// Its name.
-    pub cluster: String,
-    /// Attempts that were ended by their own timeout.
-    pub timed_out: u64,
-    /// Hedges that were sent.
-    pub hedged: u64,
-}
-
-/// A cluster of the applied configuration.
-struct RunningCluster {
-    handle: Rc<ClusterHandle>,
-    config: BalancerConfig,
-    protocol: UpstreamProtocol,
-    /// The task that runs what goes by the clock.
-    task: AbortHandle,
-}
-
-impl RunningCluster {
-    fn runtime(&self) -> &Rc<ClusterRuntime> {
-        &self.handle.runtime
-    }
-
-    /// Whether no request is open at the cluster.
-    fn is_idle(&self) -> bool {
-        self.runtime().is_idle()
-    }
-
-    fn usage(&self, name: &str) -> ClusterUsage {
-        let usage = self.runtime().usage();
-        let recovery = self.runtime().recovery_status();
-        ClusterUsage {
-            cluster: name.to_string(),
-            open_requests: usage.requests,
-            timers: usage.timers,
-            endpoints: self.config.servers.len(),
-            phase: recovery.map_or(Phase::Normal, |recovery| recovery.phase),
-            expected_clients: recovery.map_or(0, |recovery| recovery.expected_clients),
-        }
-    }
-
-    fn attempts(&self, name: &str) -> ClusterAttempts {
-        let counts = self.runtime().attempt_counts();
-        ClusterAttempts {
-            cluster: name.to_string(),
-            timed_out: counts.timed_out,
-            hedged: counts.hedged,
-        }
-    }
-
-    /// Whether the cluster can go on with this configuration, with its endpoints at most changed.
-    fn can_continue(&self, config: &BalancerConfig, protocol: &UpstreamProtocol) -> bool {
-        self.config.differs_in_servers_only(config) && self.protocol == *protocol
-    }
-}
-
 /// The clusters of the applied configuration, and what they share.
 pub(super) struct ClusterSet {
     clusters: BTreeMap<String, RunningCluster>,
--- a/crates/mintshelf/src/fleet/lease_guard.rs
+++ b/crates/mintshelf/src/fleet/lease_guard.rs
@@ -12,10 +12,10 @@
 use std::thread;
 use std::time::Duration;
 
-/// The command is terminated when this part of the lease duration is left.
-const TERMINATE_PART: u64 = 4;
-/// The command is killed when this part of the lease duration is left.
-const KILL_PART: u64 = 8;
+/// The command is terminated when this part of the lease duration is left, as a divisor.
+const TERMINATE_DIVISOR: u64 = 4;
+/// The command is killed when this part of the lease duration is left, as a divisor.
+const KILL_DIVISOR: u64 = 8;
 /// How often the command and the lease are checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
@@ -101,11 +101,11 @@
             }
             let is_holder_alive = self.receive_renewal(renewals);
             let remaining = self.expires_at.saturating_sub(clock::now());
-            if !is_holder_alive || remaining < self.duration / KILL_PART {
+            if !is_holder_alive || remaining < self.duration / KILL_DIVISOR {
                 self.kill();
                 return EXIT_LOST;
             }
-            if remaining < self.duration / TERMINATE_PART && !self.is_terminated {
+            if remaining < self.duration / TERMINATE_DIVISOR && !self.is_terminated {
                 self.is_terminated = true;
                 self.signal_group(Signal::TERM);
             }
