--- a/crates/balancer/src/balancer/reports.rs
+++ b/crates/balancer/src/balancer/reports.rs
@@ -5,24 +5,26 @@
 use crate::decide::load_reports;
 use crate::decide::retry_safety::SendPermission;
 use crate::server_order::AdjacentPair;
-
-/// Weight of a failed probe, as a failure of its server.
-const PROBE_FAILURE_WEIGHT: f64 = 0.5;
+use crate::state::ServerIndex;
 
 impl Balancer {
     /// Probes a server for its load, unless that was done just now.
-    pub(super) fn probe(&mut self, index: usize) {
+    pub(super) fn probe(&mut self, index: ServerIndex) {
         let server = &mut self.servers[index];
         if server.is_live() && server.report.begin_probe(self.now) {
             self.actions.push(Action::Probe { server: server.listed.id });
         }
     }
 
+    /// Learns from a probe that has ended; requests that waited for a report may go on.
     pub(super) fn on_probed(&mut self, id: ServerId, outcome: Outcome, report: Option<&[f64]>) {
         let is_ok = outcome == Outcome::Ok;
         match (report, self.servers.index_of(id)) {
             (Some(report), Some(index)) if is_ok => self.on_report(index, report),
-            (_, Some(index)) if !is_ok => self.record_failure(index, PROBE_FAILURE_WEIGHT),
+            (_, Some(index)) if !is_ok => {
+                let is_ejected = self.servers[index].health.record_failed_probe(self.now);
+                self.on_health_changed(index, is_ejected);
+            }
             _ => {}
         }
         for request in self.load_reports.take_awaiting() {
@@ -30,14 +32,15 @@
         }
     }
 
-    fn on_report(&mut self, index: usize, values: &[f64]) {
+    fn on_report(&mut self, index: ServerIndex, values: &[f64]) {
         let reports = &mut self.load_reports;
         let estimators = &self.estimators;
         let settings = &self.settings;
         let is_fault =
             reports.record(self.now, settings, estimators, &mut self.servers, index, values);
         if is_fault {
-            self.record_fault(index);
+            let is_ejected = self.servers[index].health.record_fault(self.now);
+            self.on_health_changed(index, is_ejected);
         }
     }
 
@@ -59,12 +62,12 @@
     }
 
     /// The pair whose reports an open request waits for.
-    fn awaited_pair(&self, id: &RequestId) -> Option<AdjacentPair> {
+    fn awaited_pair(&self, id: &RequestId) -> Option<AdjacentPair<ServerIndex>> {
         let open = self.requests.get(id).filter(|request| !request.is_finished())?;
         open.awaited_pair
     }
 
-    fn choose_of_pair(&mut self, id: &RequestId, pair: &AdjacentPair) {
+    fn choose_of_pair(&mut self, id: &RequestId, pair: &AdjacentPair<ServerIndex>) {
         let Some(request) = self.requests.get_mut(id) else { return };
         request.awaited_pair = None;
         let is_first = request.attempts().is_empty();
@@ -81,7 +84,7 @@
     }
 
     /// Whether the expected wait at a server is longer than any class can afford.
-    fn is_queue_too_long(&self, index: usize) -> bool {
+    fn is_queue_too_long(&self, index: ServerIndex) -> bool {
         let mean_speed = self.orders.mean_speed();
         let server = &self.servers[index];
         let wait = load_reports::expected_wait(&self.estimators, server, mean_speed, self.now);
@@ -89,7 +92,7 @@
     }
 
     /// The better server of a pair if it is eligible, else the other one if that is.
-    fn join_eligible(&mut self, pair: &AdjacentPair) -> Option<usize> {
+    fn join_eligible(&mut self, pair: &AdjacentPair<ServerIndex>) -> Option<ServerIndex> {
         let queues = load_reports::queues(&self.servers, pair, self.now);
         let first = pair.join(|| self.rng.draw(), queues);
         let other = if pair.servers[0] == first { pair.servers[1] } else { pair.servers[0] };
--- a/crates/test-support/src/soak/scenario.rs
+++ b/crates/test-support/src/soak/scenario.rs
@@ -20,6 +20,7 @@
     pub const ALL: [Class; 3] = [Class::Safe, Class::Keyed, Class::Unsafe];
 
     /// Its name in the settings and in requests.
+    #[must_use]
     pub fn name(self) -> &'static str {
         match self {
             Class::Safe => "safe",
@@ -120,6 +121,11 @@
     }
 
     /// An integer from `min` to `max`, both included.
+    #[allow(
+        clippy::cast_possible_truncation,
+        clippy::cast_sign_loss,
+        reason = "a product of small numbers that are not negative, rounded down"
+    )]
     pub(super) fn between(&mut self, min: usize, max: usize) -> usize {
         min + (self.uniform() * (max - min + 1) as f64) as usize
     }
@@ -128,8 +134,8 @@
         self.uniform() < probability
     }
 
-    pub(super) fn millis(&mut self, min: u64, max: u64) -> Duration {
-        Duration::from_millis(self.between(min as usize, max as usize) as u64)
+    pub(super) fn millis(&mut self, min: usize, max: usize) -> Duration {
+        Duration::from_millis(self.between(min, max) as u64)
     }
 }
 
@@ -150,6 +156,7 @@
 
 impl Scenario {
     /// The run of a seed; `servers` at the start, on a part of a core if `is_limited`.
+    #[must_use]
     pub fn new(seed: u64, servers: usize, is_limited: bool) -> Self {
         let mut random = SeededRandom::new(seed);
         let mut events = release(&mut random, servers);
@@ -157,7 +164,8 @@
         let reloads = random.between(0, 3);
         let reload_at = random.millis(1_000, 6_000);
         for number in 0..reloads {
-            events.push((reload_at + Duration::from_millis(120) * number as u32, Event::Reload));
+            let delay = Duration::from_millis(120 * number as u64);
+            events.push((reload_at + delay, Event::Reload));
         }
         events.push((random.millis(4_000, 6_000), Event::Restart));
         let rate = 20.0 + 30.0 * random.uniform();
