--- a/crates/balancer/src/decide/server_report.rs
+++ b/crates/balancer/src/decide/server_report.rs
@@ -16,7 +16,9 @@
     values: Vec<f64>,
     /// The queue that it states, plus the requests sent since.
     queue: f64,
+    /// When it came; 0 before the first.
     reported_at: Nanos,
+    /// When the server was last probed; 0 before the first probe.
     probed_at: Nanos,
 }
 
--- a/crates/balancer/src/state/server.rs
+++ b/crates/balancer/src/state/server.rs
@@ -19,9 +19,9 @@
     pub(crate) in_flight: u32,
     /// Those of them that are overdue.
     pub(crate) overdue: u32,
-    /// When the latest attempt that it served was sent.
+    /// When the latest attempt that it served was sent; 0 before the first.
     pub(crate) last_served_sent_at: Nanos,
-    /// When it last responded to anything.
+    /// When it last responded to anything; 0 before the first response.
     pub(crate) last_response_at: Nanos,
     pub(crate) health: ServerHealth,
     pub(crate) latency: ServerLatency,
