--- a/crates/proxy/src/cluster/attempt.rs
+++ b/crates/proxy/src/cluster/attempt.rs
@@ -5,9 +5,9 @@
 //! the response to the client, and reports its outcome.
 
 use super::attempt_context::AttemptContext;
+use super::attempt_record::AttemptEnd;
 use super::attempt_supervisor::AttemptSupervisor;
 use super::attempt_timeouts::{self, AttemptTimeouts};
-use super::pending_requests::AttemptEnd;
 use crate::upstream::attempt_control::AttemptControl;
 use crate::upstream::connection::Target;
 use crate::upstream::exchange::AttemptDeadlines;
--- a/crates/proxy/src/cluster/attempt_observer.rs
+++ b/crates/proxy/src/cluster/attempt_observer.rs
@@ -1,11 +1,11 @@
 //! Observers of attempts' ends: the log, and the owners of other connections to a server at which
 //! an attempt broke off.
 
-use super::pending_requests::EndedAttempt;
+use super::attempt_record::EndedAttempt;
 use crate::clock::Clock;
 use crate::endpoints::Endpoints;
 use crate::request_log::RequestLog;
-use mintshelf_balancer::api::{AttemptNumber, Outcome, RequestId, ServerId};
+use mintshelf_balancer::api::{Outcome, RequestId, ServerId};
 use mintshelf_time::{MICROSECOND, MILLISECOND};
 use std::cell::RefCell;
 use tracing::{debug, Level};
@@ -21,16 +21,17 @@
 /// Observes the ends of a cluster's attempts.
 pub(crate) struct AttemptObserver {
     clock: Clock,
+    endpoints: Endpoints,
     /// Absent where single requests are not logged.
     log: Option<ClusterLog>,
     on_suspicion: RefCell<Option<SuspicionCallback>>,
 }
 
 impl AttemptObserver {
-    /// Logs under the name of a cluster, if there is one.
-    pub(crate) fn new(cluster: Option<String>, clock: Clock) -> Self {
+    /// Logs under the name of a cluster, if there is one; `endpoints` has the servers' addresses.
+    pub(crate) fn new(cluster: Option<String>, endpoints: Endpoints, clock: Clock) -> Self {
         let log = cluster.map(|cluster| ClusterLog { cluster, log: RequestLog::new(&clock) });
-        AttemptObserver { clock, log, on_suspicion: RefCell::default() }
+        AttemptObserver { clock, endpoints, log, on_suspicion: RefCell::default() }
     }
 
     /// Calls this with each server at which an attempt has broken off.
@@ -39,38 +40,25 @@
     }
 
     /// Reports how an attempt ended.
-    pub(crate) fn attempt_ended(
-        &self,
-        id: &RequestId,
-        number: AttemptNumber,
-        outcome: Outcome,
-        ended: &EndedAttempt,
-        endpoints: &Endpoints,
-    ) {
+    pub(crate) fn attempt_ended(&self, id: &RequestId, ended: &EndedAttempt) {
         debug!(
             request = %id,
-            attempt = number.get() + 1,
+            attempt = ended.number.get() + 1,
             server = ended.server,
-            ?outcome,
+            outcome = ?ended.outcome,
             took_us = ended.elapsed / MICROSECOND,
             "attempt concluded"
         );
-        self.log_fault(number, outcome, ended, endpoints);
-        if matches!(outcome, Outcome::Reset | Outcome::ConnectFailed | Outcome::TimedOut) {
+        self.log_fault(ended);
+        if matches!(ended.outcome, Outcome::Reset | Outcome::ConnectFailed | Outcome::TimedOut) {
             if let Some(callback) = &*self.on_suspicion.borrow() {
                 callback(ended.server);
             }
         }
     }
 
-    fn log_fault(
-        &self,
-        number: AttemptNumber,
-        outcome: Outcome,
-        ended: &EndedAttempt,
-        endpoints: &Endpoints,
-    ) {
-        if matches!(outcome, Outcome::Ok | Outcome::Rejected | Outcome::Cancelled) {
+    fn log_fault(&self, ended: &EndedAttempt) {
+        if matches!(ended.outcome, Outcome::Ok | Outcome::Rejected | Outcome::Cancelled) {
             return;
         }
         let Some(ClusterLog { cluster, log }) = &self.log else { return };
@@ -78,13 +66,13 @@
             return;
         }
         let Some(omitted) = log.try_write(&self.clock) else { return };
-        let endpoint = endpoints.address(ended.server);
+        let endpoint = self.endpoints.address(ended.server);
         let endpoint = endpoint.map(|address| address.to_string()).unwrap_or_default();
         tracing::info!(
             %cluster,
             endpoint,
-            attempt = number.get() + 1,
-            ?outcome,
+            attempt = ended.number.get() + 1,
+            outcome = ?ended.outcome,
             took_ms = ended.elapsed / MILLISECOND,
             omitted,
             "attempt ended"
--- a/crates/proxy/src/cluster/attempt_start.rs
+++ b/crates/proxy/src/cluster/attempt_start.rs
@@ -2,8 +2,9 @@
 
 use super::attempt::AttemptTask;
 use super::attempt_context::AttemptContext;
+use super::attempt_record::NewAttempt;
 use super::attempt_supervisor::AttemptSupervisor;
-use super::pending_requests::{NewAttempt, PendingRequest};
+use super::pending_requests::PendingRequest;
 use super::request::RequestOutcome;
 use super::state::RuntimeState;
 use super::trace;
--- a/crates/proxy/src/cluster/attempt_supervisor.rs
+++ b/crates/proxy/src/cluster/attempt_supervisor.rs
@@ -1,6 +1,6 @@
 //! What attempts need of the owner of their requests.
 
-use super::pending_requests::AttemptEnd;
+use super::attempt_record::AttemptEnd;
 use crate::upstream::response::UpstreamResponse;
 use mintshelf_balancer::api::{Event, RequestId};
 use std::rc::Rc;
--- a/crates/proxy/src/cluster/mod.rs
+++ b/crates/proxy/src/cluster/mod.rs
@@ -2,7 +2,8 @@
 //!
 //! - `runtime.rs` has the loop of events and actions; `serve.rs` a request's way into it and out;
 //!   `status.rs` what is read of it.
-//! - `state.rs`, `pending_requests.rs` and `timers.rs` hold what a turn of that loop changes.
+//! - `state.rs`, `pending_requests.rs`, `attempt_record.rs` and `timers.rs` hold what a turn of that
+//!   loop changes.
 //! - `attempt_start.rs` and `attempt.rs` are the life of one attempt; `attempt_context.rs` has what
 //!   all attempts share, `attempt_supervisor.rs` what they need of the runtime, and
 //!   `attempt_timeouts.rs` their own timeouts and hedges.
@@ -11,6 +12,7 @@
 mod attempt;
 mod attempt_context;
 mod attempt_observer;
+mod attempt_record;
 mod attempt_start;
 mod attempt_supervisor;
 mod attempt_timeouts;
--- a/crates/proxy/src/cluster/pending_requests.rs
+++ b/crates/proxy/src/cluster/pending_requests.rs
@@ -1,5 +1,6 @@
 //! The open requests of a cluster, with their attempts and the state of each.
 
+use super::attempt_record::{Attempt, AttemptEnd, EndedAttempt, NewAttempt};
 use super::pending_response::PendingResponse;
 use super::request::{RequestOutcome, UpstreamRequest};
 use crate::upstream::attempt_control::AttemptControl;
@@ -27,14 +28,6 @@
     pub(crate) timed_out: bool,
 }
 
-/// An attempt that was just added to its request.
-pub(crate) struct NewAttempt {
-    pub(crate) number: AttemptNumber,
-    pub(crate) control: Rc<AttemptControl>,
-    /// Whether another attempt is in flight at the same server.
-    pub(crate) is_duplicate: bool,
-}
-
 impl PendingRequest {
     /// A request without attempts.
     pub(crate) fn new(
@@ -84,54 +77,6 @@
     }
 }
 
-/// One attempt of a request.
-pub(crate) struct Attempt {
-    pub(crate) server: ServerId,
-    pub(crate) sent_at: Nanos,
-    pub(crate) control: Rc<AttemptControl>,
-    /// Absent while it is in flight.
-    pub(crate) outcome: Option<Outcome>,
-}
-
-impl Attempt {
-    fn is_in_flight(&self) -> bool {
-        self.outcome.is_none()
-    }
-
-    /// Whether it may have had its effect.
-    fn may_have_run(&self) -> bool {
-        !self.outcome.is_some_and(Outcome::never_ran)
-    }
-}
-
-/// How an attempt ended.
-pub(crate) struct AttemptEnd {
-    pub(crate) number: AttemptNumber,
-    pub(crate) outcome: Outcome,
-    pub(crate) load_report: Option<Vec<f64>>,
-    /// When the head of its response arrived, where that is not now.
-    pub(crate) responded_at: Option<Nanos>,
-}
-
-impl AttemptEnd {
-    /// The end, now, of an attempt that brought no load report.
-    pub(crate) fn new(number: AttemptNumber, outcome: Outcome) -> Self {
-        AttemptEnd { number, outcome, load_report: None, responded_at: None }
-    }
-}
-
-/// An attempt whose end was recorded.
-pub(crate) struct EndedAttempt {
-    pub(crate) class: ClassId,
-    pub(crate) server: ServerId,
-    /// How long its response took, in nanoseconds.
-    pub(crate) elapsed: Nanos,
-    /// Whether that was within the class's latency objective.
-    pub(crate) is_in_time: bool,
-    /// The event for the decision module.
-    pub(crate) event: Event,
-}
-
 /// A request that still waits for its response.
 pub(crate) struct WaitingRequest {
     pub(crate) id: RequestId,
@@ -264,6 +209,8 @@
         let elapsed = end.responded_at.unwrap_or(now).saturating_sub(attempt.sent_at);
         let server = attempt.server;
         let ended = EndedAttempt {
+            number: end.number,
+            outcome: end.outcome,
             class: request.class,
             server,
             elapsed,
--- a/crates/proxy/src/cluster/runtime.rs
+++ b/crates/proxy/src/cluster/runtime.rs
@@ -3,12 +3,12 @@
 
 use super::attempt_context::AttemptContext;
 use super::attempt_observer::AttemptObserver;
+use super::attempt_record::AttemptEnd;
 use super::attempt_start::{start_attempt, AttemptOrder};
 use super::attempt_supervisor::AttemptSupervisor;
 use super::endpoint_source::EndpointSource;
 use super::health_check::{unreachable, HealthChecker};
 use super::peers::PeerGossip;
-use super::pending_requests::AttemptEnd;
 use super::recovery::RecoveryTracker;
 use super::request::RequestOutcome;
 use super::spec::{ClusterSpec, DiscoverySpec};
@@ -75,6 +75,7 @@
         let source = EndpointSource::new(spec.names.clone(), discovery_address);
         let upstream = Upstream::new(pool, source.endpoints.clone(), spec.upstream_settings());
         let health_checker = HealthChecker::new(&spec, upstream.clone(), clock);
+        let observer = AttemptObserver::new(spec.name.clone(), source.endpoints.clone(), clock);
         let runtime = Rc::new(ClusterRuntime {
             state: RefCell::new(RuntimeState::new(balancer)),
             context: Rc::new(AttemptContext::new(&spec, upstream.clone(), clock)),
@@ -84,7 +85,7 @@
             health_checker,
             recovery: spec.recovery_tracker(),
             peers: spec.peers.filter(|_| spec.settings.has_peers),
-            observer: AttemptObserver::new(spec.name, clock),
+            observer,
         });
         runtime.perform_all(&mut runtime.state.borrow_mut(), actions);
         runtime.start_discovery(spec.discovery, spec.settings.must_poll);
@@ -225,15 +226,13 @@
     fn attempt_ended(self: &Rc<Self>, id: &RequestId, end: AttemptEnd) {
         let mut state = self.state.borrow_mut();
         let now = self.clock.now();
-        let number = end.number;
-        let outcome = end.outcome;
         if let Some(ended) = state.requests.end_attempt(id, end, now) {
-            if outcome.answered() {
+            if ended.outcome.answered() {
                 self.context.retries.record_response(ended.class, now, ended.elapsed);
             }
-            self.observer.attempt_ended(id, number, outcome, &ended, &self.source.endpoints);
+            self.observer.attempt_ended(id, &ended);
             if let Some(recovery) = &self.recovery {
-                recovery.attempt_ended(now, outcome, ended.is_in_time);
+                recovery.attempt_ended(now, ended.outcome, ended.is_in_time);
             }
             state.events.push_back(ended.event);
         }
--- a/crates/proxy/src/cluster/state.rs
+++ b/crates/proxy/src/cluster/state.rs
@@ -1,6 +1,7 @@
 //! The decision module with the open requests and timers, changed in one turn at a time.
 
-use super::pending_requests::{AttemptEnd, PendingRequest, PendingRequests};
+use super::attempt_record::AttemptEnd;
+use super::pending_requests::{PendingRequest, PendingRequests};
 use super::request::RequestOutcome;
 use super::timers::TimerQueue;
 use mintshelf_balancer::api::{AttemptNumber, Class, Effect, Event, Outcome, RequestId};
