--- a/crates/balancer/src/decide/candidates.rs
+++ b/crates/balancer/src/decide/candidates.rs
@@ -120,6 +120,11 @@
 }
 
 /// A calculated number of servers without its fraction; 0 if it is negative or no number.
+#[allow(
+    clippy::cast_possible_truncation,
+    clippy::cast_sign_loss,
+    reason = "the conversion saturates, as documented"
+)]
 fn truncated_count(servers: f64) -> usize {
     servers as usize
 }
--- a/crates/balancer/src/decide/endpoint_lists.rs
+++ b/crates/balancer/src/decide/endpoint_lists.rs
@@ -136,6 +136,11 @@
 
     /// A random rank, the same at each list. An order that is cut short then has more servers of
     /// the own zone, according to the price of crossing zones.
+    #[allow(
+        clippy::cast_possible_truncation,
+        clippy::cast_sign_loss,
+        reason = "the conversion saturates, and ranks may be equal"
+    )]
     fn order_rank(&self, entry: &ListedServer) -> u64 {
         let own = hash(u64::from(self.self_index) + 1);
         let uniform = hash(hash(u64::from(entry.id)) ^ own) as f64 / HASH_RANGE;
--- a/crates/balancer/src/gossip.rs
+++ b/crates/balancer/src/gossip.rs
@@ -51,6 +51,10 @@
 
     /// Encodes the message; tenants and servers that don't fit are left out.
     #[must_use]
+    #[allow(
+        clippy::cast_possible_truncation,
+        reason = "tenants number fewer than 64, and sums are sent with less precision"
+    )]
     pub fn encode(&self) -> Vec<u8> {
         let tenants = self.tenants.len().min((MAX_BYTES - HEADER_BYTES) / SUM_BYTES);
         let mut bytes = vec![VERSION, tenants as u8];
@@ -87,6 +91,11 @@
 }
 
 impl ServerObservation {
+    #[allow(
+        clippy::cast_possible_truncation,
+        clippy::cast_sign_loss,
+        reason = "the conversions saturate at the ends of the range"
+    )]
     fn encode(&self) -> [u8; SERVER_BYTES] {
         let mean = (self.sum / self.count.max(MIN_COUNT) * MEAN_STEPS).round() as i8;
         let [mean] = mean.to_le_bytes();
--- a/crates/balancer/src/rng.rs
+++ b/crates/balancer/src/rng.rs
@@ -19,11 +19,21 @@
     }
 
     /// A uniform position in a list of `length` items; 0 if there are none.
+    #[allow(
+        clippy::cast_possible_truncation,
+        clippy::cast_sign_loss,
+        reason = "the product is at least 0 and below the length"
+    )]
     pub fn draw_index(&mut self, length: usize) -> usize {
         (self.draw() * length as f64) as usize
     }
 
     /// A uniform integer below `bound`; 0 if that is 0.
+    #[allow(
+        clippy::cast_possible_truncation,
+        clippy::cast_sign_loss,
+        reason = "the product is at least 0 and below the bound"
+    )]
     pub fn draw_below(&mut self, bound: u32) -> u32 {
         (self.draw() * f64::from(bound)) as u32
     }
--- a/crates/time/src/lib.rs
+++ b/crates/time/src/lib.rs
@@ -50,6 +50,11 @@
 /// A calculated number of nanoseconds as a duration, without its fraction: 0 for a negative
 /// number or none (NaN), `u64::MAX` for one that is too large.
 #[must_use]
+#[allow(
+    clippy::cast_possible_truncation,
+    clippy::cast_sign_loss,
+    reason = "the conversion saturates, as documented"
+)]
 pub fn from_float(nanoseconds: f64) -> Nanos {
     nanoseconds as Nanos
 }
