--- a/crates/proxy/src/cluster/request.rs
+++ b/crates/proxy/src/cluster/request.rs
@@ -40,7 +40,7 @@
     /// What it concerns.
     pub key: Option<u64>,
     /// Expected work in nanoseconds, if known.
-    pub cost_hint: Option<Nanos>,
+    pub cost_estimate: Option<Nanos>,
     /// Whether the client marked it as a repeat.
     pub is_repeat: bool,
     /// How long the client waits, in nanoseconds.
--- a/crates/proxy/src/cluster/serve.rs
+++ b/crates/proxy/src/cluster/serve.rs
@@ -88,7 +88,7 @@
             class: metadata.class,
             tenant: metadata.tenant,
             key: metadata.key,
-            cost_estimate: metadata.cost_hint,
+            cost_estimate: metadata.cost_estimate,
             is_client_retry: metadata.is_repeat,
             client_timeout: metadata.client_timeout,
         });
--- a/crates/proxy/src/gateway/dispatch.rs
+++ b/crates/proxy/src/gateway/dispatch.rs
@@ -66,7 +66,7 @@
         class,
         tenant: TenantId::default(),
         key: None,
-        cost_hint: None,
+        cost_estimate: None,
         is_repeat,
         client_timeout,
     };
--- a/crates/proxy/src/platform/metadata.rs
+++ b/crates/proxy/src/platform/metadata.rs
@@ -4,7 +4,7 @@
 use crate::cluster::request::RequestMetadata;
 use crate::headers::{cookie_pairs, text};
 use crate::platform_protocol::{
-    CLASS, COST_HINT_US, KEY_COOKIE_PREFIX, LABELS, REMAINING_MS, RETRY, TENANT, TRANSACTION_ID,
+    CLASS, COST_ESTIMATE_US, KEY_COOKIE_PREFIX, LABELS, REMAINING_MS, RETRY, TENANT, TRANSACTION_ID,
 };
 use hyper::header::{HeaderMap, HeaderName};
 use mintshelf_balancer::api::{ClassId, Settings, TenantId};
@@ -32,14 +32,14 @@
         None => return Err(RejectedRequest::bad_request("X-Org is not a tenant\n")),
     };
     let client_timeout = read_client_timeout(headers, settings.classes[class].deadline)?;
-    let cost_hint = read_cost_hint(headers)?;
+    let cost_estimate = read_cost_estimate(headers)?;
     check_labels(headers)?;
     let key = cookie_pairs(headers).find_map(|pair| pair.strip_prefix(KEY_COOKIE_PREFIX));
     Ok(RequestMetadata {
         class: ClassId::from_index(class),
         tenant: TenantId::from_index(tenant),
         key: key.and_then(|key| u64::from_str_radix(key, 16).ok()),
-        cost_hint,
+        cost_estimate,
         is_repeat: text(headers, &RETRY) == Some("1"),
         client_timeout,
     })
@@ -64,11 +64,11 @@
 }
 
 /// The expected work in nanoseconds, if the client states some.
-fn read_cost_hint(headers: &HeaderMap) -> Result<Option<Nanos>, RejectedRequest> {
-    let cost_us = read_number::<f64>(headers, &COST_HINT_US)
+fn read_cost_estimate(headers: &HeaderMap) -> Result<Option<Nanos>, RejectedRequest> {
+    let cost_us = read_number::<f64>(headers, &COST_ESTIMATE_US)
         .map_err(|MalformedNumber| RejectedRequest::bad_request("X-Estimate is not a number\n"))?;
-    let cost_hint = cost_us.map(|cost_us| from_float(cost_us * as_float(MICROSECOND)));
-    Ok(cost_hint.filter(|cost| *cost > 0))
+    let cost_estimate = cost_us.map(|cost_us| from_float(cost_us * as_float(MICROSECOND)));
+    Ok(cost_estimate.filter(|cost| *cost > 0))
 }
 
 /// Checks the labels, which are not used: `name=number, ...`.
--- a/crates/proxy/src/platform_protocol.rs
+++ b/crates/proxy/src/platform_protocol.rs
@@ -6,7 +6,7 @@
 //! | `X-Lane` | class |
 //! | `X-Org` | tenant |
 //! | `X-Remaining-Ms` | client timeout, in milliseconds: of a client, and of an attempt towards its server |
-//! | `X-Estimate` | cost hint: the expected work, in microseconds |
+//! | `X-Estimate` | cost estimate: the expected work, in microseconds |
 //! | `X-Labels` | labels, which are checked and not used |
 //! | `X-Resent` | whether a request is a client's retry |
 //! | `obj` (cookie) | key: what a request concerns, in hexadecimal digits |
@@ -27,7 +27,7 @@
 /// Header with the time for which the sender still waits, in milliseconds.
 pub(crate) const REMAINING_MS: HeaderName = HeaderName::from_static("x-remaining-ms");
 /// Header with the expected work, in microseconds.
-pub(crate) const COST_HINT_US: HeaderName = HeaderName::from_static("x-estimate");
+pub(crate) const COST_ESTIMATE_US: HeaderName = HeaderName::from_static("x-estimate");
 /// Header with figures by name.
 pub(crate) const LABELS: HeaderName = HeaderName::from_static("x-labels");
 /// Header that marks a client's retry, with the value 1.
