--- a/crates/balancer/tests/admission.rs
+++ b/crates/balancer/tests/admission.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{ended, ended_after, rejected, request, sends, settings, TestBalancer};
-use mintshelf_balancer::api::{Action, AttemptNumber, Event, Outcome, ServerId};
+use mintshelf_balancer::api::{Action, Event, Outcome, ServerId};
 use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 
 /// Sends a safe request; how it ends, after `elapsed`, if it is sent at all.
@@ -123,20 +123,7 @@
                 instance.handle(now, Event::Timer { token });
             }
             for server in sends(&actions) {
-                let id = name.as_str().into();
-                let attempt = AttemptNumber::default();
-                let outcome = Outcome::Ok;
-                let is_request_finished = true;
-                let report = None;
-                let end = Event::AttemptEnded {
-                    id,
-                    attempt,
-                    outcome,
-                    is_request_finished,
-                    elapsed,
-                    server,
-                    report,
-                };
+                let end = ended_after(elapsed, &name, server, Outcome::Ok);
                 instance.handle(now, end);
             }
         }
--- a/crates/balancer/tests/server_speed.rs
+++ b/crates/balancer/tests/server_speed.rs
@@ -2,10 +2,8 @@
 
 mod common;
 
-use common::{list, rejected, request, sends, server, settings, TestBalancer};
-use mintshelf_balancer::api::{
-    Action, AttemptNumber, Event, ListKind, ListedServer, Outcome, Settings, SizeKind,
-};
+use common::{ended_after, list, rejected, request, sends, server, settings, TestBalancer};
+use mintshelf_balancer::api::{Action, Event, ListKind, ListedServer, Outcome, Settings, SizeKind};
 use mintshelf_time::{Nanos, MILLISECOND, SECOND};
 
 fn request_with_work(id: &str, cost: Nanos) -> Event {
@@ -35,21 +33,7 @@
         let id = format!("t{i}");
         let to = sends(&instance.handle(now, request_with_work(&id, 50 * MILLISECOND)))[0];
         let elapsed = if to % 2 == 1 { 100 * MILLISECOND } else { 50 * MILLISECOND };
-        let id = id.as_str().into();
-        let attempt = AttemptNumber::default();
-        let outcome = Outcome::Ok;
-        let is_request_finished = true;
-        let server = to;
-        let report = None;
-        let end = Event::AttemptEnded {
-            id,
-            attempt,
-            outcome,
-            is_request_finished,
-            elapsed,
-            server,
-            report,
-        };
+        let end = ended_after(elapsed, &id, to, Outcome::Ok);
         instance.handle(now + elapsed, end);
     }
     instance
@@ -95,20 +79,7 @@
         last[(server % 2) as usize] = timer.expect("a timer for the attempt");
         // The objective is 400 ms, of which 0.6 are 240.
         let elapsed = if server % 2 == 1 { 170 * MILLISECOND } else { 60 * MILLISECOND };
-        let id = name.as_str().into();
-        let attempt = AttemptNumber::default();
-        let outcome = Outcome::Ok;
-        let is_request_finished = true;
-        let report = None;
-        let end = Event::AttemptEnded {
-            id,
-            attempt,
-            outcome,
-            is_request_finished,
-            elapsed,
-            server,
-            report,
-        };
+        let end = ended_after(elapsed, &name, server, Outcome::Ok);
         instance.handle(now + elapsed, end);
     }
     assert_eq!(last[0], 240 * MILLISECOND);
@@ -131,20 +102,7 @@
         let fits = server % 2 == quick;
         served_on_fast_model[(i % 2) as usize] += u32::from(fits && i >= 1000);
         let elapsed = if fits { 50 * MILLISECOND } else { 150 * MILLISECOND };
-        let id = name.as_str().into();
-        let attempt = AttemptNumber::default();
-        let outcome = Outcome::Ok;
-        let is_request_finished = true;
-        let report = None;
-        let end = Event::AttemptEnded {
-            id,
-            attempt,
-            outcome,
-            is_request_finished,
-            elapsed,
-            server,
-            report,
-        };
+        let end = ended_after(elapsed, &name, server, Outcome::Ok);
         instance.handle(now + elapsed, end);
     }
     // Of 500 each; half would fit by chance.
@@ -198,20 +156,7 @@
                 all += 1.0;
                 slow += f64::from(server % 2);
             }
-            let id = name.as_str().into();
-            let attempt = AttemptNumber::default();
-            let outcome = Outcome::Ok;
-            let is_request_finished = true;
-            let report = None;
-            let end = Event::AttemptEnded {
-                id,
-                attempt,
-                outcome,
-                is_request_finished,
-                elapsed,
-                server,
-                report,
-            };
+            let end = ended_after(elapsed, &name, server, Outcome::Ok);
             instance.handle(now + elapsed, end);
         }
         slow / all
